--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 SANITIZED := build-sanitize
 SOURCES := $(shell find src tests bench fuzz -name '*.cpp' -o -name '*.hpp')
 # Debian 12's clang cannot read the module's views together with GCC 12's library.
-TIDIED := $(filter-out src/brain.cpp,$(filter %.cpp,$(SOURCES)))
+TIDIED := $(filter-out src/search_scheduler.cpp,$(filter %.cpp,$(SOURCES)))
 
 .PHONY: build test sanitize lint format run clean measure fuzz rota-long
 
--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -1,7 +1,7 @@
 // `make measure NAME=access`: keys, our certificates and revocation lists change again and again while
-// clients search with good and bad credentials over plain and sealed listeners; what should have happened to each
-// search is known beforehand and counted against what did. The last line is one JSON object; the exit status
-// is 1 where a promise broke.
+// clients search with good and bad credentials over plain and sealed listeners; what should have happened to
+// each search is known beforehand and counted against what did. The last line is one JSON object; the exit
+// status is 1 where a promise broke.
 #include "access/gate.hpp"
 #include "access/text.hpp"
 #include "lab/hall.hpp"
@@ -249,14 +249,15 @@
     const double script_us = time_script();
     double plain_us = 0, guarded_us = 0;
     {
-        Hall open({2, Effect::kIdempotent, false, {}, 512}), guarded({2, Effect::kIdempotent, true, {}, 512});
+        Hall open({2, Idempotency::kIdempotent, false, {}, 512}),
+            guarded({2, Idempotency::kIdempotent, true, {}, 512});
         for (int round = 0; round < 4; ++round) { // in turn, so that the machine's mood falls on both
             plain_us += cpu_of_searches(open, false, "p" + std::to_string(round), 3000) / 4;
             guarded_us += cpu_of_searches(guarded, true, "g" + std::to_string(round), 3000) / 4;
         }
     }
     // The bound on handshakes is put out of the way: what is asked for is how many there could be.
-    Hall hall({2, Effect::kNonIdempotent, true,
+    Hall hall({2, Idempotency::kNonIdempotent, true,
                "tls = {\"handshake_steps_a_second\": 100000, \"handshake_steps_a_turn\": 16}\n", 512});
     const double handshakes = time_handshakes(hall, 2);
     hall.revoke_member("taken-back", transport::Loop::wall() + 3600 * kTenthsPerSecond);
@@ -328,7 +329,7 @@
     const double seconds = micros(Clock::now() - begun) / 1e6;
     nlohmann::ordered_json kinds;
     for (int i = 0; i < 13; ++i) kinds.push_back(counts.bad_kinds[i].load());
-    const std::size_t twice = hall.fleet.most_attempts();
+    const std::size_t twice = hall.fleet.max_attempts();
     nlohmann::ordered_json line = {
         {"searches", counts.searches.load()},
         {"rotations", rotations},
--- a/bench/h2.cpp
+++ b/bench/h2.cpp
@@ -183,7 +183,7 @@
     std::size_t twice = 0;
     bool attacks_kept = true;
     {
-        Hall hall({2, Effect::kIdempotent, true, {}, 512});
+        Hall hall({2, Idempotency::kIdempotent, true, {}, 512});
         victim(hall, "warm", counts);
         std::vector<double> calm;
         for (int round = 0; round < 2; ++round) { // the quieter of two is no yardstick: the middle of both
@@ -213,12 +213,12 @@
         }
         const std::uint64_t after = hall.memory_kb();
         per_blocked = static_cast<double>(after > before ? after - before : 0) / kBlocked;
-        twice = hall.fleet.most_attempts();
+        twice = hall.fleet.max_attempts();
     }
     progress("one connection against many");
     double h1_us = 0, h2_us = 0;
     {
-        Hall hall({2, Effect::kIdempotent, true, "access[\"plain_port\"] = \"open\"\n", 512});
+        Hall hall({2, Idempotency::kIdempotent, true, "access[\"plain_port\"] = \"open\"\n", 512});
         for (int round = 0; round < 3; ++round) {
             std::uint64_t at = hall.cpu_us();
             search_h1(hall, "one" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
@@ -227,12 +227,12 @@
             search_h2(hall, "two" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
             h2_us += static_cast<double>(hall.cpu_us() - at) / kRateSearches;
         }
-        twice = std::max(twice, hall.fleet.most_attempts());
+        twice = std::max(twice, hall.fleet.max_attempts());
     }
     progress("drains");
     std::uint64_t drain_lost = 0;
     for (int drain = 0; drain < kDrains; ++drain) {
-        Hall hall({2, Effect::kNonIdempotent, true, {}, 512});
+        Hall hall({2, Idempotency::kNonIdempotent, true, {}, 512});
         H2Client client(hall.h2());
         hall.fleet.hold(true);
         std::vector<std::int32_t> streams;
@@ -254,7 +254,7 @@
         }
         client.await_end();
         drain_lost += hall.exit_status() == 0 ? 0 : 1;
-        twice = std::max(twice, hall.fleet.most_attempts());
+        twice = std::max(twice, hall.fleet.max_attempts());
     }
     const double h1 = 1e6 / h1_us, h2 = 1e6 / h2_us;
     line["searches"] = counts.searches.load();
--- a/fuzz/h2.cpp
+++ b/fuzz/h2.cpp
@@ -10,8 +10,8 @@
     using namespace ivyrill;
     using namespace ivyrill::sessions;
     if (size < 2) return 0;
-    limits::ConnectionTerms terms;
-    terms.most_streams = 8, terms.most_held = 64 * 1024, terms.most_body = 4096;
+    limits::ConnectionLimits terms;
+    terms.max_streams = 8, terms.max_buffered_bytes = 64 * 1024, terms.max_body_bytes = 4096;
     Around around{true, 0};
     Http2Session session(around, terms);
     const std::size_t split = 1 + data[0] % 64;
@@ -28,7 +28,7 @@
         for (const News& news : session.news()) {
             if (const auto* came = std::get_if<SearchCame>(&news)) {
                 if (!open.insert(came->stream).second || done.contains(came->stream)) std::abort();
-            } else if (const auto* left = std::get_if<SearchLeft>(&news)) {
+            } else if (const auto* left = std::get_if<SearchCancelled>(&news)) {
                 if (open.erase(left->stream) == 0) std::abort();
                 done.insert(left->stream);
             }
@@ -42,7 +42,8 @@
         const std::string out = session.take_out(at % 7 == 0 ? 10 : 100'000);
         if (ended && !out.empty()) std::abort();
         ended = session.over();
-        if (session.open_streams() > terms.most_streams || session.owes() > terms.most_held + 8 * 1024)
+        if (session.open_streams() > terms.max_streams ||
+            session.owes() > terms.max_buffered_bytes + 8 * 1024)
             std::abort();
     }
     return 0;
--- a/src/drill/instance.cpp
+++ b/src/drill/instance.cpp
@@ -35,42 +35,45 @@
         const JobNo job{static_cast<std::uint64_t>(line.integer_within("JobNo", 0, kMostJob))};
         const std::int64_t shard = line.integer_within("SegmentNo", -kMostIndex, kMostIndex);
         if (shard < 0)
-            brain_->on(now, SearchTaken{SearchId{request_id(line)}, job, RequestClassNo{index(line, "Kind")},
-                                        TenantNo{index(line, "Realm")}, tenths_to_use(line.integer("TtlUs")),
-                                        line.flag("IsRetry")});
+            scheduler_->handle(
+                now, SearchAccepted{SearchId{request_id(line)}, job, RequestClassNo{index(line, "Kind")},
+                                    TenantNo{index(line, "Realm")}, tenths_to_use(line.integer("TtlUs")),
+                                    line.flag("IsRetry")});
         else
-            brain_->on(now,
-                       PartTaken{PartId{request_id(line)}, job, ShardNo{static_cast<std::int32_t>(shard)},
-                                 line.number("SizeOrWeight", 0)});
+            scheduler_->handle(now, PartAdded{PartId{request_id(line)}, job,
+                                              ShardNo{static_cast<std::int32_t>(shard)},
+                                              line.number("SizeOrWeight", 0)});
     } else if (line.name() == "RETURNED") {
         const AttemptNo attempt{static_cast<std::uint32_t>(line.integer_within("Copy", 0, kMostId))};
         const Tenths took = tenths_to_use(line.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(line.text("How"));
         // The wire has one word for both: what took less than the time-out was refused.
-        if (outcome == Outcome::kNoConnection && took < connect_span_) outcome = Outcome::kRefused;
-        brain_->on(now, AttemptReturned{PartId{request_id(line)}, attempt, server_of(line.text("Server")),
+        if (outcome == Outcome::kConnectTimeout && took < connect_span_)
+            outcome = Outcome::kConnectionRefused;
+        scheduler_->handle(now,
+                           AttemptEnded{PartId{request_id(line)}, attempt, server_of(line.text("Server")),
                                         outcome, took, read_report(line)});
     } else if (line.name() == "CHECKED") {
-        brain_->on(now, ProbeReturned{server_of(line.text("Server")), line.text("How") == "pass",
-                                      tenths_to_use(line.integer("DelaySeenUs", 0)), read_report(line)});
+        scheduler_->handle(now, ProbeEnded{server_of(line.text("Server")), line.text("How") == "pass",
+                                           tenths_to_use(line.integer("DelaySeenUs", 0)), read_report(line)});
     } else if (line.name() == "LAPSED") {
-        brain_->on(now, SearchLapsed{SearchId{request_id(line)}});
+        scheduler_->handle(now, SearchAbandoned{SearchId{request_id(line)}});
     }
     // RING needs no more than the decision that every event brings; other messages are not for this module.
 }
 
 void Instance::apply_list(Tenths now, ListKind kind, const Sheet& sheet) {
-    ListNews news{kind, {}};
+    ServerListUpdate news{kind, {}};
     for (const SheetEntry& row : sheet) {
         news.entries.push_back(row.entry);
         news.entries.back().server = server_of(row.server);
     }
-    brain_->on(now, news);
+    scheduler_->handle(now, news);
 }
 
 std::string Instance::decide(Tenths now) {
     actions_.clear();
-    brain_->decide(now, *this);
+    scheduler_->decide(now, *this);
     return std::move(actions_);
 }
 
@@ -80,7 +83,7 @@
                 " Server=" + names_.at(server.value) + "\n";
 }
 
-void Instance::recall(PartId part, AttemptNo attempt) {
+void Instance::cancel_attempt(PartId part, AttemptNo attempt) {
     actions_ += "REVOKE Id=" + number(part.value) + " Copy=" + number(attempt.value) + "\n";
 }
 
@@ -88,9 +91,9 @@
     actions_ += "SETTLE_QUERY Id=" + number(search.value) + " On=" + (whole ? "1" : "0") + "\n";
 }
 
-void Instance::reject(SearchId search, Tenths come_back) {
+void Instance::reject(SearchId search, Tenths retry_after) {
     actions_ += "REJECT Id=" + number(search.value);
-    if (come_back > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(come_back));
+    if (retry_after > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(retry_after));
     actions_ += "\n";
 }
 
@@ -98,9 +101,13 @@
 
 void Instance::probe(ServerId server) { actions_ += "ASK_LOAD Server=" + names_.at(server.value) + "\n"; }
 
-void Instance::hang_up(ServerId server) { actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n"; }
+void Instance::close_idle_connections(ServerId server) {
+    actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n";
+}
 
-void Instance::wake(Tenths in) { actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n"; }
+void Instance::schedule_wakeup(Tenths in) {
+    actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n";
+}
 
 void Instance::subscribe() { actions_ += "LISTEN On=1\n"; }
 
--- a/src/drill/instance.hpp
+++ b/src/drill/instance.hpp
@@ -1,7 +1,7 @@
 // One simulated front node: it gives the module's actions their wire form and knows servers by their names.
 #pragma once
-#include "brain.hpp"
 #include "drill/wire.hpp"
+#include "search_scheduler.hpp"
 
 #include <map>
 #include <string>
@@ -15,30 +15,30 @@
 };
 using Sheet = std::vector<SheetEntry>;
 
-class Instance : public Host {
+class Instance : public SchedulerHost {
   public:
-    explicit Instance(OpeningTerms terms)
-        : connect_span_(terms.connect_span), brain_(open_brain(std::move(terms))) {}
+    explicit Instance(SchedulerConfig terms)
+        : connect_span_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
     void apply(Tenths now, const Line& line); // any event but OPEN_INSTANCE, KILLED and ENDPOINTS
     void apply_list(Tenths now, ListKind kind, const Sheet& sheet);
     std::string decide(Tenths now); // the actions, a line each
 
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
-    void recall(PartId part, AttemptNo attempt) override;
+    void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
-    void reject(SearchId search, Tenths come_back) override;
+    void reject(SearchId search, Tenths retry_after) override;
     void fail(SearchId search) override;
     void probe(ServerId server) override;
-    void hang_up(ServerId server) override;
-    void wake(Tenths in) override;
+    void close_idle_connections(ServerId server) override;
+    void schedule_wakeup(Tenths in) override;
     void subscribe() override;
 
   private:
     ServerId server_of(std::string_view name);
 
     Tenths connect_span_;
-    std::unique_ptr<Brain> brain_;
+    std::unique_ptr<SearchScheduler> scheduler_;
     std::map<std::string, ServerId, std::less<>> ids_;
     std::vector<std::string> names_;
     std::string actions_;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -50,7 +50,7 @@
 
 bool Line::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
 
-OpeningTerms read_terms(const Line& opening) {
+SchedulerConfig read_terms(const Line& opening) {
     return protocol::read_terms(opening.fields(), static_cast<std::uint64_t>(opening.integer("Nonce64", 0)));
 }
 
@@ -69,19 +69,19 @@
 Outcome read_outcome(std::string_view word) {
     if (word == "pass") return Outcome::kAnswered;
     if (word == "fault") return Outcome::kError;
-    if (word == "no_room") return Outcome::kTurnedAway;
+    if (word == "no_room") return Outcome::kRejected;
     if (word == "too_slow") return Outcome::kTimedOut;
-    if (word == "no_route") return Outcome::kNoConnection;
-    if (word == "cut") return Outcome::kBroken;
-    if (word == "undone") return Outcome::kRecalled;
-    if (word == "stale_send") return Outcome::kNeverSent;
+    if (word == "no_route") return Outcome::kConnectTimeout;
+    if (word == "cut") return Outcome::kConnectionLost;
+    if (word == "undone") return Outcome::kCancelled;
+    if (word == "stale_send") return Outcome::kNotSent;
     throw WireError("How: unknown: " + quoted(word));
 }
 
-Listed read_listed(std::string_view word) {
-    if (word == "live") return Listed::kLive;
-    if (word == "quiescing") return Listed::kDraining;
-    if (word == "dead") return Listed::kGone;
+ListedState read_listed(std::string_view word) {
+    if (word == "live") return ListedState::kLive;
+    if (word == "quiescing") return ListedState::kDraining;
+    if (word == "dead") return ListedState::kGone;
     throw WireError("Availability: unknown: " + quoted(word));
 }
 
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -1,9 +1,9 @@
 // The simulator's wire as text: lines, fields, and the values in them. Whatever is malformed is thrown as
 // WireError with a message that names the place.
 #pragma once
-#include "brain.hpp"
 #include "protocol/terms.hpp"
 #include "protocol/values.hpp"
+#include "search_scheduler.hpp"
 
 #include <cstdint>
 #include <map>
@@ -35,10 +35,10 @@
     std::map<std::string_view, std::string_view> fields_;
 };
 
-OpeningTerms read_terms(const Line& opening);
+SchedulerConfig read_terms(const Line& opening);
 LoadReport read_report(const Line& line);
 Outcome read_outcome(std::string_view word);
-Listed read_listed(std::string_view word);
+ListedState read_listed(std::string_view word);
 ListKind read_list_kind(std::string_view word);
 
 } // namespace ivyrill::drill
--- a/src/http/call_server.cpp
+++ b/src/http/call_server.cpp
@@ -15,7 +15,7 @@
 CallServer::Connection::Connection(transport::Reactor& reactor, int descriptor, const Options& options)
     : wake(reactor.loop()),
       stream(reactor.loop(), descriptor, transport::Stream::Start::kConnected, kMostUnread, kMostUnsent),
-      parser(protocol::HttpParser::Side::kRequests, {16 * 1024, options.most_body}) {
+      parser(protocol::HttpParser::Side::kRequests, {16 * 1024, options.max_body_bytes}) {
     stream.also_wake(&wake);
 }
 
--- a/src/http/call_server.hpp
+++ b/src/http/call_server.hpp
@@ -15,10 +15,10 @@
 class CallServer {
   public:
     struct Options {
-        std::size_t most_body = 8 * 1024 * 1024; // bytes
-        std::size_t most_connections = 1000;     // further ones are closed at once
-        Tenths request_patience = 50'000;        // for a whole request once it has begun
-        Tenths idle_patience = 300'000;          // between requests
+        std::size_t max_body_bytes = 8 * 1024 * 1024; // bytes
+        std::size_t most_connections = 1000;          // further ones are closed at once
+        Tenths request_patience = 50'000;             // for a whole request once it has begun
+        Tenths idle_patience = 300'000;               // between requests
     };
     using Handler = std::function<transport::Async<Answer>(protocol::HttpMessage)>;
     CallServer(transport::Reactor& reactor, const std::string& address, Options options, Handler handler);
--- a/src/limits/connection_budget.cpp
+++ b/src/limits/connection_budget.cpp
@@ -12,7 +12,7 @@
 struct Allowance {
     double burst, a_second;
 };
-constexpr std::array<Allowance, kDeeds> kAllowances = {{
+constexpr std::array<Allowance, kClientActionCount> kAllowances = {{
     {2.0, 1.0},   // resets: all open streams twice over, then as many again each second
     {0.2, 0.1},   // pings
     {0.2, 0.1},   // settings
@@ -24,22 +24,22 @@
 
 } // namespace
 
-std::string_view name_of(Deed deed) {
-    constexpr std::array<std::string_view, kDeeds> kNames = {"reset",  "ping",      "settings", "empty",
-                                                             "window", "after-end", "bad"};
+std::string_view name_of(ClientAction deed) {
+    constexpr std::array<std::string_view, kClientActionCount> kNames = {
+        "reset", "ping", "settings", "empty", "window", "after-end", "bad"};
     return kNames[static_cast<std::size_t>(deed)];
 }
 
-ConnectionBudget::ConnectionBudget(const ConnectionTerms& terms, Tenths now) : terms_(terms) {
-    for (std::size_t i = 0; i < kDeeds; ++i)
-        buckets_[i] = {std::max(4.0, kAllowances[i].burst * static_cast<double>(terms.most_streams)), now};
+ConnectionBudget::ConnectionBudget(const ConnectionLimits& terms, Tenths now) : terms_(terms) {
+    for (std::size_t i = 0; i < kClientActionCount; ++i)
+        buckets_[i] = {std::max(4.0, kAllowances[i].burst * static_cast<double>(terms.max_streams)), now};
 }
 
-bool ConnectionBudget::spend(Deed deed, Tenths now) {
+bool ConnectionBudget::spend(ClientAction deed, Tenths now) {
     const auto at = static_cast<std::size_t>(deed);
     ++counts_[at];
     Bucket& bucket = buckets_[at];
-    const double streams = static_cast<double>(terms_.most_streams);
+    const double streams = static_cast<double>(terms_.max_streams);
     const double burst = std::max(4.0, kAllowances[at].burst * streams);
     const double passed = static_cast<double>(std::max<Tenths>(0, now - bucket.filled)) / kTenthsPerSecond;
     bucket.room = std::min(burst, bucket.room + passed * kAllowances[at].a_second * streams);
@@ -49,16 +49,16 @@
     return true;
 }
 
-bool ConnectionBudget::takes_stream(std::size_t open, std::size_t held) const {
-    return open < terms_.most_streams &&
-           held + terms_.most_body <= terms_.most_held; // a whole request must fit
+bool ConnectionBudget::allows_stream(std::size_t open, std::size_t held) const {
+    return open < terms_.max_streams &&
+           held + terms_.max_body_bytes <= terms_.max_buffered_bytes; // a whole request must fit
 }
 
-bool ConnectionBudget::takes_body(std::size_t of_stream, std::size_t held) const {
-    return of_stream <= terms_.most_body && held <= terms_.most_held;
+bool ConnectionBudget::allows_body(std::size_t of_stream, std::size_t held) const {
+    return of_stream <= terms_.max_body_bytes && held <= terms_.max_buffered_bytes;
 }
 
-std::size_t share_of_searches(std::size_t most_open, std::size_t others_that_search) {
+std::size_t fair_share_of_searches(std::size_t most_open, std::size_t others_that_search) {
     return std::max<std::size_t>(1, most_open / (1 + others_that_search));
 }
 
--- a/src/limits/connection_budget.hpp
+++ b/src/limits/connection_budget.hpp
@@ -12,7 +12,7 @@
 
 namespace ivyrill::limits {
 
-enum class Deed {
+enum class ClientAction {
     kReset, // a stream taken back before its answer
     kPing,
     kSettings,
@@ -21,41 +21,41 @@
     kAfterEnd, // frames on streams that have ended
     kBad,      // a request that is not understood, or fields past their bound
 };
-inline constexpr std::size_t kDeeds = 7;
-std::string_view name_of(Deed deed);
-
-struct ConnectionTerms {
-    std::size_t most_streams = 100;      // open at once
-    std::size_t most_body = 64 * 1024;   // bytes of one request
-    std::size_t most_fields = 16 * 1024; // bytes of one request's fields, decoded (RFC 9113, 6.5.2)
-    std::size_t most_held = 1024 * 1024; // bytes of requests and answers held for one connection
-    std::size_t turn_bytes = 16 * 1024;  // read of one connection before others have their turn
+inline constexpr std::size_t kClientActionCount = 7;
+std::string_view name_of(ClientAction deed);
+
+struct ConnectionLimits {
+    std::size_t max_streams = 100;                 // open at once
+    std::size_t max_body_bytes = 64 * 1024;        // bytes of one request
+    std::size_t max_header_list_bytes = 16 * 1024; // bytes of one request's fields, decoded (RFC 9113, 6.5.2)
+    std::size_t max_buffered_bytes = 1024 * 1024;  // bytes of requests and answers held for one connection
+    std::size_t read_quantum_bytes = 16 * 1024;    // read of one connection before others have their turn
 };
 
 class ConnectionBudget {
   public:
-    ConnectionBudget(const ConnectionTerms& terms, Tenths now);
+    ConnectionBudget(const ConnectionLimits& terms, Tenths now);
     // False: it is spent, and the connection ends with ENHANCE_YOUR_CALM.
-    bool spend(Deed deed, Tenths now);
+    bool spend(ClientAction deed, Tenths now);
     // Whether a further stream is taken on, with so much held already; else it is refused unprocessed, and
     // its client may ask again elsewhere.
-    bool takes_stream(std::size_t open, std::size_t held) const;
-    bool takes_body(std::size_t of_stream, std::size_t held) const;
-    const ConnectionTerms& terms() const { return terms_; }
-    std::uint64_t count(Deed deed) const { return counts_[static_cast<std::size_t>(deed)]; }
+    bool allows_stream(std::size_t open, std::size_t held) const;
+    bool allows_body(std::size_t of_stream, std::size_t held) const;
+    const ConnectionLimits& terms() const { return terms_; }
+    std::uint64_t count(ClientAction deed) const { return counts_[static_cast<std::size_t>(deed)]; }
 
   private:
     struct Bucket {
         double room = 0;
         Tenths filled = 0;
     };
-    ConnectionTerms terms_;
-    std::array<Bucket, kDeeds> buckets_;
-    std::array<std::uint64_t, kDeeds> counts_{};
+    ConnectionLimits terms_;
+    std::array<Bucket, kClientActionCount> buckets_;
+    std::array<std::uint64_t, kClientActionCount> counts_{};
 };
 
 // How many searches one connection may have open of all that the front node may hold: everything while it is
 // alone, an even share beside others that search, one always.
-std::size_t share_of_searches(std::size_t most_open, std::size_t others_that_search);
+std::size_t fair_share_of_searches(std::size_t most_open, std::size_t others_that_search);
 
 } // namespace ivyrill::limits
--- a/src/operator/orders.cpp
+++ b/src/operator/orders.cpp
@@ -228,10 +228,10 @@
     made.ticket_span = seconds(tls.whole("ticket_span_s", 1, 86'400, 3600));
     tls.done();
     Fields http2 = top.object("http2").value_or(Fields(none, "http2"));
-    limits::ConnectionTerms& terms = made.connections;
-    terms.most_streams = static_cast<std::size_t>(http2.whole("open_streams", 1, 10'000, 100));
-    terms.most_fields = static_cast<std::size_t>(http2.whole("fields_bytes", 1024, 65'536, 16'384));
-    terms.most_held = static_cast<std::size_t>(http2.whole("held_bytes", 65'536, 64 << 20, 1 << 20));
+    limits::ConnectionLimits& terms = made.connections;
+    terms.max_streams = static_cast<std::size_t>(http2.whole("open_streams", 1, 10'000, 100));
+    terms.max_header_list_bytes = static_cast<std::size_t>(http2.whole("fields_bytes", 1024, 65'536, 16'384));
+    terms.max_buffered_bytes = static_cast<std::size_t>(http2.whole("held_bytes", 65'536, 64 << 20, 1 << 20));
     http2.done();
     Fields audit = top.object("audit").value_or(Fields(none, "audit"));
     made.audit.file = audit.text("file", "");
--- a/src/operator/orders.hpp
+++ b/src/operator/orders.hpp
@@ -64,7 +64,7 @@
     std::optional<AccessOrders> access;
     std::vector<ListenerOrders> listeners;
     access::HandshakeTerms handshakes;
-    limits::ConnectionTerms connections;
+    limits::ConnectionLimits connections;
     Tenths ticket_span = 0;
     AuditOrders audit;
 };
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -91,8 +91,8 @@
     : orders_(std::move(orders)), read_again_(std::move(read_again)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, orders_.listen));
-    for (const RequestClassTerms& request_class : orders_.terms.opening.request_classes)
-        stuck_after_ = std::max(stuck_after_, request_class.deadline_span);
+    for (const RequestClassConfig& request_class : orders_.terms.opening.request_classes)
+        stuck_after_ = std::max(stuck_after_, request_class.overall_deadline);
     router_ = std::make_unique<routing::Router>(orders_.terms, orders_.known, orders_.discovery,
                                                 descriptors(orders_.sockets), loop_.now());
     if (operator_file_.empty()) return;
@@ -111,11 +111,11 @@
         rota_->told(known);
     }
     if (operator_side_->policy)
-        router_->guard(operator_side_->policy, ordered.access->key_is_query, loop_.now(),
-                       transport::Loop::wall());
+        router_->enable_access_control(operator_side_->policy, ordered.access->key_is_query, loop_.now(),
+                                       transport::Loop::wall());
     listeners_.front()->guarded = ordered.access && ordered.access->plain_guarded;
     connection_terms_ = ordered.connections;
-    router_->bound_handshakes(ordered.handshakes, loop_.now());
+    router_->limit_handshakes(ordered.handshakes, loop_.now());
     for (std::size_t i = 0; i < ordered.listeners.size(); ++i) {
         listeners_.push_back(std::make_unique<Listener>(loop_, ordered.listeners[i].address));
         listeners_.back()->tls = operator_side_->tls[i],
@@ -159,9 +159,9 @@
             tell_connection(*connection->second);
     if (loop_.now() >= stuck_at_) drop_stuck();
     if (operator_side_ && operator_side_->policy)
-        inbox_.push_front(routing::WallTold{transport::Loop::wall()});
+        inbox_.push_front(routing::WallClockRead{transport::Loop::wall()});
     do {
-        for (; !inbox_.empty(); inbox_.pop_front()) router_->step(loop_.now(), std::move(inbox_.front()));
+        for (; !inbox_.empty(); inbox_.pop_front()) router_->handle(loop_.now(), std::move(inbox_.front()));
         for (const routing::Effect& effect : router_->turn(loop_.now()))
             std::visit([this](const auto& what) { carry_out(what); }, effect);
         write_all_out();
@@ -185,7 +185,7 @@
         accept_all();
         turn();
         listeners_.clear();
-        post(routing::QuietOrdered{});
+        post(routing::TrafficStopped{});
         enter(Phase::kQuiet);
         turn();
     }
@@ -203,7 +203,7 @@
                 read_operator_file();
                 continue;
             }
-            if (phases_.now() == Phase::kServing) post(routing::DrainOrdered{});
+            if (phases_.now() == Phase::kServing) post(routing::DrainStarted{});
             if (rota_) rota_->leave();
             enter(phases_.now() == Phase::kStarting ? Phase::kStopped : Phase::kDraining);
         }
@@ -218,7 +218,7 @@
         if (!read_again_) throw std::runtime_error("no file was named at the start");
         const protocol::StartOrders fresh = read_again_();
         log().info("configuration read again, discovery={}", fresh.discovery);
-        post(routing::DiscoveryNamed{fresh.discovery});
+        post(routing::DiscoveryAddressChanged{fresh.discovery});
     } catch (const std::exception& error) { log_some("configuration not taken up: {}", error.what()); }
 }
 
@@ -236,7 +236,7 @@
             (fresh.policy == nullptr) != (operator_side_->policy == nullptr))
             throw std::runtime_error("other listeners, and access on or off, need a restart");
         for (std::size_t i = 1; i < listeners_.size(); ++i) listeners_[i]->tls = fresh.tls[i - 1];
-        if (fresh.policy) post(routing::PolicyRead{fresh.policy});
+        if (fresh.policy) post(routing::PolicyLoaded{fresh.policy});
         operator_side_ = std::move(fresh);
     } catch (const std::exception& error) {
         audit_->write({{"what", "kept"}, {"why", error.what()}}, transport::Loop::wall());
@@ -260,7 +260,7 @@
     transport::Slot& next = members_->readable;
     for (std::size_t before = 0;;) {
         const std::size_t present = rota_->present();
-        if (present != std::exchange(before, present)) post(routing::MembersCounted{present});
+        if (present != std::exchange(before, present)) post(routing::FrontNodesCounted{present});
         co_await next;
     }
 }
@@ -268,7 +268,7 @@
 // What share of the searches of the last while was rejected: machines go out only where load leaves room.
 void Node::tell_strain() {
     const routing::Counts& c = router_->counts();
-    const std::uint64_t pushed = c.rejected + c.over_full;
+    const std::uint64_t pushed = c.rejected + c.over_limit;
     const auto fresh = static_cast<double>(c.searches - strain_searches_);
     if (fresh > 0) rota_->strained(static_cast<double>(pushed - strain_pushed_) / fresh);
     strain_searches_ = c.searches, strain_pushed_ = pushed;
@@ -286,8 +286,8 @@
         "recalls={} late_answers={} links_opened={} links_doubted={} links_renewed={} spoilt={} probes={} "
         "lists={} lists_lost={} open_searches={} "
         "open_launches={} clients={} links={} cpu_ms={} memory_kb={}",
-        c.searches, c.delivered, c.rejected, c.failed, c.lapsed, c.over_full, c.attempts, c.recalls,
-        c.returned_late, c.connections_opened, c.connections_doubted, c.connections_renewed, c.spoilt,
+        c.searches, c.delivered, c.rejected, c.failed, c.abandoned, c.over_limit, c.attempts, c.cancellations,
+        c.late_answers, c.connections_opened, c.connections_suspected, c.connections_renewed, c.malformed,
         c.probes, c.lists, c.lists_lost, router_->open_searches(), router_->open_attempts(),
         router_->open_clients(), router_->open_connections(), ms(used.ru_utime) + ms(used.ru_stime),
         used.ru_maxrss);
@@ -295,7 +295,7 @@
         log().info("access admitted={} refused={} verified={} from_cache={} swaps={} barred={} distrusted={} "
                    "generation={} cached={} handshakes={}",
                    gate->counts().admitted, gate->counts().refused, gate->counts().verified,
-                   gate->counts().from_cache, gate->counts().swaps, c.barred, c.distrusted,
+                   gate->counts().from_cache, gate->counts().swaps, c.revoked, c.certificates_revoked,
                    gate->policy().generation, gate->cached(), router_->open_handshakes());
 }
 
@@ -352,7 +352,7 @@
     transport::Slot& changed = stream.changed; // named, as below
     try {
         while (stream.shaking() && !stream.ended()) {
-            if (stream.shake_due()) post(routing::ShakeWanted{client.id});
+            if (stream.shake_due()) post(routing::HandshakeReady{client.id});
             co_await changed;
         }
         if (!client.session) client.session = make_session(stream.protocol());
@@ -364,16 +364,16 @@
                 taken += stream.feed(session);
                 tell_news(client);
                 write_out(client);
-                if (taken < connection_terms_.turn_bytes) continue;
+                if (taken < connection_terms_.read_quantum_bytes) continue;
                 changed.wake(); // others have their turn
             } else if (session.midway()) {
-                post(routing::ClientMidway{client.id});
+                post(routing::RequestStarted{client.id});
             }
             taken = 0;
             if (session.over() || stream.ended() || client.shut) break;
             // Guards against a client that has gone behind more bytes than there is room for.
             if (!session.reads() && stream.hung_up()) {
-                post(routing::ClientGone{client.id});
+                post(routing::ClientDisconnected{client.id});
                 co_return;
             }
             co_await changed;
@@ -383,24 +383,24 @@
         for (bool left = false; !stream.ended();) {
             if (stream.unwritten() == 0 && !std::exchange(left, true)) {
                 stream.finish();
-                post(routing::ClientLeaving{client.id});
+                post(routing::ClientFinalAnswerSent{client.id});
             }
             stream.discard();
             if (!stream.ended()) co_await changed;
         }
     } catch (const std::exception& error) { log_some("client: {}", error.what()); }
-    post(routing::ClientGone{client.id});
+    post(routing::ClientDisconnected{client.id});
 }
 
 void Node::tell_news(Client& client) {
     for (sessions::News& news : client.session->news()) {
         if (auto* search = std::get_if<sessions::SearchCame>(&news))
-            post(routing::SearchRead{client.id, std::move(search->request), client.stream.age(),
-                                     search->stream});
-        else if (const auto* left = std::get_if<sessions::SearchLeft>(&news))
-            post(routing::SearchLeft{client.id, left->stream});
+            post(routing::SearchReceived{client.id, std::move(search->request), client.stream.age(),
+                                         search->stream});
+        else if (const auto* left = std::get_if<sessions::SearchCancelled>(&news))
+            post(routing::SearchCancelled{client.id, left->stream});
         else
-            post(routing::ClientAnswered{client.id});
+            post(routing::OtherRequestAnswered{client.id});
     }
 }
 
@@ -425,7 +425,7 @@
     for (const auto& [id, client] : clients_) {
         const bool owing = client->stream.unwritten() > 0 || (client->session && client->session->owes() > 0);
         const std::uint64_t moved = client->stream.moved();
-        if (owing && moved == client->moved) post(routing::ClientGone{id});
+        if (owing && moved == client->moved) post(routing::ClientDisconnected{id});
         client->moved = moved;
     }
     stuck_at_ = loop_.now() + stuck_after_;
@@ -457,7 +457,7 @@
     spoken_.insert(effect.client);
 }
 
-void Node::carry_out(const routing::ShakeHands& effect) {
+void Node::carry_out(const routing::ContinueHandshake& effect) {
     const auto found = clients_.find(effect.client);
     if (found == clients_.end()) return;
     transport::Channel& channel = found->second->stream;
@@ -467,7 +467,7 @@
         std::shared_ptr<const access::Chain> chain;
         if (const auto shown = channel.peer_chain())
             chain = std::make_shared<const access::Chain>(access::Chain{*shown});
-        post(routing::ClientSecured{effect.client, std::move(chain)});
+        post(routing::HandshakeCompleted{effect.client, std::move(chain)});
     }
     channel.changed.wake();
 }
@@ -480,9 +480,9 @@
 
 // Who has sent something that nobody has read yet is heard first: the reducer learns of it before it asks
 // again.
-void Node::carry_out(const routing::ShutClient& effect) {
+void Node::carry_out(const routing::HalfCloseClient& effect) {
     Client* client = find_client(effect.client);
-    if (client == nullptr) return post(routing::ClientGone{effect.client});
+    if (client == nullptr) return post(routing::ClientDisconnected{effect.client});
     client->shut = !client->stream.waiting_unread();
     client->stream.changed.wake();
 }
@@ -505,13 +505,13 @@
                 if (connection.parser.complete()) handle_frame(connection, connection.parser.take());
             }
             if (stream.ended() || connection.parser.broken() || connection.over) break;
-            if (connection.parser.midway()) post(routing::ConnectionMidway{connection.id});
+            if (connection.parser.midway()) post(routing::FrameStarted{connection.id});
             co_await stream.changed;
         }
         tell_connection(connection);
         if (connection.parser.broken()) {
             log_some("index server: {}", "what it sent is no frame");
-            post(routing::ConnectionSpoilt{connection.id, {}});
+            post(routing::MalformedDataReceived{connection.id, {}});
         }
     } catch (const std::exception& error) { log_some("index server: {}", error.what()); }
     end_connection(connection);
@@ -521,16 +521,16 @@
 void Node::end_connection(Connection& connection) {
     connection.stream.abandon();
     tell_connection(connection);
-    post(routing::ConnectionEnded{connection.id});
+    post(routing::ConnectionClosed{connection.id});
 }
 
 void Node::tell_connection(Connection& connection) {
     if (connection.stream.up() && !std::exchange(connection.told_up, true))
-        post(routing::ConnectionUp{connection.id});
+        post(routing::ConnectionEstablished{connection.id});
     if (connection.stream.written() == connection.told) return;
     connection.told = connection.stream.written();
     if (connection.stream.unwritten() > 0) writing_.insert(connection.id);
-    post(routing::ConnectionWrote{connection.id, connection.told});
+    post(routing::ConnectionBytesWritten{connection.id, connection.told});
 }
 
 void Node::handle_frame(Connection& connection, const protocol::Frame& frame) {
@@ -539,19 +539,19 @@
             return post(routing::PartAnswered{connection.id, protocol::read_part_answer(frame.rest),
                                               connection.stream.age()});
         if (frame.letter == 'M')
-            return post(routing::LoadTold{connection.id, protocol::read_load_answer(frame.rest)});
+            return post(routing::LoadReceived{connection.id, protocol::read_load_answer(frame.rest)});
         if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
         log_some("index server: our frame was of no use to it: {}", protocol::quoted(frame.rest));
     } catch (const protocol::ProtocolError& error) {
         log_some("index server: {}", error.what());
-        post(routing::ConnectionSpoilt{connection.id, std::string(protocol::part_named(frame.rest))});
+        post(routing::MalformedDataReceived{connection.id, std::string(protocol::part_named(frame.rest))});
     }
     connection.over = true;
 }
 
 void Node::carry_out(const routing::OpenConnection& effect) {
     const int descriptor = transport::connect_to(effect.address);
-    if (descriptor < 0) return post(routing::ConnectionEnded{effect.connection});
+    if (descriptor < 0) return post(routing::ConnectionClosed{effect.connection});
     try {
         auto connection = std::make_unique<Connection>(effect.connection, loop_, descriptor,
                                                        kMostPart * orders_.terms.batch);
@@ -559,7 +559,7 @@
         connections_.emplace(effect.connection, std::move(connection)).first->second->task.start();
     } catch (const std::system_error& error) {
         log_some("no connection: {}", error.what());
-        post(routing::ConnectionEnded{effect.connection});
+        post(routing::ConnectionClosed{effect.connection});
     }
 }
 
@@ -579,7 +579,7 @@
     for (;;) {
         transport::Slot& asked = discovery_->asked; // named: GCC 12 keeps no reference that comes from a call
         while (!discovery_->ask) co_await asked;
-        const routing::AskId id = discovery_->ask->ask;
+        const routing::DiscoveryCallId id = discovery_->ask->ask;
         const std::string request = protocol::list_request(discovery_->ask->address, discovery_->ask->after,
                                                            discovery_->ask->wait_ms, discovery_->ask->whole);
         std::optional<protocol::HttpMessage> answer;
@@ -597,7 +597,7 @@
             stream.send(request);
             for (bool sent = false;;) {
                 while (stream.unread() && !parser.complete() && parser.broken() == 0) stream.feed(parser);
-                if (stream.up() && !std::exchange(sent, true)) post(routing::AskSent{id});
+                if (stream.up() && !std::exchange(sent, true)) post(routing::DiscoveryConnected{id});
                 if (stream.ended()) parser.end();
                 if (parser.complete() || parser.broken() != 0 || stream.ended()) break;
                 co_await stream.changed;
@@ -607,7 +607,7 @@
             if (!answer || answer->close) discovery_->stream.reset();
         }
         discovery_->ask.reset();
-        routing::Event news = routing::ListLost{id};
+        routing::Event news = routing::ServerListFailed{id};
         if (answer && answer->status == 200) {
             try {
                 protocol::ServerList list = protocol::read_server_list(answer->body);
@@ -615,19 +615,19 @@
                     log().info("list version={} full={} entries={}", list.version, list.full,
                                list.servers.size());
                 if (rota_) rota_->told(list);
-                news = routing::ListTold{id, std::move(list)};
+                news = routing::ServerListReceived{id, std::move(list)};
             } catch (const protocol::ProtocolError& error) { log_some("discovery: {}", error.what()); }
         }
         post(std::move(news));
     }
 }
 
-void Node::carry_out(const routing::AskDiscovery& effect) {
+void Node::carry_out(const routing::QueryDiscovery& effect) {
     discovery_->ask = effect;
     discovery_->asked.wake();
 }
 
-void Node::carry_out(const routing::DropAsk& effect) {
+void Node::carry_out(const routing::CancelDiscoveryCall& effect) {
     log_some("discovery: its connection is closed: {}", effect.why);
     discovery_task_ = {};
     discovery_.emplace(loop_);
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -90,7 +90,7 @@
     };
     struct Discovery {
         explicit Discovery(transport::Loop& loop) : asked(loop) {}
-        std::optional<routing::AskDiscovery> ask; // the call that is out
+        std::optional<routing::QueryDiscovery> ask; // the call that is out
         transport::Slot asked;
         std::unique_ptr<transport::Stream> stream;
     };
@@ -121,14 +121,14 @@
     void carry_out(const routing::CloseConnection& effect);
     void carry_out(const routing::AnswerClient& effect);
     void carry_out(const routing::RejectClient& effect);
-    void carry_out(const routing::ShakeHands& effect);
+    void carry_out(const routing::ContinueHandshake& effect);
     void carry_out(const routing::Audit& effect);
     void carry_out(const routing::DrainClient& effect);
     void carry_out(const routing::CloseClient& effect);
-    void carry_out(const routing::ShutClient& effect);
+    void carry_out(const routing::HalfCloseClient& effect);
     void carry_out(const routing::AcceptClients& effect);
-    void carry_out(const routing::AskDiscovery& effect);
-    void carry_out(const routing::DropAsk& effect);
+    void carry_out(const routing::QueryDiscovery& effect);
+    void carry_out(const routing::CancelDiscoveryCall& effect);
     void carry_out(const routing::ArmTimer& effect);
     void read_orders_again();
     void keep_phase();
@@ -142,7 +142,7 @@
     transport::Loop loop_;
     Phases phases_;
     sessions::Around around_;
-    limits::ConnectionTerms connection_terms_;
+    limits::ConnectionLimits connection_terms_;
     std::deque<routing::Event> inbox_;
     std::unique_ptr<routing::Router> router_;
     std::optional<transport::Source> signals_, changes_; // the latter: of the operator's files
--- a/src/program/rota_side.cpp
+++ b/src/program/rota_side.cpp
@@ -196,7 +196,7 @@
         const std::lock_guard lock(inside_->mutex);
         protocol::ServerList& list = inside_->list;
         if (fresh.full) {
-            for (protocol::ServerEntry& old : list.servers) old.listed = Listed::kGone;
+            for (protocol::ServerEntry& old : list.servers) old.listed = ListedState::kGone;
         }
         for (const protocol::ServerEntry& entry : fresh.servers) {
             const auto known = std::ranges::find(list.servers, entry.id, &protocol::ServerEntry::id);
@@ -243,9 +243,9 @@
         if (known == work.end()) known = work.find("");
         machine.facts.work = known == work.end() ? 600 * kTenthsPerSecond : known->second;
         const Tenths born = entry.started_ms * (kTenthsPerSecond / 1000);
-        machine.health = entry.listed == Listed::kGone       ? rota::Health::kGone
-                         : entry.listed == Listed::kDraining ? rota::Health::kDrains
-                         : entry.started_ms > 0 && wall < born + terms.opening.cold_span
+        machine.health = entry.listed == ListedState::kGone       ? rota::Health::kGone
+                         : entry.listed == ListedState::kDraining ? rota::Health::kDrains
+                         : entry.started_ms > 0 && wall < born + terms.opening.warm_up_time
                              ? rota::Health::kCold
                              : rota::Health::kWarm;
         made[entry.id] = std::move(machine);
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -73,7 +73,7 @@
     if (words[1] == "done")
         answer.outcome = Outcome::kAnswered;
     else if (words[1] == "full")
-        answer.outcome = Outcome::kTurnedAway;
+        answer.outcome = Outcome::kRejected;
     else if (words[1] != "failed")
         throw ProtocolError("answer with an unknown end: " + quoted(words[1]));
     answer.report = read_load_report(words[3]);
--- a/src/protocol/frames.hpp
+++ b/src/protocol/frames.hpp
@@ -1,6 +1,6 @@
 // The frames between front nodes and index servers: four bytes of length, a letter, the rest. Pure.
 #pragma once
-#include "brain.hpp"
+#include "search_scheduler.hpp"
 
 #include <string>
 #include <string_view>
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -139,10 +139,10 @@
         return plain_reply(502, "the search failed and may have run in part");
     if (answer.verdict == Verdict::kRejected) {
         Reply reply = plain_reply(503, "pushed back, nothing has run");
-        if (answer.come_back > 0) {
+        if (answer.retry_after > 0) {
             char seconds[32];
             std::snprintf(seconds, sizeof seconds, "%.4f",
-                          static_cast<double>(answer.come_back) / kTenthsPerSecond);
+                          static_cast<double>(answer.retry_after) / kTenthsPerSecond);
             reply.fields.emplace_back("Retry-After", seconds);
         }
         return reply;
@@ -186,9 +186,9 @@
             entry.started_ms = started->as_integer("started_ms");
         // A state that we do not know is no invitation: the server gets nothing new.
         const std::string state = text("state");
-        entry.listed = state == "SERVING"   ? Listed::kLive
-                       : state == "DELETED" ? Listed::kGone
-                                            : Listed::kDraining;
+        entry.listed = state == "SERVING"   ? ListedState::kLive
+                       : state == "DELETED" ? ListedState::kGone
+                                            : ListedState::kDraining;
         list.servers.push_back(std::move(entry));
     }
     return list;
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,9 +1,9 @@
 // What clients and discovery say, typed; and the configuration a front node is started with. Pure.
 #pragma once
-#include "brain.hpp"
 #include "protocol/http.hpp"
 #include "protocol/json.hpp"
 #include "protocol/terms.hpp"
+#include "search_scheduler.hpp"
 
 #include <cstdint>
 #include <string>
@@ -44,7 +44,7 @@
     Verdict verdict = Verdict::kFailed;
     bool whole = false;
     std::vector<PartResult> results;
-    Tenths come_back = 0; // 0: no advice
+    Tenths retry_after = 0; // 0: no advice
 };
 struct Reply { // of any door that speaks HTTP, before it is framed
     int status = 200;
@@ -60,7 +60,7 @@
 struct ServerEntry { // as discovery lists it
     std::string id, address, zone, kind;
     int cell = 0;
-    Listed listed = Listed::kLive;
+    ListedState listed = ListedState::kLive;
     double weight = 1;
     std::int64_t started_ms = 0; // Unix time, 0: long ago
 };
--- a/src/protocol/terms.cpp
+++ b/src/protocol/terms.cpp
@@ -71,10 +71,10 @@
     const PathValues& values_;
 };
 
-Effect read_effect(std::string_view word, const std::string& path) {
-    if (word == "read_like") return Effect::kIdempotent;
-    if (word == "idempotency_key") return Effect::kKeyed;
-    if (word == "non_idempotent") return Effect::kNonIdempotent;
+Idempotency read_effect(std::string_view word, const std::string& path) {
+    if (word == "read_like") return Idempotency::kIdempotent;
+    if (word == "idempotency_key") return Idempotency::kIdempotencyKey;
+    if (word == "non_idempotent") return Idempotency::kNonIdempotent;
     throw ProtocolError(path + ": unknown: " + quoted(word));
 }
 
@@ -87,50 +87,51 @@
     return plain;
 }
 
-OpeningTerms read_terms(const PathValues& settings, std::uint64_t seed) {
+SchedulerConfig read_terms(const PathValues& settings, std::uint64_t seed) {
     const Settled settled(settings);
-    OpeningTerms terms;
+    SchedulerConfig terms;
     terms.seed = seed;
     for (std::size_t i = 0; i < settled.count("Grades"); ++i) {
         const std::string row = "Grades." + std::to_string(i) + ".";
-        RequestClassTerms request_class;
+        RequestClassConfig request_class;
         request_class.latency_target = settled.to_use(row + "AimUs");
-        request_class.deadline_span = settled.to_use(row + "DeadlineUs");
-        request_class.repeat_window = settled.to_use(row + "WindowUs");
-        request_class.effect =
+        request_class.overall_deadline = settled.to_use(row + "DeadlineUs");
+        request_class.dedup_window = settled.to_use(row + "WindowUs");
+        request_class.idempotency =
             read_effect(settled.word(row + "Idempotency", "read_like"), row + "Idempotency");
         request_class.utility = settled.number(row + "Worth", 1);
-        request_class.late_share = settled.number(row + "LateShare", 0);
+        request_class.late_utility_ratio = settled.number(row + "LateShare", 0);
         request_class.floor = settled.listed("Specifics.ClassFloor", i, 1);
         request_class.need = settled.listed("Specifics.ClassNeed", i, 1);
-        request_class.follow_up = static_cast<int>(settled.listed("Specifics.FollowUp", i, 0));
+        request_class.follow_up_parts = static_cast<int>(settled.listed("Specifics.FollowUp", i, 0));
         terms.request_classes.push_back(request_class);
     }
     for (std::size_t i = 0; i < settled.count("Tenants"); ++i)
         terms.tenants.push_back({settled.number("Tenants." + std::to_string(i) + ".QuotaPerS", 0)});
     terms.front_nodes = settled.at_least_one("PeersTotal", 1);
-    terms.turn_gap = settled.to_wait("QuantumUs");
-    terms.cold_span = settled.to_wait("Contract.ColdUs");
-    terms.cold_share = settled.number("Contract.ColdShare", 1);
-    terms.fall_span = settled.to_wait("Contract.FallUs");
-    terms.fall_multiple = settled.number("Contract.OverloadFactor", 1);
-    terms.attempt_budget = settled.has("Contract.RatioSpanUs");
-    terms.spare_attempts = settled.number("Contract.SpareAttempts", 0);
-    terms.further_ratio = settled.number("Contract.FurtherRatio", 0);
-    terms.budget_span = settled.to_wait("Contract.RatioSpanUs");
-    terms.longest_come_back = settled.to_use("Limits.MaxRetryAfterUs");
-    terms.most_attempts = settled.at_least_one("Limits.MostTries", 1);
-    terms.connect_span = settled.to_use("Limits.ConnectTimeoutUs");
-    terms.repeats_marked = settled.flag("Clients.MarksRetry");
-    terms.may_recall = settled.flag("Limits.MayCancel");
+    terms.decision_interval = settled.to_wait("QuantumUs");
+    terms.warm_up_time = settled.to_wait("Contract.ColdUs");
+    terms.cold_capacity_ratio = settled.number("Contract.ColdShare", 1);
+    terms.overload_window = settled.to_wait("Contract.FallUs");
+    terms.overload_factor = settled.number("Contract.OverloadFactor", 1);
+    terms.has_retry_budget = settled.has("Contract.RatioSpanUs");
+    terms.retry_slack = settled.number("Contract.SpareAttempts", 0);
+    terms.retry_ratio = settled.number("Contract.FurtherRatio", 0);
+    terms.retry_budget_window = settled.to_wait("Contract.RatioSpanUs");
+    terms.max_retry_after = settled.to_use("Limits.MaxRetryAfterUs");
+    terms.max_attempts = settled.at_least_one("Limits.MostTries", 1);
+    terms.connect_timeout = settled.to_use("Limits.ConnectTimeoutUs");
+    terms.retries_marked = settled.flag("Clients.MarksRetry");
+    terms.may_cancel = settled.flag("Limits.MayCancel");
     terms.may_probe = settled.flag("Limits.Probes");
-    terms.may_advise = settled.flag("Limits.RetryAfter");
-    terms.second_copies = settled.flag("Limits.SecondCopies");
-    terms.over_share_utility = settled.number("OverShareWorth", 1);
-    terms.list_mode = settled.word("MembershipMode", "push") == "ask" ? ListMode::kAsked : ListMode::kPushed;
+    terms.may_send_retry_after = settled.flag("Limits.RetryAfter");
+    terms.hedging_enabled = settled.flag("Limits.SecondCopies");
+    terms.over_quota_utility_ratio = settled.number("OverShareWorth", 1);
+    terms.list_mode =
+        settled.word("MembershipMode", "push") == "ask" ? ListMode::kQueried : ListMode::kPushed;
     terms.cells = settled.at_least_one("Specifics.Places", 1);
     terms.span = settled.at_least_one("Specifics.Span", 1);
-    terms.call_work = settled.to_use("Specifics.PerCallWorkUs");
+    terms.per_call_work = settled.to_use("Specifics.PerCallWorkUs");
     return terms;
 }
 
@@ -138,15 +139,15 @@
     const Settled settled(settings);
     NodeTerms terms;
     terms.opening = read_terms(settings, seed);
-    for (RequestClassTerms& request_class : terms.opening.request_classes)
-        request_class.follow_up = 0; // nor has a search a second step
+    for (RequestClassConfig& request_class : terms.opening.request_classes)
+        request_class.follow_up_parts = 0; // nor has a search a second step
     terms.most_open = settled.whole("Limits.MaxOpen", 0);
     terms.batch = settled.at_least_one("Specifics.Batch", 1);
     terms.calls_a_connection = settled.at_least_one("Limits.StreamsPerConn", 1);
     terms.shards = settled.at_least_one("Specifics.Slabs", 1);
     terms.idle_span = settled.to_use("Limits.ConnIdleUs");
     terms.ask_span = settled.to_use("Contract.AskWithinUs", 10 * kTenthsPerSecond * kMicrosPerTenth);
-    terms.opening.list_mode = ListMode::kAsked; // on sockets the list comes to those who ask
+    terms.opening.list_mode = ListMode::kQueried; // on sockets the list comes to those who ask
     terms.request_classes = settled.names_of("Grades");
     terms.tenants = settled.names_of("Tenants");
     terms.zones = settled.names("Zones");
--- a/src/protocol/terms.hpp
+++ b/src/protocol/terms.hpp
@@ -1,7 +1,7 @@
 // The one reading of the settings: paths and plain values in, typed terms out. The simulator's first message
 // comes as such paths already; a front node's configuration is flattened into them.
 #pragma once
-#include "brain.hpp"
+#include "search_scheduler.hpp"
 
 #include <map>
 #include <string>
@@ -14,7 +14,7 @@
 
 // What the network side has to keep, beside what the module is told.
 struct NodeTerms {
-    OpeningTerms opening;
+    SchedulerConfig opening;
     int most_open = 0;          // searches and parts held at once, 0: no limit
     int batch = 1;              // parts in one call
     int calls_a_connection = 1; // ... carried at once
@@ -27,7 +27,7 @@
 // Spaces and commas become _ wherever a name of the settings is read or looked up.
 std::string plain_word(std::string_view name);
 
-OpeningTerms read_terms(const PathValues& settings, std::uint64_t seed);
+SchedulerConfig read_terms(const PathValues& settings, std::uint64_t seed);
 NodeTerms read_node_terms(const PathValues& settings, std::uint64_t seed);
 
 } // namespace ivyrill::protocol
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -61,7 +61,8 @@
         co_return reject(kComeBack, "this node ends before the answer may");
     }
     budget().request(now());
-    if (service_->engine) context_.demand.requested(service_->name, context_.selector.link_time(profile_));
+    if (service_->engine)
+        context_.demand.requested(service_->name, context_.selector.kv_transfer_time(profile_));
     co_return co_await serve();
 }
 
@@ -117,15 +118,15 @@
             continue;
         }
         // A reading may be turned away, which counts as a further arrival.
-        const bool may_hand_over = may_hand_over_ && budget().has_room(now());
-        const auto choice = context_.selector.choose(profile_, tried_, may_hand_over,
+        const bool may_split = may_hand_over_ && budget().has_room(now());
+        const auto choice = context_.selector.choose(profile_, tried_, may_split,
                                                      sends_ == 0 && handle_.empty() && tried_.empty(), now());
         if (std::holds_alternative<replica_selection::NoServer>(choice))
             co_return may_have_run_ ? fail(502, "no server is left")
                                     : reject(kNoServerComeBack, "no server is known");
         if (const auto* late = std::get_if<replica_selection::Overloaded>(&choice)) {
             context_.demand.turned_away(service_->name);
-            co_return reject(std::max(late->come_back, kComeBack), "too much to read now");
+            co_return reject(std::max(late->retry_after, kComeBack), "too much to read now");
         }
         if (const auto* backlogged = std::get_if<replica_selection::Backlogged>(&choice)) {
             co_await wait(std::min(backlogged->until, deadline_));
@@ -145,7 +146,7 @@
         again = read != ReadEnd::kRead;
         if (again) {
             tried_.insert(pair.reader);
-            may_hand_over_ = read == ReadEnd::kNeverSent && ++unreachable_ < kMostUnreachable;
+            may_hand_over_ = read == ReadEnd::kNotSent && ++unreachable_ < kMostUnreachable;
             co_return ExchangeEnd::kBreakOff;
         }
     }
@@ -157,22 +158,22 @@
     if (fetches && reader == nullptr) handle_.clear();
     const bool has_stages = context_.selector.instance(pair.runner) != nullptr &&
                             context_.selector.instance(pair.runner)->stage != model::Stage::kNone;
-    const Work work = !has_stages                  ? Work::kPlain
-                      : forwarding.kv_from.empty() ? Work::kReadAndRun
-                                                   : Work::kFetchAndRun;
+    const Work work = !has_stages                  ? Work::kUnstaged
+                      : forwarding.kv_from.empty() ? Work::kPrefillAndDecode
+                                                   : Work::kFetchAndDecode;
     forwarding.last_event_id = last_event_id_;
     std::optional<double> tokens = 0;
-    if (work == Work::kReadAndRun)
-        tokens = pair.reader.empty() && pair.tokens_to_read > 0 ? std::optional(pair.tokens_to_read)
-                                                                : std::nullopt;
+    if (work == Work::kPrefillAndDecode)
+        tokens = pair.reader.empty() && pair.tokens_to_prefill > 0 ? std::optional(pair.tokens_to_prefill)
+                                                                   : std::nullopt;
     const CallEnd end = co_await call(pair.runner, work, std::move(forwarding), tokens, route_->idempotent());
     switch (end) {
     case CallEnd::kAnswer: {
         if (fetches) {
-            context_.selector.handle_used(reader_, true);
+            context_.selector.record_handle_use(reader_, true);
             handle_.clear(), reader_.clear();
         }
-        if (fetches) context_.demand.moved(service_->name, context_.selector.link_time(profile_));
+        if (fetches) context_.demand.moved(service_->name, context_.selector.kv_transfer_time(profile_));
         note_answering(true);
         const RelayEnd relayed = co_await relay();
         note_answering(false);
@@ -187,7 +188,7 @@
     case CallEnd::kNotRun:
         if (fetches) {
             // The memory is gone, or the server is full: without it the same server tells which.
-            context_.selector.handle_used(reader_, false);
+            context_.selector.record_handle_use(reader_, false);
             ++context_.counters.lost_handles;
             release_handle();
             may_hand_over_ = false;
@@ -197,7 +198,7 @@
         again = true;
         break;
     case CallEnd::kMisdirected:
-    case CallEnd::kNeverSent:
+    case CallEnd::kNotSent:
         tried_.insert(pair.runner);
         again = ++unreachable_ < kMostUnreachable;
         if (!again) co_return give_up();
@@ -243,8 +244,9 @@
 transport::Async<Exchange::ReadEnd> Exchange::read_prompt(const replica_selection::Pair& pair) {
     Forwarding forwarding;
     forwarding.prefill_only = true;
-    const CallEnd end = co_await call(pair.reader, Work::kReadOnly, forwarding, pair.tokens_to_read, true);
-    if (end == CallEnd::kNeverSent || end == CallEnd::kMisdirected) co_return ReadEnd::kNeverSent;
+    const CallEnd end =
+        co_await call(pair.reader, Work::kPrefillOnly, forwarding, pair.tokens_to_prefill, true);
+    if (end == CallEnd::kNotSent || end == CallEnd::kMisdirected) co_return ReadEnd::kNotSent;
     if (end == CallEnd::kNotRun) budget().charge(now());
     if (end != CallEnd::kAnswer) co_return ReadEnd::kFailed;
     const bool whole = co_await await_whole_answer(std::min(deadline_, now() + profile_.latency_target));
@@ -287,9 +289,9 @@
     return reject(kComeBack, "no server took it");
 }
 
-ExchangeEnd Exchange::reject(Tenths come_back, std::string_view why) {
+ExchangeEnd Exchange::reject(Tenths retry_after, std::string_view why) {
     ++context_.counters.rejected;
-    const double seconds = static_cast<double>(come_back) * (1 + context_.random.unit()) / kTenthsPerSecond;
+    const double seconds = static_cast<double>(retry_after) * (1 + context_.random.unit()) / kTenthsPerSecond;
     return answer_own(503, fmt::format("retry-after: {:.3f}\r\n", seconds), why);
 }
 
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -35,7 +35,7 @@
         kAnswer,      // `answer_` holds its head, `connection_` the rest
         kNotRun,      // the server says that it has not run it
         kMisdirected, // another server has the address: the one that was meant is gone
-        kNeverSent,   // no byte of it left
+        kNotSent,     // no byte of it left
         kBroken,      // it may have run
         kSilent,      // no word for as long as this call may wait; it may have run
         kOutOfTime,
@@ -43,9 +43,9 @@
         kKeyWithdrawn // nothing was sent: the newest configuration no longer has the client's key
     };
     enum class ReadEnd : std::uint8_t {
-        kRead,      // `handle_` names the prompt's memory
-        kNeverSent, // no reader has taken it up: another may be asked
-        kFailed     // a second reading would count as a further send; the runner's own does not
+        kRead,    // `handle_` names the prompt's memory
+        kNotSent, // no reader has taken it up: another may be asked
+        kFailed   // a second reading would count as a further send; the runner's own does not
     };
     enum class RelayEnd : std::uint8_t { kComplete, kCutOff, kOutOfTime, kClientGone };
 
@@ -56,7 +56,7 @@
     // `may_leave`: it may be given up for another server once this one has been silent for longer than it
     // should be.
     transport::Async<CallEnd> call(const std::string& instance, replica_selection::Work work,
-                                   Forwarding forwarding, std::optional<double> tokens_to_read,
+                                   Forwarding forwarding, std::optional<double> tokens_to_prefill,
                                    bool may_leave);
     transport::Async<bool> connect(const std::string& instance, const model::Instance& record);
     transport::Async<CallEnd> await_head(bool may_leave);
@@ -80,7 +80,7 @@
     bool leave_is_allowed();
     void end_call(bool reusable);
     void release_handle();
-    ExchangeEnd reject(Tenths come_back, std::string_view why);
+    ExchangeEnd reject(Tenths retry_after, std::string_view why);
     ExchangeEnd fail(int status, std::string_view why);
     ExchangeEnd give_up();
     ExchangeEnd answer_own(int status, std::string fields, std::string_view why);
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -56,23 +56,23 @@
 
 transport::Async<Exchange::CallEnd> Exchange::call(const std::string& instance, Work work,
                                                    Forwarding forwarding,
-                                                   std::optional<double> tokens_to_read, bool may_leave) {
+                                                   std::optional<double> tokens_to_prefill, bool may_leave) {
     end_call(false);
     const model::Instance* record = context_.selector.instance(instance);
-    if (record == nullptr) co_return CallEnd::kNeverSent;
+    if (record == nullptr) co_return CallEnd::kNotSent;
     instance_ = instance;
     if (!co_await connect(instance, *record)) {
         end_call(false);
         if (client_gone()) co_return CallEnd::kClientGone;
         if (now() >= deadline_) co_return CallEnd::kOutOfTime;
         context_.selector.unreachable(instance, now());
-        co_return CallEnd::kNeverSent;
+        co_return CallEnd::kNotSent;
     }
     // While the connection came up the server may have asked for no more.
     record = context_.selector.instance(instance);
     if (record == nullptr || !record->may_be_sent_to()) {
         end_call(false);
-        co_return CallEnd::kNeverSent;
+        co_return CallEnd::kNotSent;
     }
     identify_caller();
     if (caller_.admission != Admission::kAdmitted) {
@@ -85,14 +85,14 @@
     forwarding.target_instance = instance;
     forwarding.time_left = deadline_ - now();
     forwarding.priority = priority_of(*route_, tenant);
-    forwarding.tells_priority = work != Work::kPlain;
+    forwarding.tells_priority = work != Work::kUnstaged;
     if (!connection_->stream().send(server_request(request_, forwarding))) {
         end_call(false);
-        co_return CallEnd::kNeverSent;
+        co_return CallEnd::kNotSent;
     }
-    attempt_ = context_.selector.sent(instance, profile_, work, tokens_to_read, now());
-    attempt_out_ = true, attempt_runs_ = work != Work::kReadOnly;
-    if (work != Work::kReadOnly) ++sends_, sent_to_.insert(instance);
+    attempt_ = context_.selector.sent(instance, profile_, work, tokens_to_prefill, now());
+    attempt_out_ = true, attempt_runs_ = work != Work::kPrefillOnly;
+    if (work != Work::kPrefillOnly) ++sends_, sent_to_.insert(instance);
     const CallEnd end = co_await await_head(may_leave);
     if (end == CallEnd::kAnswer) {
         context_.selector.answered(attempt_, now());
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -129,7 +129,7 @@
             if (const auto* load = std::get_if<model::Load>(&item))
                 context_.selector.set_load(*load, reactor_.now());
             else if (const auto* order = std::get_if<feed::StageOrdered>(&item))
-                context_.selector.set_ordered(order->instance, order->orders_taken, reactor_.now());
+                context_.selector.record_stage_order(order->instance, order->orders_taken, reactor_.now());
         }
     if (applied.nodes) {
         context_.selector.set_edge_nodes(tables.edge_nodes().size());
--- a/src/recovery/pilot.cpp
+++ b/src/recovery/pilot.cpp
@@ -36,7 +36,7 @@
     return made;
 }
 
-WatchTerms watch_terms(const PilotTerms& terms) { return {terms.home, terms.due, terms.cold_span}; }
+WatchTerms watch_terms(const PilotTerms& terms) { return {terms.home, terms.due, terms.warm_up_time}; }
 
 ChorusTerms chorus_terms(const PilotTerms& terms) {
     return {terms.name, terms.home, terms.gap, terms.stated_nodes};
@@ -49,9 +49,9 @@
 
 } // namespace
 
-bool alike(const ReliefTold& a, const ReliefTold& b, double step) {
+bool alike(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step) {
     if (a.gone != b.gone || a.sites.size() != b.sites.size() || a.rows.size() != b.rows.size() ||
-        std::abs(a.further - b.further) >= step || a.come_back != b.come_back ||
+        std::abs(a.further - b.further) >= step || a.retry_after != b.retry_after ||
         a.tight.size() != b.tight.size())
         return false;
     for (std::size_t i = 0; i < a.sites.size(); ++i)
@@ -257,10 +257,10 @@
     double made = server.draining ? 0 : watch_.mute(name, now_) ? kMutePower : 1;
     const SiteState state = watch_.state(server.site);
     // Born by wall time, as lists tell it.
-    if (server.born > 0 && wall_ < server.born + terms_.cold_span && terms_.cold_span > 0) {
-        const double age =
-            std::max(0.0, static_cast<double>(wall_ - server.born) / static_cast<double>(terms_.cold_span));
-        made *= terms_.cold_share + (1 - terms_.cold_share) * age;
+    if (server.born > 0 && wall_ < server.born + terms_.warm_up_time && terms_.warm_up_time > 0) {
+        const double age = std::max(0.0, static_cast<double>(wall_ - server.born) /
+                                             static_cast<double>(terms_.warm_up_time));
+        made *= terms_.cold_capacity_ratio + (1 - terms_.cold_capacity_ratio) * age;
     }
     if (state == SiteState::kWarming)
         made = std::min(made, share_now(server.site)); // of its load, not of that
@@ -286,8 +286,8 @@
     return made;
 }
 
-ReliefTold Pilot::relief_of(const Plan& plan) const {
-    ReliefTold told;
+SiteRecoveryPlan Pilot::relief_of(const Plan& plan) const {
+    SiteRecoveryPlan told;
     for (const auto& [site, view] : watch_.sites()) {
         const double share = share_now(site);
         const std::int32_t zone = number_in(terms_.zones, site);
@@ -310,7 +310,7 @@
         if (served < 1 - kAdmitStep) told.tight.emplace_back(ShardNo{shard}, served);
     const double fullest = plan.division.fullest;
     told.further = !full ? 0 : std::clamp(1 - (fullest - kCutFrom) / (1 - kCutFrom), 0.0, 1.0);
-    told.come_back = full ? 0 : terms_.longest_come_back;
+    told.retry_after = full ? 0 : terms_.max_retry_after;
     return told;
 }
 
@@ -338,7 +338,7 @@
         plan_ = plan_without(plan_terms(), away());
         ++counts_.plans;
     }
-    ReliefTold told = relief_of(plan_);
+    SiteRecoveryPlan told = relief_of(plan_);
     if (!relieved_ || !alike(told, relief_, kAdmitStep)) {
         relieved_ = true, relief_ = std::move(told);
         ++counts_.reliefs;
--- a/src/recovery/pilot.hpp
+++ b/src/recovery/pilot.hpp
@@ -6,10 +6,10 @@
 // Nothing that it hears can add an attempt anywhere: relief only takes away (relief.hpp).
 #pragma once
 #include "base/pcg.hpp"
-#include "brain.hpp"
 #include "recovery/capacity.hpp"
 #include "recovery/chorus.hpp"
 #include "recovery/plan.hpp"
+#include "search_scheduler.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -24,10 +24,10 @@
     std::vector<std::string> request_classes, tenants, zones; // as the module numbers them
     std::map<std::string, RequestClassFacts> facts;
     std::map<std::string, double> quotas;
-    Tenths due = 0;       // the shortest due span
-    Tenths cold_span = 0; // of a server that started anew
-    double cold_share = 1;
-    Tenths longest_come_back = 0;
+    Tenths due = 0;          // the shortest due span
+    Tenths warm_up_time = 0; // of a server that started anew
+    double cold_capacity_ratio = 1;
+    Tenths max_retry_after = 0;
     int stated_nodes = 1;
     int shards = 1;
     Tenths gap = kTenthsPerSecond; // between two words
@@ -45,7 +45,7 @@
     std::string what;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-using PilotEffect = std::variant<WordOut, ReliefTold, SiteLine>;
+using PilotEffect = std::variant<WordOut, SiteRecoveryPlan, SiteLine>;
 
 struct PilotCounts {
     std::uint64_t words_out = 0, words_in = 0, spoilt = 0, plans = 0, reliefs = 0, changes = 0;
@@ -71,7 +71,7 @@
     const Chorus& chorus() const { return chorus_; }
     const Capacity& capacity() const { return capacity_; }
     const PilotCounts& counts() const { return counts_; }
-    const ReliefTold& relief() const { return relief_; }
+    const SiteRecoveryPlan& relief() const { return relief_; }
     SiteName lost_site() const; // one that is away, for whoever must not take machines out meanwhile
     PlanTerms plan_terms() const;
 
@@ -79,7 +79,7 @@
     void learn();
     void tell();
     void plan();
-    ReliefTold relief_of(const Plan& plan) const;
+    SiteRecoveryPlan relief_of(const Plan& plan) const;
     double share_now(const SiteName& site) const;
     double presence(const std::string& name, const ServerSeen& server) const;
     std::set<SiteName> away() const;
@@ -113,13 +113,13 @@
     Plan plan_;
     std::map<SiteName, double> planned_for_; // shares then
     Tenths plan_at_ = 0;
-    ReliefTold relief_;
+    SiteRecoveryPlan relief_;
     bool relieved_ = false;
     Tally since_line_;
     std::vector<PilotEffect> effects_;
     PilotCounts counts_;
 };
 
-bool alike(const ReliefTold& a, const ReliefTold& b, double step);
+bool alike(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/relief.cpp
+++ b/src/recovery/relief.cpp
@@ -4,14 +4,14 @@
 
 namespace ivyrill::recovery {
 
-void Relief::hear(const ReliefTold& told) {
+void Relief::hear(const SiteRecoveryPlan& told) {
     sites_.clear(), gone_.clear(), rows_.clear(), tight_.clear();
     for (const auto& site : told.sites) sites_[site.zone] = std::clamp(site.share, 0.0, 1.0);
     gone_.insert(told.gone.begin(), told.gone.end());
     for (const auto& row : told.rows) rows_[{row.request_class, row.tenant}] = row;
     for (const auto& [shard, served] : told.tight) tight_[shard] = served;
     further_ = std::clamp(told.further, 0.0, 1.0);
-    come_back_ = std::max<Tenths>(0, told.come_back);
+    come_back_ = std::max<Tenths>(0, told.retry_after);
 }
 
 double Relief::share_of(ZoneNo zone) const {
@@ -27,7 +27,7 @@
     return once || chance.unit() >= share ? Stand::kBehind : Stand::kOpen;
 }
 
-const ReliefTold::Row* Relief::row_of(RequestClassNo request_class, TenantNo tenant) const {
+const SiteRecoveryPlan::Row* Relief::row_of(RequestClassNo request_class, TenantNo tenant) const {
     auto found = rows_.find({request_class, tenant});
     if (found == rows_.end()) found = rows_.find({request_class, TenantNo{-1}});
     return found == rows_.end() ? nullptr : &found->second;
@@ -59,7 +59,7 @@
     }
 }
 
-Tenths Relief::come_back(Tenths usual, Pcg& chance) const {
+Tenths Relief::retry_after(Tenths usual, Pcg& chance) const {
     if (come_back_ <= usual) return usual;
     return usual + static_cast<Tenths>(chance.unit() * static_cast<double>(come_back_ - usual));
 }
--- a/src/recovery/relief.hpp
+++ b/src/recovery/relief.hpp
@@ -1,13 +1,13 @@
 // What the decision module consults of a plan for lost sites: which sites take part in the choice, what is
-// refused first, which parts are left out. It is told by `ReliefTold` (brain.hpp) and forgets nothing by
-// itself: whoever plans says when all is as ever again. Nothing told: nothing differs.
+// refused first, which parts are left out. It is told by `SiteRecoveryPlan` (brain.hpp) and forgets nothing
+// by itself: whoever plans says when all is as ever again. Nothing told: nothing differs.
 //
 // Whatever it is told, however wrong, the rules hold: it only takes away. A site that is shut gets fewer
 // attempts, a search that is not admitted has had none, parts are left out only down to the request class's
 // floor and an answer without them is in part, further attempts become fewer and never more.
 #pragma once
 #include "base/pcg.hpp"
-#include "state.hpp"
+#include "search_scheduler_state.hpp"
 
 #include <map>
 #include <set>
@@ -16,7 +16,7 @@
 
 class Relief {
   public:
-    void hear(const ReliefTold& told);
+    void hear(const SiteRecoveryPlan& told);
 
     enum class Stand { kOpen, kBehind, kShut }; // takes part; after all others; not at all
     // Drawn anew for each choice where its site comes back in steps. What may run once is never sent to a
@@ -31,15 +31,15 @@
     void leave_out(Search& search, double floor, TenantNo tenant) const;
     double further() const { return further_; } // of the budget for further attempts
     // When a client that is refused should come again: spread, so that they do not come together.
-    Tenths come_back(Tenths usual, Pcg& chance) const;
+    Tenths retry_after(Tenths usual, Pcg& chance) const;
 
   private:
     double share_of(ZoneNo zone) const;
-    const ReliefTold::Row* row_of(RequestClassNo request_class, TenantNo tenant) const;
+    const SiteRecoveryPlan::Row* row_of(RequestClassNo request_class, TenantNo tenant) const;
 
     std::map<ZoneNo, double> sites_;
     std::set<ShardNo> gone_;
-    std::map<std::pair<RequestClassNo, TenantNo>, ReliefTold::Row> rows_;
+    std::map<std::pair<RequestClassNo, TenantNo>, SiteRecoveryPlan::Row> rows_;
     std::map<ShardNo, double> tight_;
     double further_ = 1;
     Tenths come_back_ = 0;
--- a/src/recovery/tally_book.hpp
+++ b/src/recovery/tally_book.hpp
@@ -1,8 +1,8 @@
 // Counts what a front node's searches and attempts come to, between two looks. Whoever carries attempts out
 // keeps one; nothing is decided here.
 #pragma once
-#include "brain.hpp"
 #include "recovery/types.hpp"
+#include "search_scheduler.hpp"
 
 #include <utility>
 
@@ -28,19 +28,19 @@
             ++row.good, row.took += took;
             [[fallthrough]];
         case Outcome::kError:
-        case Outcome::kTurnedAway:
+        case Outcome::kRejected:
             ++row.answered;
             break;
         case Outcome::kTimedOut:
-        case Outcome::kNoConnection:
-        case Outcome::kRefused:
-        case Outcome::kBroken:
+        case Outcome::kConnectTimeout:
+        case Outcome::kConnectionRefused:
+        case Outcome::kConnectionLost:
             ++row.unheard;
             break;
-        case Outcome::kRecalled: // called off: for its silence, or before it could say anything
+        case Outcome::kCancelled: // called off: for its silence, or before it could say anything
             row.unheard += took >= silent_ ? 1 : 0;
             break;
-        case Outcome::kNeverSent:
+        case Outcome::kNotSent:
             break;
         }
         if (report.in_flight && report.queued && *report.queued > 0)
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -41,7 +41,7 @@
 using ClassKey = std::pair<std::string, std::string>; // request class, tenant (empty: none that is known)
 
 struct RequestClassFacts {
-    double utility = 1, floor = 1, need = 1, late_share = 0;
+    double utility = 1, floor = 1, need = 1, late_utility_ratio = 0;
     Tenths due = 0;
     bool once = false; // at most
 };
--- a/src/recovery/watch.cpp
+++ b/src/recovery/watch.cpp
@@ -86,7 +86,7 @@
 
 Tenths Watch::step_span() const {
     return std::max(share_of_due(0.5),
-                    static_cast<Tenths>(static_cast<double>(terms_.cold_span) * kStepOfCold));
+                    static_cast<Tenths>(static_cast<double>(terms_.warm_up_time) * kStepOfCold));
 }
 
 Tenths Watch::wait_after(int relapses) const {
--- a/src/recovery/watch.hpp
+++ b/src/recovery/watch.hpp
@@ -15,8 +15,8 @@
 
 struct WatchTerms {
     SiteName own;
-    Tenths due = 0;       // the shortest due span
-    Tenths cold_span = 0; // of a server that started anew
+    Tenths due = 0;          // the shortest due span
+    Tenths warm_up_time = 0; // of a server that started anew
 };
 
 // What front nodes of other sites said of one site of late.
--- a/src/replica_selection/c3.hpp
+++ b/src/replica_selection/c3.hpp
@@ -22,7 +22,7 @@
 
 // What one caller may send to one replica in a window. `now` never goes back. Where neither is sent nor asked
 // for room, `roll` is to be called once a window: one that is passed over counts as one without sends.
-class SendingLimit {
+class SendRateLimiter {
   public:
     double limit() const { return limit_; }
     bool has_room(Tenths now) { return roll(now), sent_ < limit_; }
--- a/src/replica_selection/candidates.cpp
+++ b/src/replica_selection/candidates.cpp
@@ -77,8 +77,8 @@
     std::vector<const model::Instance*> instances;
     for (const Server* server : runners) instances.push_back(&server->instance);
     std::vector<Server*> ordered;
-    std::vector<RunnerLoad> loads;
-    for (const std::size_t index : runner_order(instances, request.service)) {
+    std::vector<DecodeServerLoad> loads;
+    for (const std::size_t index : decode_server_order(instances, request.service)) {
         Server* server = runners[index];
         ordered.push_back(server);
         loads.push_back(
@@ -90,12 +90,13 @@
     const double links_for_reader = view.hand_overs.links_for_reader();
     const bool for_moves = in_use(Mechanism::kRunnersForLinks) && view.hand_overs.worth_a_runner();
     const double busy = reading * links_for_reader;
-    const std::size_t apart =
-        in_use(Mechanism::kRunnersApart) ? view.division.kept_apart(loads, for_moves ? busy : 0, now) : 0;
+    const std::size_t apart = in_use(Mechanism::kRunnersApart)
+                                  ? view.division.dedicated_count(loads, for_moves ? busy : 0, now)
+                                  : 0;
     const double links = static_cast<double>(std::max<std::size_t>(1, apart));
     const double most = links_for_reader * static_cast<double>(found.readers.size());
     view.links_taken = busy / links;
-    view.carried = for_moves || most <= 0 ? 1 : std::min(1.0, kMostLinkShare * links / most);
+    view.carried = for_moves || most <= 0 ? 1 : std::min(1.0, kMaxLinkUtilization * links / most);
     const auto middle = ordered.begin() + static_cast<std::ptrdiff_t>(apart);
     found.stream_runners.assign(ordered.begin(), middle);
     found.reading_runners.assign(middle, ordered.end());
@@ -121,7 +122,7 @@
 // Until the prompt is read, and where its home only reads also until its memory begins to move.
 bool PairSelector::slow(const Server& home, const Request& request, Tenths now) const {
     const bool only_reads = home.instance.stage == model::Stage::kPrefill;
-    const Work work = only_reads ? Work::kReadOnly : Work::kReadAndRun;
+    const Work work = only_reads ? Work::kPrefillOnly : Work::kPrefillAndDecode;
     const double usual =
         usual_time(work, tokens_of(home, request, work, true, now), false, request.latency_target);
     double expected = response_of(home, work, usual, now);
--- a/src/replica_selection/runner_division.cpp
+++ b/src/replica_selection/decode_partition.cpp
@@ -1,4 +1,4 @@
-#include "replica_selection/runner_division.hpp"
+#include "replica_selection/decode_partition.hpp"
 
 #include "base/hash.hpp"
 
@@ -18,14 +18,15 @@
 // away.
 constexpr double kLeastFreeShare = 0.1, kMostFreeShare = 0.3;
 constexpr double kUnheardShare = 0.5; // of a runner's slots, while it was not reported on
-// Above kMostLinkShare a runner is added, below this one is taken away. Far below, as the few readers of a
-// small service are busy by chance, and long answers go on at a runner that begins to read.
+// Above kMaxLinkUtilization a runner is added, below this one is taken away. Far below, as the few readers of
+// a small service are busy by chance, and long answers go on at a runner that begins to read.
 constexpr double kLeastLinkShare = 0.3;
 
 // Places: what runs anywhere is taken off, as it may be a long answer, also after a loss of this fleet.
-std::size_t needed_for_answers(const std::vector<RunnerLoad>& runners, double free_share) {
+std::size_t needed_for_answers(const std::vector<DecodeServerLoad>& runners, double free_share) {
     double places = 0;
-    for (const RunnerLoad& runner : runners) places -= runner.running.value_or(kUnheardShare * runner.slots);
+    for (const DecodeServerLoad& runner : runners)
+        places -= runner.running.value_or(kUnheardShare * runner.slots);
     std::size_t count = 0;
     while (count < runners.size() && places < free_share * runners[count].slots)
         places += kAnswerShare * runners[count++].slots;
@@ -38,11 +39,11 @@
 
 } // namespace
 
-std::size_t RunnerDivision::kept_apart(const std::vector<RunnerLoad>& runners, double links_busy,
-                                       Tenths now) {
+std::size_t DecodePartition::dedicated_count(const std::vector<DecodeServerLoad>& runners, double links_busy,
+                                             Tenths now) {
     const std::size_t least =
         std::min(runners.size(), std::max(needed_for_answers(runners, kLeastFreeShare),
-                                          needed_for_moves(links_busy, kMostLinkShare)));
+                                          needed_for_moves(links_busy, kMaxLinkUtilization)));
     const std::size_t most =
         std::max(needed_for_answers(runners, kMostFreeShare), needed_for_moves(links_busy, kLeastLinkShare));
     // One more at once, one fewer only when it is clear and after a while: what runs there goes on for
@@ -55,8 +56,8 @@
     return std::min(kept_, runners.size());
 }
 
-std::vector<std::size_t> runner_order(const std::vector<const model::Instance*>& instances,
-                                      const std::string& service) {
+std::vector<std::size_t> decode_server_order(const std::vector<const model::Instance*>& instances,
+                                             const std::string& service) {
     const std::uint64_t key = hash_text(service, 1);
     std::vector<std::uint64_t> hashes;
     for (const model::Instance* instance : instances) hashes.push_back(hash_text(instance->id, key));
--- a/src/replica_selection/runner_division.hpp
+++ b/src/replica_selection/decode_partition.hpp
@@ -14,18 +14,18 @@
 
 // Of the time of a link, on which moves queue: at this share a move waits for three quarters of its own time
 // (M/D/1).
-inline constexpr double kMostLinkShare = 0.6;
+inline constexpr double kMaxLinkUtilization = 0.6;
 
-struct RunnerLoad {
+struct DecodeServerLoad {
     double slots = 1;
     std::optional<double> running; // of all callers; none while it was not reported
 };
 
-class RunnerDivision {
+class DecodePartition {
   public:
-    // `runners` in the order of `runner_order`; `links_busy`: by moves of all nodes, as a number of links.
-    // Returns how many of the first are kept apart.
-    std::size_t kept_apart(const std::vector<RunnerLoad>& runners, double links_busy, Tenths now);
+    // `runners` in the order of `decode_server_order`; `links_busy`: by moves of all nodes, as a number of
+    // links. Returns how many of the first are kept apart.
+    std::size_t dedicated_count(const std::vector<DecodeServerLoad>& runners, double links_busy, Tenths now);
 
   private:
     std::size_t kept_ = 0;
@@ -34,7 +34,7 @@
 
 // An order that every node finds by itself: by hash, zones taking turns, so that the first few are near every
 // reader. Indices into `instances`.
-std::vector<std::size_t> runner_order(const std::vector<const model::Instance*>& instances,
-                                      const std::string& service);
+std::vector<std::size_t> decode_server_order(const std::vector<const model::Instance*>& instances,
+                                             const std::string& service);
 
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/hand_over_load.hpp
+++ b/src/replica_selection/kv_transfer_load.hpp
@@ -10,7 +10,7 @@
 
 namespace ivyrill::replica_selection {
 
-class HandOverLoad {
+class KvTransferLoad {
   public:
     // One hand-over: how long its move holds a link within a zone (tenths of a millisecond), and the tokens
     // that were read for it.
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -97,7 +97,7 @@
     mix(server->reading_share, load.running > 0 ? 1 : 0, kFreshReport);
 }
 
-void PairSelector::set_ordered(const std::string& instance, std::int64_t orders_taken, Tenths now) {
+void PairSelector::record_stage_order(const std::string& instance, std::int64_t orders_taken, Tenths now) {
     Server* server = find(instance);
     if (server == nullptr || orders_taken <= server->orders_taken) return;
     server->orders_taken = orders_taken;
@@ -120,10 +120,10 @@
                                                                      : &*found->second.service.engine;
 }
 
-Choice PairSelector::choose(const Request& request, const std::set<std::string>& tried, bool may_hand_over,
+Choice PairSelector::choose(const Request& request, const std::set<std::string>& tried, bool may_split,
                             bool fresh, Tenths now) {
     const Candidates found = candidates(request, tried, now);
-    if (const auto pair = best_pair(request, found, may_hand_over, now)) {
+    if (const auto pair = best_pair(request, found, may_split, now)) {
         if (fresh)
             if (const auto late = overloaded(request, *pair, now)) return *late;
         return *pair;
@@ -141,8 +141,8 @@
     if (pair.reader.empty() && streams(request)) return std::nullopt;
     if (!waits_for_a_reading(request.service)) return std::nullopt;
     const Server& reader = servers_.at(pair.reader.empty() ? pair.runner : pair.reader);
-    const Work work = pair.reader.empty() ? Work::kReadAndRun : Work::kReadOnly;
-    const double usual = usual_time(work, pair.tokens_to_read, false, request.latency_target);
+    const Work work = pair.reader.empty() ? Work::kPrefillAndDecode : Work::kPrefillOnly;
+    const double usual = usual_time(work, pair.tokens_to_prefill, false, request.latency_target);
     const double expected = response_of(reader, work, usual, now);
     const double most = kMostTargets * static_cast<double>(request.latency_target);
     if (expected <= most || random_.unit() < most / expected) return std::nullopt;
@@ -153,7 +153,7 @@
 bool PairSelector::waits_for_a_reading(const std::string& service) const {
     return std::ranges::any_of(attempts_, [&](const auto& entry) {
         const Attempt& attempt = entry.second;
-        const bool reads = attempt.work == Work::kReadOnly || attempt.work == Work::kReadAndRun;
+        const bool reads = attempt.work == Work::kPrefillOnly || attempt.work == Work::kPrefillAndDecode;
         const model::Instance* server = instance(attempt.server);
         return reads && !attempt.answered && server != nullptr && server->service == service;
     });
@@ -164,31 +164,32 @@
 // A pair of two servers competes with each runner that reads the prompt itself: a hand-over has to earn its
 // way.
 std::optional<Pair> PairSelector::best_pair(const Request& request, const Candidates& candidates,
-                                            bool may_hand_over, Tenths now) {
+                                            bool may_split, Tenths now) {
     const bool apart = !streams(request);
     const auto& runners =
         candidates.stream_runners.empty() ? candidates.reading_runners : candidates.stream_runners;
     if (runners.empty()) {
-        const auto plain = best_of(candidates.plain, request, Work::kPlain, nullptr, now);
+        const auto plain = best_of(candidates.plain, request, Work::kUnstaged, nullptr, now);
         if (!plain) return std::nullopt;
         return Pair{"", plain->server->instance.id, 0};
     }
     // Where no prompt is named there is nothing to read, and a reader runs such a request itself.
-    const bool hands_over = may_hand_over && !candidates.readers.empty() && !request.prompt.empty();
+    const bool hands_over = may_split && !candidates.readers.empty() && !request.prompt.empty();
     std::optional<Scored> alone;
     if (!apart || !candidates.reading_runners.empty() || !hands_over) {
         const bool elsewhere = apart && !candidates.reading_runners.empty();
         alone = best_of(elsewhere ? candidates.reading_runners : drawn(runners, ""), request,
-                        Work::kReadAndRun, candidates.home, now);
+                        Work::kPrefillAndDecode, candidates.home, now);
         if (!hands_over) return Pair{"", alone->server->instance.id, alone->tokens};
     }
-    const auto reader = best_of(candidates.readers, request, Work::kReadOnly, candidates.home, now);
+    const auto reader = best_of(candidates.readers, request, Work::kPrefillOnly, candidates.home, now);
     const Server* runner = nullptr;
     double best = 0;
     for (const Server* server : drawn(runners, reader->server->instance.zone)) {
         const bool near = server->instance.zone == reader->server->instance.zone;
-        const double total = score(*server, request, Work::kFetchAndRun, 0, now) * (near ? 1 : kFarFactor) +
-                             move_time(*reader->server, *server, request);
+        const double total =
+            score(*server, request, Work::kFetchAndDecode, 0, now) * (near ? 1 : kFarFactor) +
+            move_time(*reader->server, *server, request);
         if (runner == nullptr || total < best) runner = server, best = total;
     }
     best += link_wait(request.service);
@@ -237,7 +238,7 @@
 
 double PairSelector::tokens_of(const Server& server, const Request& request, Work work, bool is_home,
                                Tenths now) const {
-    if (work == Work::kFetchAndRun || work == Work::kPlain || request.prompt.empty()) return 0;
+    if (work == Work::kFetchAndDecode || work == Work::kUnstaged || request.prompt.empty()) return 0;
     const std::int64_t all = request.prompt_tokens();
     std::int64_t held = server.cache.held(request.prompt, now);
     if (is_home) held = std::max(held, all - request.prompt.back().tokens);
@@ -246,9 +247,9 @@
 
 // While nobody was heard of such work, a long prompt takes a tenth of its target.
 double PairSelector::usual_time(Work work, double tokens, bool streams, Tenths latency_target) const {
-    const TimeModel& model = times_[streams ? 1 : 0][index(work)];
+    const LatencyModel& model = times_[streams ? 1 : 0][index(work)];
     if (model.known()) return std::max(1.0, model.time(tokens));
-    const double pace = work == Work::kReadAndRun ? kReadAtRunner : 1;
+    const double pace = work == Work::kPrefillAndDecode ? kReadAtRunner : 1;
     const double length = (kUnheardTokens + pace * tokens) / (2 * kUnheardTokens);
     return std::max(1.0, static_cast<double>(latency_target) * kUnheardShare * length);
 }
@@ -270,7 +271,7 @@
 double PairSelector::score(const Server& server, const Request& request, Work work, double tokens,
                            Tenths now) const {
     const double usual =
-        usual_time(work, tokens, work != Work::kReadOnly && streams(request), request.latency_target);
+        usual_time(work, tokens, work != Work::kPrefillOnly && streams(request), request.latency_target);
     const double service = server.estimates[index(work)].service * usual;
     const double waiting = 1 + outstanding(server) * edge_nodes_ + server.queue;
     return replica_selection::score(response_of(server, work, usual, now), service, waiting);
@@ -295,21 +296,21 @@
 }
 
 AttemptNo PairSelector::sent(const std::string& instance, const Request& request, Work work,
-                             std::optional<double> tokens_to_read, Tenths now) {
+                             std::optional<double> tokens_to_prefill, Tenths now) {
     const AttemptNo number{++count_};
     Server* server = find(instance);
     if (server == nullptr) return number;
     Attempt& attempt = attempts_[number];
     attempt.server = instance, attempt.work = work;
     attempt.sent = now, attempt.latency_target = request.latency_target;
-    attempt.tokens = tokens_to_read.value_or(tokens_of(*server, request, work, false, now));
+    attempt.tokens = tokens_to_prefill.value_or(tokens_of(*server, request, work, false, now));
     attempt.waiting = server->queue;
-    attempt.streams = work != Work::kReadOnly && streams(request);
+    attempt.streams = work != Work::kPrefillOnly && streams(request);
     server->limit.sent(now);
     server->unanswered[number] = now;
-    if (work == Work::kReadOnly)
+    if (work == Work::kPrefillOnly)
         services_[request.service].hand_overs.add(near_move_time(request), attempt.tokens);
-    if (work == Work::kPlain || request.prompt.empty()) return number;
+    if (work == Work::kUnstaged || request.prompt.empty()) return number;
     const model::Engine* engine = this->engine(request.service);
     server->cache.used(request.prompt, engine == nullptr ? 0 : engine->memory_tokens, edge_nodes_, now);
     return number;
@@ -326,15 +327,15 @@
     Server* server = find(attempt->server);
     if (server == nullptr) return;
     const double took = std::max(1.0, static_cast<double>(now - attempt->sent));
-    TimeModel& times = times_[attempt->streams ? 1 : 0][index(attempt->work)];
+    LatencyModel& times = times_[attempt->streams ? 1 : 0][index(attempt->work)];
     const double multiple = times.known() ? took / std::max(1.0, times.time(attempt->tokens)) : 1;
     times.add(attempt->tokens, took);
     Estimate& estimate = server->estimates[index(attempt->work)];
     mix(estimate.response, multiple, kFresh);
     mix(estimate.service, multiple / (1 + attempt->waiting), kFresh);
-    HandOverLoad& hand_overs = services_[server->instance.service].hand_overs;
-    if (attempt->work == Work::kFetchAndRun) hand_overs.fetched(took, now);
-    if (attempt->work == Work::kReadOnly) hand_overs.read(attempt->tokens, took);
+    KvTransferLoad& hand_overs = services_[server->instance.service].hand_overs;
+    if (attempt->work == Work::kFetchAndDecode) hand_overs.fetched(took, now);
+    if (attempt->work == Work::kPrefillOnly) hand_overs.read(attempt->tokens, took);
     mix(server->breaks, 0, kFresh);
     server->last_answer = server->relaxed = now;
     server->refusals = server->failures = 0;
@@ -415,7 +416,7 @@
     if (Server* server = find(instance)) server->avoided_until = now + kMisdirectedRest;
 }
 
-void PairSelector::handle_used(const std::string& reader, bool found) {
+void PairSelector::record_handle_use(const std::string& reader, bool found) {
     if (Server* server = find(reader)) mix(server->lost_handles, found ? 0 : 1, kFresh);
 }
 
--- a/src/replica_selection/pair_selector.hpp
+++ b/src/replica_selection/pair_selector.hpp
@@ -7,9 +7,9 @@
 #include "model/configuration.hpp"
 #include "model/instance.hpp"
 #include "replica_selection/c3.hpp"
-#include "replica_selection/hand_over_load.hpp"
+#include "replica_selection/decode_partition.hpp"
+#include "replica_selection/kv_transfer_load.hpp"
 #include "replica_selection/prompt_cache_view.hpp"
-#include "replica_selection/runner_division.hpp"
 #include "replica_selection/time_model.hpp"
 
 #include <array>
@@ -25,10 +25,10 @@
 
 // What a server is asked to do.
 enum class Work : std::uint8_t {
-    kReadOnly,    // read the prompt, keep its memory for another server
-    kReadAndRun,  // read the prompt and make the tokens
-    kFetchAndRun, // fetch the prompt's memory and make the tokens
-    kPlain        // a request of a service without stages
+    kPrefillOnly,      // read the prompt, keep its memory for another server
+    kPrefillAndDecode, // read the prompt and make the tokens
+    kFetchAndDecode,   // fetch the prompt's memory and make the tokens
+    kUnstaged          // a request of a service without stages
 };
 inline constexpr std::size_t kWorks = 4;
 
@@ -43,13 +43,13 @@
 struct Pair {
     std::string reader; // empty where the runner reads the prompt itself
     std::string runner;
-    double tokens_to_read = 0; // that whoever reads the prompt is expected not to hold
+    double tokens_to_prefill = 0; // that whoever reads the prompt is expected not to hold
 };
 struct Backlogged { // every server is over its sending limit; a place may be free then
     Tenths until = 0;
 };
 struct Overloaded { // whoever would serve it is expected to be far too late; it may come again then
-    Tenths come_back = 0;
+    Tenths retry_after = 0;
 };
 struct NoServer {};
 using Choice = std::variant<Pair, Backlogged, Overloaded, NoServer>;
@@ -64,31 +64,33 @@
     void set_load(const model::Load& load, Tenths now);
     // The server has taken an order, and turns away what it is sent until it has changed its stage; reports
     // that count so many orders, or more, tell how it stands.
-    void set_ordered(const std::string& instance, std::int64_t orders_taken, Tenths now);
+    void record_stage_order(const std::string& instance, std::int64_t orders_taken, Tenths now);
     void set_edge_nodes(std::size_t count) { edge_nodes_ = count == 0 ? 1 : static_cast<double>(count); }
     void set_services(const std::vector<model::Service>& services);
 
     // `tried`: servers that refused or failed this request; they are taken only where nothing else is left.
     // `fresh`: nothing of it was sent yet, so it may be turned away.
-    Choice choose(const Request& request, const std::set<std::string>& tried, bool may_hand_over, bool fresh,
+    Choice choose(const Request& request, const std::set<std::string>& tried, bool may_split, bool fresh,
                   Tenths now);
     const model::Instance* instance(const std::string& id) const; // null where it is gone
 
-    // `tokens_to_read`: as the choice expected it; without one, what is believed now.
+    // `tokens_to_prefill`: as the choice expected it; without one, what is believed now.
     AttemptNo sent(const std::string& instance, const Request& request, Work work,
-                   std::optional<double> tokens_to_read, Tenths now);
+                   std::optional<double> tokens_to_prefill, Tenths now);
     void answered(AttemptNo attempt, Tenths now); // its first event, or the answer of a reading
     void ended(AttemptNo attempt, Tenths now);    // nothing of it is out any more
     void refused(AttemptNo attempt, Tenths now);  // it has not run: the server is full, or leaving
     void broken(AttemptNo attempt, Tenths now);   // it failed, or its connection ended before its answer did
-    void unreachable(const std::string& instance, Tenths now); // no connection came up
-    void misdirected(const std::string& instance, Tenths now); // its address is another's now
-    void handle_used(const std::string& reader, bool found);   // whether its memory was still there
+    void unreachable(const std::string& instance, Tenths now);     // no connection came up
+    void misdirected(const std::string& instance, Tenths now);     // its address is another's now
+    void record_handle_use(const std::string& reader, bool found); // whether its memory was still there
     // Since when nothing was heard of the server, at the earliest since the attempt was sent.
     Tenths silent_since(AttemptNo attempt) const;
     // How long moving the request's prompt holds a link, within a zone; 0 for an answer that is longer than
     // its prompt, which is made where the prompt is read or at a runner near it.
-    double link_time(const Request& request) const { return streams(request) ? 0 : near_move_time(request); }
+    double kv_transfer_time(const Request& request) const {
+        return streams(request) ? 0 : near_move_time(request);
+    }
     // The usual time to the first word of such an attempt, as this server is.
     Tenths expected_response(AttemptNo attempt) const;
 
@@ -100,7 +102,7 @@
     struct Server {
         model::Instance instance;
         std::array<Estimate, kWorks> estimates;
-        SendingLimit limit;
+        SendRateLimiter limit;
         std::map<AttemptNo, Tenths> unanswered; // with when each was sent
         std::size_t running = 0;                // answered, and still making tokens
         double queue = 0;                       // as last reported
@@ -116,7 +118,7 @@
     };
     struct Attempt {
         std::string server;
-        Work work = Work::kPlain;
+        Work work = Work::kUnstaged;
         double tokens = 0; // that it was expected to read
         Tenths sent = 0, latency_target = 0;
         double waiting = 0; // C3's q when it was sent
@@ -124,8 +126,8 @@
     };
     struct ServiceView {
         model::Service service;
-        RunnerDivision division;
-        HandOverLoad hand_overs;
+        DecodePartition division;
+        KvTransferLoad hand_overs;
         double links_taken = 0; // share of their time, by moves of all nodes
         double carried = 1;     // share of what the readers can read that the links can move
     };
@@ -173,7 +175,7 @@
     // pair_selector.cpp
     std::optional<Overloaded> overloaded(const Request& request, const Pair& pair, Tenths now);
     bool waits_for_a_reading(const std::string& service) const;
-    std::optional<Pair> best_pair(const Request& request, const Candidates& candidates, bool may_hand_over,
+    std::optional<Pair> best_pair(const Request& request, const Candidates& candidates, bool may_split,
                                   Tenths now);
     std::vector<Server*> drawn(const std::vector<Server*>& servers, const std::string& zone);
     std::optional<Scored> best_of(const std::vector<Server*>& servers, const Request& request, Work work,
@@ -199,7 +201,7 @@
     std::map<AttemptNo, Attempt> attempts_;
     std::uint64_t count_ = 0;
     // Over all servers, by work; answers of several events apart, as their first event holds many tokens.
-    std::array<std::array<TimeModel, kWorks>, 2> times_;
+    std::array<std::array<LatencyModel, kWorks>, 2> times_;
     Tenths backlog_at_ = -1; // when a request last found every server over its limit
 };
 
--- a/src/replica_selection/time_model.hpp
+++ b/src/replica_selection/time_model.hpp
@@ -5,7 +5,7 @@
 
 namespace ivyrill::replica_selection {
 
-class TimeModel {
+class LatencyModel {
   public:
     // `took` in tenths of a millisecond.
     void add(double tokens, double took) {
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -6,7 +6,8 @@
 
 namespace ivyrill::routing {
 
-void Router::guard(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now, Tenths wall) {
+void Router::enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query,
+                                   Tenths now, Tenths wall) {
     clock_ = access::TrustedClock(policy->terms.skew, policy->terms.settle);
     clock_.observe(now, wall);
     gate_.emplace(std::move(policy));
@@ -14,9 +15,9 @@
     await_access_change();
 }
 
-void Router::bound_handshakes(access::HandshakeTerms terms, Tenths now) { handshakes_.emplace(terms, now); }
+void Router::limit_handshakes(access::HandshakeTerms terms, Tenths now) { handshakes_.emplace(terms, now); }
 
-std::optional<access::Decision> Router::admit(const Client& client, const SearchRead& event) {
+std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
     if (!gate_ || !client.guarded) return {};
     const protocol::SearchRequest& request = event.request;
     const access::Credential credential{request.token, request.token_spoilt, client.chain};
@@ -41,7 +42,7 @@
 // counts, but nothing more is sent: not what waits for a connection, and no attempt after it.
 void Router::bar(SearchId id, access::Reason why) {
     Search& search = searches_.at(id);
-    search.barred = why, ++counts_.barred;
+    search.barred = why, ++counts_.revoked;
     const auto& caller = search.proof->claims ? search.proof->claims->caller : access::Caller{};
     effects_.push_back(Audit{
         why, "barred", caller.club, caller.member, {}, search.proof->asked.request_class, search.wire_id});
@@ -55,11 +56,11 @@
                 attempt->second.way != Way::kWaiting)
                 continue;
             give_up(key, attempt->second);
-            return_later(key, Outcome::kNeverSent);
+            return_later(key, Outcome::kNotSent);
         }
     }
-    if (attempted) return tell(SearchBarred{id});
-    tell(SearchLapsed{id});
+    if (attempted) return tell(SearchRevoked{id});
+    tell(SearchAbandoned{id});
     ++counts_.rejected;
     finish(id, {protocol::Verdict::kRejected, false, {}, 0});
 }
@@ -74,7 +75,7 @@
         if (!client.chain || client.distrusted) continue;
         const access::Reason reason = gate_->still(*client.chain, now);
         if (reason == access::Reason::kAdmitted) continue;
-        client.distrusted = true, ++counts_.distrusted;
+        client.distrusted = true, ++counts_.certificates_revoked;
         effects_.push_back(Audit{reason, "distrusted", {}, {}, {}, {}, {}});
     }
     std::vector<std::pair<SearchId, access::Reason>> barred;
@@ -107,7 +108,7 @@
     judge_all_again();
 }
 
-void Router::apply(const PolicyRead& event) {
+void Router::apply(const PolicyLoaded& event) {
     if (!gate_) return;
     gate_->swap(event.policy);
     effects_.push_back(Audit{access::Reason::kAdmitted, "swapped", {}, {}, {}, {}, {}});
@@ -115,7 +116,7 @@
 }
 
 // The clock that credentials are judged by may have been set right: what was to come may be over already.
-void Router::apply(const WallTold& event) {
+void Router::apply(const WallClockRead& event) {
     if (!gate_) return;
     const Tenths before = access_now();
     clock_.observe(now_, event.wall);
@@ -124,13 +125,13 @@
     judge_all_again();
 }
 
-void Router::apply(const ShakeWanted& event) {
+void Router::apply(const HandshakeReady& event) {
     if (handshakes_) handshakes_->ask(event.client);
 }
 
 void Router::let_shake() {
     if (!handshakes_) return;
-    for (const ClientId client : handshakes_->grant(now_)) effects_.push_back(ShakeHands{client});
+    for (const ClientId client : handshakes_->grant(now_)) effects_.push_back(ContinueHandshake{client});
     const auto next = handshakes_->next(now_);
     if (next && (shake_at_ == 0 || *next < shake_at_)) at(shake_at_ = *next, ShakeDue{});
 }
@@ -140,7 +141,7 @@
     let_shake();
 }
 
-void Router::apply(const ClientSecured& event) {
+void Router::apply(const HandshakeCompleted& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
     handshakes_->end(event.client);
--- a/src/routing/events.hpp
+++ b/src/routing/events.hpp
@@ -16,56 +16,56 @@
 using ClientId = Id<struct ClientTag, std::uint64_t>;         // a client's connection
 using ConnectionId = Id<struct ConnectionTag, std::uint64_t>; // a connection to an index server
 using StreamNo = std::uint32_t; // of a search on its client's connection, 0 where there is one at a time
-using AskId = Id<struct AskTag, std::uint64_t>; // a call to discovery
+using DiscoveryCallId = Id<struct DiscoveryCallTag, std::uint64_t>; // a call to discovery
 
 struct ClientOpened {
     ClientId client;
     bool guarded = true; // its listener asks for a credential, where access is on
     bool sealed = false; // it must shake hands first
 };
-struct ShakeWanted { // its bytes have come, its handshake can go on
+struct HandshakeReady { // its bytes have come, its handshake can go on
     ClientId client;
 };
-struct ClientSecured { // its handshake is done; the chain that it showed, or null
+struct HandshakeCompleted { // its handshake is done; the chain that it showed, or null
     ClientId client;
     std::shared_ptr<const access::Chain> chain;
 };
-struct SearchRead {
+struct SearchReceived {
     ClientId client;
     protocol::SearchRequest request;
     Tenths age = 0; // it reached this machine so long ago
     StreamNo stream = 0;
 };
-struct SearchLeft { // its client has taken it back, and keeps its connection
+struct SearchCancelled { // its client has taken it back, and keeps its connection
     ClientId client;
     StreamNo stream = 0;
 };
-struct ClientMidway { // a request has begun and is not whole
+struct RequestStarted { // a request has begun and is not whole
     ClientId client;
 };
-struct ClientAnswered { // it asked for something else than a search, and has its answer
+struct OtherRequestAnswered { // it asked for something else than a search, and has its answer
     ClientId client;
 };
-struct ClientLeaving { // its last answer is with the system; what it still sends is not read
+struct ClientFinalAnswerSent { // its last answer is with the system; what it still sends is not read
     ClientId client;
 };
-struct ClientGone {
+struct ClientDisconnected {
     ClientId client;
 };
-struct ConnectionUp {
+struct ConnectionEstablished {
     ConnectionId connection;
 };
-struct ConnectionWrote { // so many of its bytes has the system taken
+struct ConnectionBytesWritten { // so many of its bytes has the system taken
     ConnectionId connection;
     std::uint64_t total = 0;
 };
-struct ConnectionEnded { // refused, broken or closed by the other side
+struct ConnectionClosed { // refused, broken or closed by the other side
     ConnectionId connection;
 };
-struct ConnectionMidway { // a frame has begun and is not whole
+struct FrameStarted { // a frame has begun and is not whole
     ConnectionId connection;
 };
-struct ConnectionSpoilt { // what came cannot be read; the answer names this part, or none
+struct MalformedDataReceived { // what came cannot be read; the answer names this part, or none
     ConnectionId connection;
     std::string part;
 };
@@ -74,39 +74,41 @@
     protocol::PartAnswer answer;
     Tenths age = 0;
 };
-struct LoadTold {
+struct LoadReceived {
     ConnectionId connection;
     protocol::LoadAnswer answer;
 };
-struct ListTold {
-    AskId ask;
+struct ServerListReceived {
+    DiscoveryCallId ask;
     protocol::ServerList list;
 };
-struct ListLost {
-    AskId ask;
+struct ServerListFailed {
+    DiscoveryCallId ask;
 };
-struct AskSent { // its connection has come up
-    AskId ask;
+struct DiscoveryConnected { // its connection has come up
+    DiscoveryCallId ask;
 };
-struct DiscoveryNamed { // the configuration was read again
+struct DiscoveryAddressChanged { // the configuration was read again
     std::string address;
 };
-struct PolicyRead { // access was read again, whole and checked
+struct PolicyLoaded { // access was read again, whole and checked
     std::shared_ptr<const access::Policy> policy;
 };
-struct WallTold { // what the system's clock says now
+struct WallClockRead { // what the system's clock says now
     Tenths wall = 0;
 };
-struct MembersCounted { // front nodes that are there, ourselves among them
+struct FrontNodesCounted { // front nodes that are there, ourselves among them
     std::size_t present = 1;
 };
-struct DrainOrdered {}; // answers go out with the last word on their connection
-struct QuietOrdered {}; // no request can be on its way any more: idle connections may go
+struct DrainStarted {};   // answers go out with the last word on their connection
+struct TrafficStopped {}; // no request can be on its way any more: idle connections may go
 using Event =
-    std::variant<ClientOpened, ShakeWanted, ClientSecured, PolicyRead, WallTold, SearchRead, SearchLeft,
-                 ClientMidway, ClientAnswered, ClientLeaving, ClientGone, AskSent, ConnectionUp,
-                 ConnectionWrote, ConnectionEnded, ConnectionMidway, ConnectionSpoilt, PartAnswered, LoadTold,
-                 ListTold, ListLost, DiscoveryNamed, MembersCounted, DrainOrdered, QuietOrdered>;
+    std::variant<ClientOpened, HandshakeReady, HandshakeCompleted, PolicyLoaded, WallClockRead,
+                 SearchReceived, SearchCancelled, RequestStarted, OtherRequestAnswered, ClientFinalAnswerSent,
+                 ClientDisconnected, DiscoveryConnected, ConnectionEstablished, ConnectionBytesWritten,
+                 ConnectionClosed, FrameStarted, MalformedDataReceived, PartAnswered, LoadReceived,
+                 ServerListReceived, ServerListFailed, DiscoveryAddressChanged, FrontNodesCounted,
+                 DrainStarted, TrafficStopped>;
 
 struct OpenConnection {
     ConnectionId connection;
@@ -133,7 +135,7 @@
     std::string_view challenge = {}; // of a credential that is not good: text that stands for ever
     StreamNo stream = 0;             // 0 also where the connection itself is meant
 };
-struct ShakeHands { // one step of its handshake
+struct ContinueHandshake { // one step of its handshake
     ClientId client;
 };
 struct Audit { // for the audit log; nothing secret is in it
@@ -150,26 +152,26 @@
 };
 // Nothing more is said to it; what it has sent already is heard first, what comes later is read and dropped
 // until it closes.
-struct ShutClient {
+struct HalfCloseClient {
     ClientId client;
 };
 struct AcceptClients {
     bool on = true;
 };
-struct AskDiscovery {
-    AskId ask;
+struct QueryDiscovery {
+    DiscoveryCallId ask;
     std::string address;
     std::int64_t after = 0, wait_ms = 0;
     bool whole = false;
 };
-struct DropAsk { // the call that is out, if any, and the connection to discovery
+struct CancelDiscoveryCall { // the call that is out, if any, and the connection to discovery
     std::string why;
 };
 struct ArmTimer {
     Tenths at = 0;
 };
-using Effect =
-    std::variant<OpenConnection, WriteConnection, CloseConnection, AnswerClient, RejectClient, ShakeHands,
-                 Audit, DrainClient, CloseClient, ShutClient, AcceptClients, AskDiscovery, DropAsk, ArmTimer>;
+using Effect = std::variant<OpenConnection, WriteConnection, CloseConnection, AnswerClient, RejectClient,
+                            ContinueHandshake, Audit, DrainClient, CloseClient, HalfCloseClient,
+                            AcceptClients, QueryDiscovery, CancelDiscoveryCall, ArmTimer>;
 
 } // namespace ivyrill::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -16,12 +16,12 @@
 
 Router::Router(protocol::NodeTerms terms, const protocol::ServerList& known, std::string discovery,
                std::size_t descriptors, Tenths now)
-    : terms_(std::move(terms)), brain_(open_brain(terms_.opening)), descriptors_(descriptors), now_(now),
-      discovery_(std::move(discovery)) {
+    : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.opening)), descriptors_(descriptors),
+      now_(now), discovery_(std::move(discovery)) {
     take_list(known, ListKind::kSaved);
 }
 
-void Router::step(Tenths now, Event event) {
+void Router::handle(Tenths now, Event event) {
     now_ = std::max(now_, now);
     std::visit([this](const auto& what) { apply(what); }, event);
 }
@@ -35,7 +35,7 @@
         std::visit([this](const auto& what) { due(what); }, alarm);
     }
     if (std::exchange(decision_due_, false)) {
-        brain_->decide(now_, *this);
+        scheduler_->decide(now_, *this);
         send_calls();
     }
     const Tenths next = alarms_.empty() ? 0 : alarms_.begin()->first;
@@ -72,7 +72,7 @@
         shut_client(what.client);
 }
 
-void Router::apply(const ClientMidway& event) {
+void Router::apply(const RequestStarted& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || !found->second.searches.empty() ||
         std::exchange(found->second.midway, true))
@@ -80,14 +80,14 @@
     if (found->second.asked) await_word(event.client, found->second); // else its time runs since it came
 }
 
-void Router::apply(const ClientAnswered& event) {
+void Router::apply(const OtherRequestAnswered& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
     found->second.midway = false;
     if (std::exchange(found->second.leaving, false)) shut_client(event.client);
 }
 
-void Router::apply(const ClientLeaving& event) {
+void Router::apply(const ClientFinalAnswerSent& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || !found->second.searches.empty() ||
         std::exchange(found->second.leaving, true))
@@ -108,7 +108,7 @@
     if (handshakes_ && handshakes_->open(id)) return close_client(id); // nothing has been said yet
     Client& client = clients_.at(id);
     if (std::exchange(client.leaving, true)) return;
-    effects_.push_back(ShutClient{id});
+    effects_.push_back(HalfCloseClient{id});
     await_word(id, client);
 }
 
@@ -147,7 +147,7 @@
     if (shut && shut_ones > most_shut()) close_client(shut->second);
 }
 
-void Router::apply(const ClientGone& event) {
+void Router::apply(const ClientDisconnected& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
     const auto searches = std::move(found->second.searches);
@@ -160,7 +160,7 @@
     if (!accepting_ && !quiet_) accepting_ = true, effects_.push_back(AcceptClients{true});
 }
 
-void Router::apply(const SearchRead& event) {
+void Router::apply(const SearchReceived& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || found->second.searches.contains(event.stream)) return;
     const protocol::SearchRequest& request = event.request;
@@ -182,7 +182,7 @@
     const bool full = terms_.most_open > 0 &&
                       searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.most_open);
     if (full || left <= 0 || over_share(event.client, found->second)) {
-        ++counts_.over_full, ++counts_.rejected;
+        ++counts_.over_limit, ++counts_.rejected;
         effects_.push_back(AnswerClient{
             event.client, {protocol::Verdict::kRejected, false, {}, 0}, closes(found->second), event.stream});
         return;
@@ -199,12 +199,12 @@
     if (decision) search.proof = decision->proof;
     found->second.searches[event.stream] = id, found->second.asked = true;
     open_ids_.insert(request.id);
-    tell(SearchTaken{id, job, number, payer, left, request.repeat});
+    tell(SearchAccepted{id, job, number, payer, left, request.repeat});
     for (const protocol::Target& target : request.targets) {
         const PartId part{next_id_++};
         search.parts.push_back(part);
         parts_[part] = {id, ShardNo{target.shard}, request.id + "." + std::to_string(target.shard), 0, {}};
-        tell(PartTaken{part, job, ShardNo{target.shard}, target.share});
+        tell(PartAdded{part, job, ShardNo{target.shard}, target.share});
     }
     at(now_ + left, SearchDue{id});
 }
@@ -215,8 +215,8 @@
 }
 
 void Router::lapse(SearchId id) {
-    tell(SearchLapsed{id});
-    ++counts_.lapsed;
+    tell(SearchAbandoned{id});
+    ++counts_.abandoned;
     finish(id, {});
 }
 
@@ -254,22 +254,22 @@
     counts_.delivered += finish(search, {protocol::Verdict::kDelivered, whole, {}, 0});
 }
 
-void Router::reject(SearchId search, Tenths come_back) {
-    counts_.rejected += finish(search, {protocol::Verdict::kRejected, false, {}, come_back});
+void Router::reject(SearchId search, Tenths retry_after) {
+    counts_.rejected += finish(search, {protocol::Verdict::kRejected, false, {}, retry_after});
 }
 
 void Router::fail(SearchId search) { counts_.failed += finish(search, {}); }
 
-void Router::apply(const MembersCounted& event) { tell(FrontNodesSeen{static_cast<int>(event.present)}); }
+void Router::apply(const FrontNodesCounted& event) { tell(FrontNodeCount{static_cast<int>(event.present)}); }
 
-void Router::apply(const DrainOrdered&) {
+void Router::apply(const DrainStarted&) {
     draining_ = true;
     for (const auto& [id, client] : clients_) effects_.push_back(DrainClient{id});
 }
 
 // The client takes one search back and keeps the others: what is out for it is called off, and it is owed
 // nothing.
-void Router::apply(const SearchLeft& event) {
+void Router::apply(const SearchCancelled& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
     const auto search = found->second.searches.find(event.stream);
@@ -284,11 +284,11 @@
         clients_, [id](auto& held) { return held.first != id && !held.second.searches.empty(); });
     std::size_t held = client.searches.size();
     for (const auto& [stream, search] : client.searches) held += searches_.at(search).parts.size();
-    return held >= limits::share_of_searches(static_cast<std::size_t>(terms_.most_open),
-                                             static_cast<std::size_t>(others));
+    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(terms_.most_open),
+                                                  static_cast<std::size_t>(others));
 }
 
-void Router::apply(const QuietOrdered&) {
+void Router::apply(const TrafficStopped&) {
     quiet_ = draining_ = true, accepting_ = false;
     effects_.push_back(AcceptClients{false});
     for (auto next = clients_.begin(); next != clients_.end();) {
@@ -310,10 +310,10 @@
                       Way::kWaiting,    false};
     ++counts_.attempts;
     const auto at_server = servers_.find(server);
-    const bool allowed = at_server != servers_.end() && at_server->second.listed == Listed::kLive &&
+    const bool allowed = at_server != servers_.end() && at_server->second.listed == ListedState::kLive &&
                          terms_.opening.holds(at_server->second.cell, held.shard) && time_out > 0 &&
-                         key.second.value < static_cast<std::uint32_t>(terms_.opening.most_attempts);
-    if (!allowed) return return_later(key, Outcome::kNeverSent);
+                         key.second.value < static_cast<std::uint32_t>(terms_.opening.max_attempts);
+    if (!allowed) return return_later(key, Outcome::kNotSent);
     at(now_ + time_out, AttemptDue{key});
     if (send_within < time_out) at(now_ + send_within, AttemptDue{key});
     fresh_[server].push_back(key);
@@ -334,7 +334,7 @@
 void Router::put_on_connection(ServerId server, Call call) {
     const auto id = connection_for(server, call);
     if (!id) {
-        for (const AttemptKey& key : call) return_later(key, Outcome::kNeverSent); // no room of ours
+        for (const AttemptKey& key : call) return_later(key, Outcome::kNotSent); // no room of ours
         return;
     }
     Connection& connection = connections_.at(*id);
@@ -363,7 +363,7 @@
     }
     rest(attempt.connection);
     const Tenths took = std::max<Tenths>(0, now_ - age - attempt.made_at);
-    tell(AttemptReturned{key.first, key.second, attempt.server, outcome, took, report});
+    tell(AttemptEnded{key.first, key.second, attempt.server, outcome, took, report});
 }
 
 void Router::forget_waiting(Connection& connection, const AttemptKey& key) {
@@ -391,7 +391,7 @@
         connection.handed += bytes.size(), connection.used = now_;
         effects_.push_back(WriteConnection{attempt.connection, std::move(bytes)});
         // A client that leaves early, or an answer that is complete, calls off what was not overdue.
-        if (parts_.contains(key.first) || now_ >= attempt.made_at + terms_.opening.connect_span)
+        if (parts_.contains(key.first) || now_ >= attempt.made_at + terms_.opening.connect_timeout)
             doubt(attempt.connection, attempt);
         await_ring(attempt.connection, connection);
     }
@@ -407,22 +407,22 @@
             await_ring(next->second.connection, connections_.at(next->second.connection));
         if (next->second.way != Way::kWaiting) continue;
         give_up(next->first, next->second);
-        return_later(next->first, Outcome::kNeverSent);
+        return_later(next->first, Outcome::kNotSent);
     }
 }
 
-void Router::recall(PartId part, AttemptNo number) {
+void Router::cancel_attempt(PartId part, AttemptNo number) {
     const AttemptKey key{part, number};
     const auto found = attempts_.find(key);
     if (found == attempts_.end() || found->second.given_up) return;
-    counts_.recalls += parts_.contains(part); // for a search that goes on
+    counts_.cancellations += parts_.contains(part); // for a search that goes on
     give_up(key, found->second);
     return_recalled(key);
 }
 
 // A copy that replaces it must not reach its server before our word reaches the other.
 void Router::return_recalled(const AttemptKey& key) {
-    at(now_ + terms_.opening.turn_gap, AttemptReturn{key, Outcome::kRecalled});
+    at(now_ + terms_.opening.decision_interval, AttemptReturn{key, Outcome::kCancelled});
 }
 
 void Router::due(const AttemptDue& what) {
@@ -433,7 +433,7 @@
         return close_connection(found->second.connection); // see await_ring
     if (!over && !unsent) return;                          // its time to be sent is over, and it was
     give_up(what.attempt, found->second);
-    const Outcome lost = over ? Outcome::kNoConnection : Outcome::kNeverSent;
+    const Outcome lost = over ? Outcome::kConnectTimeout : Outcome::kNotSent;
     return_attempt(what.attempt, unsent ? lost : Outcome::kTimedOut);
 }
 
@@ -444,11 +444,11 @@
     hear_from(connection);
     const auto found = connection.out.find(event.answer.id);
     if (found == connection.out.end()) {
-        ++counts_.returned_late;
+        ++counts_.late_answers;
         const bool late = connection.given_up.erase(event.answer.id) > 0,
                    again = event.answer.id == connection.last;
         if (late) connection.last = event.answer.id;
-        if (!late && !again) apply(ConnectionSpoilt{event.connection, {}}); // nobody asked for it here
+        if (!late && !again) apply(MalformedDataReceived{event.connection, {}}); // nobody asked for it here
         return;
     }
     connection.last = event.answer.id;
@@ -475,7 +475,7 @@
 
 // We close before the index server does: what is written to a connection that it closes is lost.
 Tenths Router::idle_limit() const {
-    return std::max(terms_.idle_span / 2, terms_.idle_span - 2 * terms_.opening.connect_span);
+    return std::max(terms_.idle_span / 2, terms_.idle_span - 2 * terms_.opening.connect_timeout);
 }
 
 std::optional<ConnectionId> Router::connection_for(ServerId server, const Call& call) {
@@ -526,9 +526,9 @@
         return;
     if (!std::exchange(connection.unanswered, true)) return;
     connection.doubted = true;
-    ++counts_.connections_doubted;
+    ++counts_.connections_suspected;
     const Server& server = servers_.at(connection.server);
-    if (server.listed == Listed::kLive && !sound_connection(server, false))
+    if (server.listed == ListedState::kLive && !sound_connection(server, false))
         open_connection(connection.server);
 }
 
@@ -549,11 +549,11 @@
     servers_.at(server).connections.insert(id);
     ++counts_.connections_opened;
     effects_.push_back(OpenConnection{id, servers_.at(server).address});
-    at(now_ + terms_.opening.connect_span, ConnectDue{id});
+    at(now_ + terms_.opening.connect_timeout, ConnectDue{id});
     return id;
 }
 
-void Router::apply(const ConnectionUp& event) {
+void Router::apply(const ConnectionEstablished& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
     found->second.up = true, found->second.used = now_;
@@ -574,7 +574,7 @@
             Attempt& attempt = attempts_.at(key);
             if (now_ < std::min(attempt.until, attempt.send_by)) return false;
             attempt.given_up = true, --connection.parts;
-            return_later(key, Outcome::kNeverSent);
+            return_later(key, Outcome::kNotSent);
             return true;
         });
         if (call.empty() && !probe) continue;
@@ -603,14 +603,15 @@
 // for a client that has gone, to a server that drains. It cannot be taken out of the ring, so its connection
 // ends, and as its last byte has not gone it never ran.
 void Router::await_ring(ConnectionId id, const Connection& connection) {
-    if (!connection.in_ring.empty()) at(now_ + std::max<Tenths>(1, terms_.opening.turn_gap), RingDue{id});
+    if (!connection.in_ring.empty())
+        at(now_ + std::max<Tenths>(1, terms_.opening.decision_interval), RingDue{id});
 }
 
 void Router::due(const RingDue& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end()) return;
     const Connection& connection = found->second;
-    const bool unwanted = connection.retired || servers_.at(connection.server).listed != Listed::kLive;
+    const bool unwanted = connection.retired || servers_.at(connection.server).listed != ListedState::kLive;
     const bool stuck = std::ranges::any_of(connection.in_ring, [&](const Handed& frame) {
         return std::ranges::any_of(frame.call, [&](const AttemptKey& key) {
             const auto attempt = attempts_.find(key);
@@ -621,7 +622,7 @@
     if (stuck) close_connection(what.connection);
 }
 
-void Router::apply(const ConnectionWrote& event) {
+void Router::apply(const ConnectionBytesWritten& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
     Connection& connection = found->second;
@@ -634,7 +635,7 @@
     hand_over(event.connection);
 }
 
-void Router::apply(const ConnectionEnded& event) {
+void Router::apply(const ConnectionClosed& event) {
     if (connections_.contains(event.connection)) close_connection(event.connection);
 }
 
@@ -652,10 +653,10 @@
     });
     effects_.push_back(CloseConnection{id});
     // Neither ran; only that a connection never came up says something of its server.
-    const bool overdue = now_ >= connection.used + terms_.opening.connect_span; // used when it was opened
-    const Outcome unsent = connection.up ? Outcome::kNeverSent
-                           : overdue     ? Outcome::kNoConnection
-                                         : Outcome::kRefused;
+    const bool overdue = now_ >= connection.used + terms_.opening.connect_timeout; // used when it was opened
+    const Outcome unsent = connection.up ? Outcome::kNotSent
+                           : overdue     ? Outcome::kConnectTimeout
+                                         : Outcome::kConnectionRefused;
     for (const Call& call : connection.waiting)
         for (const AttemptKey& key : call) return_attempt(key, unsent);
     for (const auto& [wire_id, key] : connection.out) {
@@ -663,20 +664,20 @@
         if (attempt.way == Way::kSent && spoilt)
             attempt.given_up = true, return_recalled(key);
         else
-            return_attempt(key, attempt.way == Way::kSent ? Outcome::kBroken : unsent);
+            return_attempt(key, attempt.way == Way::kSent ? Outcome::kConnectionLost : unsent);
     }
     for (const ProbeOut& probe : connection.probes)
-        if (!probe.over) tell(ProbeReturned{connection.server, false, now_ - probe.made_at, {}});
+        if (!probe.over) tell(ProbeEnded{connection.server, false, now_ - probe.made_at, {}});
 }
 
 // What came there cannot be read, or is not what was asked for: the attempt that it answered has failed and
 // may have run, and no further answer can be told from what follows. The others out there are called off by
 // closing the connection. That says nothing of their server, which has answered: it is no broken one. Where
 // no attempt is named, the one that has been out for longest is taken for the one answered.
-void Router::apply(const ConnectionSpoilt& event) {
+void Router::apply(const MalformedDataReceived& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
-    ++counts_.spoilt;
+    ++counts_.malformed;
     std::optional<AttemptKey> answered;
     for (const auto& [wire_id, key] : found->second.out) {
         const Attempt& attempt = attempts_.at(key);
@@ -690,18 +691,18 @@
 }
 
 // A frame that has begun comes at once or not at all. Until it is whole its connection takes nothing new.
-void Router::apply(const ConnectionMidway& event) {
+void Router::apply(const FrameStarted& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end() || found->second.midway > 0) return;
     found->second.midway = now_;
-    at(now_ + terms_.opening.connect_span, MidwayDue{event.connection});
+    at(now_ + terms_.opening.connect_timeout, MidwayDue{event.connection});
 }
 
 void Router::due(const MidwayDue& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end() || found->second.midway == 0) return;
-    if (now_ >= found->second.midway + terms_.opening.connect_span)
-        apply(ConnectionSpoilt{what.connection, {}});
+    if (now_ >= found->second.midway + terms_.opening.connect_timeout)
+        apply(MalformedDataReceived{what.connection, {}});
 }
 
 void Router::due(const ConnectDue& what) {
@@ -732,7 +733,7 @@
     rest(what.connection);
 }
 
-void Router::hang_up(ServerId server) {
+void Router::close_idle_connections(ServerId server) {
     const auto connections = servers_.at(server).connections;
     for (const ConnectionId id : connections)
         if (idle(connections_.at(id))) ++counts_.connections_renewed, close_connection(id);
@@ -754,12 +755,12 @@
     if (!id) return at(now_ + 1, ProbeReturn{server});
     Connection& connection = connections_.at(*id);
     connection.probes.push_back({next_probe_++, now_, false});
-    at(now_ + terms_.opening.connect_span, ProbeDue{*id, connection.probes.back().serial});
+    at(now_ + terms_.opening.connect_timeout, ProbeDue{*id, connection.probes.back().serial});
     connection.waiting.push_back({});
     hand_over(*id);
 }
 
-void Router::due(const ProbeReturn& what) { tell(ProbeReturned{what.server, false, 1, {}}); }
+void Router::due(const ProbeReturn& what) { tell(ProbeEnded{what.server, false, 1, {}}); }
 
 // A connection that leaves a probe without an answer may lead nowhere any more: nothing new goes there, and
 // the next probe tries a new one.
@@ -770,12 +771,12 @@
     const auto probe = std::ranges::find(connection.probes, what.serial, &ProbeOut::serial);
     if (probe == connection.probes.end() || probe->over) return;
     probe->over = true;
-    tell(ProbeReturned{connection.server, false, now_ - probe->made_at, {}});
+    tell(ProbeEnded{connection.server, false, now_ - probe->made_at, {}});
     connection.retired = true;
     rest(what.connection);
 }
 
-void Router::apply(const LoadTold& event) {
+void Router::apply(const LoadReceived& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end() || found->second.probes.empty()) return;
     Connection& connection = found->second;
@@ -783,8 +784,7 @@
     const ProbeOut probe = connection.probes.front();
     connection.probes.pop_front();
     if (!probe.over)
-        tell(
-            ProbeReturned{connection.server, event.answer.passed, now_ - probe.made_at, event.answer.report});
+        tell(ProbeEnded{connection.server, event.answer.passed, now_ - probe.made_at, event.answer.report});
     rest(event.connection);
 }
 
@@ -815,14 +815,14 @@
         for (const AttemptKey& key : keys) {
             Attempt& attempt = attempts_.at(key);
             give_up(key, attempt);
-            return_later(key, Outcome::kNeverSent);
+            return_later(key, Outcome::kNotSent);
         }
     }
 }
 
 void Router::take_list(const protocol::ServerList& list, ListKind kind) {
     version_ = list.version;
-    ListNews news{kind, {}};
+    ServerListUpdate news{kind, {}};
     std::set<ServerId> named;
     for (const protocol::ServerEntry& row : list.servers) {
         const ServerId id = server_of(row.id);
@@ -846,10 +846,10 @@
         news.entries.push_back(entry);
     }
     for (auto& [id, server] : servers_) {
-        if (kind != ListKind::kChanges && !named.contains(id)) server.listed = Listed::kGone;
-        if (server.listed == Listed::kLive) continue;
+        if (kind != ListKind::kChanges && !named.contains(id)) server.listed = ListedState::kGone;
+        if (server.listed == ListedState::kLive) continue;
         pull_waiting(server);
-        if (server.listed == Listed::kGone) retire_connections(server);
+        if (server.listed == ListedState::kGone) retire_connections(server);
     }
     tell(news);
 }
@@ -862,16 +862,16 @@
 // news counts as told, whatever became of the call; an answer is overdue a fifth of that wait later, and so
 // is a connection: what is left of the time is for a call or two that replace it.
 void Router::watch_on() {
-    ask_ = AskId{next_ask_++}, ask_sent_ = false;
-    const Tenths wait = std::min(terms_.ask_span, terms_.opening.told_span) / 2;
-    effects_.push_back(AskDiscovery{*ask_, discovery_, version_, wait / 10, whole_wanted_});
+    ask_ = DiscoveryCallId{next_ask_++}, ask_sent_ = false;
+    const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation_time) / 2;
+    effects_.push_back(QueryDiscovery{*ask_, discovery_, version_, wait / 10, whole_wanted_});
     at(now_ + wait / 5, AskDue{*ask_, false});
     at(now_ + wait + wait / 5, AskDue{*ask_});
 }
 
-void Router::apply(const AskSent& event) { ask_sent_ = ask_sent_ || ask_ == event.ask; }
+void Router::apply(const DiscoveryConnected& event) { ask_sent_ = ask_sent_ || ask_ == event.ask; }
 
-void Router::apply(const ListTold& event) {
+void Router::apply(const ServerListReceived& event) {
     if (ask_ != event.ask) return;
     ++counts_.lists;
     const bool behind = !event.list.full && event.list.version < version_; // it has started anew
@@ -880,29 +880,29 @@
     watch_on();
 }
 
-void Router::apply(const ListLost& event) {
+void Router::apply(const ServerListFailed& event) {
     if (ask_ != event.ask) return;
     ask_.reset();
     ++counts_.lists_lost;
-    tell(ListNews{ListKind::kLost, {}});
+    tell(ServerListUpdate{ListKind::kLost, {}});
 }
 
 void Router::due(const AskDue& what) {
     if (ask_ != what.ask || (!what.sent && ask_sent_)) return;
-    effects_.push_back(DropAsk{"no answer in time"});
-    apply(ListLost{what.ask});
+    effects_.push_back(CancelDiscoveryCall{"no answer in time"});
+    apply(ServerListFailed{what.ask});
 }
 
 // Discovery has moved: the old one's word counts no more, and the new one, whose versions need not follow on,
 // is asked for the whole list at once.
-void Router::apply(const DiscoveryNamed& event) {
+void Router::apply(const DiscoveryAddressChanged& event) {
     if (event.address == discovery_) return;
     discovery_ = event.address, whole_wanted_ = true;
-    effects_.push_back(DropAsk{"it has moved to " + discovery_});
+    effects_.push_back(CancelDiscoveryCall{"it has moved to " + discovery_});
     watch_on();
 }
 
-void Router::wake(Tenths in) { at(now_ + std::max<Tenths>(1, in), Wake{}); }
+void Router::schedule_wakeup(Tenths in) { at(now_ + std::max<Tenths>(1, in), Wake{}); }
 void Router::due(const Wake&) { decision_due_ = true; }
 
 } // namespace ivyrill::routing
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -6,8 +6,8 @@
 #include "access/clock.hpp"
 #include "access/gate.hpp"
 #include "access/handshakes.hpp"
-#include "brain.hpp"
 #include "routing/events.hpp"
+#include "search_scheduler.hpp"
 
 #include <deque>
 #include <map>
@@ -21,24 +21,25 @@
 namespace ivyrill::routing {
 
 struct Counts { // since the start
-    std::uint64_t not_admitted = 0, barred = 0, distrusted = 0;
-    std::uint64_t searches = 0, delivered = 0, rejected = 0, failed = 0, lapsed = 0, over_full = 0,
-                  attempts = 0, recalls = 0, returned_late = 0, connections_opened = 0,
-                  connections_doubted = 0, connections_renewed = 0, spoilt = 0, probes = 0, lists = 0,
+    std::uint64_t not_admitted = 0, revoked = 0, certificates_revoked = 0;
+    std::uint64_t searches = 0, delivered = 0, rejected = 0, failed = 0, abandoned = 0, over_limit = 0,
+                  attempts = 0, cancellations = 0, late_answers = 0, connections_opened = 0,
+                  connections_suspected = 0, connections_renewed = 0, malformed = 0, probes = 0, lists = 0,
                   lists_lost = 0;
 };
 
-class Router : private Host {
+class Router : private SchedulerHost {
   public:
     // `descriptors`: so many connections may be held, clients and index servers together.
     Router(protocol::NodeTerms terms, const protocol::ServerList& known, std::string discovery,
            std::size_t descriptors, Tenths now);
 
     // Searches ask for a credential from here on, on the listeners that say so. Without it nobody is asked.
-    void guard(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now, Tenths wall);
-    void bound_handshakes(access::HandshakeTerms terms, Tenths now);
+    void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now,
+                               Tenths wall);
+    void limit_handshakes(access::HandshakeTerms terms, Tenths now);
 
-    void step(Tenths now, Event event);   // one thing that happened
+    void handle(Tenths now, Event event); // one thing that happened
     std::vector<Effect> turn(Tenths now); // what is due by now, one decision, and the effects of it all
 
     std::size_t open_searches() const { return searches_.size(); }
@@ -122,7 +123,7 @@
     };
     struct Server {
         std::string address;
-        Listed listed = Listed::kLive;
+        ListedState listed = ListedState::kLive;
         CellNo cell;
         std::set<ConnectionId> connections;
     };
@@ -161,7 +162,7 @@
         ServerId server;
     };
     struct AskDue {
-        AskId ask;
+        DiscoveryCallId ask;
         bool sent = true; // false: due unless its connection is up by now
     };
     struct ShakeDue {};
@@ -170,42 +171,42 @@
     using Alarm = std::variant<ShakeDue, AccessDue, AttemptDue, AttemptReturn, WordDue, SearchDue, ConnectDue,
                                MidwayDue, RingDue, IdleDue, ProbeDue, ProbeReturn, AskDue, Wake>;
 
-    // Host: the module's actions
+    // SchedulerHost: the module's actions
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
-    void recall(PartId part, AttemptNo attempt) override;
+    void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
-    void reject(SearchId search, Tenths come_back) override;
+    void reject(SearchId search, Tenths retry_after) override;
     void fail(SearchId search) override;
     void probe(ServerId server) override;
-    void hang_up(ServerId server) override;
-    void wake(Tenths in) override;
+    void close_idle_connections(ServerId server) override;
+    void schedule_wakeup(Tenths in) override;
     void subscribe() override;
 
     void apply(const ClientOpened& event);
-    void apply(const ShakeWanted& event);
-    void apply(const ClientSecured& event);
-    void apply(const PolicyRead& event);
-    void apply(const WallTold& event);
-    void apply(const SearchRead& event);
-    void apply(const SearchLeft& event);
-    void apply(const ClientMidway& event);
-    void apply(const ClientAnswered& event);
-    void apply(const ClientLeaving& event);
-    void apply(const ClientGone& event);
-    void apply(const ConnectionUp& event);
-    void apply(const ConnectionWrote& event);
-    void apply(const ConnectionEnded& event);
-    void apply(const ConnectionMidway& event);
-    void apply(const ConnectionSpoilt& event);
+    void apply(const HandshakeReady& event);
+    void apply(const HandshakeCompleted& event);
+    void apply(const PolicyLoaded& event);
+    void apply(const WallClockRead& event);
+    void apply(const SearchReceived& event);
+    void apply(const SearchCancelled& event);
+    void apply(const RequestStarted& event);
+    void apply(const OtherRequestAnswered& event);
+    void apply(const ClientFinalAnswerSent& event);
+    void apply(const ClientDisconnected& event);
+    void apply(const ConnectionEstablished& event);
+    void apply(const ConnectionBytesWritten& event);
+    void apply(const ConnectionClosed& event);
+    void apply(const FrameStarted& event);
+    void apply(const MalformedDataReceived& event);
     void apply(const PartAnswered& event);
-    void apply(const LoadTold& event);
-    void apply(const ListTold& event);
-    void apply(const ListLost& event);
-    void apply(const AskSent& event);
-    void apply(const DiscoveryNamed& event);
-    void apply(const MembersCounted& event);
-    void apply(const DrainOrdered& event);
-    void apply(const QuietOrdered& event);
+    void apply(const LoadReceived& event);
+    void apply(const ServerListReceived& event);
+    void apply(const ServerListFailed& event);
+    void apply(const DiscoveryConnected& event);
+    void apply(const DiscoveryAddressChanged& event);
+    void apply(const FrontNodesCounted& event);
+    void apply(const DrainStarted& event);
+    void apply(const TrafficStopped& event);
 
     void due(const ShakeDue& what);
     void due(const AccessDue& what);
@@ -222,11 +223,11 @@
     void due(const AskDue& what);
     void due(const Wake& what);
 
-    void tell(const ivyrill::Event& news) { brain_->on(now_, news), decision_due_ = true; }
+    void tell(const ivyrill::Event& news) { scheduler_->handle(now_, news), decision_due_ = true; }
     void at(Tenths when, Alarm alarm) { alarms_.emplace(when, std::move(alarm)); }
     bool finish(SearchId id, protocol::FinalAnswer answer); // false where it has ended already
     void lapse(SearchId id);
-    std::optional<access::Decision> admit(const Client& client, const SearchRead& event);
+    std::optional<access::Decision> admit(const Client& client, const SearchReceived& event);
     void judge_all_again();
     void bar(SearchId id, access::Reason why);
     void refuse(ClientId client, StreamNo stream, access::Reason why);
@@ -274,7 +275,7 @@
     std::int32_t number_of(std::vector<std::string>& names, const std::string& name);
 
     protocol::NodeTerms terms_;
-    std::unique_ptr<Brain> brain_;
+    std::unique_ptr<SearchScheduler> scheduler_;
     std::size_t descriptors_;
     Tenths now_ = 0, armed_ = 0;
     std::uint32_t next_id_ = 1; // of searches and parts
@@ -290,7 +291,7 @@
     std::map<ServerId, std::vector<AttemptKey>> fresh_; // attempts of this turn
     std::multimap<Tenths, Alarm> alarms_;
     std::string discovery_; // its address
-    std::optional<AskId> ask_;
+    std::optional<DiscoveryCallId> ask_;
     bool ask_sent_ = false;
     std::int64_t version_ = 0;
     bool whole_wanted_ = false, draining_ = false, quiet_ = false, accepting_ = true;
--- a/src/brain.cpp
+++ b/src/search_scheduler.cpp
@@ -1,16 +1,16 @@
 // The one decision module of ivyrill: C3 (replica_selection/c3.hpp) over replicated shards, and what the
 // rules and broken servers ask beside it; docs/design.md tells which is which. brain.hpp is its interface. A
-// caller opens one Brain an instance, hands it each turn's events by `on`, in order, then calls `decide`
-// once; all actions go to the Host. `on` only learns. `decide` works out the wanted state (what should be
-// out, what ends, who is probed, when to wake), and `emit` alone turns its difference to the present one into
-// actions.
-#include "brain.hpp"
+// caller opens one SearchScheduler an instance, hands it each turn's events by `on`, in order, then calls
+// `decide` once; all actions go to the SchedulerHost. `on` only learns. `decide` works out the wanted state
+// (what should be out, what ends, who is probed, when to wake), and `emit` alone turns its difference to the
+// present one into actions.
+#include "search_scheduler.hpp"
 
 #include "base/pcg.hpp"
-#include "limits/cold_rule.hpp"
+#include "limits/slow_start.hpp"
 #include "recovery/relief.hpp"
 #include "replica_selection/c3.hpp"
-#include "state.hpp"
+#include "search_scheduler_state.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -52,27 +52,27 @@
 using Stand = recovery::Relief::Stand;
 using replica_selection::kWindow;
 
-class ReplicaSelector : public Brain {
+class ReplicaSelector : public SearchScheduler {
   public:
-    explicit ReplicaSelector(OpeningTerms terms) : terms_(std::move(terms)), chance_(terms_.seed) {
-        for (const RequestClassTerms& request_class : terms_.request_classes) {
+    explicit ReplicaSelector(SchedulerConfig terms) : terms_(std::move(terms)), chance_(terms_.seed) {
+        for (const RequestClassConfig& request_class : terms_.request_classes) {
             request_classes_.push_back({request_class, 0, 0, false, 1, 0, 0});
             pace_ = std::min(pace_, static_cast<double>(request_class.latency_target));
         }
         tenants_.resize(terms_.tenants.size());
-        ask_wanted_ = terms_.list_mode == ListMode::kAsked;
-        if (!terms_.attempt_budget) {
-            terms_.spare_attempts = kFurtherSpare, terms_.further_ratio = kFurtherRatio;
-            terms_.budget_span = shares(4);
+        ask_wanted_ = terms_.list_mode == ListMode::kQueried;
+        if (!terms_.has_retry_budget) {
+            terms_.retry_slack = kFurtherSpare, terms_.retry_ratio = kFurtherRatio;
+            terms_.retry_budget_window = shares(4);
         }
     }
 
-    void on(Tenths now, const Event& event) override {
+    void handle(Tenths now, const Event& event) override {
         now_ = now;
         std::visit([this](auto& what) { hear(what); }, event);
     }
 
-    void decide(Tenths now, Host& host) override {
+    void decide(Tenths now, SchedulerHost& host) override {
         now_ = now;
         next_ = kNever;
         if (ask_wanted_) note(ask_at_);
@@ -88,7 +88,7 @@
     }
 
   private:
-    void hear(const SearchTaken& event) {
+    void hear(const SearchAccepted& event) {
         auto& request_class = request_classes_.at(event.request_class.value);
         Search& search = searches_[event.job];
         search.id = event.id, search.request_class = event.request_class, search.tenant = event.tenant;
@@ -98,22 +98,22 @@
         // repeats are not marked, their time left differs from most searches'.
         const Tenths off = std::abs(event.left - request_class.usual_left);
         const bool alike = off < kAlike * request_class.usual_left;
-        const bool repeat = terms_.repeats_marked ? event.repeat : !alike && request_class.votes > 0;
+        const bool repeat = terms_.retries_marked ? event.repeat : !alike && request_class.votes > 0;
         request_class.votes += alike ? 1 : -1; // a majority vote
         if (request_class.votes < 0) request_class.usual_left = event.left, request_class.votes = 1;
         // Much less time than even a due span is a client in haste, not one that has waited for long.
-        const bool hasty = !terms_.repeats_marked && event.left < kHasty * request_class.terms.latency_target;
+        const bool hasty = !terms_.retries_marked && event.left < kHasty * request_class.terms.latency_target;
         const Tenths spent =
-            repeat && !hasty ? std::max<Tenths>(0, request_class.terms.deadline_span - event.left) : 0;
+            repeat && !hasty ? std::max<Tenths>(0, request_class.terms.overall_deadline - event.left) : 0;
         search.due = now_ + request_class.terms.latency_target - spent;
         search.expiry = now_ + event.left;
-        if (search.due <= now_) search.utility *= request_class.terms.late_share;
-        if (!within_share(event.tenant)) search.utility *= terms_.over_share_utility;
+        if (search.due <= now_) search.utility *= request_class.terms.late_utility_ratio;
+        if (!within_share(event.tenant)) search.utility *= terms_.over_quota_utility_ratio;
         jobs_[event.id] = event.job;
         taken_.push_back(now_);
     }
 
-    void hear(const PartTaken& event) {
+    void hear(const PartAdded& event) {
         taken_.push_back(now_);
         const auto found = searches_.find(event.job);
         if (found == searches_.end() || found->second.fate == Fate::kEnded) return;
@@ -121,28 +121,28 @@
         part_of_[event.id] = {event.job, found->second.parts.size() - 1};
     }
 
-    void hear(const SearchLapsed& event) {
+    void hear(const SearchAbandoned& event) {
         if (const auto job = jobs_.find(event.id); job != jobs_.end()) end(searches_.at(job->second));
     }
 
-    void hear(const SearchBarred& event) {
+    void hear(const SearchRevoked& event) {
         if (const auto job = jobs_.find(event.id); job != jobs_.end())
             searches_.at(job->second).barred = true;
     }
 
-    void hear(const FrontNodesSeen& event) { front_nodes_ = std::max(1, event.count); }
-    void hear(const ReliefTold& told) { relief_.hear(told); }
-    void hear(const ListNews& news) {
+    void hear(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
+    void hear(const SiteRecoveryPlan& told) { relief_.hear(told); }
+    void hear(const ServerListUpdate& news) {
         if (news.kind == ListKind::kLost) {
-            ask_wanted_ = terms_.list_mode == ListMode::kAsked;
+            ask_wanted_ = terms_.list_mode == ListMode::kQueried;
             // The more calls are lost the longer the wait, but discovery's return must not be slept through.
-            const double wait = std::min(++lost_calls_ * pace_, kLostWait * terms_.told_span);
+            const double wait = std::min(++lost_calls_ * pace_, kLostWait * terms_.list_propagation_time);
             ask_at_ = now_ + static_cast<Tenths>(wait * (0.5 + chance_.unit() / 2));
             return;
         }
         if (news.kind != ListKind::kSaved) lost_calls_ = 0, ask_wanted_ = false;
         if (news.kind != ListKind::kChanges)
-            for (auto& [id, server] : servers_) server.entry.listed = Listed::kGone;
+            for (auto& [id, server] : servers_) server.entry.listed = ListedState::kGone;
         for (const ListEntry& entry : news.entries) {
             IndexServer& server = servers_[entry.server];
             if (!server.known || server.entry.cell != entry.cell) replicas_.clear();
@@ -155,7 +155,7 @@
         }
     }
 
-    void hear(const ProbeReturned& event) {
+    void hear(const ProbeEnded& event) {
         const auto found = servers_.find(event.server);
         if (found == servers_.end()) return;
         IndexServer& server = found->second;
@@ -177,7 +177,7 @@
         server.unreachable = server.gone = false;
     }
 
-    void hear(const AttemptReturned& event) {
+    void hear(const AttemptEnded& event) {
         const auto found = part_of_.find(event.part);
         if (found == part_of_.end()) return;
         Search& search = searches_.at(found->second.first);
@@ -186,8 +186,8 @@
         Attempt& attempt = part.attempts[event.attempt.value];
         if (attempt.stage != Stage::kOut) return;
         attempt.stage = Stage::kOver;
-        attempt.may_have_run = event.outcome != Outcome::kTurnedAway && !unconnected(event.outcome) &&
-                               event.outcome != Outcome::kNeverSent;
+        attempt.may_have_run = event.outcome != Outcome::kRejected && !unconnected(event.outcome) &&
+                               event.outcome != Outcome::kNotSent;
         if (event.outcome == Outcome::kAnswered) {
             part.in = true;
             search.quick =
@@ -209,17 +209,19 @@
         if (search.fate == Fate::kEnded) forget(found->second.first);
     }
 
-    static bool unconnected(Outcome end) { return end == Outcome::kNoConnection || end == Outcome::kRefused; }
+    static bool unconnected(Outcome end) {
+        return end == Outcome::kConnectTimeout || end == Outcome::kConnectionRefused;
+    }
 
-    void learn(IndexServer& server, RequestClassView& request_class, const AttemptReturned& event) {
+    void learn(IndexServer& server, RequestClassView& request_class, const AttemptEnded& event) {
         const double due = request_class.terms.latency_target;
         const bool good = event.outcome == Outcome::kAnswered;
-        if (event.outcome == Outcome::kNeverSent) return;
+        if (event.outcome == Outcome::kNotSent) return;
         // A connection that breaks takes all its attempts along: one failure, and no word of its server.
-        if (event.outcome == Outcome::kBroken && std::exchange(server.broke_at, now_) == now_) return;
-        if (event.outcome != Outcome::kRecalled && event.outcome != Outcome::kTimedOut)
+        if (event.outcome == Outcome::kConnectionLost && std::exchange(server.broke_at, now_) == now_) return;
+        if (event.outcome != Outcome::kCancelled && event.outcome != Outcome::kTimedOut)
             weigh_group(server, good, event.took);
-        if (event.outcome == Outcome::kRecalled) {
+        if (event.outcome == Outcome::kCancelled) {
             if (server.heard && event.took > server.response) mix(server.response, event.took, kFresh);
             return;
         }
@@ -256,7 +258,7 @@
         // Where servers work on at what is given up, parts sent to full ones keep them full for nobody: among
         // many front nodes each forgot sooner than it came by again. It hurts where one burst filled it.
         if (good) server.turned_away = 0, server.full_until = 0;
-        if (event.outcome == Outcome::kTurnedAway) {
+        if (event.outcome == Outcome::kRejected) {
             const double rest =
                 std::max(pace_, news_gap_) * (1 << std::min(server.turned_away++, kMostSetbacks));
             server.full_until = now_ + static_cast<Tenths>(rest * (0.75 + 0.5 * chance_.unit()));
@@ -265,7 +267,7 @@
         const bool refused = unconnected(event.outcome);
         if (refused && !server.unreachable) sign_of_storm();
         server.unreachable = server.unreachable || refused;
-        server.gone = server.gone || event.outcome == Outcome::kRefused;
+        server.gone = server.gone || event.outcome == Outcome::kConnectionRefused;
         if (!good && (refused || server.standing == Standing::kTrial || server.faults > kFaultLimit))
             set_aside(server);
     }
@@ -278,7 +280,7 @@
 
     void suspect(Search& search, const Attempt& attempt, Outcome outcome) {
         if (outcome == Outcome::kAnswered) search.proven = true;
-        if (outcome != Outcome::kBroken || search.proven) return;
+        if (outcome != Outcome::kConnectionLost || search.proven) return;
         search.broken.insert(attempt.server);
         search.breaker = search.broken.size() >= kBreaksEnd || (attempt.alone && storm() >= kStorm);
     }
@@ -341,7 +343,7 @@
             int seen = 0;
             for (auto& [id, server] : servers_)
                 if (std::ranges::count(server.groups(), group) > 0 && !server.probe_out &&
-                    server.entry.listed == Listed::kLive && chance_.unit() < 1.0 / ++seen)
+                    server.entry.listed == ListedState::kLive && chance_.unit() < 1.0 / ++seen)
                     scout = &server;
             view.next_probe = now_ + probe_gap(0);
             if (scout != nullptr) scout->probe_wanted = true, watch(*scout);
@@ -432,7 +434,8 @@
     double score(const IndexServer& server) const {
         const double service = service_of(server);
         // A sibling in the same call spares the work of a call of its own, and no other front node sends it.
-        const double joined = terms_.call_work > 0 ? service / (service + terms_.call_work) : front_nodes_;
+        const double joined =
+            terms_.per_call_work > 0 ? service / (service + terms_.per_call_work) : front_nodes_;
         const double before = (server.out() - server.joining) * front_nodes_;
         const double waiting = 1 + before + server.joining * joined + queue_of(server);
         return replica_selection::score(response_of(server), service, waiting);
@@ -452,7 +455,7 @@
             weigh_group(server, false, 0);
         }
         if (server.silent >= (server.standing == Standing::kTrial ? 1 : kSilentAttempts)) set_aside(server);
-        if (server.standing != Standing::kAside || server.entry.listed != Listed::kLive)
+        if (server.standing != Standing::kAside || server.entry.listed != ListedState::kLive)
             return server.out() > 0 || now_ < server.touched + shares(2);
         server.probe_wanted = terms_.may_probe && !server.probe_out && now_ >= server.next_probe;
         note(server.next_probe);
@@ -474,14 +477,14 @@
     }
 
     bool is_cold(const IndexServer& server) const {
-        return server.cold_from > 0 && now_ < server.cold_from + terms_.cold_span;
+        return server.cold_from > 0 && now_ < server.cold_from + terms_.warm_up_time;
     }
 
     // Rules 3 and 4 for every attempt.
     bool may_serve(const IndexServer& server) {
         const bool room = !is_cold(server) || now_ >= server.cold_next;
         if (!room) note(server.cold_next);
-        return room && server.entry.listed == Listed::kLive;
+        return room && server.entry.listed == ListedState::kLive;
     }
 
     // The lowest score among the replicas in good standing and under their limit, else the least bad.
@@ -490,7 +493,7 @@
         double best_rank = 0;
         int ties = 0;
         bool limited = false;
-        const bool once = request_class.terms.effect == Effect::kNonIdempotent;
+        const bool once = request_class.terms.idempotency == Idempotency::kNonIdempotent;
         for (IndexServer* server : replicas(part.shard)) {
             const bool open = is_open(*server), bad = in_trouble(*server);
             const auto used =
@@ -535,7 +538,7 @@
         return view.room >= 1 ? (view.room -= 1, true) : false;
     }
 
-    Tenths margin() const { return 4 * terms_.turn_gap; }
+    Tenths margin() const { return 4 * terms_.decision_interval; }
     Tenths patience(const RequestClassView& request_class) const {
         const double due = static_cast<double>(request_class.terms.latency_target);
         const double usual =
@@ -570,7 +573,8 @@
         const bool over = now_ >= search.expiry - margin(), late = now_ >= search.due - margin();
         const bool no_more = !out && (lacks ? !waits : hopeless);
         if (enough && (over || late || no_more)) return void(search.fate = Fate::kPartial);
-        const bool pointless = late && request_class.terms.late_share <= full_; // it costs others more
+        const bool pointless =
+            late && request_class.terms.late_utility_ratio <= full_; // it costs others more
         if (over || pointless || (hopeless && !(partial && out))) give_up(search);
         note(late ? search.expiry - margin() : std::min(search.due, search.expiry) - margin());
     }
@@ -579,40 +583,42 @@
         const RequestClassView& request_class = request_classes_[search.request_class.value];
         const bool ran = std::ranges::any_of(search.parts, &Part::may_have_run);
         const bool harmless = !search.breaker && // to come again would break more
-                              (request_class.terms.effect != Effect::kNonIdempotent || !ran);
+                              (request_class.terms.idempotency != Idempotency::kNonIdempotent || !ran);
         search.fate = harmless ? Fate::kRejected : Fate::kFailed;
-        const double wait = std::min(pace_ * kSilence, static_cast<double>(terms_.longest_come_back));
-        const auto usual = static_cast<Tenths>(wait * (0.5 + (terms_.may_advise ? chance_.unit() : 0) / 2));
-        search.come_back = terms_.may_advise ? relief_.come_back(usual, chance_) : 0;
+        const double wait = std::min(pace_ * kSilence, static_cast<double>(terms_.max_retry_after));
+        const auto usual =
+            static_cast<Tenths>(wait * (0.5 + (terms_.may_send_retry_after ? chance_.unit() : 0) / 2));
+        search.retry_after = terms_.may_send_retry_after ? relief_.retry_after(usual, chance_) : 0;
     }
 
     bool does_without(const Part& part) const { return part.left_out || relief_.gone(part.shard); }
 
     // Rule 2 and the attempt limit: whether a part without an answer may be attempted at all.
     bool may_go_again(const Part& part, const RequestClassView& request_class) const {
-        if (static_cast<int>(part.attempts.size()) >= terms_.most_attempts) return false;
-        if (part.attempts.empty() || request_class.terms.effect == Effect::kIdempotent) return true;
+        if (static_cast<int>(part.attempts.size()) >= terms_.max_attempts) return false;
+        if (part.attempts.empty() || request_class.terms.idempotency == Idempotency::kIdempotent) return true;
         if (!part.may_have_run()) return true;
-        return request_class.terms.effect != Effect::kNonIdempotent &&
+        return request_class.terms.idempotency != Idempotency::kNonIdempotent &&
                now_ < repeats_until(part, request_class);
     }
 
     // The window in which repeats are dropped counts from the first attempt that may have run.
     Tenths repeats_until(const Part& part, const RequestClassView& request_class) const {
-        if (request_class.terms.effect != Effect::kKeyed) return kNever;
+        if (request_class.terms.idempotency != Idempotency::kIdempotencyKey) return kNever;
         Tenths first = kNever;
         for (const Attempt& attempt : part.attempts)
             if (attempt.may_have_run && attempt.stage != Stage::kPlanned)
                 first = std::min(first, attempt.sent);
-        return first == kNever ? kNever : first + request_class.terms.repeat_window - margin();
+        return first == kNever ? kNever : first + request_class.terms.dedup_window - margin();
     }
 
     // Rule 6, and our own bound where the terms state none: further attempts must not feed a storm.
     bool budget_left() {
-        while (!taken_.empty() && taken_.front() <= now_ - terms_.budget_span) taken_.pop_front();
-        while (!further_.empty() && further_.front() <= now_ - terms_.budget_span - 1) further_.pop_front();
-        const double share = terms_.further_ratio * (1 - full_);
-        return further_.size() + 1 <= (terms_.spare_attempts + share * taken_.size()) * relief_.further();
+        while (!taken_.empty() && taken_.front() <= now_ - terms_.retry_budget_window) taken_.pop_front();
+        while (!further_.empty() && further_.front() <= now_ - terms_.retry_budget_window - 1)
+            further_.pop_front();
+        const double share = terms_.retry_ratio * (1 - full_);
+        return further_.size() + 1 <= (terms_.retry_slack + share * taken_.size()) * relief_.further();
     }
 
     // How long a part would take at the replica that promises most, the sound ones first.
@@ -632,7 +638,7 @@
     template <class Servers> double pressure(const Servers& servers, double scale) const {
         double sum = 0, counted = 0;
         for (const IndexServer* server : servers)
-            if (server->entry.listed == Listed::kLive && server->standing == Standing::kIn)
+            if (server->entry.listed == ListedState::kLive && server->standing == Standing::kIn)
                 sum += std::min(forecast_of(*server), pace_), ++counted;
         const double wait = sum / std::max(counted, 1.0) / pace_;
         return std::clamp((wait - kCalmWait * scale) / (kFullWait - kCalmWait) / scale, 0.0, 1.0);
@@ -663,7 +669,7 @@
         for (const RequestClassView& other : request_classes_)
             best = std::max(best, other.terms.utility / other.parts);
         const double paying = std::sqrt(std::min(1.0, search.utility / search.parts.size() / best));
-        const int steps = request_class.terms.follow_up > 0 ? 2 : 1;
+        const int steps = request_class.terms.follow_up_parts > 0 ? 2 : 1;
         const Tenths left = (search.due > now_ ? search.due : search.expiry) - now_;
         const double strict = kPatientShare + (kPayingShare - kPatientShare) * paying;
         // Where an answer in part will do, the parts' mean wait decides, else that of each.
@@ -716,7 +722,7 @@
 
     // An overdue attempt gets company where copies are allowed, else it is called off to go elsewhere.
     void hurry(Search& search, Part& part, RequestClassView& request_class) {
-        if (request_class.terms.effect == Effect::kNonIdempotent) return;
+        if (request_class.terms.idempotency == Idempotency::kNonIdempotent) return;
         Attempt* last = nullptr;
         int copies = 0, alive = 0; // out, and those at servers that answer
         for (Attempt& attempt : part.attempts) {
@@ -735,8 +741,8 @@
         const bool sound_only = now_ < last->sent + 2 * patience(request_class);
         if (sound_only) note(last->sent + 2 * patience(request_class));
         IndexServer* other = choose(part, request_class, sound_only);
-        if (other != nullptr && terms_.second_copies) place(part, *other);
-        if (other != nullptr && !terms_.second_copies && terms_.may_recall) last->wanted = false;
+        if (other != nullptr && terms_.hedging_enabled) place(part, *other);
+        if (other != nullptr && !terms_.hedging_enabled && terms_.may_cancel) last->wanted = false;
     }
 
     bool attempt(Part& part, const RequestClassView& request_class) {
@@ -750,7 +756,7 @@
 
     // Our own bound is on double work; a stated budget counts every further attempt.
     bool counts(const Part& part) const {
-        return terms_.attempt_budget ? !part.attempts.empty() : part.may_have_run();
+        return terms_.has_retry_budget ? !part.attempts.empty() : part.may_have_run();
     }
 
     void place(Part& part, IndexServer& server) {
@@ -769,18 +775,18 @@
     // How long what was heard of a server stands: a due span, or as long as it takes to hear of it again.
     double memory() const { return std::max(pace_, kNewsGaps * news_gap_); }
     Tenths shares(double of_pace) const { return static_cast<Tenths>(pace_ * of_pace); }
-    void note(Tenths at) { next_ = std::min(next_, std::max(at, now_ + terms_.turn_gap)); }
+    void note(Tenths at) { next_ = std::min(next_, std::max(at, now_ + terms_.decision_interval)); }
 
-    void emit(Host& host) {
+    void emit(SchedulerHost& host) {
         if (ask_wanted_ && now_ >= ask_at_) host.subscribe(), ask_wanted_ = false;
         backlog_.clear();
         for (auto next = searches_.begin(); next != searches_.end();) {
             auto& [job, search] = *next++;
             const bool answered = search.fate == Fate::kWhole || search.fate == Fate::kPartial;
-            const int steps = request_classes_[search.request_class.value].terms.follow_up > 0 ? 2 : 1;
+            const int steps = request_classes_[search.request_class.value].terms.follow_up_parts > 0 ? 2 : 1;
             search.whole = search.fate == Fate::kWhole || (search.whole && !answered);
             if (answered) host.answer(search.id, search.whole);
-            if (search.fate == Fate::kRejected) host.reject(search.id, search.come_back);
+            if (search.fate == Fate::kRejected) host.reject(search.id, search.retry_after);
             if (search.fate == Fate::kFailed) host.fail(search.id);
             if (answered && search.step < steps)
                 ++search.step, search.step_begin = search.parts.size(), search.fate = Fate::kOpen;
@@ -792,14 +798,14 @@
                     const bool wanted = attempt.wanted && !part.in && search.fate == Fate::kOpen;
                     if (attempt.stage == Stage::kPlanned) {
                         IndexServer& server = servers_.at(attempt.server);
-                        if (server.renew) host.hang_up(attempt.server), server.renew = false;
+                        if (server.renew) host.close_idle_connections(attempt.server), server.renew = false;
                         const Tenths by = repeats_until(part, request_classes_[search.request_class.value]);
                         host.attempt(part.id, attempt.server, search.expiry - now_,
                                      std::min(search.expiry, by) - now_);
                         attempt.stage = Stage::kOut;
                     } else if (attempt.stage == Stage::kOut && !wanted && !attempt.recalled &&
-                               terms_.may_recall) {
-                        host.recall(part.id, AttemptNo{static_cast<std::uint32_t>(i)}),
+                               terms_.may_cancel) {
+                        host.cancel_attempt(part.id, AttemptNo{static_cast<std::uint32_t>(i)}),
                             attempt.recalled = true;
                     }
                 }
@@ -812,7 +818,8 @@
             host.probe(id);
             server->probe_wanted = false, server->probe_out = true;
         }
-        if (next_ != kNever && (alarm_ <= now_ || next_ < alarm_)) host.wake(next_ - now_), alarm_ = next_;
+        if (next_ != kNever && (alarm_ <= now_ || next_ < alarm_))
+            host.schedule_wakeup(next_ - now_), alarm_ = next_;
     }
 
     void end(Search& search) { search.fate = Fate::kEnded, jobs_.erase(search.id); }
@@ -825,9 +832,10 @@
         searches_.erase(job);
     }
 
-    OpeningTerms terms_;
+    SchedulerConfig terms_;
     Pcg chance_;
-    limits::ColdRule cold_{terms_.cold_span, terms_.cold_share, terms_.fall_span, terms_.fall_multiple};
+    limits::SlowStart cold_{terms_.warm_up_time, terms_.cold_capacity_ratio, terms_.overload_window,
+                            terms_.overload_factor};
     recovery::Relief relief_;                              // while sites are lost
     double front_nodes_ = terms_.front_nodes, pace_ = 1e9; // as seen; the shortest due span, a while here
     double full_ = 0;                                      // the pressure at the start of this decision
@@ -855,7 +863,7 @@
 
 } // namespace
 
-std::unique_ptr<Brain> open_brain(OpeningTerms terms) {
+std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig terms) {
     return std::make_unique<ReplicaSelector>(std::move(terms));
 }
 } // namespace ivyrill
--- a/src/state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -1,8 +1,8 @@
 // What the decision module remembers, grouped by how long it lives: an attempt, a part, a search, an index
 // server, a group of servers, the instance. Types only: no decision and no value set by tuning stands here.
 #pragma once
-#include "brain.hpp"
 #include "replica_selection/c3.hpp"
+#include "search_scheduler.hpp"
 
 #include <algorithm>
 #include <array>
@@ -56,7 +56,7 @@
     SearchId id;
     RequestClassNo request_class;
     TenantNo tenant;
-    Tenths due = 0, expiry = 0, come_back = 0;
+    Tenths due = 0, expiry = 0, retry_after = 0;
     double utility = 0;
     int step = 1;
     bool whole = true; // so far
@@ -81,7 +81,7 @@
     // C3: exponentially weighted means of response, reported queue and service time.
     bool heard = false;
     double response = 0, queue = 0, service = 0;
-    replica_selection::SendingLimit sending;
+    replica_selection::SendRateLimiter sending;
     int out_at_report = 0, joining = 0; // attempts out then; siblings that share this turn's call
     // health
     std::map<std::pair<PartId, AttemptNo>, Sending> sent_at;
@@ -116,7 +116,7 @@
 };
 
 struct RequestClassView { // a row a request class: what the module reads of it, and what it has learnt
-    RequestClassTerms terms;
+    RequestClassConfig terms;
     double response = 0, deviation = 0; // of answered attempts, fleet-wide
     bool heard = false;
     double parts = 1;      // a search, on average
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -10,7 +10,7 @@
 
 namespace ivyrill::sessions {
 
-using limits::Deed;
+using limits::ClientAction;
 
 namespace {
 
@@ -43,7 +43,7 @@
         self.in_block_ = (frame->hd.flags & NGHTTP2_FLAG_END_HEADERS) == 0;
         if (frame->hd.type != NGHTTP2_HEADERS || frame->headers.cat != NGHTTP2_HCAT_REQUEST) return 0;
         ++self.counts_.streams;
-        if (!self.budget_.takes_stream(self.streams_.size(), self.held_)) {
+        if (!self.budget_.allows_stream(self.streams_.size(), self.held_)) {
             ++self.counts_.refused;
             // Not processed, so it may be asked again elsewhere (RFC 9113, 8.7).
             nghttp2_submit_rst_stream(self.session_, NGHTTP2_FLAG_NONE, frame->hd.stream_id,
@@ -63,7 +63,7 @@
             return 0; // trailers: unread
         Stream& stream = found->second;
         stream.fields += name_size + value_size + kFieldCost;
-        if (stream.fields > self.budget_.terms().most_fields) return stream.too_large = true, 0;
+        if (stream.fields > self.budget_.terms().max_header_list_bytes) return stream.too_large = true, 0;
         std::string key(reinterpret_cast<const char*>(name), name_size);
         std::string text(reinterpret_cast<const char*>(value), value_size);
         if (key == ":method")
@@ -83,7 +83,7 @@
         const auto found = self.streams_.find(static_cast<StreamNo>(id));
         if (found == self.streams_.end() || found->second.phase != Phase::kHalf) return 0;
         Stream& stream = found->second;
-        if (!self.budget_.takes_body(stream.message.body.size() + size, self.held_ + size)) {
+        if (!self.budget_.allows_body(stream.message.body.size() + size, self.held_ + size)) {
             stream.too_large = true;
             return 0;
         }
@@ -98,11 +98,11 @@
         const bool ends = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
         switch (frame->hd.type) {
         case NGHTTP2_SETTINGS:
-            if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) self.spend(Deed::kSettings);
+            if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) self.spend(ClientAction::kSettings);
             break;
         case NGHTTP2_PING:
             if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) {
-                self.spend(Deed::kPing);
+                self.spend(ClientAction::kPing);
             } else if (self.leaving_ == Leaving::kAnnounced &&
                        std::memcmp(frame->ping.opaque_data, kLeavingPing.data(), kLeavingPing.size()) == 0) {
                 // The round trip is over: no stream that it opened before it knew is still on its way.
@@ -113,16 +113,16 @@
             }
             break;
         case NGHTTP2_PRIORITY: // RFC 9113, 5.3: nothing depends on it here
-            self.spend(Deed::kEmpty);
+            self.spend(ClientAction::kEmpty);
             break;
         case NGHTTP2_WINDOW_UPDATE:
-            self.spend(Deed::kWindow);
+            self.spend(ClientAction::kWindow);
             break;
         case NGHTTP2_RST_STREAM:
-            self.spend(Deed::kReset);
+            self.spend(ClientAction::kReset);
             break;
         case NGHTTP2_DATA:
-            if (frame->hd.length == 0 && !ends) self.spend(Deed::kEmpty);
+            if (frame->hd.length == 0 && !ends) self.spend(ClientAction::kEmpty);
             break;
         default:
             break;
@@ -140,7 +140,7 @@
         Http2Session& self = session(user);
         const bool crossed =
             frame->hd.stream_id > 0 && !self.streams_.contains(static_cast<StreamNo>(frame->hd.stream_id));
-        self.spend(crossed ? Deed::kAfterEnd : Deed::kBad);
+        self.spend(crossed ? ClientAction::kAfterEnd : ClientAction::kBad);
         return 0;
     }
 
@@ -172,7 +172,7 @@
     }
 };
 
-Http2Session::Http2Session(const Around& around, const limits::ConnectionTerms& terms)
+Http2Session::Http2Session(const Around& around, const limits::ConnectionLimits& terms)
     : around_(around), budget_(terms, around.now) {
     nghttp2_session_callbacks* calls = nullptr;
     nghttp2_option* option = nullptr;
@@ -187,14 +187,14 @@
     nghttp2_session_callbacks_set_on_frame_send_callback(calls, Wire::frame_sent);
     nghttp2_session_callbacks_set_on_stream_close_callback(calls, Wire::stream_closed);
     nghttp2_option_set_no_closed_streams(option, 1);
-    nghttp2_option_set_max_outbound_ack(option, terms.most_streams);
+    nghttp2_option_set_max_outbound_ack(option, terms.max_streams);
     const int made = nghttp2_session_server_new2(&session_, calls, this, option);
     nghttp2_session_callbacks_del(calls);
     nghttp2_option_del(option);
     if (made != 0) throw std::bad_alloc();
     const std::array<nghttp2_settings_entry, 3> settings = {{
-        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, static_cast<std::uint32_t>(terms.most_streams)},
-        {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(terms.most_fields)},
+        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, static_cast<std::uint32_t>(terms.max_streams)},
+        {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(terms.max_header_list_bytes)},
         {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
     }};
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -211,7 +211,7 @@
 
 std::size_t Http2Session::feed(std::string_view bytes) {
     if (!reads()) return bytes.size();
-    bytes = bytes.substr(0, budget_.terms().turn_bytes);
+    bytes = bytes.substr(0, budget_.terms().read_quantum_bytes);
     const ssize_t taken =
         nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
     if (taken < 0) {
@@ -221,23 +221,24 @@
         nghttp2_session_terminate_session(session_,
                                           flood ? NGHTTP2_ENHANCE_YOUR_CALM : NGHTTP2_PROTOCOL_ERROR);
         counts_.calmed += flood && !calmed_;
-        out_ = take_out(budget_.terms().turn_bytes);
+        out_ = take_out(budget_.terms().read_quantum_bytes);
         failed_ = true;
         return bytes.size();
     }
     // A block of CONTINUATION frames that does not end tells nothing and costs: nothing else may come
     // meanwhile.
     if (in_block_) block_bytes_ += bytes.size();
-    if (in_block_ && block_bytes_ > 2 * budget_.terms().most_fields + budget_.terms().turn_bytes)
-        end_calmly(Deed::kBad);
+    if (in_block_ &&
+        block_bytes_ > 2 * budget_.terms().max_header_list_bytes + budget_.terms().read_quantum_bytes)
+        end_calmly(ClientAction::kBad);
     return static_cast<std::size_t>(taken);
 }
 
-void Http2Session::spend(Deed deed) {
+void Http2Session::spend(ClientAction deed) {
     if (!budget_.spend(deed, around_.now)) end_calmly(deed);
 }
 
-void Http2Session::end_calmly(Deed) {
+void Http2Session::end_calmly(ClientAction) {
     if (std::exchange(calmed_, true)) return;
     ++counts_.calmed;
     nghttp2_session_terminate_session(session_, NGHTTP2_ENHANCE_YOUR_CALM);
@@ -251,7 +252,7 @@
     if (found == streams_.end()) return;
     Stream& stream = found->second;
     if (stream.phase == Phase::kHalf) --half_;
-    if (stream.phase == Phase::kSearching) news_.emplace_back(SearchLeft{number}), ++counts_.taken_back;
+    if (stream.phase == Phase::kSearching) news_.emplace_back(SearchCancelled{number}), ++counts_.taken_back;
     if (stream.phase == Phase::kAnswered && stream.sent < stream.body.size()) ++counts_.unheard;
     held_ -= stream.message.body.size() + stream.body.size();
     streams_.erase(found);
@@ -265,11 +266,12 @@
     stream.message = {};
     stream.phase = Phase::kSearching, --half_;
     const auto refuse = [&](int status, std::string_view why) {
-        spend(Deed::kBad);
+        spend(ClientAction::kBad);
         if (streams_.contains(number)) reply(number, protocol::plain_reply(status, why));
         news_.emplace_back(AnsweredHere{});
     };
-    if (stream.too_large) return refuse(stream.fields > budget_.terms().most_fields ? 431 : 413, "too large");
+    if (stream.too_large)
+        return refuse(stream.fields > budget_.terms().max_header_list_bytes ? 431 : 413, "too large");
     const std::string_view host = message.header("host");
     if (!host.empty() && !stream.authority.empty() && lower(std::string(host)) != lower(stream.authority))
         return refuse(400, "host and :authority differ");
--- a/src/sessions/http2/session.hpp
+++ b/src/sessions/http2/session.hpp
@@ -20,7 +20,7 @@
 
 class Http2Session : public Session {
   public:
-    Http2Session(const Around& around, const limits::ConnectionTerms& terms);
+    Http2Session(const Around& around, const limits::ConnectionLimits& terms);
     ~Http2Session() override;
     Http2Session(const Http2Session&) = delete;
     Http2Session& operator=(const Http2Session&) = delete;
@@ -52,8 +52,8 @@
         bool too_large = false;
     };
     bool finished() const;
-    void end_calmly(limits::Deed deed); // GOAWAY with ENHANCE_YOUR_CALM
-    void spend(limits::Deed deed);
+    void end_calmly(limits::ClientAction deed); // GOAWAY with ENHANCE_YOUR_CALM
+    void spend(limits::ClientAction deed);
     void request_done(StreamNo number, Stream& stream);
     void reply(StreamNo number, const protocol::Reply& reply);
     void close_stream(StreamNo number);
--- a/src/sessions/session.hpp
+++ b/src/sessions/session.hpp
@@ -22,11 +22,11 @@
     StreamNo stream = 0;
     protocol::SearchRequest request;
 };
-struct SearchLeft { // its client has taken it back
+struct SearchCancelled { // its client has taken it back
     StreamNo stream = 0;
 };
 struct AnsweredHere {}; // something else than a search was asked for and has its answer
-using News = std::variant<SearchCame, SearchLeft, AnsweredHere>;
+using News = std::variant<SearchCame, SearchCancelled, AnsweredHere>;
 
 struct Around { // what a session may know of the front node; its owner keeps it up to date
     bool ready = false;
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -24,10 +24,10 @@
 
 // A desk whose one key signs for anna and bruno.
 struct Guarded : Desk {
-    explicit Guarded(ivyrill::Effect effect = ivyrill::Effect::kIdempotent, int servers = 2)
-        : Desk(node_terms(effect), servers) {
-        router.bound_handshakes({8, 1000, 4}, now);
-        router.guard(policy(), false, now, kWall);
+    explicit Guarded(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent, int servers = 2)
+        : Desk(node_terms(idempotency), servers) {
+        router.limit_handshakes({8, 1000, 4}, now);
+        router.enable_access_control(policy(), false, now, kWall);
     }
     std::shared_ptr<const Policy> policy() {
         AccessFiles files;
@@ -36,7 +36,7 @@
         files.revocations = NamedText{"revocations.json", revoked.write()};
         return current = read_policy(terms_of_access(), files, current.get(), kWall);
     }
-    void reload() { tell(PolicyRead{policy()}); }
+    void reload() { tell(PolicyLoaded{policy()}); }
     std::string token(const std::string& member) {
         Claims claims;
         claims.issuer = "trinacria", claims.audience = {"archive"}, claims.id = member + "-token";
@@ -58,7 +58,7 @@
                                         false,
                                         {{0, 1.0}}};
         request.token = token;
-        tell(SearchRead{client, request, 0});
+        tell(SearchReceived{client, request, 0});
         return client;
     }
     int status(ClientId client) const { // of the last rejection, or 0
@@ -114,8 +114,8 @@
 
 // Revoked while nothing of its search has left: refused, with 401, and nothing leaves.
 void search_that_waits_for_a_attempt_is_refused() {
-    for (const auto effect : {ivyrill::Effect::kIdempotent, ivyrill::Effect::kNonIdempotent}) {
-        Guarded desk(effect);
+    for (const auto idempotency : {ivyrill::Idempotency::kIdempotent, ivyrill::Idempotency::kNonIdempotent}) {
+        Guarded desk(idempotency);
         const ClientId anna = desk.asks(desk.token("anna")), bruno = desk.asks(desk.token("bruno"));
         desk.revoke("anna"); // no connection is up yet
         desk.pass(ms(10));
@@ -130,7 +130,7 @@
 
 // Without a server to send to, nothing is attempted: the search is in the module's hands alone.
 void search_that_nobody_can_serve_yet_is_refused() {
-    Guarded desk(ivyrill::Effect::kIdempotent, 0);
+    Guarded desk(ivyrill::Idempotency::kIdempotent, 0);
     const ClientId anna = desk.asks(desk.token("anna"));
     const bool open = desk.router.open_searches() == 1;
     desk.revoke("anna");
@@ -140,14 +140,14 @@
 
 // Revoked while its attempt is out: it may answer, and there is no second attempt whatever becomes of it.
 void search_that_is_out_ends_by_the_rules() {
-    for (const Outcome outcome : {Outcome::kAnswered, Outcome::kError, Outcome::kTurnedAway}) {
+    for (const Outcome outcome : {Outcome::kAnswered, Outcome::kError, Outcome::kRejected}) {
         Guarded desk;
         const ClientId anna = desk.asks(desk.token("anna"));
         const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
         desk.up(connection), desk.wrote_all(connection);
         assert(desk.sent('S') == 1);
         desk.revoke("anna");
-        assert(desk.answers(anna) == 0 && desk.router.counts().barred == 1);
+        assert(desk.answers(anna) == 0 && desk.router.counts().revoked == 1);
         desk.Desk::answers(connection, "q1.0", outcome);
         desk.pass(ms(2100));
         assert(desk.sent('S') == 1 && desk.answers(anna) == 1 && desk.router.counts().attempts == 1);
@@ -159,12 +159,12 @@
 }
 
 void write_that_may_have_run_is_never_called_refused() {
-    Guarded desk(ivyrill::Effect::kNonIdempotent);
+    Guarded desk(ivyrill::Idempotency::kNonIdempotent);
     const ClientId anna = desk.asks(desk.token("anna"));
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     desk.revoke("anna");
-    desk.tell(ConnectionEnded{connection});
+    desk.tell(ConnectionClosed{connection});
     desk.pass(ms(2100));
     assert(desk.verdict(anna) == Verdict::kFailed && desk.answers(anna) == 1 && desk.sent('S') == 1);
 }
@@ -192,9 +192,9 @@
     const ClientId second = desk.asks(desk.token("bruno"));
     assert(desk.status(second) == 0 && desk.router.open_searches() == 2);
     desk.pass(s(1) - 1);
-    assert(desk.router.counts().barred == 0);
+    assert(desk.router.counts().revoked == 0);
     desk.pass(2); // nobody asked anything: the moment itself does it
-    assert(desk.router.counts().barred ==
+    assert(desk.router.counts().revoked ==
            desk.router.open_searches() + (desk.answers(first) + desk.answers(second)));
     assert(desk.status(desk.asks(desk.token("anna"))) == 401);
 }
@@ -204,9 +204,9 @@
 ClientId secured(Guarded& desk, const lab::Issued& issued) {
     const ClientId client{++desk.clients};
     desk.tell(ClientOpened{client, true, true});
-    desk.tell(ShakeWanted{client});
-    assert(desk.all<ShakeHands>().back().client == client);
-    desk.tell(ClientSecured{client, std::make_shared<const Chain>(Chain{{issued.der}})});
+    desk.tell(HandshakeReady{client});
+    assert(desk.all<ContinueHandshake>().back().client == client);
+    desk.tell(HandshakeCompleted{client, std::make_shared<const Chain>(Chain{{issued.der}})});
     return client;
 }
 
@@ -243,7 +243,7 @@
         desk.again(client, "");
         const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
         desk.up(connection), desk.wrote_all(connection);
-        if (draining) desk.tell(DrainOrdered{});
+        if (draining) desk.tell(DrainStarted{});
         desk.revoked.certificates[anna.serial] = kWall;
         desk.reload();
         assert(!closed(desk, client) && desk.answers(client) == 0);
@@ -259,7 +259,7 @@
         desk.root.issue({"a", {"spiffe://t/anna"}, {}, kWall - s(1), kWall + s(1000), false});
     const ClientId client = secured(desk, anna), by_token = desk.asks(desk.token("bruno"));
     for (int i = 0; i < 5; ++i) desk.reload();
-    assert(!closed(desk, client) && desk.answers(by_token) == 0 && desk.router.counts().barred == 0);
+    assert(!closed(desk, client) && desk.answers(by_token) == 0 && desk.router.counts().revoked == 0);
     assert(desk.router.open_searches() == 1 && desk.router.gate()->policy().generation == 6);
 }
 
@@ -278,14 +278,14 @@
     std::vector<ClientId> many;
     for (int i = 0; i < 8; ++i) {
         many.push_back(ClientId{++desk.clients});
-        desk.router.step(desk.now, ClientOpened{many.back(), true, true});
+        desk.router.handle(desk.now, ClientOpened{many.back(), true, true});
     }
-    for (const ClientId client : many) desk.router.step(desk.now, ShakeWanted{client});
+    for (const ClientId client : many) desk.router.handle(desk.now, HandshakeReady{client});
     const ClientId plain = desk.asks(desk.token("anna")); // in the same turn
-    assert(desk.all<ShakeHands>().size() <= 8 && desk.all<OpenConnection>().size() == 1 &&
+    assert(desk.all<ContinueHandshake>().size() <= 8 && desk.all<OpenConnection>().size() == 1 &&
            desk.status(plain) == 0);
     desk.pass(ms(10));
-    assert(desk.all<ShakeHands>().size() == 8);
+    assert(desk.all<ContinueHandshake>().size() == 8);
 }
 
 void clock_set_right_by_a_day_expires_keys_once_it_has_stood() {
@@ -294,16 +294,18 @@
     desk.reload();
     desk.asks(desk.token("anna"));
     const Tenths start = desk.now;
-    const auto tell_wall = [&](Tenths ahead) { desk.tell(WallTold{kWall + (desk.now - start) + ahead}); };
+    const auto tell_wall = [&](Tenths ahead) {
+        desk.tell(WallClockRead{kWall + (desk.now - start) + ahead});
+    };
     tell_wall(s(86'400));
-    assert(desk.router.counts().barred == 0);
+    assert(desk.router.counts().revoked == 0);
     desk.now += ms(100);
     tell_wall(0); // for a moment only
-    assert(desk.router.counts().barred == 0);
+    assert(desk.router.counts().revoked == 0);
     tell_wall(s(86'400));
     desk.now += s(1);
     tell_wall(s(86'400));
-    assert(desk.router.counts().barred == 0);
+    assert(desk.router.counts().revoked == 0);
     const ClientId late = desk.asks(desk.token("bruno"));
     assert(desk.status(late) == 0);
     desk.now += s(10);
