--- a/tests/c3_tests.cpp
+++ b/tests/c3_tests.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 // So many are sent and answered, all in the window that holds `now`.
-void send(SendingLimit& limit, Tenths now, int count) {
+void send(SendRateLimiter& limit, Tenths now, int count) {
     for (int i = 0; i < count; ++i) limit.sent(now);
 }
 
-void answer(SendingLimit& limit, Tenths now, int count) {
+void answer(SendRateLimiter& limit, Tenths now, int count) {
     for (int i = 0; i < count; ++i) limit.answered(now);
 }
 
-// As it stood in src/brain.cpp, with the server's fields and the turn's time in one place.
+// As it stood in src/search_scheduler.cpp, with the server's fields and the turn's time in one place.
 struct FormerLimit {
     double limit = 10, saturation = 10, recent_sends = 0;
     Tenths last_cut = 0, last_rise = 0, window = 0;
@@ -67,7 +67,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_window_has_room_for_the_limit) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     BOOST_TEST(limit.limit() == 10);
     for (int i = 0; i < 10; ++i) {
         BOOST_TEST(limit.has_room(5000));
@@ -80,14 +80,14 @@
 
 BOOST_AUTO_TEST_CASE(more_answers_than_the_limit_let_it_rise_by_the_cubic_curve) {
     // The saddle lies 100 ms after the last cut; 30 ms past it the curve stands at 10 + 2e-9 * 300^3.
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 1300, 11);
     limit.adapt(1300, 5, true);
     BOOST_TEST(limit.limit() == 10.054, boost::test_tools::tolerance(1e-12));
 }
 
 BOOST_AUTO_TEST_CASE(one_rise_is_capped) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 30'000, 11);
     limit.adapt(30'000, 5, false);
     BOOST_TEST(limit.limit() == 20);
@@ -100,14 +100,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_curve_never_lowers_the_limit) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 100, 11); // the curve stands below the limit before its saddle
     limit.adapt(100, 5, false);
     BOOST_TEST(limit.limit() == 10);
 }
 
 BOOST_AUTO_TEST_CASE(answers_of_the_window_before_count_and_older_ones_do_not) {
-    SendingLimit before, older;
+    SendRateLimiter before, older;
     answer(before, 30'000, 11);
     answer(older, 30'000, 11);
     before.answered(30'200);
@@ -119,7 +119,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_full_window_of_which_nothing_is_owed_rises) {
-    SendingLimit idle, owing, half;
+    SendRateLimiter idle, owing, half;
     send(idle, 30'000, 10);
     idle.adapt(30'000, 0, false);
     send(owing, 30'000, 10);
@@ -132,7 +132,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_backlog_with_few_answers_cuts_by_beta) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 30'000, 11);
     limit.adapt(30'000, 5, false); // to 20
     limit.answered(31'000);
@@ -141,21 +141,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_cut_without_a_backlog) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     limit.answered(5000);
     limit.adapt(5000, 5, false);
     BOOST_TEST(limit.limit() == 10);
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_cut_where_answers_equal_the_limit) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 5000, 10);
     limit.adapt(5000, 5, true);
     BOOST_TEST(limit.limit() == 10);
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_cut_within_two_windows_of_a_rise) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     answer(limit, 30'000, 11);
     limit.adapt(30'000, 5, false);
     limit.answered(30'400);
@@ -166,7 +166,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_cut_ends_at_the_floor) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     limit.answered(5000);
     limit.adapt(5000, 5, true);
     BOOST_TEST(limit.limit() == 2);
@@ -175,7 +175,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_cut_leaves_twice_the_recent_sends) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     send(limit, 5000, 10);
     limit.answered(5200); // 0.3 of a window with ten
     limit.adapt(5200, 5, true);
@@ -183,7 +183,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_window_passed_over_counts_as_one_without_sends) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     send(limit, 5000, 10);
     limit.answered(5400);
     limit.adapt(5400, 5, true);
@@ -191,7 +191,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(after_a_cut_the_curve_leads_back_to_where_it_was) {
-    SendingLimit limit;
+    SendRateLimiter limit;
     limit.answered(5000);
     limit.adapt(5000, 5, true); // cut from 10 to 2: the saddle lies 100 ms from here, at 10
     answer(limit, 5600, 3);
@@ -206,7 +206,7 @@
     Pcg chance(7);
     int rises = 0, cuts = 0;
     for (int run = 0; run < 200; ++run) {
-        SendingLimit limit;
+        SendRateLimiter limit;
         FormerLimit former;
         Tenths now = static_cast<Tenths>(chance.unit() * 1000);
         for (int step = 0; step < 2000; ++step) {
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -143,7 +143,7 @@
 }
 
 void order_to_stop_behind_a_reload_is_kept() {
-    Hall hall({2, Effect::kNonIdempotent, true, {}, 512});
+    Hall hall({2, Idempotency::kNonIdempotent, true, {}, 512});
     Client client(hall.plain());
     hall.fleet.hold(true);
     client.say(search_bytes({"a1", "annotate", "g1", hall.token("anna", hall.key())}));
@@ -157,7 +157,7 @@
 
 // Half handshakes, and clients that read nothing during theirs, hold up nobody on the plain port.
 void half_handshakes_delay_nobody() {
-    Hall hall({2, Effect::kIdempotent, true, "tls = {\"open_handshakes\": 16}\n", 512});
+    Hall hall({2, Idempotency::kIdempotent, true, "tls = {\"open_handshakes\": 16}\n", 512});
     std::vector<Client> half;
     const std::string hello("\x16\x03\x01\x02\x00\x01", 6); // of a ClientHello that never ends
     for (int i = 0; i < 100; ++i) {
@@ -202,7 +202,7 @@
 }
 
 void without_an_operators_file_nobody_is_asked() {
-    Hall hall({2, Effect::kIdempotent, false, {}, 512});
+    Hall hall({2, Idempotency::kIdempotent, false, {}, 512});
     assert(once(hall.plain(), {"a1"}) == 200 && once(hall.plain(), {"a2", "find", "", "nonsense"}) == 200);
 }
 
--- a/tests/desk.hpp
+++ b/tests/desk.hpp
@@ -10,19 +10,20 @@
 
 using protocol::Verdict;
 
-inline protocol::NodeTerms node_terms(ivyrill::Effect effect = ivyrill::Effect::kIdempotent) {
+inline protocol::NodeTerms node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
     protocol::NodeTerms terms;
     terms.opening = plain_terms();
-    terms.opening.second_copies = false;
-    terms.opening.list_mode = ListMode::kAsked;
-    terms.opening.request_classes[0].effect = effect;
+    terms.opening.hedging_enabled = false;
+    terms.opening.list_mode = ListMode::kQueried;
+    terms.opening.request_classes[0].idempotency = idempotency;
     terms.request_classes = {"find"}, terms.tenants = {"acme"}, terms.zones = {"a"}, terms.kinds = {"m"};
     terms.calls_a_connection = 100, terms.shards = 2;
-    terms.opening.connect_span = ms(250), terms.idle_span = ms(15'000), terms.ask_span = ms(10'000);
+    terms.opening.connect_timeout = ms(250), terms.idle_span = ms(15'000), terms.ask_span = ms(10'000);
     return terms;
 }
 
-inline protocol::ServerEntry entry(int number, Listed listed = Listed::kLive, const std::string& port = "1") {
+inline protocol::ServerEntry entry(int number, ListedState listed = ListedState::kLive,
+                                   const std::string& port = "1") {
     return {"s" + std::to_string(number),
             "10.0.0." + std::to_string(number) + ":" + port,
             "a",
@@ -47,7 +48,7 @@
     void turn() {
         for (Effect& effect : router.turn(now)) effects.push_back(std::move(effect));
     }
-    void tell(Event event) { router.step(now, std::move(event)), turn(); }
+    void tell(Event event) { router.handle(now, std::move(event)), turn(); }
     void pass(Tenths span) {
         for (const Tenths end = now + span; now < end;) ++now, turn();
     }
@@ -66,15 +67,15 @@
         protocol::SearchRequest request{
             "q" + std::to_string(clients), "find", "acme", "text", left_us, false, {}};
         for (const int shard : shards) request.targets.push_back({shard, 1.0 / shards.size()});
-        tell(SearchRead{id, request, 0});
+        tell(SearchReceived{id, request, 0});
         return id;
     }
-    void up(ConnectionId connection) { tell(ConnectionUp{connection}); }
+    void up(ConnectionId connection) { tell(ConnectionEstablished{connection}); }
     void wrote_all(ConnectionId connection) {
         std::uint64_t total = 0;
         for (const WriteConnection& write : all<WriteConnection>())
             if (write.connection == connection) total += write.bytes.size();
-        tell(ConnectionWrote{connection, total});
+        tell(ConnectionBytesWritten{connection, total});
     }
     void answers(ConnectionId connection, const std::string& id, Outcome outcome = Outcome::kAnswered) {
         tell(PartAnswered{connection, {id, outcome, {}, "value of " + id}, 0});
--- a/tests/fake_host.hpp
+++ b/tests/fake_host.hpp
@@ -1,7 +1,7 @@
 // One tiny fake host: it keeps what the module asked for, and plays servers that answer as a test says.
 // Beside it what all tests share: how one is played by its name.
 #pragma once
-#include "brain.hpp"
+#include "search_scheduler.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -43,39 +43,40 @@
 enum class End { kNone, kWhole, kPart, kRejected, kFailed };
 
 // Two shards a cell, three replicas in one cell, one request class due in 1 s and expiring in 2 s.
-inline OpeningTerms plain_terms() {
-    OpeningTerms terms;
-    RequestClassTerms request_class;
+inline SchedulerConfig plain_terms() {
+    SchedulerConfig terms;
+    RequestClassConfig request_class;
     request_class.latency_target = ms(1000);
-    request_class.deadline_span = ms(2000);
-    request_class.late_share = 0.1;
+    request_class.overall_deadline = ms(2000);
+    request_class.late_utility_ratio = 0.1;
     terms.request_classes = {request_class};
     terms.tenants = {{1000}};
     terms.front_nodes = 3;
-    terms.turn_gap = ms(5);
-    terms.cold_span = ms(10000);
-    terms.cold_share = 0.2;
-    terms.fall_span = ms(1000);
-    terms.fall_multiple = 2;
-    terms.most_attempts = 4;
-    terms.may_recall = terms.may_probe = terms.second_copies = true;
+    terms.decision_interval = ms(5);
+    terms.warm_up_time = ms(10000);
+    terms.cold_capacity_ratio = 0.2;
+    terms.overload_window = ms(1000);
+    terms.overload_factor = 2;
+    terms.max_attempts = 4;
+    terms.may_cancel = terms.may_probe = terms.hedging_enabled = true;
     return terms;
 }
 
-class FakeHost : public Host {
+class FakeHost : public SchedulerHost {
   public:
-    explicit FakeHost(const OpeningTerms& terms, int servers = 3) : brain(open_brain(terms)) {
-        ListNews news{ListKind::kSaved, {}};
+    explicit FakeHost(const SchedulerConfig& terms, int servers = 3)
+        : scheduler(make_search_scheduler(terms)) {
+        ServerListUpdate news{ListKind::kSaved, {}};
         for (int i = 0; i < servers; ++i) news.entries.push_back(entry(i));
         tell(news);
     }
 
-    static ListEntry entry(int server, Listed listed = Listed::kLive, Tenths born = 0) {
+    static ListEntry entry(int server, ListedState listed = ListedState::kLive, Tenths born = 0) {
         return {ServerId{static_cast<std::uint32_t>(server)}, {}, {}, {}, listed, 1, born};
     }
 
-    void tell(const Event& event) { brain->on(now, event); }
-    void turn() { brain->decide(now, *this); }
+    void tell(const Event& event) { scheduler->handle(now, event); }
+    void turn() { scheduler->decide(now, *this); }
     void pass(Tenths span) { // time goes by, with a turn each 5 ms
         for (const Tenths end = now + span; now < end;) now += ms(5), turn();
     }
@@ -84,20 +85,20 @@
     SearchId search(std::vector<int> shards, Tenths left = ms(2000), int request_class = 0) {
         const SearchId id{next_id++};
         const JobNo job{next_job++};
-        tell(SearchTaken{id, job, RequestClassNo{request_class}, {}, left, false});
+        tell(SearchAccepted{id, job, RequestClassNo{request_class}, {}, left, false});
         add_parts(job, std::move(shards));
         turn();
         return id;
     }
     void add_parts(JobNo job, std::vector<int> shards) {
         for (const int shard : shards)
-            tell(PartTaken{PartId{next_id++}, job, ShardNo{shard}, 1.0 / static_cast<double>(shards.size())});
+            tell(PartAdded{PartId{next_id++}, job, ShardNo{shard}, 1.0 / static_cast<double>(shards.size())});
     }
 
     void returns(std::size_t at, Outcome outcome, Tenths took, LoadReport report = {}) {
         assert(!sent.at(at).over);
         sent[at].over = true;
-        tell(AttemptReturned{sent[at].part, sent[at].attempt, sent[at].server, outcome, took, report});
+        tell(AttemptEnded{sent[at].part, sent[at].attempt, sent[at].server, outcome, took, report});
     }
     // All attempts out at this server, or at any, return.
     void all_return(Outcome outcome, Tenths took, int server = -1, LoadReport report = {}) {
@@ -131,22 +132,22 @@
         const auto earlier = std::count_if(sent.begin(), sent.end(), [&](auto& l) { return l.part == part; });
         sent.push_back({part, AttemptNo{static_cast<std::uint32_t>(earlier)}, server, send_within, now});
     }
-    void recall(PartId part, AttemptNo number) override {
+    void cancel_attempt(PartId part, AttemptNo number) override {
         for (Sent& attempt : sent)
             if (attempt.part == part && attempt.attempt == number) attempt.recalled = true;
     }
     void answer(SearchId id, bool whole) override { finish(id, whole ? End::kWhole : End::kPart); }
-    void reject(SearchId id, Tenths come_back) override {
+    void reject(SearchId id, Tenths retry_after) override {
         finish(id, End::kRejected);
-        advice = come_back;
+        advice = retry_after;
     }
     void fail(SearchId id) override { finish(id, End::kFailed); }
     void probe(ServerId server) override { probes.push_back(server); }
-    void hang_up(ServerId server) override { hung_up.push_back(server); }
-    void wake(Tenths in) override { assert(in > 0); }
+    void close_idle_connections(ServerId server) override { hung_up.push_back(server); }
+    void schedule_wakeup(Tenths in) override { assert(in > 0); }
     void subscribe() override { ++subscribed; }
 
-    std::unique_ptr<Brain> brain;
+    std::unique_ptr<SearchScheduler> scheduler;
     Tenths now = ms(1000);
     std::vector<Sent> sent;
     std::map<SearchId, End> ends;
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -53,7 +53,7 @@
             assert(answer.fields.at("content-length") == std::to_string(answer.body.size()));
         }
     }
-    assert(hall.fleet.most_attempts() == 1 && hall.fleet.attempts() == 60);
+    assert(hall.fleet.max_attempts() == 1 && hall.fleet.attempts() == 60);
 }
 
 void access_applies_to_each_stream() {
@@ -76,8 +76,8 @@
 // Taken back before its attempt, between attempt and answer, twice: one attempt at most, no answer, and the
 // other streams go on. What was non-idempotent is not sent again either.
 void stream_that_is_reset_is_attempted_once_and_not_answered() {
-    for (const Effect effect : {Effect::kIdempotent, Effect::kNonIdempotent}) {
-        Hall hall({2, effect, true, {}, 512});
+    for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
+        Hall hall({2, idempotency, true, {}, 512});
         H2Client client(hall.h2());
         const auto write = [&](const std::string& id) {
             Ask ask = ask_for(id);
@@ -142,7 +142,7 @@
     assert(client.goaways == 2 && client.goaway_code == NGHTTP2_NO_ERROR &&
            client.goaway_last == streams.back());
     assert(client.leaving == "GPG"); // else its answer to the PING tells nothing of the notice
-    assert(hall.exit_status() == 0 && hall.fleet.most_attempts() == 1);
+    assert(hall.exit_status() == 0 && hall.fleet.max_attempts() == 1);
 }
 
 // It goes on asking after both notices: what it asks then is not taken, and nobody waits for it.
@@ -160,7 +160,7 @@
 
 // A window that never opens: its answers wait, bounded, and delay nobody else's.
 void closed_window_delays_nobody_and_is_bounded() {
-    Hall hall({2, Effect::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
+    Hall hall({2, Idempotency::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
     H2Client blocked(hall.h2(), {false, 0});
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 40; ++i) {
@@ -222,7 +222,7 @@
         assert(hall.fleet.await_attempt("again.0"));
     }
     hall.fleet.hold(false);
-    assert(served(hall, "other") && hall.fleet.most_attempts() == 1 && hall.fleet.attempts("half.0") == 0);
+    assert(served(hall, "other") && hall.fleet.max_attempts() == 1 && hall.fleet.attempts("half.0") == 0);
 }
 
 void caller_revoked_with_ten_streams_open() {
@@ -244,11 +244,11 @@
         const H2Answer& answer = client.await(stream);
         assert(answer.answers == 1 && (answer.status == 200 || answer.status == 401));
     }
-    assert(client.answer(streams[0]).status == 200 && hall.fleet.most_attempts() == 1);
+    assert(client.answer(streams[0]).status == 200 && hall.fleet.max_attempts() == 1);
 }
 
 void upgrade_on_the_plain_port_stays_http_1() {
-    Hall hall({2, Effect::kIdempotent, false, {}, 512});
+    Hall hall({2, Idempotency::kIdempotent, false, {}, 512});
     Client client(hall.plain());
     std::string bytes = search_bytes({"a1"});
     bytes.insert(
@@ -327,21 +327,23 @@
     assert(flood("bad", [&](H2Client& c, int) {
         c.await(c.ask({{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}}, {}));
     }));
-    assert(hall.fleet.most_attempts() == 1 && hall.running());
+    assert(hall.fleet.max_attempts() == 1 && hall.running());
 }
 
 void share_of_a_connection_shrinks_beside_others() {
     using namespace limits;
-    assert(share_of_searches(200, 0) == 200 && share_of_searches(200, 3) == 50 &&
-           share_of_searches(2, 9) == 1);
-    ConnectionTerms terms;
-    terms.most_streams = 10, terms.most_held = 1000, terms.most_body = 100;
+    assert(fair_share_of_searches(200, 0) == 200 && fair_share_of_searches(200, 3) == 50 &&
+           fair_share_of_searches(2, 9) == 1);
+    ConnectionLimits terms;
+    terms.max_streams = 10, terms.max_buffered_bytes = 1000, terms.max_body_bytes = 100;
     ConnectionBudget budget(terms, 0);
     int resets = 0;
-    while (budget.spend(Deed::kReset, 0)) ++resets;
-    assert(resets == 20 && !budget.spend(Deed::kReset, 999) && budget.spend(Deed::kReset, kTenthsPerSecond));
-    assert(budget.spend(Deed::kPing, 0) && budget.count(Deed::kReset) == 23); // each has its own
-    assert(budget.takes_stream(9, 900) && !budget.takes_stream(10, 0) && !budget.takes_stream(0, 901));
+    while (budget.spend(ClientAction::kReset, 0)) ++resets;
+    assert(resets == 20 && !budget.spend(ClientAction::kReset, 999) &&
+           budget.spend(ClientAction::kReset, kTenthsPerSecond));
+    assert(budget.spend(ClientAction::kPing, 0) &&
+           budget.count(ClientAction::kReset) == 23); // each has its own
+    assert(budget.allows_stream(9, 900) && !budget.allows_stream(10, 0) && !budget.allows_stream(0, 901));
 }
 
 const Test kTests[] = {
--- a/tests/lab/fleet.cpp
+++ b/tests/lab/fleet.cpp
@@ -42,7 +42,7 @@
     protocol::ServerList made{1, true, {}};
     for (std::size_t i = 0; i + 1 < listeners_.size(); ++i)
         made.servers.push_back(
-            {"s" + std::to_string(i), address(i), "a", "m", static_cast<int>(i), Listed::kLive, 1, 0});
+            {"s" + std::to_string(i), address(i), "a", "m", static_cast<int>(i), ListedState::kLive, 1, 0});
     return made;
 }
 
@@ -119,7 +119,7 @@
     return count_;
 }
 
-std::size_t Fleet::most_attempts() const {
+std::size_t Fleet::max_attempts() const {
     const std::lock_guard lock(mutex_);
     int most = 0;
     for (const auto& [id, count] : attempts_) most = std::max(most, count);
--- a/tests/lab/fleet.hpp
+++ b/tests/lab/fleet.hpp
@@ -27,7 +27,7 @@
     void hold(bool on) { held_ = on; }           // parts wait unanswered meanwhile
     int attempts(const std::string& part) const; // of a part's id, over all servers
     std::uint64_t attempts() const;
-    std::size_t most_attempts() const; // of any one part
+    std::size_t max_attempts() const; // of any one part
     bool await_attempt(const std::string& part, int patience_ms = 20'000) const;
 
   private:
--- a/tests/lab/hall.cpp
+++ b/tests/lab/hall.cpp
@@ -62,22 +62,22 @@
     protocol::StartOrders orders;
     orders.name = "hall", orders.listen = "127.0.0.1:0", orders.discovery = fleet.discovery();
     orders.sockets = plan.sockets, orders.memory_mb = 192, orders.known = fleet.list();
-    OpeningTerms& terms = orders.terms.opening;
-    for (const Effect effect : {Effect::kIdempotent, plan.effect}) {
-        RequestClassTerms request_class;
-        request_class.latency_target = kTenthsPerSecond, request_class.deadline_span = 2 * kTenthsPerSecond,
-        request_class.effect = effect;
-        request_class.late_share = 0.1;
+    SchedulerConfig& terms = orders.terms.opening;
+    for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
+        RequestClassConfig request_class;
+        request_class.latency_target = kTenthsPerSecond,
+        request_class.overall_deadline = 2 * kTenthsPerSecond, request_class.idempotency = idempotency;
+        request_class.late_utility_ratio = 0.1;
         terms.request_classes.push_back(request_class);
     }
     terms.tenants = {{1e6}, {1e6}};
-    terms.turn_gap = 50, terms.cold_span = kTenthsPerSecond, terms.cold_share = 0.2;
-    terms.fall_span = kTenthsPerSecond, terms.fall_multiple = 2, terms.most_attempts = 3;
-    terms.may_recall = terms.may_probe = true, terms.list_mode = ListMode::kAsked;
+    terms.decision_interval = 50, terms.warm_up_time = kTenthsPerSecond, terms.cold_capacity_ratio = 0.2;
+    terms.overload_window = kTenthsPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
+    terms.may_cancel = terms.may_probe = true, terms.list_mode = ListMode::kQueried;
     terms.cells = plan.servers;
     orders.terms.request_classes = {"find", "annotate"}, orders.terms.tenants = {"etna", "conca"};
     orders.terms.zones = {"a"}, orders.terms.kinds = {"m"}, orders.terms.shards = plan.servers;
-    orders.terms.calls_a_connection = 100, orders.terms.opening.connect_span = kTenthsPerSecond / 4;
+    orders.terms.calls_a_connection = 100, orders.terms.opening.connect_timeout = kTenthsPerSecond / 4;
     orders.terms.idle_span = 15 * kTenthsPerSecond, orders.terms.ask_span = 100 * kTenthsPerSecond;
 
     int ends[2];
--- a/tests/lab/hall.hpp
+++ b/tests/lab/hall.hpp
@@ -18,9 +18,9 @@
   public:
     struct Plan {
         int servers = 2;
-        Effect effect = Effect::kIdempotent; // of `annotate`; `find` may run again
-        bool guarded = true;                 // false: no operator's file
-        std::string more;                    // lines put behind the operator's file
+        Idempotency idempotency = Idempotency::kIdempotent; // of `annotate`; `find` may run again
+        bool guarded = true;                                // false: no operator's file
+        std::string more;                                   // lines put behind the operator's file
         std::int64_t sockets = 512;
     };
     explicit Hall(const Plan& plan);
--- a/tests/lab/rig.hpp
+++ b/tests/lab/rig.hpp
@@ -28,8 +28,8 @@
     bool with_rota = true, talks = true; // the latter: they are members
     int stated_nodes = 0; // what the settings say of the front nodes' number; 0: as many as there are
     // What a part takes at a server, however many are there, and what the settings say of a cold one.
-    Tenths service = 0, cold_span = 3 * kTenthsPerSecond / 10;
-    double cold_share = 0.3, fall_multiple = 4;
+    Tenths service = 0, warm_up_time = 3 * kTenthsPerSecond / 10;
+    double cold_capacity_ratio = 0.3, overload_factor = 4;
 };
 
 // What was seen; `at` by the rig's own clock.
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -1,6 +1,6 @@
 #include "lab/site_world.hpp"
 
-#include "limits/cold_rule.hpp"
+#include "limits/slow_start.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,15 +14,15 @@
 constexpr Tenths kTurn = 5 * kMs, kConnect = 250 * kMs, kDown = 2 * kTenthsPerSecond;
 
 std::vector<SiteRequestClass> usual_request_classes() {
-    const auto terms = [](Effect effect, double utility, double floor) {
-        RequestClassTerms made;
-        made.latency_target = 500 * kMs, made.deadline_span = 1500 * kMs, made.effect = effect;
-        made.utility = utility, made.late_share = 0.1, made.floor = floor, made.need = 1;
+    const auto terms = [](Idempotency idempotency, double utility, double floor) {
+        RequestClassConfig made;
+        made.latency_target = 500 * kMs, made.overall_deadline = 1500 * kMs, made.idempotency = idempotency;
+        made.utility = utility, made.late_utility_ratio = 0.1, made.floor = floor, made.need = 1;
         return made;
     };
-    return {{"find", 6, 6, terms(Effect::kIdempotent, 3, 1)},
-            {"table", 3, 6, terms(Effect::kIdempotent, 1, 0.6)},
-            {"note", 1, 1, terms(Effect::kNonIdempotent, 2, 1)}};
+    return {{"find", 6, 6, terms(Idempotency::kIdempotent, 3, 1)},
+            {"table", 3, 6, terms(Idempotency::kIdempotent, 1, 0.6)},
+            {"note", 1, 1, terms(Idempotency::kNonIdempotent, 2, 1)}};
 }
 
 } // namespace
@@ -42,11 +42,11 @@
     std::deque<Tenths> arrivals;
     double share(Tenths now, const SiteWorldPlan& plan) const {
         if (born == 0) return 1;
-        return limits::ColdRule{plan.cold_span, plan.cold_share, 0, 1}.share(now - born);
+        return limits::SlowStart{plan.warm_up_time, plan.cold_capacity_ratio, 0, 1}.share(now - born);
     }
 };
 
-struct SiteWorld::Front : Host {
+struct SiteWorld::Front : SchedulerHost {
     struct Out {
         ServerId server;
         Tenths sent = 0;
@@ -69,7 +69,7 @@
     bool alive = true;
     std::uint64_t life = 1;
     Tenths stalled_until = 0, wake_at = 0;
-    std::unique_ptr<Brain> brain;
+    std::unique_ptr<SearchScheduler> scheduler;
     std::unique_ptr<recovery::Pilot> pilot;
     recovery::TallyBook book;
     std::uint32_t next_id = 1;
@@ -85,7 +85,7 @@
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths) override {
         world->attempt(*this, part, server, time_out);
     }
-    void recall(PartId part, AttemptNo number_of) override {
+    void cancel_attempt(PartId part, AttemptNo number_of) override {
         const std::uint64_t own = life;
         const auto held = parts.find(part);
         if (held == parts.end()) return;
@@ -96,7 +96,7 @@
             });
         });
         world->at(world->now_ + kTurn, [w = world, n = number, own, part, number_of] {
-            w->returned(n, own, part, number_of, Outcome::kRecalled, false, {});
+            w->returned(n, own, part, number_of, Outcome::kCancelled, false, {});
         });
     }
     void end(SearchId id, recovery::TallyBook::End how) {
@@ -119,8 +119,8 @@
         if (weight + 1e-6 < request_class.terms.floor) world->broken_.push_back("an answer under its floor");
         if (whole && weight + 1e-6 < request_class.terms.need) world->broken_.push_back("whole and is not");
         const bool in_time = world->now_ <= open.begun + request_class.terms.latency_target;
-        const double paid = request_class.terms.utility * (in_time ? 1 : request_class.terms.late_share) *
-                            std::min(1.0, weight);
+        const double paid = request_class.terms.utility *
+                            (in_time ? 1 : request_class.terms.late_utility_ratio) * std::min(1.0, weight);
         SiteTotals& totals = world->totals_;
         ++totals.delivered, totals.in_time += in_time, totals.in_part += whole ? 0 : 1,
             totals.utility += paid;
@@ -128,14 +128,14 @@
         totals.tenants[world->plan_.tenants[open.tenant].first].first += paid;
         end(id, in_time ? recovery::TallyBook::End::kInTime : recovery::TallyBook::End::kDelivered);
     }
-    void reject(SearchId id, Tenths come_back) override {
+    void reject(SearchId id, Tenths retry_after) override {
         const auto found = searches.find(id);
         if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
         const Open open = found->second;
         ++world->totals_.rejected;
         end(id, recovery::TallyBook::End::kRejected);
         if (world->plan_.repeats > 0 && world->chance_.unit() < world->plan_.repeats)
-            world->at(world->now_ + std::max<Tenths>(come_back, 10 * kMs), [w = world, n = number, open] {
+            world->at(world->now_ + std::max<Tenths>(retry_after, 10 * kMs), [w = world, n = number, open] {
                 int there = n; // whoever serves
                 for (std::size_t i = 0; i < w->fronts() && !w->fronts_[there]->alive; ++i)
                     there = (there + 1) % static_cast<int>(w->fronts());
@@ -155,12 +155,12 @@
             Front& front = *w->fronts_[n];
             if (!front.alive || front.life != own) return;
             front.book.probed("s" + std::to_string(server.value), good);
-            front.brain->on(w->now_, ProbeReturned{server, good, took, {}});
+            front.scheduler->handle(w->now_, ProbeEnded{server, good, took, {}});
             w->turn(front);
         });
     }
-    void hang_up(ServerId) override {}
-    void wake(Tenths in) override {
+    void close_idle_connections(ServerId) override {}
+    void schedule_wakeup(Tenths in) override {
         wake_at = world->now_ + std::max<Tenths>(1, in);
         world->at(wake_at, [w = world, n = number, own = life, when = wake_at] {
             Front& front = *w->fronts_[n];
@@ -236,13 +236,13 @@
 
 // ---- front nodes
 
-ListNews SiteWorld::news_for(bool whole) const {
-    ListNews news{whole ? ListKind::kSaved : ListKind::kChanges, {}};
+ServerListUpdate SiteWorld::news_for(bool whole) const {
+    ServerListUpdate news{whole ? ListKind::kSaved : ListKind::kChanges, {}};
     for (int i = 0; i < plan_.servers; ++i) {
         const Server& server = *servers_[i];
         news.entries.push_back({ServerId{static_cast<std::uint32_t>(i)}, ZoneNo{server.site}, KindNo{0},
-                                CellNo{server.cell}, server.alive ? Listed::kLive : Listed::kGone, 1,
-                                server.born});
+                                CellNo{server.cell}, server.alive ? ListedState::kLive : ListedState::kGone,
+                                1, server.born});
     }
     return news;
 }
@@ -251,19 +251,19 @@
     Front& front = *fronts_[number];
     front.alive = true, ++front.life, front.stalled_until = 0;
     front.searches.clear(), front.parts.clear(), front.slept.clear();
-    OpeningTerms terms;
+    SchedulerConfig terms;
     terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(number) + 7 * front.life;
     for (const auto& request_class : plan_.request_classes)
         terms.request_classes.push_back(request_class.terms);
     const int nodes = plan_.stated_nodes > 0 ? plan_.stated_nodes : plan_.fronts;
     for (const auto& [name, share] : plan_.tenants) terms.tenants.push_back({rate_ * share * 2});
-    terms.front_nodes = nodes, terms.turn_gap = kTurn;
-    terms.cold_span = plan_.cold_span, terms.cold_share = plan_.cold_share;
-    terms.fall_span = plan_.fall_span, terms.fall_multiple = plan_.fall_multiple;
-    terms.longest_come_back = 2 * kTenthsPerSecond, terms.most_attempts = 3;
-    terms.may_recall = terms.may_advise = true, terms.may_probe = plan_.may_probe;
+    terms.front_nodes = nodes, terms.decision_interval = kTurn;
+    terms.warm_up_time = plan_.warm_up_time, terms.cold_capacity_ratio = plan_.cold_capacity_ratio;
+    terms.overload_window = plan_.overload_window, terms.overload_factor = plan_.overload_factor;
+    terms.max_retry_after = 2 * kTenthsPerSecond, terms.max_attempts = 3;
+    terms.may_cancel = terms.may_send_retry_after = true, terms.may_probe = plan_.may_probe;
     terms.cells = plan_.servers / plan_.replicas, terms.span = 1;
-    front.brain = open_brain(terms);
+    front.scheduler = make_search_scheduler(terms);
     front.book = recovery::TallyBook(plan_.request_classes[0].terms.latency_target);
     front.pilot.reset();
     if (plan_.with_plan) {
@@ -272,17 +272,20 @@
         Tenths due = plan_.request_classes[0].terms.latency_target;
         for (const auto& request_class : plan_.request_classes) {
             own.request_classes.push_back(request_class.name);
-            own.facts[request_class.name] = {
-                request_class.terms.utility,        request_class.terms.floor,
-                request_class.terms.need,           request_class.terms.late_share,
-                request_class.terms.latency_target, request_class.terms.effect == Effect::kNonIdempotent};
+            own.facts[request_class.name] = {request_class.terms.utility,
+                                             request_class.terms.floor,
+                                             request_class.terms.need,
+                                             request_class.terms.late_utility_ratio,
+                                             request_class.terms.latency_target,
+                                             request_class.terms.idempotency == Idempotency::kNonIdempotent};
             due = std::min(due, request_class.terms.latency_target);
         }
         for (const auto& [name, share] : plan_.tenants)
             own.tenants.push_back(name), own.quotas[name] = rate_ * share * 2;
         for (int site = 0; site < plan_.sites; ++site) own.zones.push_back(site_name(site));
-        own.due = due, own.cold_span = plan_.cold_span, own.cold_share = plan_.cold_share;
-        own.longest_come_back = terms.longest_come_back, own.stated_nodes = nodes, own.shards = plan_.shards;
+        own.due = due, own.warm_up_time = plan_.warm_up_time,
+        own.cold_capacity_ratio = plan_.cold_capacity_ratio;
+        own.max_retry_after = terms.max_retry_after, own.stated_nodes = nodes, own.shards = plan_.shards;
         own.stated_capacity = plan_.stated_capacity;
         front.pilot = std::make_unique<recovery::Pilot>(own, now_);
         const std::uint64_t life = front.life;
@@ -296,7 +299,7 @@
 void SiteWorld::turn(Front& front) {
     if (!front.alive) return;
     if (now_ < front.stalled_until) return;
-    front.brain->decide(now_, front);
+    front.scheduler->decide(now_, front);
 }
 
 void SiteWorld::step_pilot(Front& front) {
@@ -321,8 +324,8 @@
                     if (now_ < other.stalled_until) return; // its socket is full soon enough
                     other.pilot->hear(now_, bytes);
                 });
-            } else if (const auto* relief = std::get_if<ReliefTold>(&effect)) {
-                front.brain->on(now_, *relief);
+            } else if (const auto* relief = std::get_if<SiteRecoveryPlan>(&effect)) {
+                front.scheduler->handle(now_, *relief);
                 turn(front);
             } else if (on_line) {
                 on_line(number, std::get<recovery::SiteLine>(effect));
@@ -395,23 +398,24 @@
     for (int i = 0; i < request_class.parts && i < plan_.shards; ++i)
         std::swap(shards[i], shards[i + static_cast<int>(chance_.unit() * (plan_.shards - i))]);
     const int count = std::min(request_class.parts, plan_.shards);
-    front.brain->on(now_, SearchTaken{id, job, RequestClassNo{static_cast<std::int32_t>(class_no)},
-                                      TenantNo{static_cast<std::int32_t>(tenant)},
-                                      request_class.terms.deadline_span, again});
+    front.scheduler->handle(now_, SearchAccepted{id, job, RequestClassNo{static_cast<std::int32_t>(class_no)},
+                                                 TenantNo{static_cast<std::int32_t>(tenant)},
+                                                 request_class.terms.overall_deadline, again});
     for (int i = 0; i < count; ++i) {
         const PartId part{front.next_id++};
         open.parts.push_back(part);
         front.parts[part] = {
-            id, shards[i], 1.0 / count, false, request_class.terms.effect == Effect::kNonIdempotent, {}};
+            id, shards[i], 1.0 / count, false, request_class.terms.idempotency == Idempotency::kNonIdempotent,
+            {}};
         front.book.part(key, shards[i]);
-        front.brain->on(now_, PartTaken{part, job, ShardNo{shards[i]}, 1.0 / count});
+        front.scheduler->handle(now_, PartAdded{part, job, ShardNo{shards[i]}, 1.0 / count});
     }
-    at(now_ + request_class.terms.deadline_span, [this, number, life = front.life, id] {
+    at(now_ + request_class.terms.overall_deadline, [this, number, life = front.life, id] {
         Front& late = *fronts_[number];
         if (!late.alive || late.life != life || !late.searches.contains(id)) return;
         if (now_ < late.stalled_until + kConnect) return; // it could not; its clients went elsewhere
         ++lost_;
-        late.brain->on(now_, SearchLapsed{id});
+        late.scheduler->handle(now_, SearchAbandoned{id});
         late.fail(id);
     });
     turn(front);
@@ -440,19 +444,19 @@
     if (!server.alive) {
         if (linked(server.site, fronts_[from]->site))
             at(now_ + delay(), [this, from, life, part, number] {
-                returned(from, life, part, number, Outcome::kNoConnection, false, {});
+                returned(from, life, part, number, Outcome::kConnectTimeout, false, {});
             });
         return;
     }
     ++arrived_;
     if (once && !ran_.insert({from, life, part}).second) ++doubled_; // it may have run before
     server.queue.push_back({from, life, part, number});
-    if (server.born > 0 && now_ < server.born + plan_.cold_span) {
+    if (server.born > 0 && now_ < server.born + plan_.warm_up_time) {
         server.arrivals.push_back(now_);
-        while (server.arrivals.front() <= now_ - plan_.fall_span) server.arrivals.pop_front();
+        while (server.arrivals.front() <= now_ - plan_.overload_window) server.arrivals.pop_front();
         const double full =
-            plan_.cores * static_cast<double>(plan_.fall_span) / static_cast<double>(plan_.service);
-        const double allowed = plan_.fall_multiple * full * server.share(now_, plan_);
+            plan_.cores * static_cast<double>(plan_.overload_window) / static_cast<double>(plan_.service);
+        const double allowed = plan_.overload_factor * full * server.share(now_, plan_);
         const double most = allowed + 3 * std::sqrt(allowed) + 3;
         cold_used_ = std::max(cold_used_, static_cast<double>(server.arrivals.size()) / most);
         if (static_cast<double>(server.arrivals.size()) > most) return fall(target);
@@ -504,7 +508,7 @@
     const SearchId search = held.search;
     if (!front.searches.contains(search) && std::ranges::all_of(held.outs, &Front::Out::over))
         front.parts.erase(found);
-    front.brain->on(now_, AttemptReturned{part, number, server, outcome, took, report});
+    front.scheduler->handle(now_, AttemptEnded{part, number, server, outcome, took, report});
     turn(front);
 }
 
@@ -516,8 +520,9 @@
     server.alive = false, ++server.life, server.busy = 0;
     // Connections break: what was there returns as that.
     for (const Server::Job& job : std::exchange(server.queue, {}))
-        at(now_ + delay(),
-           [this, job] { returned(job.front, job.life, job.part, job.number, Outcome::kBroken, false, {}); });
+        at(now_ + delay(), [this, job] {
+            returned(job.front, job.life, job.part, job.number, Outcome::kConnectionLost, false, {});
+        });
     at(now_ + plan_.list_lag, [this] { tell_lists(); });
 }
 
@@ -596,10 +601,10 @@
     return servers;
 }
 
-void SiteWorld::tell_list(Front& front, const ListNews& news,
+void SiteWorld::tell_list(Front& front, const ServerListUpdate& news,
                           const std::map<std::string, recovery::ServerSeen>& servers) {
-    if (!front.alive || !front.brain) return;
-    front.brain->on(now_, news);
+    if (!front.alive || !front.scheduler) return;
+    front.scheduler->handle(now_, news);
     if (front.pilot) front.pilot->list(now_, servers);
     turn(front);
 }
@@ -609,7 +614,7 @@
     if (told_at_ == now_) return;
     told_at_ = now_;
     const auto servers = list_now();
-    const ListNews news = news_for(false);
+    const ServerListUpdate news = news_for(false);
     for (auto& front : fronts_) tell_list(*front, news, servers);
 }
 
@@ -636,8 +641,9 @@
     for (const auto& request_class : plan_.request_classes) all += request_class.rate;
     for (const auto& request_class : plan_.request_classes) {
         terms.request_classes[request_class.name] = {
-            request_class.terms.utility,    request_class.terms.floor,          request_class.terms.need,
-            request_class.terms.late_share, request_class.terms.latency_target, false};
+            request_class.terms.utility,        request_class.terms.floor,
+            request_class.terms.need,           request_class.terms.late_utility_ratio,
+            request_class.terms.latency_target, false};
         for (const auto& [tenant, share] : plan_.tenants)
             terms.demand.rows[{request_class.name, tenant}] = {
                 rate_ * surge_ * request_class.rate / all * share,
--- a/tests/lab/site_world.hpp
+++ b/tests/lab/site_world.hpp
@@ -21,7 +21,7 @@
     std::string name;
     double rate = 1; // of all searches, weight
     int parts = 6;
-    RequestClassTerms terms;
+    RequestClassConfig terms;
 };
 
 struct SiteWorldPlan {
@@ -32,8 +32,8 @@
     double load = 0.55;                                  // of the fleet's power
     int cores = 4;
     Tenths service = 80; // a part, mean
-    double cold_share = 0.3, fall_multiple = 2;
-    Tenths cold_span = 5 * kTenthsPerSecond, fall_span = kTenthsPerSecond;
+    double cold_capacity_ratio = 0.3, overload_factor = 2;
+    Tenths warm_up_time = 5 * kTenthsPerSecond, overload_window = kTenthsPerSecond;
     Tenths list_lag = kTenthsPerSecond / 5, member_lag = kTenthsPerSecond;
     Tenths least_delay = 5, most_delay = 20; // of a datagram or a frame, one way
     double word_loss = 0;
@@ -121,11 +121,11 @@
                   bool from_server, LoadReport report);
     void fall(int server);
     std::map<std::string, recovery::ServerSeen> list_now() const;
-    void tell_list(Front& front, const ListNews& news,
+    void tell_list(Front& front, const ServerListUpdate& news,
                    const std::map<std::string, recovery::ServerSeen>& servers);
     void tell_lists();
     void tell_members();
-    ListNews news_for(bool whole) const;
+    ServerListUpdate news_for(bool whole) const;
     int site_of(int server) const;
     int home_of(int front) const;
     void start_front_now(int front);
--- a/tests/pair_selector_tests.cpp
+++ b/tests/pair_selector_tests.cpp
@@ -35,8 +35,8 @@
         tell();
     }
     std::optional<Pair> pair(const Request& request, const std::set<std::string>& tried = {},
-                             bool may_hand_over = true) {
-        const Choice choice = selector.choose(request, tried, may_hand_over, false, now);
+                             bool may_split = true) {
+        const Choice choice = selector.choose(request, tried, may_split, false, now);
         const auto* made = std::get_if<Pair>(&choice);
         return made == nullptr ? std::nullopt : std::optional(*made);
     }
@@ -123,7 +123,7 @@
 
 BOOST_AUTO_TEST_CASE(own_parts_out_count_times_the_number_of_edge_nodes) {
     Fleet fleet({server("a"), server("b")});
-    fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+    fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
     fleet.selector.set_load(load("b", 2), fleet.now);
     BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"a"})); // 1 + 1 against 1 + 2
     fleet.selector.set_edge_nodes(4);
@@ -135,8 +135,8 @@
 BOOST_AUTO_TEST_CASE(a_server_that_answers_slowly_is_left_to_the_quicker) {
     Fleet fleet({server("a"), server("b")});
     for (int i = 0; i < 10; ++i) {
-        fleet.serve("a", plain(), Work::kPlain, 900);
-        fleet.serve("b", plain(), Work::kPlain, 300);
+        fleet.serve("a", plain(), Work::kUnstaged, 900);
+        fleet.serve("b", plain(), Work::kUnstaged, 300);
     }
     BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"b"}));
     fleet.now += 60 * kSecond; // what is long past counts less than one request that waits
@@ -146,9 +146,9 @@
 
 BOOST_AUTO_TEST_CASE(an_attempt_that_waits_counts_as_slow_before_it_is_answered) {
     Fleet fleet({server("a"), server("b")});
-    for (const char* id : {"a", "b"}) fleet.serve(id, plain(), Work::kPlain, 300);
-    const auto waits = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
-    for (int i = 0; i < 3; ++i) fleet.selector.sent("b", plain(), Work::kPlain, 0, fleet.now + 5000);
+    for (const char* id : {"a", "b"}) fleet.serve(id, plain(), Work::kUnstaged, 300);
+    const auto waits = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
+    for (int i = 0; i < 3; ++i) fleet.selector.sent("b", plain(), Work::kUnstaged, 0, fleet.now + 5000);
     fleet.selector.set_load(load("a", 2), fleet.now);
     fleet.now += 6000;
     BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"b"}));
@@ -206,7 +206,7 @@
     Fleet fleet({server("a"), server("b")});
     Tenths former = 0;
     for (int times = 0; times < 4; ++times) {
-        const auto attempt = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+        const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
         fleet.selector.refused(attempt, fleet.now);
         const Tenths began = fleet.now;
         BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"b"}));
@@ -215,8 +215,8 @@
         BOOST_TEST(fleet.now - began < 5 * kSecond);
         former = fleet.now - began;
     }
-    fleet.serve("a", plain(), Work::kPlain, 10); // an answer ends the row
-    const auto attempt = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+    fleet.serve("a", plain(), Work::kUnstaged, 10); // an answer ends the row
+    const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
     fleet.selector.refused(attempt, fleet.now);
     fleet.now += former / 4;
     BOOST_TEST(fleet.runners(plain()).contains("a"));
@@ -235,7 +235,7 @@
 BOOST_AUTO_TEST_CASE(a_server_that_breaks_answers_off_is_avoided_for_seconds) {
     Fleet fleet({server("a"), server("b")});
     for (int i = 0; i < 4; ++i) {
-        const auto attempt = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+        const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
         fleet.selector.broken(attempt, fleet.now + 1);
     }
     BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"b"}));
@@ -246,9 +246,9 @@
 BOOST_AUTO_TEST_CASE(quick_errors_do_not_look_like_a_fast_and_empty_server) {
     for (const bool breaks : {false, true}) {
         Fleet fleet({server("a"), server("b")});
-        for (const char* id : {"a", "b"}) fleet.serve(id, plain(), Work::kPlain, 300);
+        for (const char* id : {"a", "b"}) fleet.serve(id, plain(), Work::kUnstaged, 300);
         for (int i = 0; i < 50; ++i) {
-            const auto attempt = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+            const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
             fleet.now += 1;
             breaks ? fleet.selector.broken(attempt, fleet.now) : fleet.selector.refused(attempt, fleet.now);
         }
@@ -265,7 +265,7 @@
     for (; sent < 1000; ++sent) {
         const std::string id = fleet.runner(plain());
         if (id.empty()) break;
-        fleet.selector.sent(id, plain(), Work::kPlain, 0, fleet.now);
+        fleet.selector.sent(id, plain(), Work::kUnstaged, 0, fleet.now);
     }
     BOOST_TEST(sent == 2 * static_cast<int>(kStartLimit));
     const Choice choice = fleet.selector.choose(plain(), {}, true, false, fleet.now);
@@ -282,7 +282,7 @@
     Fleet fleet({server("a"), server("b")});
     fleet.selector.set_load(load("b", 90), fleet.now);
     for (int i = 0; i < static_cast<int>(kStartLimit); ++i)
-        fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+        fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
     BOOST_TEST((fleet.runners(plain()) == std::set<std::string>{"b"}));
 }
 
@@ -332,13 +332,13 @@
     fleet.selector.set_services({service});
     const std::string first = reads(*fleet.pair(request));
     const Work work =
-        fleet.instances.at(first).stage == Stage::kPrefill ? Work::kReadOnly : Work::kReadAndRun;
+        fleet.instances.at(first).stage == Stage::kPrefill ? Work::kPrefillOnly : Work::kPrefillAndDecode;
     fleet.serve(first, request, work, 100);
     fleet.now += kSecond;
     for (int i = 0; i < 20; ++i) {
         const auto made = fleet.pair(request);
         BOOST_TEST(reads(*made) == first);
-        BOOST_TEST(made->tokens_to_read < 10'000);
+        BOOST_TEST(made->tokens_to_prefill < 10'000);
     }
 }
 
@@ -351,7 +351,7 @@
         const std::string id = fleet.runner(streaming("chat-" + std::to_string(i)));
         long_answers.insert(id);
         fleet.selector.answered(
-            fleet.selector.sent(id, streaming(), Work::kReadAndRun, std::nullopt, fleet.now),
+            fleet.selector.sent(id, streaming(), Work::kPrefillAndDecode, std::nullopt, fleet.now),
             fleet.now + 100);
         fleet.selector.set_load(load(id, 0, ++running[id]), fleet.now);
         fleet.now += 200;
@@ -373,7 +373,7 @@
     for (int i = 0; i < 40; ++i) {
         const std::string id = fleet.runner(streaming());
         all.insert(id);
-        fleet.selector.sent(id, streaming(), Work::kReadAndRun, std::nullopt, fleet.now);
+        fleet.selector.sent(id, streaming(), Work::kPrefillAndDecode, std::nullopt, fleet.now);
         fleet.now += kSecond / 20;
     }
     return all;
@@ -430,7 +430,7 @@
         const std::string home = reads(*fleet.pair(request));
         // It is slow: what was sent there is unanswered for most of the target.
         const Work work =
-            fleet.instances.at(home).stage == Stage::kPrefill ? Work::kReadOnly : Work::kReadAndRun;
+            fleet.instances.at(home).stage == Stage::kPrefill ? Work::kPrefillOnly : Work::kPrefillAndDecode;
         const auto waits = fleet.selector.sent(home, request, work, std::nullopt, fleet.now);
         fleet.now += kTarget * 3 / 4;
         const std::string second = reads(*fleet.pair(request));
@@ -461,7 +461,7 @@
         return count;
     };
     const int before = read_by_runners();
-    for (int i = 0; i < 5; ++i) fleet.serve("d0", reading("moved"), Work::kFetchAndRun, 2 * kTarget);
+    for (int i = 0; i < 5; ++i) fleet.serve("d0", reading("moved"), Work::kFetchAndDecode, 2 * kTarget);
     BOOST_TEST(read_by_runners() > before + kTries / 4);
     fleet.now += 60 * kSecond; // what is long past does not count
     BOOST_TEST(read_by_runners() <= before + kTries / 10);
@@ -481,7 +481,7 @@
 BOOST_AUTO_TEST_CASE(one_server_takes_both_kinds_where_it_is_alone) {
     Fleet fleet(servers(0, 1));
     BOOST_TEST(fleet.runner(streaming()) == "d0");
-    fleet.selector.sent("d0", streaming(), Work::kReadAndRun, std::nullopt, fleet.now);
+    fleet.selector.sent("d0", streaming(), Work::kPrefillAndDecode, std::nullopt, fleet.now);
     fleet.now += kSecond;
     BOOST_TEST(fleet.runner(reading("prompt-1")) == "d0");
 }
@@ -494,7 +494,8 @@
     BOOST_TEST(hands_over);
     for (int i = 0; i < kTries; ++i) BOOST_TEST(fleet.pair(request, {}, false)->reader.empty());
     for (const char* id : {"p0", "p1", "p2"})
-        for (int i = 0; i < 5; ++i) fleet.selector.handle_used(id, false); // its memory was gone each time
+        for (int i = 0; i < 5; ++i)
+            fleet.selector.record_handle_use(id, false); // its memory was gone each time
     for (int i = 0; i < kTries; ++i) BOOST_TEST(fleet.pair(request)->reader.empty());
 }
 
@@ -503,17 +504,17 @@
     Request request = plain();
     for (int i = 0; i < 3; ++i) { // all that a pair does is quick, and what a runner does alone is slow
         const std::string number = std::to_string(i);
-        fleet.serve("p" + number, request, Work::kReadOnly, 10);
-        fleet.serve("d" + number, request, Work::kFetchAndRun, 10);
-        fleet.serve("d" + number, request, Work::kReadAndRun, kTarget);
+        fleet.serve("p" + number, request, Work::kPrefillOnly, 10);
+        fleet.serve("d" + number, request, Work::kFetchAndDecode, 10);
+        fleet.serve("d" + number, request, Work::kPrefillAndDecode, kTarget);
     }
     for (int i = 0; i < kTries; ++i) BOOST_TEST(fleet.pair(request)->reader.empty());
 }
 
 BOOST_AUTO_TEST_CASE(some_are_turned_away_while_readings_are_expected_to_be_late) {
     Fleet fleet(servers(0, 1));
-    fleet.serve("d0", reading("slow"), Work::kReadAndRun, 2 * kTarget);
-    fleet.selector.sent("d0", reading("waits"), Work::kReadAndRun, std::nullopt, fleet.now);
+    fleet.serve("d0", reading("slow"), Work::kPrefillAndDecode, 2 * kTarget);
+    fleet.selector.sent("d0", reading("waits"), Work::kPrefillAndDecode, std::nullopt, fleet.now);
     const int away = turned_away(fleet, reading("next")); // 0.8 of 2 targets are let in: 40 of a hundred
     BOOST_TEST(away > 30);
     BOOST_TEST(away < 90);
@@ -522,20 +523,22 @@
 BOOST_AUTO_TEST_CASE(a_late_reading_turns_nothing_away_where_none_is_waited_for) {
     Fleet fleet(servers(1, 1));
     for (const char* id : {"p0", "d0"}) {
-        fleet.serve(id, reading("slow"), id[0] == 'p' ? Work::kReadOnly : Work::kReadAndRun, 4 * kTarget);
+        fleet.serve(id, reading("slow"), id[0] == 'p' ? Work::kPrefillOnly : Work::kPrefillAndDecode,
+                    4 * kTarget);
         BOOST_TEST(turned_away(fleet, reading("next")) == 0);
     }
     // A stream that runs on has been read, and another service's prompt is read elsewhere.
-    const auto runs = fleet.selector.sent("d0", reading("runs"), Work::kReadAndRun, std::nullopt, fleet.now);
+    const auto runs =
+        fleet.selector.sent("d0", reading("runs"), Work::kPrefillAndDecode, std::nullopt, fleet.now);
     fleet.now += 4 * kTarget;
     fleet.selector.answered(runs, fleet.now);
     Instance other = server("o0", Stage::kDecode);
     other.service = "other";
     fleet.instances["o0"] = other;
     fleet.tell();
-    fleet.selector.sent("o0", reading("others"), Work::kReadAndRun, std::nullopt, fleet.now);
+    fleet.selector.sent("o0", reading("others"), Work::kPrefillAndDecode, std::nullopt, fleet.now);
     BOOST_TEST(turned_away(fleet, reading("next")) == 0);
-    fleet.selector.sent("d0", reading("waits"), Work::kReadAndRun, std::nullopt, fleet.now);
+    fleet.selector.sent("d0", reading("waits"), Work::kPrefillAndDecode, std::nullopt, fleet.now);
     BOOST_TEST(turned_away(fleet, reading("next")) > 0);
 }
 
@@ -549,7 +552,7 @@
 
 BOOST_AUTO_TEST_CASE(news_of_what_is_no_longer_known_is_harmless) {
     Fleet fleet({server("a"), server("b")});
-    const auto attempt = fleet.selector.sent("a", plain(), Work::kPlain, 0, fleet.now);
+    const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
     fleet.set("a", InstanceState::kGone);
     fleet.selector.answered(attempt, fleet.now + 5);
     fleet.selector.ended(attempt, fleet.now + 6);
@@ -557,7 +560,7 @@
     fleet.selector.refused(attempt, fleet.now + 8);
     fleet.selector.broken(replica_selection::AttemptNo{999}, fleet.now);
     fleet.selector.set_load(load("a", 1), fleet.now);
-    fleet.selector.handle_used("a", false);
+    fleet.selector.record_handle_use("a", false);
     BOOST_TEST(fleet.selector.silent_since(attempt) == 0);
     BOOST_TEST(fleet.selector.expected_response(attempt) == 0);
     BOOST_TEST(fleet.selector.instance("a") == nullptr);
@@ -577,7 +580,7 @@
 // A server that changes its part turns away what it is sent: that is no failure of its, and nothing is sent.
 BOOST_AUTO_TEST_CASE(a_server_that_changes_its_stage_is_left_alone_until_it_reports_the_new_one) {
     Fleet fleet(servers(0, 3));
-    fleet.selector.set_ordered("d0", 1, fleet.now);
+    fleet.selector.record_stage_order("d0", 1, fleet.now);
     BOOST_TEST((fleet.runners(streaming()) == std::set<std::string>{"d1", "d2"}));
     fleet.selector.set_load(ordered("d0", 0, Stage::kDecode), fleet.now); // a report from before the order
     BOOST_TEST((fleet.runners(streaming()) == std::set<std::string>{"d1", "d2"}));
@@ -595,14 +598,14 @@
 
 BOOST_AUTO_TEST_CASE(servers_that_all_change_are_used_where_nothing_else_is_there) {
     Fleet fleet(servers(0, 2));
-    fleet.selector.set_ordered("d0", 1, fleet.now);
-    fleet.selector.set_ordered("d1", 1, fleet.now);
+    fleet.selector.record_stage_order("d0", 1, fleet.now);
+    fleet.selector.record_stage_order("d1", 1, fleet.now);
     BOOST_TEST((fleet.runners(streaming()) == std::set<std::string>{"d0", "d1"}));
 }
 
 BOOST_AUTO_TEST_CASE(a_change_of_which_nothing_is_heard_ends_by_itself) {
     Fleet fleet(servers(0, 2));
-    fleet.selector.set_ordered("d0", 1, fleet.now);
+    fleet.selector.record_stage_order("d0", 1, fleet.now);
     fleet.now += 11 * kSecond;
     BOOST_TEST((fleet.runners(streaming()) == std::set<std::string>{"d0", "d1"}));
 }
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -254,8 +254,9 @@
         R"({"id":"s-3","state":"DELETED"},{"id":"s-4","state":"SERVING","weight":1.5}]})");
     assert(list.version == 43 && !list.full && list.servers.size() == 4);
     assert(list.servers[0].zone == "a_b" && list.servers[0].started_ms == 1700000000123);
-    assert(list.servers[0].listed == Listed::kDraining && list.servers[1].listed == Listed::kDraining);
-    assert(list.servers[2].listed == Listed::kGone && list.servers[3].listed == Listed::kLive);
+    assert(list.servers[0].listed == ListedState::kDraining &&
+           list.servers[1].listed == ListedState::kDraining);
+    assert(list.servers[2].listed == ListedState::kGone && list.servers[3].listed == ListedState::kLive);
 }
 
 // The simulator's line and the front node's JSON are read by the same words.
@@ -268,17 +269,17 @@
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
     const StartOrders read = read_start_orders(orders);
-    const OpeningTerms drilled = drill::read_terms(drill::Line(
+    const SchedulerConfig drilled = drill::read_terms(drill::Line(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
-    const OpeningTerms& terms = read.terms.opening;
+    const SchedulerConfig& terms = read.terms.opening;
     assert(terms.seed == 255 && drilled.seed == 255 && terms.front_nodes == 2 && drilled.front_nodes == 2);
     assert(terms.request_classes.size() == 1 &&
            terms.request_classes[0].latency_target == drilled.request_classes[0].latency_target);
-    assert(terms.request_classes[0].effect == Effect::kNonIdempotent &&
+    assert(terms.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
            terms.request_classes[0].floor == 0.5);
-    assert(terms.cells == 4 && drilled.cells == 4 && terms.most_attempts == 3);
+    assert(terms.cells == 4 && drilled.cells == 4 && terms.max_attempts == 3);
     assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
     assert(read.terms.most_open == 203 && read.terms.idle_span == ms(15'000) && read.sockets == 1024);
 }
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -190,7 +190,8 @@
     plan.program = IVYRILL_PROGRAM;
     plan.fronts = processes, plan.servers = 3, plan.shards = 1, plan.zones = 1;
     plan.with_rota = plan.talks = false;
-    plan.service = kS / 20, plan.cold_span = 4 * kS, plan.cold_share = 0.2, plan.fall_multiple = 2;
+    plan.service = kS / 20, plan.warm_up_time = 4 * kS, plan.cold_capacity_ratio = 0.2,
+    plan.overload_factor = 2;
     Rig rig(plan);
     for (int i = 0; i < processes; ++i) assert(rig.ready(i));
     rig.start_clients(20, 300);
@@ -205,18 +206,19 @@
         return start > 0;
     }));
     for (int i = 0; i < processes / 10; ++i) rig.kill(i), rig.start(i);
-    assert(rig.await([&] { return rig.now() >= start + plan.cold_span; }));
+    assert(rig.await([&] { return rig.now() >= start + plan.warm_up_time; }));
     rig.stop_clients();
     std::deque<Tenths> sent;
     std::size_t all = 0;
     for (const RigEvent& event : rig.history()) {
         if (event.what != RigEvent::What::kAttempt || event.detail != "s0" || event.at < start) continue;
-        if (event.at >= start + plan.cold_span) break;
+        if (event.at >= start + plan.warm_up_time) break;
         sent.push_back(event.at), ++all;
         while (sent.front() <= event.at - kS) sent.pop_front();
-        const double rise = (1 - plan.cold_share) * static_cast<double>(event.at - start) / plan.cold_span;
+        const double rise =
+            (1 - plan.cold_capacity_ratio) * static_cast<double>(event.at - start) / plan.warm_up_time;
         const double most =
-            2 * plan.fall_multiple * (plan.cold_share + rise) * kS / plan.service; // two cores
+            2 * plan.overload_factor * (plan.cold_capacity_ratio + rise) * kS / plan.service; // two cores
         if (sent.size() > most + 2 * std::sqrt(most) + 2)
             std::cerr << sent.size() << " of " << most << " after " << (event.at - start) / 10 << " ms\n";
         assert(sent.size() <= most + 2 * std::sqrt(most) + 2);
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -57,13 +57,13 @@
 // How far the bytes went decides what is proved.
 void broken_before_the_last_byte_never_ran() {
     for (const bool written : {false, true}) {
-        Desk desk(node_terms(ivyrill::Effect::kNonIdempotent), 1);
+        Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
         const ClientId client = desk.search();
         const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
         desk.up(connection);
         const std::uint64_t size = desk.all<WriteConnection>()[0].bytes.size();
-        desk.tell(ConnectionWrote{connection, written ? size : size - 1});
-        desk.tell(ConnectionEnded{connection});
+        desk.tell(ConnectionBytesWritten{connection, written ? size : size - 1});
+        desk.tell(ConnectionClosed{connection});
         desk.pass(ms(2100));
         if (written)
             assert(desk.verdict(client) == Verdict::kFailed && desk.all<OpenConnection>().size() < 20);
@@ -73,32 +73,32 @@
 }
 
 void each_frame_has_its_own_boundary() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent), 1);
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId first = desk.search(), second = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection);
     assert(desk.sent('S') == 1); // one frame at a time is in the ring, so the other can be taken back
     const std::uint64_t size = desk.all<WriteConnection>()[0].bytes.size();
-    desk.tell(ConnectionWrote{connection, size});
+    desk.tell(ConnectionBytesWritten{connection, size});
     assert(desk.sent('S') == 2);
-    desk.tell(ConnectionWrote{connection, size + 7});
-    desk.tell(ConnectionEnded{connection});
+    desk.tell(ConnectionBytesWritten{connection, size + 7});
+    desk.tell(ConnectionClosed{connection});
     desk.pass(ms(2100));
     assert(desk.verdict(first) == Verdict::kFailed && desk.verdict(second) == Verdict::kRejected);
 }
 
 void refused_connection_sends_the_part_elsewhere() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent));
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     const ConnectionId refused = desk.all<OpenConnection>()[0].connection;
-    desk.tell(ConnectionEnded{refused});
+    desk.tell(ConnectionClosed{refused});
     desk.pass(ms(5));
     const auto opened = desk.all<OpenConnection>();
     assert(opened.size() >= 2 && opened[1].address != opened[0].address);
 }
 
 void connection_that_never_comes_is_given_up_in_time() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent));
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     desk.pass(ms(249));
     assert(desk.all<OpenConnection>().size() == 1);
@@ -112,17 +112,17 @@
     const ClientId client = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
-    desk.tell(ClientGone{client});
+    desk.tell(ClientDisconnected{client});
     assert(desk.frames(connection, 'C') == std::vector<std::string>{"q1.0"}); // given up
     desk.pass(ms(10));
     assert(desk.router.open_attempts() == 0);
     const ClientId other = desk.client(); // the same id once more
-    desk.tell(SearchRead{other, {"q1", "find", "acme", "text", 2'000'000, false, {{0, 1.0}}}, 0});
+    desk.tell(SearchReceived{other, {"q1", "find", "acme", "text", 2'000'000, false, {{0, 1.0}}}, 0});
     const auto opened = desk.all<OpenConnection>();
     assert(opened.size() == 2); // not where the first answer may still come
     desk.up(opened[1].connection), desk.wrote_all(opened[1].connection);
     desk.answers(connection, "q1.0");
-    assert(!desk.verdict(other) && desk.router.counts().returned_late == 1);
+    assert(!desk.verdict(other) && desk.router.counts().late_answers == 1);
     desk.answers(opened[1].connection, "q1.0");
     assert(desk.verdict(other) == Verdict::kDelivered);
     desk.answers(opened[1].connection, "q1.0"); // once is enough
@@ -134,16 +134,17 @@
 void frame_stuck_in_the_ring_leaves_with_nothing() {
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Effect::kNonIdempotent);
-        terms.opening.may_recall = false;
+        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
+        terms.opening.may_cancel = false;
         Desk desk(terms, 1);
         const ClientId client = desk.search({0}, ends == kItsTime ? 400'000 : 2'000'000);
         const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
         desk.up(connection);
         assert(desk.frames(connection, 'S').size() == 1);
-        if (ends == kItsClient) desk.tell(ClientGone{client});
+        if (ends == kItsClient) desk.tell(ClientDisconnected{client});
         if (ends == kItsServer)
-            desk.tell(ListTold{desk.all<AskDiscovery>()[0].ask, {2, false, {entry(0, Listed::kDraining)}}});
+            desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+                                         {2, false, {entry(0, ListedState::kDraining)}}});
         desk.pass(ms(ends == kItsTime ? 420 : 10));
         assert(desk.all<CloseConnection>().size() == 1 &&
                desk.all<CloseConnection>()[0].connection == connection);
@@ -161,7 +162,7 @@
     const ClientId staying = desk.search({0});
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection), desk.wrote_all(connection), desk.wrote_all(connection);
-    desk.tell(ClientGone{leaving});
+    desk.tell(ClientDisconnected{leaving});
     desk.pass(ms(5));
     assert(desk.frames(connection, 'C').size() == 2 && desk.router.open_attempts() == 1);
     desk.search({0});
@@ -182,7 +183,7 @@
     const ClientId leaving = desk.search({0, 1});
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection), desk.wrote_all(connection);
-    desk.tell(ClientGone{leaving});
+    desk.tell(ClientDisconnected{leaving});
     desk.pass(ms(5));
     assert(desk.all<CloseConnection>().size() == 1 &&
            desk.all<CloseConnection>()[0].connection == connection);
@@ -213,7 +214,7 @@
         desk.up(connection), desk.wrote_all(connection), desk.wrote_all(connection),
             desk.wrote_all(connection);
         assert(desk.frames(connection, 'S').size() == 3);
-        desk.tell(ConnectionSpoilt{connection, named ? "q2.0" : "%&"});
+        desk.tell(MalformedDataReceived{connection, named ? "q2.0" : "%&"});
         desk.answers(connection, "q1.0"); // nothing counts that follows
         assert(desk.router.counts().delivered == 0 && desk.all<CloseConnection>().size() == 1);
         desk.pass(ms(20));
@@ -229,13 +230,13 @@
 // It may have run: a non-idempotent search is failed, as is one whose attempt was called off with it; one
 // that had not left goes elsewhere.
 void spoilt_answer_may_have_run() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent), 1);
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId spoilt = desk.search(), beside = desk.search(), unsent = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     const std::uint64_t size = desk.all<WriteConnection>()[0].bytes.size();
-    desk.tell(ConnectionWrote{connection, 2 * size});
-    desk.tell(ConnectionSpoilt{connection, "q1.0"});
+    desk.tell(ConnectionBytesWritten{connection, 2 * size});
+    desk.tell(MalformedDataReceived{connection, "q1.0"});
     desk.pass(ms(20));
     assert(desk.verdict(spoilt) == Verdict::kFailed && desk.verdict(beside) == Verdict::kFailed);
     assert(!desk.verdict(unsent) && desk.all<OpenConnection>().size() == 2);
@@ -246,16 +247,16 @@
     const ClientId first = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
-    desk.tell(ConnectionMidway{connection});
+    desk.tell(FrameStarted{connection});
     const ClientId second = desk.search(); // goes over another connection
     assert(desk.all<OpenConnection>().size() == 2);
     const ConnectionId other = desk.all<OpenConnection>()[1].connection;
     desk.up(other), desk.wrote_all(other), desk.answers(other, "q2.0");
     assert(desk.verdict(second) == Verdict::kDelivered && desk.all<CloseConnection>().empty());
     desk.pass(ms(260));
-    assert(desk.all<CloseConnection>()[0].connection == connection && desk.router.counts().spoilt == 1);
+    assert(desk.all<CloseConnection>()[0].connection == connection && desk.router.counts().malformed == 1);
     assert(desk.frames(other, 'S').size() == 2 && !desk.verdict(first)); // and the first goes again
-    desk.tell(ConnectionMidway{other}), desk.answers(other, "q1.0");     // whole in time
+    desk.tell(FrameStarted{other}), desk.answers(other, "q1.0");         // whole in time
     desk.pass(ms(260));
     assert(desk.verdict(first) == Verdict::kDelivered && desk.all<CloseConnection>().size() == 1);
 }
@@ -286,7 +287,7 @@
     desk.up(first), desk.wrote_all(first), desk.answers(first, "q1.0");
     const ClientId gone = desk.search();
     desk.wrote_all(first), desk.pass(ms(10));
-    desk.tell(ClientGone{gone}); // called off, and no sign of anything
+    desk.tell(ClientDisconnected{gone}); // called off, and no sign of anything
     assert(desk.sent('C') == 1 && desk.all<OpenConnection>().size() == 1);
     desk.search({0}, 300'000);
     desk.wrote_all(first), desk.pass(ms(340)); // it gets no answer
@@ -311,7 +312,7 @@
 void client_gone_while_its_part_waits_leaves_nothing() {
     Desk desk;
     const ClientId client = desk.search();
-    desk.tell(ClientGone{client});
+    desk.tell(ClientDisconnected{client});
     desk.pass(ms(10));
     assert(desk.all<AnswerClient>().empty() && desk.router.open_searches() == 0);
     desk.up(desk.all<OpenConnection>()[0].connection);
@@ -330,11 +331,12 @@
 }
 
 void drained_server_gets_nothing_that_still_waits() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent));
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     const OpenConnection first = desk.all<OpenConnection>()[0];
     const int number = first.address == "10.0.0.0:1" ? 0 : 1;
-    desk.tell(ListTold{desk.all<AskDiscovery>()[0].ask, {2, false, {entry(number, Listed::kDraining)}}});
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+                                 {2, false, {entry(number, ListedState::kDraining)}}});
     desk.up(first.connection);
     desk.pass(ms(5));
     assert(desk.frames(first.connection, 'S').empty());
@@ -347,7 +349,8 @@
     desk.search();
     const ConnectionId old = desk.all<OpenConnection>()[0].connection;
     desk.up(old), desk.wrote_all(old), desk.answers(old, "q1.0");
-    desk.tell(ListTold{desk.all<AskDiscovery>()[0].ask, {2, true, {entry(0, Listed::kLive, "2")}}});
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+                                 {2, true, {entry(0, ListedState::kLive, "2")}}});
     desk.search();
     assert(desk.all<OpenConnection>().back().address == "10.0.0.0:2" &&
            desk.all<CloseConnection>()[0].connection == old);
@@ -355,10 +358,11 @@
 
 // At its old address there may be another server by now, without that shard.
 void what_waits_for_a_moved_server_is_taken_back() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent), 1);
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     desk.search();
     const ConnectionId old = desk.all<OpenConnection>()[0].connection;
-    desk.tell(ListTold{desk.all<AskDiscovery>()[0].ask, {2, true, {entry(0, Listed::kLive, "2")}}});
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+                                 {2, true, {entry(0, ListedState::kLive, "2")}}});
     desk.up(old);
     desk.pass(ms(5));
     assert(desk.frames(old, 'S').empty() && desk.all<OpenConnection>().back().address == "10.0.0.0:2");
@@ -368,8 +372,8 @@
 void age_of_a_search_counts() {
     Desk desk(node_terms(), 1);
     const ClientId aged = desk.client(), dead = desk.client();
-    desk.tell(SearchRead{aged, {"a", "find", "acme", "text", 1'000'000, false, {{0, 1.0}}}, ms(400)});
-    desk.tell(SearchRead{dead, {"b", "find", "acme", "text", 300'000, false, {{0, 1.0}}}, ms(400)});
+    desk.tell(SearchReceived{aged, {"a", "find", "acme", "text", 1'000'000, false, {{0, 1.0}}}, ms(400)});
+    desk.tell(SearchReceived{dead, {"b", "find", "acme", "text", 300'000, false, {{0, 1.0}}}, ms(400)});
     assert(desk.verdict(dead) == Verdict::kRejected && !desk.verdict(aged));
     desk.pass(ms(600));
     assert(desk.verdict(aged));
@@ -404,37 +408,38 @@
 
 void watch_goes_on_and_a_silent_one_is_dropped() {
     Desk desk;
-    assert(desk.all<AskDiscovery>().size() == 1 && desk.all<AskDiscovery>()[0].after == 1);
-    desk.tell(ListTold{desk.all<AskDiscovery>()[0].ask, {4, false, {}}});
-    const auto asked = desk.all<AskDiscovery>();
+    assert(desk.all<QueryDiscovery>().size() == 1 && desk.all<QueryDiscovery>()[0].after == 1);
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask, {4, false, {}}});
+    const auto asked = desk.all<QueryDiscovery>();
     assert(asked.size() == 2 && asked[1].after == 4 && asked[1].wait_ms == 3000); // in the same turn
-    desk.tell(ListTold{asked[0].ask, {9, true, {}}});                             // an answer to nothing
-    assert(desk.all<AskDiscovery>().size() == 2);
-    desk.tell(AskSent{asked[1].ask});
+    desk.tell(ServerListReceived{asked[0].ask, {9, true, {}}});                   // an answer to nothing
+    assert(desk.all<QueryDiscovery>().size() == 2);
+    desk.tell(DiscoveryConnected{asked[1].ask});
     desk.pass(ms(3599));
-    assert(desk.all<DropAsk>().empty());
+    assert(desk.all<CancelDiscoveryCall>().empty());
     desk.pass(ms(1)); // with time left for another call before its news counts as told
-    assert(desk.all<DropAsk>().size() == 1 && desk.router.counts().lists_lost == 1);
+    assert(desk.all<CancelDiscoveryCall>().size() == 1 && desk.router.counts().lists_lost == 1);
     desk.pass(ms(1000));
-    assert(desk.all<AskDiscovery>().size() == 3 && desk.all<AskDiscovery>()[2].after == 4);
-    desk.tell(ListTold{desk.all<AskDiscovery>()[2].ask, {2, false, {}}}); // it has started anew
-    assert(desk.all<AskDiscovery>()[3].whole);
+    assert(desk.all<QueryDiscovery>().size() == 3 && desk.all<QueryDiscovery>()[2].after == 4);
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[2].ask, {2, false, {}}}); // it has started anew
+    assert(desk.all<QueryDiscovery>()[3].whole);
 }
 
 void discovery_that_moved_is_asked_for_everything_at_once() {
     Desk desk;
-    const AskId old = desk.all<AskDiscovery>()[0].ask;
-    desk.tell(DiscoveryNamed{"10.0.1.1:1"}); // the same: the watch goes on
-    assert(desk.all<AskDiscovery>().size() == 1 && desk.all<DropAsk>().empty());
-    desk.tell(DiscoveryNamed{"10.0.1.2:1"});
-    const auto asked = desk.all<AskDiscovery>();
-    assert(desk.all<DropAsk>().size() == 1 && asked.size() == 2);
+    const DiscoveryCallId old = desk.all<QueryDiscovery>()[0].ask;
+    desk.tell(DiscoveryAddressChanged{"10.0.1.1:1"}); // the same: the watch goes on
+    assert(desk.all<QueryDiscovery>().size() == 1 && desk.all<CancelDiscoveryCall>().empty());
+    desk.tell(DiscoveryAddressChanged{"10.0.1.2:1"});
+    const auto asked = desk.all<QueryDiscovery>();
+    assert(desk.all<CancelDiscoveryCall>().size() == 1 && asked.size() == 2);
     assert(asked[0].address == "10.0.1.1:1" && asked[1].address == "10.0.1.2:1" && asked[1].whole);
-    desk.tell(ListTold{old, {9, true, {entry(0, Listed::kDraining)}}}); // the old one's word counts no more
+    desk.tell(ServerListReceived{
+        old, {9, true, {entry(0, ListedState::kDraining)}}}); // the old one's word counts no more
     desk.search();
-    assert(desk.all<AskDiscovery>().size() == 2 && desk.all<OpenConnection>().size() == 1);
-    desk.tell(ListTold{asked[1].ask, {1, true, {entry(1)}}}); // its versions need not follow on
-    assert(desk.all<AskDiscovery>()[2].after == 1 && !desk.all<AskDiscovery>()[2].whole);
+    assert(desk.all<QueryDiscovery>().size() == 2 && desk.all<OpenConnection>().size() == 1);
+    desk.tell(ServerListReceived{asked[1].ask, {1, true, {entry(1)}}}); // its versions need not follow on
+    assert(desk.all<QueryDiscovery>()[2].after == 1 && !desk.all<QueryDiscovery>()[2].whole);
 }
 
 void too_many_at_once_are_rejected_unseen() {
@@ -443,16 +448,16 @@
     Desk desk(terms);
     const ClientId first = desk.search({0, 1}), second = desk.search();
     assert(!desk.verdict(first) && desk.verdict(second) == Verdict::kRejected);
-    assert(desk.router.counts().over_full == 1 && desk.router.open_searches() == 1);
+    assert(desk.router.counts().over_limit == 1 && desk.router.open_searches() == 1);
 }
 
 void errors_of_a_request_never_reach_the_module() {
     Desk desk;
     const ClientId client = desk.client(), twin = desk.client();
-    desk.tell(SearchRead{client, {"a", "other", "acme", "t", 1000, false, {{0, 1.0}}}, 0});
-    desk.tell(SearchRead{client, {"a", "find", "acme", "t", 1000, false, {{2, 1.0}}}, 0});
-    desk.tell(SearchRead{client, {"a", "find", "acme", "t", 900'000, false, {{0, 1.0}}}, 0});
-    desk.tell(SearchRead{twin, {"a", "find", "acme", "t", 900'000, false, {{0, 1.0}}}, 0});
+    desk.tell(SearchReceived{client, {"a", "other", "acme", "t", 1000, false, {{0, 1.0}}}, 0});
+    desk.tell(SearchReceived{client, {"a", "find", "acme", "t", 1000, false, {{2, 1.0}}}, 0});
+    desk.tell(SearchReceived{client, {"a", "find", "acme", "t", 900'000, false, {{0, 1.0}}}, 0});
+    desk.tell(SearchReceived{twin, {"a", "find", "acme", "t", 900'000, false, {{0, 1.0}}}, 0});
     const auto rejected = desk.all<RejectClient>();
     assert(rejected.size() == 3 && desk.router.counts().searches == 1);
     assert(rejected[0].status == 404 && rejected[1].status == 400 && rejected[2].status == 409);
@@ -461,11 +466,11 @@
 void order_to_stop_answers_all_that_was_taken() {
     Desk desk;
     const ClientId idle = desk.client(), client = desk.search();
-    desk.tell(DrainOrdered{});
+    desk.tell(DrainStarted{});
     const ClientId late = desk.search({1}); // still arrives, is still served
-    assert(desk.all<ShutClient>().empty());
-    desk.tell(QuietOrdered{});
-    assert(desk.all<ShutClient>().size() == 1 && desk.all<ShutClient>()[0].client == idle);
+    assert(desk.all<HalfCloseClient>().empty());
+    desk.tell(TrafficStopped{});
+    assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == idle);
     for (const OpenConnection& open : desk.all<OpenConnection>())
         desk.up(open.connection), desk.wrote_all(open.connection);
     for (const OpenConnection& open : desk.all<OpenConnection>())
@@ -482,10 +487,10 @@
     desk.pass(1);
     const ClientId oldest = desk.client();
     desk.pass(1), desk.client(), desk.client(), desk.client();
-    assert(desk.all<ShutClient>().size() == 1 && desk.all<ShutClient>()[0].client == oldest);
+    assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == oldest);
     for (int i = 0; i < 4; ++i) desk.search();
     assert(desk.all<AcceptClients>().size() == 1 && !desk.all<AcceptClients>()[0].on); // all busy: nobody new
-    desk.tell(ClientGone{busy});
+    desk.tell(ClientDisconnected{busy});
     assert(desk.all<AcceptClients>().size() == 2 && desk.all<AcceptClients>()[1].on);
 }
 
@@ -493,13 +498,13 @@
 void search_that_crosses_the_close_is_answered() {
     Desk desk(node_terms(), 1);
     const ClientId idle = desk.client();
-    desk.tell(QuietOrdered{});
-    assert(desk.all<ShutClient>().size() == 1 && desk.all<CloseClient>().empty());
-    desk.tell(SearchRead{idle, {"q1", "find", "acme", "text", 2'000'000, false, {{0, 1.0}}}, 0});
+    desk.tell(TrafficStopped{});
+    assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<CloseClient>().empty());
+    desk.tell(SearchReceived{idle, {"q1", "find", "acme", "text", 2'000'000, false, {{0, 1.0}}}, 0});
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection), desk.answers(connection, "q1.0");
     assert(desk.verdict(idle) == Verdict::kDelivered && desk.all<AnswerClient>()[0].close);
-    desk.tell(ClientLeaving{idle}), desk.tell(ClientGone{idle});
+    desk.tell(ClientFinalAnswerSent{idle}), desk.tell(ClientDisconnected{idle});
     assert(desk.router.open_clients() == 0);
 }
 
@@ -517,10 +522,10 @@
 // The client has gone and nothing may be called off: what was not sent then is not sent later.
 void nothing_is_sent_for_a_client_that_has_gone() {
     protocol::NodeTerms terms = node_terms();
-    terms.opening.may_recall = false;
+    terms.opening.may_cancel = false;
     Desk desk(terms, 1);
     const ClientId client = desk.search();
-    desk.tell(ClientGone{client});
+    desk.tell(ClientDisconnected{client});
     desk.up(desk.all<OpenConnection>()[0].connection);
     assert(desk.sent('S') == 0);
     desk.pass(ms(10));
@@ -532,7 +537,7 @@
     Desk desk(node_terms(), 1);
     desk.search({0}, 100'000);
     desk.now += ms(150);
-    desk.router.step(desk.now, ConnectionUp{desk.all<OpenConnection>()[0].connection});
+    desk.router.handle(desk.now, ConnectionEstablished{desk.all<OpenConnection>()[0].connection});
     desk.turn();
     assert(desk.sent('S') == 0);
 }
@@ -540,14 +545,14 @@
 // Repeats are dropped for 300 ms; the second connection comes up later than that.
 void keyed_part_is_not_sent_once_its_window_has_closed() {
     for (const bool in_time : {true, false}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Effect::kKeyed);
-        terms.opening.request_classes[0].repeat_window = ms(300);
+        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
+        terms.opening.request_classes[0].dedup_window = ms(300);
         Desk desk(terms);
         desk.search();
         const ConnectionId first = desk.all<OpenConnection>()[0].connection;
         desk.up(first), desk.wrote_all(first);
         desk.pass(ms(150));
-        desk.tell(ConnectionEnded{first}); // it may have run
+        desk.tell(ConnectionClosed{first}); // it may have run
         desk.pass(ms(20));
         assert(desk.all<OpenConnection>().size() == 2);
         desk.pass(in_time ? ms(90) : ms(140));
@@ -558,11 +563,11 @@
 
 // Handed over and closed in one turn: what counts as never sent is not written either.
 void what_is_taken_back_with_its_connection_is_not_written() {
-    Desk desk(node_terms(ivyrill::Effect::kNonIdempotent), 1);
+    Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId client = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
-    desk.router.step(desk.now, ConnectionUp{connection});
-    desk.router.step(desk.now, PartAnswered{connection, {"q9.0", Outcome::kAnswered, {}, "x"}, 0});
+    desk.router.handle(desk.now, ConnectionEstablished{connection});
+    desk.router.handle(desk.now, PartAnswered{connection, {"q9.0", Outcome::kAnswered, {}, "x"}, 0});
     desk.turn();
     assert(desk.sent('S') == 0 && desk.all<CloseConnection>()[0].connection == connection);
     desk.pass(ms(20));
@@ -574,9 +579,9 @@
     Desk desk;
     Tenths lost_at = 0;
     for (int i = 0; i < 40; ++i) {
-        const auto asked = desk.all<AskDiscovery>().size();
-        desk.tell(ListLost{desk.all<AskDiscovery>().back().ask});
-        for (lost_at = desk.now; desk.all<AskDiscovery>().size() == asked;) desk.pass(ms(5));
+        const auto asked = desk.all<QueryDiscovery>().size();
+        desk.tell(ServerListFailed{desk.all<QueryDiscovery>().back().ask});
+        for (lost_at = desk.now; desk.all<QueryDiscovery>().size() == asked;) desk.pass(ms(5));
         assert(desk.now - lost_at <= ms(1510));
     }
 }
@@ -585,13 +590,13 @@
 void call_that_does_not_get_through_is_made_anew() {
     Desk desk;
     desk.pass(ms(600));
-    assert(desk.all<DropAsk>().size() == 1);
+    assert(desk.all<CancelDiscoveryCall>().size() == 1);
     desk.pass(ms(1510));
-    assert(desk.all<AskDiscovery>().size() >= 2);
-    const auto calls = desk.all<DropAsk>().size();
-    desk.tell(AskSent{desk.all<AskDiscovery>().back().ask});
+    assert(desk.all<QueryDiscovery>().size() >= 2);
+    const auto calls = desk.all<CancelDiscoveryCall>().size();
+    desk.tell(DiscoveryConnected{desk.all<QueryDiscovery>().back().ask});
     desk.pass(ms(1000));
-    assert(desk.all<DropAsk>().size() == calls);
+    assert(desk.all<CancelDiscoveryCall>().size() == calls);
 }
 
 // Clients may hold a third of the descriptors for their requests and do not close what they have done with.
@@ -607,9 +612,9 @@
     };
     const ClientId first = served(), second = served();
     for (int i = 0; i < 8; ++i) served();
-    assert(desk.all<ShutClient>().empty() && desk.router.open_clients() == 10);
+    assert(desk.all<HalfCloseClient>().empty() && desk.router.open_clients() == 10);
     served(), served();
-    const auto closed = desk.all<ShutClient>();
+    const auto closed = desk.all<HalfCloseClient>();
     assert(closed.size() == 2 && closed[0].client == first && closed[1].client == second);
 }
 
@@ -622,19 +627,20 @@
     const ClientId silent = desk.client();
     desk.pass(1), desk.client(), desk.client();
     desk.client();
-    assert(desk.all<ShutClient>().size() == 1 && desk.all<ShutClient>()[0].client == silent);
+    assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == silent);
     desk.pass(ms(1999));
-    assert(desk.all<ShutClient>().size() == 1);
+    assert(desk.all<HalfCloseClient>().size() == 1);
     desk.pass(ms(1)); // the others are owed no more than that, unless they ask
-    assert(desk.all<ShutClient>().size() == 4);
-    for (const ShutClient& shut : desk.all<ShutClient>()) desk.tell(ClientGone{shut.client});
+    assert(desk.all<HalfCloseClient>().size() == 4);
+    for (const HalfCloseClient& shut : desk.all<HalfCloseClient>())
+        desk.tell(ClientDisconnected{shut.client});
     assert(desk.router.open_clients() == 1);
-    desk.tell(ClientMidway{asked}); // half of its next request
+    desk.tell(RequestStarted{asked}); // half of its next request
     desk.pass(ms(1999));
     assert(desk.all<RejectClient>().empty());
     desk.pass(ms(2));
     assert(desk.all<RejectClient>()[0].status == 408 && desk.all<RejectClient>()[0].close);
-    desk.tell(ClientLeaving{asked}); // it is told, and does not close
+    desk.tell(ClientFinalAnswerSent{asked}); // it is told, and does not close
     desk.pass(ms(2001));
     assert(desk.router.open_clients() == 0);
 }
@@ -651,9 +657,9 @@
                              round % 5 == 0 ? Outcome::kError : Outcome::kAnswered);
         if (round % 11 == 0)
             for (const OpenConnection& open : desk.all<OpenConnection>())
-                desk.tell(ConnectionEnded{open.connection});
+                desk.tell(ConnectionClosed{open.connection});
         desk.pass(ms(round % 7 == 3 ? 60 : 2));
-        desk.tell(ClientGone{client});
+        desk.tell(ClientDisconnected{client});
         std::vector<Effect> connections; // of those still open, what is needed to answer on
         for (Effect& effect : desk.effects)
             if (std::holds_alternative<OpenConnection>(effect) && round % 11 != 0)
--- a/tests/brain_tests.cpp
+++ b/tests/search_scheduler_tests.cpp
@@ -1,4 +1,5 @@
-// Short tests, one for each failure met and each piece of the design. `brain_tests NAME` plays one.
+// Short tests, one for each failure met and each piece of the design. `search_scheduler_tests NAME` plays
+// one.
 #include "fake_host.hpp"
 
 #include "base/pcg.hpp"
@@ -86,7 +87,7 @@
 void unheard_takes_the_mean() {
     FakeHost host(plain_terms(), 2);
     host.warm(2, ms(50));
-    host.tell(ListNews{ListKind::kChanges, {FakeHost::entry(2)}});
+    host.tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(2)}});
     host.sent.clear();
     host.search({0, 0, 0}); // as good as the others, no better: it gets its turn
     assert(host.sent_to(0) == 1 && host.sent_to(1) == 1 && host.sent_to(2) == 1);
@@ -95,10 +96,10 @@
 void siblings_share_a_call() {
     int split = 0;
     for (std::uint64_t seed = 0; seed < 8; ++seed) {
-        OpeningTerms terms = plain_terms();
+        SchedulerConfig terms = plain_terms();
         terms.seed = seed;
         FakeHost apart(terms, 2);
-        terms.call_work = ms(100);
+        terms.per_call_work = ms(100);
         FakeHost together(terms, 2);
         for (FakeHost* host : {&apart, &together}) {
             host->search({0});    // one server has an attempt out already
@@ -124,8 +125,8 @@
 }
 
 void second_step_ends_the_search() {
-    OpeningTerms terms = plain_terms();
-    terms.request_classes[0].follow_up = 1;
+    SchedulerConfig terms = plain_terms();
+    terms.request_classes[0].follow_up_parts = 1;
     FakeHost host(terms);
     const SearchId id = host.search({0, 1});
     host.all_return(Outcome::kAnswered, ms(40));
@@ -144,13 +145,13 @@
     assert(host.end_of(id) == End::kRejected);
     for (std::size_t i = 0; i < host.sent.size(); ++i) assert(host.sent[i].recalled);
     const std::size_t attempts = host.sent.size();
-    host.all_return(Outcome::kRecalled, ms(1990));
+    host.all_return(Outcome::kCancelled, ms(1990));
     host.pass(ms(500));
     assert(host.sent.size() == attempts);
 }
 
 void part_answer_at_the_due_time() {
-    OpeningTerms terms = plain_terms();
+    SchedulerConfig terms = plain_terms();
     terms.request_classes[0].floor = 0.5;
     FakeHost host(terms);
     const SearchId enough = host.search({0, 1}), none = host.search({0, 1});
@@ -162,8 +163,8 @@
 }
 
 void at_most_once_is_not_repeated() {
-    OpeningTerms terms = plain_terms();
-    terms.request_classes[0].effect = Effect::kNonIdempotent;
+    SchedulerConfig terms = plain_terms();
+    terms.request_classes[0].idempotency = Idempotency::kNonIdempotent;
     FakeHost host(terms);
     const SearchId maybe = host.search({0});
     host.all_return(Outcome::kError, ms(5)); // it may have run
@@ -174,9 +175,9 @@
 }
 
 void numbered_repeats_in_window() {
-    OpeningTerms terms = plain_terms();
-    terms.request_classes[0].effect = Effect::kKeyed;
-    terms.request_classes[0].repeat_window = ms(300);
+    SchedulerConfig terms = plain_terms();
+    terms.request_classes[0].idempotency = Idempotency::kIdempotencyKey;
+    terms.request_classes[0].dedup_window = ms(300);
     FakeHost host(terms);
     host.search({0});
     host.all_return(Outcome::kError, ms(5));
@@ -188,12 +189,12 @@
 }
 
 void proven_not_run_goes_again() {
-    OpeningTerms terms = plain_terms();
-    terms.request_classes[0].effect = Effect::kNonIdempotent;
+    SchedulerConfig terms = plain_terms();
+    terms.request_classes[0].idempotency = Idempotency::kNonIdempotent;
     FakeHost host(terms);
     const SearchId id = host.search({0});
-    host.all_return(Outcome::kTurnedAway, ms(1));
-    host.all_return(Outcome::kNoConnection, ms(250));
+    host.all_return(Outcome::kRejected, ms(1));
+    host.all_return(Outcome::kConnectTimeout, ms(250));
     assert(host.sent.size() == 2); // a full or unreachable set is not asked again at once
     host.pass(ms(200));
     assert(host.sent.size() == 3 && host.end_of(id) == End::kNone);
@@ -202,11 +203,13 @@
 
 void drain_and_gone_get_nothing() {
     FakeHost host(plain_terms());
-    host.tell(ListNews{ListKind::kChanges,
-                       {FakeHost::entry(0, Listed::kDraining), FakeHost::entry(1, Listed::kGone)}});
+    host.tell(ServerListUpdate{
+        ListKind::kChanges,
+        {FakeHost::entry(0, ListedState::kDraining), FakeHost::entry(1, ListedState::kGone)}});
     for (int i = 0; i < 6; ++i) host.search({0});
     assert(host.sent_to(2) == 6);
-    host.tell(ListNews{ListKind::kWhole, {FakeHost::entry(0)}}); // the whole list replaces the old one
+    host.tell(
+        ServerListUpdate{ListKind::kWhole, {FakeHost::entry(0)}}); // the whole list replaces the old one
     host.sent.clear();
     host.search({0, 0});
     assert(host.sent_to(0) == 2);
@@ -215,7 +218,7 @@
 void cold_server_is_spared() {
     FakeHost host(plain_terms(), 2);
     host.warm(2, ms(100));
-    host.tell(ListNews{ListKind::kChanges, {FakeHost::entry(1, Listed::kLive, host.now)}});
+    host.tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
     host.sent.clear();
     for (int i = 0; i < 50; ++i) host.search({0}), host.pass(ms(20));
     // Twice a fifth, rising, of some twenty parts a second, over three front nodes.
@@ -229,10 +232,11 @@
         FakeHost host(plain_terms(), 1);
         host.warm(1, ms(100));
         host.search({0});
-        host.all_return(refused ? Outcome::kRefused : Outcome::kNoConnection, ms(refused ? 1 : 250));
+        host.all_return(refused ? Outcome::kConnectionRefused : Outcome::kConnectTimeout,
+                        ms(refused ? 1 : 250));
         for (int i = 0; i < 4; ++i) { // probes pass until it is tried again
             host.pass(ms(200));
-            for (const ServerId id : host.probes) host.tell(ProbeReturned{id, true, ms(1), {}});
+            for (const ServerId id : host.probes) host.tell(ProbeEnded{id, true, ms(1), {}});
             host.probes.clear();
         }
         host.sent.clear();
@@ -247,11 +251,11 @@
 void many_nodes_spare_a_cold_server() {
     int sum = 0;
     for (std::uint64_t seed = 0; seed < 60; ++seed) { // all hear of the start at once and would like to send
-        OpeningTerms terms = plain_terms();
+        SchedulerConfig terms = plain_terms();
         terms.front_nodes = 60, terms.seed = seed;
         FakeHost host(terms, 2);
         host.warm(2, ms(100));
-        host.tell(ListNews{ListKind::kChanges, {FakeHost::entry(1, Listed::kLive, host.now)}});
+        host.tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         for (int i = 0; i < 50; ++i) host.search({0}), host.pass(ms(20));
         sum += host.sent_to(1);
@@ -264,11 +268,11 @@
 void rising_cold_server_is_used_by_many_nodes() {
     int early = 0, late = 0;
     for (std::uint64_t seed = 0; seed < 60; ++seed) {
-        OpeningTerms terms = plain_terms();
+        SchedulerConfig terms = plain_terms();
         terms.front_nodes = 60, terms.seed = seed;
         FakeHost host(terms, 2);
         host.warm(2, ms(100));
-        host.tell(ListNews{ListKind::kChanges, {FakeHost::entry(1, Listed::kLive, host.now)}});
+        host.tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         const auto second = [&] {
             const int before = host.sent_to(1);
@@ -290,7 +294,7 @@
 // no window does the sum of what all send it go further past its budget than chance takes it.
 void cold_server_gets_no_more_from_many_nodes() {
     for (const int nodes : {2, 20, 30}) {
-        OpeningTerms terms = plain_terms();
+        SchedulerConfig terms = plain_terms();
         terms.front_nodes = nodes;
         std::vector<std::unique_ptr<FakeHost>> hosts;
         for (int i = 0; i < nodes; ++i) {
@@ -303,12 +307,12 @@
         const Tenths start = now, service = ms(50);
         for (auto& host : hosts) {
             host->now = now, host->sent.clear();
-            host->tell(ListNews{ListKind::kChanges, {FakeHost::entry(0, Listed::kLive, start)}});
+            host->tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(0, ListedState::kLive, start)}});
         }
         Pcg chance(static_cast<std::uint64_t>(nodes));
         std::deque<Tenths> sent;
         std::size_t all = 0;
-        for (; now < start + terms.cold_span; now += ms(5)) {
+        for (; now < start + terms.warm_up_time; now += ms(5)) {
             for (auto& host : hosts) {
                 host->now = now;
                 const std::size_t before = host->sent.size();
@@ -320,10 +324,12 @@
                 for (std::size_t at = before; at < host->sent.size(); ++at)
                     if (host->sent[at].server == ServerId{0}) sent.push_back(now), ++all;
             }
-            while (!sent.empty() && sent.front() <= now - terms.fall_span) sent.pop_front();
-            const double share = terms.cold_share +
-                                 (1 - terms.cold_share) * static_cast<double>(now - start) / terms.cold_span;
-            const double budget = 2 * terms.fall_multiple * share * terms.fall_span / service; // two cores
+            while (!sent.empty() && sent.front() <= now - terms.overload_window) sent.pop_front();
+            const double share = terms.cold_capacity_ratio + (1 - terms.cold_capacity_ratio) *
+                                                                 static_cast<double>(now - start) /
+                                                                 terms.warm_up_time;
+            const double budget =
+                2 * terms.overload_factor * share * terms.overload_window / service; // two cores
             if (static_cast<double>(sent.size()) > budget + 2 * std::sqrt(budget) + 2)
                 std::cerr << nodes << " nodes: " << sent.size() << " of " << budget << "\n";
             assert(static_cast<double>(sent.size()) <= budget + 2 * std::sqrt(budget) + 2);
@@ -340,7 +346,7 @@
     host.warm(2);
     host.search({0});
     const ServerId full = host.sent.back().server;
-    host.returns(host.sent.size() - 1, Outcome::kTurnedAway, ms(1));
+    host.returns(host.sent.size() - 1, Outcome::kRejected, ms(1));
     host.turn();
     assert(host.sent.back().server != full); // the other one, at once
     host.all_return(Outcome::kAnswered, ms(50));
@@ -349,7 +355,7 @@
         host.search({0}), host.pass(ms(50)), host.all_return(Outcome::kAnswered, ms(50));
     assert(host.sent_to(static_cast<int>(full.value)) == before && host.probes.empty());
     host.search({0});
-    host.all_return(Outcome::kTurnedAway, ms(1)); // now both are
+    host.all_return(Outcome::kRejected, ms(1)); // now both are
     const std::size_t sent = host.sent.size();
     assert(host.end_of(host.search({0}, ms(600))) == End::kRejected && host.sent.size() == sent);
     host.pass(ms(2600));
@@ -358,12 +364,12 @@
 
 void cold_server_without_a_window_is_used() {
     for (const bool from_nothing : {false, true}) {
-        OpeningTerms terms = plain_terms();
-        (from_nothing ? terms.cold_share : terms.fall_multiple) = from_nothing ? 0 : 2;
-        if (!from_nothing) terms.fall_span = 0;
+        SchedulerConfig terms = plain_terms();
+        (from_nothing ? terms.cold_capacity_ratio : terms.overload_factor) = from_nothing ? 0 : 2;
+        if (!from_nothing) terms.overload_window = 0;
         FakeHost host(terms, 2);
         host.warm(2, ms(100));
-        host.tell(ListNews{ListKind::kChanges, {FakeHost::entry(1, Listed::kLive, host.now)}});
+        host.tell(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         for (int i = 0; i < 180; ++i)
             host.search({0}), host.pass(ms(50)), host.all_return(Outcome::kAnswered, ms(100));
@@ -391,11 +397,11 @@
 }
 
 void budget_binds() {
-    OpeningTerms terms = plain_terms();
-    terms.attempt_budget = true;
-    terms.spare_attempts = 1;
-    terms.further_ratio = 0;
-    terms.budget_span = ms(5000);
+    SchedulerConfig terms = plain_terms();
+    terms.has_retry_budget = true;
+    terms.retry_slack = 1;
+    terms.retry_ratio = 0;
+    terms.retry_budget_window = ms(5000);
     FakeHost host(terms);
     host.search({0});
     host.all_return(Outcome::kError, ms(5));
@@ -415,20 +421,20 @@
     host.returns(1, Outcome::kAnswered, ms(40));
     host.turn();
     assert(host.answers == 25 && host.sent[0].recalled);
-    host.all_return(Outcome::kRecalled, ms(420));
+    host.all_return(Outcome::kCancelled, ms(420));
     assert(host.probes.empty()); // one lost attempt sets no server aside
 }
 
 void recall_where_copies_are_barred() {
-    OpeningTerms terms = plain_terms();
-    terms.second_copies = false;
+    SchedulerConfig terms = plain_terms();
+    terms.hedging_enabled = false;
     FakeHost host(terms, 2);
     host.warm(2);
     host.sent.clear();
     host.search({0});
     host.pass(ms(380));
     assert(host.sent.size() == 1 && host.sent[0].recalled);
-    host.all_return(Outcome::kRecalled, ms(380));
+    host.all_return(Outcome::kCancelled, ms(380));
     assert(host.sent.size() == 2 && host.sent[0].server != host.sent[1].server);
 }
 
@@ -440,13 +446,13 @@
     for (int i = 0; i < 8; ++i, host.pass(ms(100))) host.all_return(Outcome::kAnswered, ms(40), 1);
     assert(!host.probes.empty() && host.probes[0] == ServerId{0});
     host.all_return(Outcome::kAnswered, ms(40), 1);
-    host.all_return(Outcome::kRecalled, ms(600), 0);
+    host.all_return(Outcome::kCancelled, ms(600), 0);
     host.sent.clear();
     for (int i = 0; i < 3; ++i) host.search({0});
     assert(host.sent_to(0) == 0);
     host.all_return(Outcome::kAnswered, ms(40), 1);
     for (int probe = 0; probe < 2; ++probe) {
-        host.tell(ProbeReturned{ServerId{0}, true, ms(2), {}});
+        host.tell(ProbeEnded{ServerId{0}, true, ms(2), {}});
         host.pass(ms(200));
         host.all_return(Outcome::kAnswered, ms(40), 1);
     }
@@ -481,8 +487,8 @@
 }
 
 void costly_search_is_left_alone() {
-    OpeningTerms terms = plain_terms();
-    terms.second_copies = false;
+    SchedulerConfig terms = plain_terms();
+    terms.hedging_enabled = false;
     FakeHost host(terms);
     host.warm(3);
     host.sent.clear();
@@ -505,12 +511,12 @@
     host.warm(1);
     const std::size_t before = host.sent.size();
     host.search({0, 0, 0});
-    host.all_return(Outcome::kBroken, ms(10));
+    host.all_return(Outcome::kConnectionLost, ms(10));
     assert(host.sent.size() == before + 6); // it gets all three again at once
     host.all_return(Outcome::kAnswered, ms(50));
     assert(host.answers == 13 && host.probes.empty());
     host.search({0});
-    host.all_return(Outcome::kNoConnection, ms(1)); // nobody there: that does say something
+    host.all_return(Outcome::kConnectTimeout, ms(1)); // nobody there: that does say something
     host.pass(ms(400));
     assert(!host.probes.empty());
 }
@@ -518,14 +524,14 @@
 void breaking_search_goes_singly() {
     FakeHost host(plain_terms(), 6);
     const SearchId first = host.search({0, 0, 0});
-    host.all_return(Outcome::kBroken, ms(10)); // three connections broke under it
+    host.all_return(Outcome::kConnectionLost, ms(10)); // three connections broke under it
     assert(host.end_of(first) == End::kFailed && host.sent.size() == 3);
     const SearchId sound = host.search({0, 0, 0});
-    host.all_return(Outcome::kNoConnection, ms(1)); // and three servers are gone, one after another
+    host.all_return(Outcome::kConnectTimeout, ms(1)); // and three servers are gone, one after another
     assert(host.sent.size() == 7); // others may do the same: a part goes alone, to learn from
     const SearchId second = host.search({0, 0});
     assert(host.sent.size() == 8);
-    host.returns(7, Outcome::kBroken, ms(10)), host.turn();
+    host.returns(7, Outcome::kConnectionLost, ms(10)), host.turn();
     assert(host.end_of(second) == End::kFailed && host.sent.size() == 8);
     host.all_return(Outcome::kAnswered, ms(10));
     assert(host.sent.size() == 10); // one answer clears it, and the rest go together
@@ -561,7 +567,7 @@
         host.pass(ms(900)); // lost; its copies over fresh connections are answered
         for (std::size_t i = 0; i < host.sent.size(); ++i)
             if (!host.sent[i].over)
-                host.returns(i, host.sent[i].recalled ? Outcome::kRecalled : Outcome::kTimedOut, ms(900));
+                host.returns(i, host.sent[i].recalled ? Outcome::kCancelled : Outcome::kTimedOut, ms(900));
         host.turn();
     }
     assert(!host.hung_up.empty());
@@ -570,7 +576,7 @@
 // Servers 6 to 29 have something in common and fail; new ones like them are told from new sound ones.
 void group_in_trouble(ListEntry like, Outcome outcome, Tenths took) {
     FakeHost host(plain_terms(), 0);
-    ListNews news{ListKind::kWhole, {}}, more{ListKind::kChanges, {}};
+    ServerListUpdate news{ListKind::kWhole, {}}, more{ListKind::kChanges, {}};
     for (int i = 0; i < 36; ++i) {
         ListEntry entry = FakeHost::entry(i);
         if (i >= 6 && i < 33) entry.zone = like.zone, entry.kind = like.kind;
@@ -595,13 +601,13 @@
 void bad_way_is_avoided() {
     ListEntry like = FakeHost::entry(0);
     like.zone = ZoneNo{1};
-    group_in_trouble(like, Outcome::kNoConnection, ms(250));
+    group_in_trouble(like, Outcome::kConnectTimeout, ms(250));
 }
 
 void bad_kind_is_avoided() {
     ListEntry like = FakeHost::entry(0);
     like.kind = KindNo{1};
-    group_in_trouble(like, Outcome::kTurnedAway, ms(5));
+    group_in_trouble(like, Outcome::kRejected, ms(5));
 }
 
 void client_in_haste_is_not_late() {
@@ -613,9 +619,9 @@
 }
 
 void crowded_fleet_pushes_back() {
-    OpeningTerms terms = plain_terms();
-    terms.may_advise = true;
-    terms.longest_come_back = ms(500);
+    SchedulerConfig terms = plain_terms();
+    terms.may_send_retry_after = true;
+    terms.max_retry_after = ms(500);
     FakeHost host(terms);
     host.warm(3, ms(300), 0);
     for (int i = 0; i < 12; ++i) host.search({0});
@@ -627,12 +633,12 @@
 }
 
 void lost_subscription_is_renewed() {
-    OpeningTerms terms = plain_terms();
-    terms.list_mode = ListMode::kAsked;
+    SchedulerConfig terms = plain_terms();
+    terms.list_mode = ListMode::kQueried;
     FakeHost host(terms);
     host.turn();
     assert(host.subscribed == 1);
-    host.tell(ListNews{ListKind::kLost, {}});
+    host.tell(ServerListUpdate{ListKind::kLost, {}});
     host.turn();
     assert(host.subscribed == 1); // not at once: others lost theirs too
     host.pass(ms(2000));
@@ -642,8 +648,8 @@
 }
 
 void unmarked_repeat_is_known() {
-    OpeningTerms terms = plain_terms();
-    terms.request_classes[0].late_share = 0;
+    SchedulerConfig terms = plain_terms();
+    terms.request_classes[0].late_utility_ratio = 0;
     FakeHost host(terms);
     for (int i = 0; i < 5; ++i) host.search({0}, ms(1500));
     const SearchId repeat = host.search({0}, ms(1200)); // 800 ms of 2 s have passed already
@@ -654,14 +660,14 @@
 void full_fleet_plans_no_part_answers() {
     for (const std::uint32_t sound :
          {1U, 20U}) { // servers of the other shard; one server of the first crawls
-        OpeningTerms terms = plain_terms();
+        SchedulerConfig terms = plain_terms();
         terms.cells = 2;
         terms.request_classes[0].floor = 0.5;
         terms.request_classes.push_back(terms.request_classes[0]);
         FakeHost host(terms, 1);
-        ListNews news{ListKind::kChanges, {}};
+        ServerListUpdate news{ListKind::kChanges, {}};
         for (std::uint32_t i = 1; i <= sound; ++i)
-            news.entries.push_back({ServerId{i}, {}, {}, CellNo{1}, Listed::kLive, 1, 0});
+            news.entries.push_back({ServerId{i}, {}, {}, CellNo{1}, ListedState::kLive, 1, 0});
         host.tell(news);
         for (std::uint32_t i = 0; i < 2 * sound; ++i) host.search({1});
         host.all_return(Outcome::kAnswered, ms(30));
--- a/tests/selection_parts_tests.cpp
+++ b/tests/selection_parts_tests.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(times_on_a_line_are_found) {
-    TimeModel model;
+    LatencyModel model;
     BOOST_TEST(!model.known());
     for (int i = 0; i < 300; ++i) model.add(i % 30 * 100, 50 + 0.25 * (i % 30 * 100));
     BOOST_TEST(model.known());
@@ -35,14 +35,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(equal_sizes_tell_a_mean_and_no_slope) {
-    TimeModel model;
+    LatencyModel model;
     for (int i = 0; i < 50; ++i) model.add(500, i % 2 == 0 ? 90 : 110);
     BOOST_TEST(model.time(500) == 100, boost::test_tools::tolerance(0.02));
     BOOST_TEST(model.time(50'000) == model.time(0));
 }
 
 BOOST_AUTO_TEST_CASE(neither_part_of_a_time_is_negative) {
-    TimeModel falling, steep;
+    LatencyModel falling, steep;
     for (int i = 0; i < 50; ++i) {
         falling.add(i * 100, 6000 - i * 100);
         steep.add(1000 + i * 100, i * 100);
@@ -53,7 +53,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(older_times_are_forgotten) {
-    TimeModel model;
+    LatencyModel model;
     for (int i = 0; i < 1000; ++i) model.add(i % 10 * 100, 1000);
     for (int i = 0; i < 1500; ++i) model.add(i % 10 * 100, 10);
     BOOST_TEST(model.time(500) < 20);
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -120,24 +120,24 @@
 // Two index servers with a shard each, discovery, and a front node.
 struct World {
     // With `start`, it listens and does not run before that is let go.
-    explicit World(Effect effect = Effect::kIdempotent, std::int64_t sockets = 256,
+    explicit World(Idempotency idempotency = Idempotency::kIdempotent, std::int64_t sockets = 256,
                    const Start* start = nullptr, Tenths due = ms(1000), int calls_a_connection = 100) {
         protocol::StartOrders orders;
         orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
         orders.terms.opening = plain_terms();
-        orders.terms.opening.list_mode = ListMode::kAsked;
-        orders.terms.opening.second_copies = false;
+        orders.terms.opening.list_mode = ListMode::kQueried;
+        orders.terms.opening.hedging_enabled = false;
         orders.terms.opening.cells = 2;
-        orders.terms.opening.request_classes[0].effect = effect,
+        orders.terms.opening.request_classes[0].idempotency = idempotency,
         orders.terms.opening.request_classes[0].latency_target = due;
         orders.terms.request_classes = {"find"}, orders.terms.shards = 2;
         orders.terms.calls_a_connection = calls_a_connection;
-        orders.terms.opening.connect_span = ms(250);
+        orders.terms.opening.connect_timeout = ms(250);
         orders.terms.idle_span = ms(15'000), orders.terms.ask_span = ms(100'000);
         orders.known.version = 1;
         for (int i = 0; i < 2; ++i)
             orders.known.servers.push_back(
-                {"s" + std::to_string(i), servers[i].address(), "a", "m", i, Listed::kLive, 1, 0});
+                {"s" + std::to_string(i), servers[i].address(), "a", "m", i, ListedState::kLive, 1, 0});
         protocol::StartOrders changed = orders;
         changed.discovery = moved.address();
         int ends[2];
@@ -221,7 +221,7 @@
 }
 
 void lost_after_the_last_byte_is_no_rejection() {
-    World world(Effect::kNonIdempotent);
+    World world(Idempotency::kNonIdempotent);
     Peer client = Peer::to(world.address);
     client.say(search("a1"));
     Peer server = world.servers[0].accept();
@@ -231,7 +231,7 @@
 }
 
 void refused_before_the_first_byte_is_rejected() {
-    World world(Effect::kNonIdempotent);
+    World world(Idempotency::kNonIdempotent);
     world.servers[0].close();
     Peer client = Peer::to(world.address);
     client.say(search("a1", 0, "300m"));
@@ -249,7 +249,7 @@
 }
 
 void told_to_stop_it_answers_what_it_took() {
-    World world(Effect::kNonIdempotent); // so that it waits for its server, however long that takes
+    World world(Idempotency::kNonIdempotent); // so that it waits for its server, however long that takes
     Peer client = Peer::to(world.address), idle = Peer::to(world.address);
     idle.say("GET /-/ready HTTP/1.1\r\n\r\n");
     assert(idle.answer().status == 200);
@@ -305,7 +305,7 @@
 }
 
 void crowd_of_idle_clients_keeps_nobody_out() {
-    World world(Effect::kIdempotent, 64);
+    World world(Idempotency::kIdempotent, 64);
     std::vector<Peer> crowd;
     for (int i = 0; i < 100; ++i) {
         crowd.push_back(Peer::to(world.address));
@@ -322,7 +322,7 @@
 // The probe of readiness lies there before the program runs: it is ready when it reads it.
 void first_question_finds_it_ready() {
     const Start start;
-    World world(Effect::kIdempotent, 256, &start);
+    World world(Idempotency::kIdempotent, 256, &start);
     Peer client = Peer::to(world.address);
     client.say("GET /-/ready HTTP/1.1\r\n\r\n");
     start.go();
@@ -333,7 +333,7 @@
 // discovery are left all the same.
 void crowd_that_comes_at_once_leaves_descriptors_to_others() {
     const Start start;
-    World world(Effect::kIdempotent, 64, &start);
+    World world(Idempotency::kIdempotent, 64, &start);
     std::vector<Peer> crowd;
     for (int i = 0; i < 100; ++i) crowd.push_back(Peer::to(world.address));
     crowd[50].say(search("a1"));
@@ -352,7 +352,7 @@
 
 // More than there is room for lies behind a request, and its end behind that.
 void client_that_sends_much_and_goes_is_gone() {
-    World world(Effect::kNonIdempotent, 256, nullptr, ms(60'000)); // nothing else calls its part off
+    World world(Idempotency::kNonIdempotent, 256, nullptr, ms(60'000)); // nothing else calls its part off
     Peer client = Peer::to(world.address);
     client.say(search("a1", 0, "60000m") + std::string(64 * 1024, 'x'));
     Peer server = world.servers[0].accept();
@@ -363,7 +363,7 @@
 
 // Idle clients make room for others; the only one that is idle has its answer first.
 void answer_comes_before_the_close_that_makes_room() {
-    World world(Effect::kNonIdempotent, 48, nullptr, ms(60'000)); // 24 descriptors: four may have asked
+    World world(Idempotency::kNonIdempotent, 48, nullptr, ms(60'000)); // 24 descriptors: four may have asked
     std::vector<Peer> clients;
     for (int i = 0; i < 5; ++i) {
         clients.push_back(Peer::to(world.address));
@@ -459,7 +459,7 @@
 
 // What was taken is answered, and discovery is where the new configuration says.
 void hangup_in_a_drain_ends_nothing() {
-    World world(Effect::kNonIdempotent);
+    World world(Idempotency::kNonIdempotent);
     Peer client = Peer::to(world.address), idle = Peer::to(world.address);
     client.say(search("a1"));
     Peer server = world.servers[0].accept();
@@ -502,7 +502,7 @@
 // A server reads nothing past the limit of a connection, our word to give up neither: one place stays free
 // for it, and what was given up keeps its own until the server has answered it.
 void what_was_given_up_keeps_its_place_at_its_server() {
-    World world(Effect::kNonIdempotent, 256, nullptr, ms(60'000), 3);
+    World world(Idempotency::kNonIdempotent, 256, nullptr, ms(60'000), 3);
     std::vector<Peer> clients;
     const auto ask = [&](const std::string& id) {
         clients.push_back(Peer::to(world.address));
@@ -530,7 +530,7 @@
 // A server that stands still and reads nothing: once the system takes no more, a frame waits in our ring. Its
 // client goes, and the server reads on: that frame must not come.
 void frame_behind_a_full_connection_does_not_leave_late() {
-    World world(Effect::kNonIdempotent, 256, nullptr, ms(60'000), 1000);
+    World world(Idempotency::kNonIdempotent, 256, nullptr, ms(60'000), 1000);
     world.servers[0].narrow();
     const std::string query(60'000, 'x');
     Peer other = Peer::to(world.address);
