--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -99,7 +99,7 @@
         if (row.has("Availability")) entry.listed = read_listed(row.text("Availability"));
         entry.weight = row.number("Weight", 1);
         // A later start keeps a server cold for longer: the safe side.
-        entry.born = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMost)) : 0;
+        entry.started = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMost)) : 0;
         return entry;
     }
 
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -92,7 +92,7 @@
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, orders_.listen));
     for (const RequestClassConfig& request_class : orders_.terms.opening.request_classes)
-        stuck_after_ = std::max(stuck_after_, request_class.overall_deadline);
+        stuck_after_ = std::max(stuck_after_, request_class.deadline);
     router_ = std::make_unique<routing::Router>(orders_.terms, orders_.known, orders_.discovery,
                                                 descriptors(orders_.sockets), loop_.now());
     if (operator_file_.empty()) return;
--- a/src/protocol/terms.cpp
+++ b/src/protocol/terms.cpp
@@ -95,7 +95,7 @@
         const std::string row = "Grades." + std::to_string(i) + ".";
         RequestClassConfig request_class;
         request_class.latency_target = settled.to_use(row + "AimUs");
-        request_class.overall_deadline = settled.to_use(row + "DeadlineUs");
+        request_class.deadline = settled.to_use(row + "DeadlineUs");
         request_class.dedup_window = settled.to_use(row + "WindowUs");
         request_class.idempotency =
             read_effect(settled.word(row + "Idempotency", "read_like"), row + "Idempotency");
@@ -117,7 +117,7 @@
     terms.has_retry_budget = settled.has("Contract.RatioSpanUs");
     terms.retry_slack = settled.number("Contract.SpareAttempts", 0);
     terms.retry_ratio = settled.number("Contract.FurtherRatio", 0);
-    terms.retry_budget_window = settled.to_wait("Contract.RatioSpanUs");
+    terms.retry_window = settled.to_wait("Contract.RatioSpanUs");
     terms.max_retry_after = settled.to_use("Limits.MaxRetryAfterUs");
     terms.max_attempts = settled.at_least_one("Limits.MostTries", 1);
     terms.connect_timeout = settled.to_use("Limits.ConnectTimeoutUs");
@@ -131,7 +131,7 @@
         settled.word("MembershipMode", "push") == "ask" ? ListMode::kQueried : ListMode::kPushed;
     terms.cells = settled.at_least_one("Specifics.Places", 1);
     terms.span = settled.at_least_one("Specifics.Span", 1);
-    terms.per_call_work = settled.to_use("Specifics.PerCallWorkUs");
+    terms.call_work = settled.to_use("Specifics.PerCallWorkUs");
     return terms;
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -842,7 +842,7 @@
         entry.kind = KindNo{number_of(terms_.kinds, row.kind)};
         entry.cell = cell;
         entry.listed = row.listed, entry.weight = row.weight;
-        entry.born = std::max<Tenths>(0, row.started_ms) * (kTenthsPerSecond / 1000);
+        entry.started = std::max<Tenths>(0, row.started_ms) * (kTenthsPerSecond / 1000);
         news.entries.push_back(entry);
     }
     for (auto& [id, server] : servers_) {
@@ -863,7 +863,7 @@
 // is a connection: what is left of the time is for a call or two that replace it.
 void Router::watch_on() {
     ask_ = DiscoveryCallId{next_ask_++}, ask_sent_ = false;
-    const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation_time) / 2;
+    const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*ask_, discovery_, version_, wait / 10, whole_wanted_});
     at(now_ + wait / 5, AskDue{*ask_, false});
     at(now_ + wait + wait / 5, AskDue{*ask_});
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -1,9 +1,7 @@
-// The one decision module of ivyrill: C3 (replica_selection/c3.hpp) over replicated shards, and what the
-// rules and broken servers ask beside it; docs/design.md tells which is which. brain.hpp is its interface. A
-// caller opens one SearchScheduler an instance, hands it each turn's events by `on`, in order, then calls
-// `decide` once; all actions go to the SchedulerHost. `on` only learns. `decide` works out the wanted state
-// (what should be out, what ends, who is probed, when to wake), and `emit` alone turns its difference to the
-// present one into actions.
+// Search scheduler: C3 (replica_selection/c3.hpp) over replicated shards, extended for the contract's rules
+// and for faulty servers (docs/design.md). `handle` only updates state. `decide` computes the wanted state
+// (attempts, answers, probes, wake-up), and only `emit` turns its difference from the current one into
+// actions.
 #include "search_scheduler.hpp"
 
 #include "base/pcg.hpp"
@@ -21,389 +19,380 @@
 namespace ivyrill {
 namespace {
 
-// Ours. Shares of a due span, unless said otherwise; of the shortest where no request class is in question.
-constexpr double kUnheardShare = 0.1;              // service time where nobody was heard
-constexpr double kFresh = 0.3, kFreshReport = 0.6; // weight in a mean: of an answer, of a report
-constexpr double kDeviations = 4; // an attempt is overdue past the mean and so many mean deviations
-constexpr double kLeastPatience = 0.3, kMostPatience = 0.5; // ... but not before the one or after the other
-constexpr double kSilence = 0.35;   // of silence before a server is doubted, of an answer that comes late
-constexpr int kCostlyParts = 2;     // slow parts, and no quick one, that show a costly search
-constexpr double kFaultLimit = 0.5; // mean of recent failures that sets a server aside
-constexpr int kSilentAttempts = 2;  // ... and attempts unanswered in a row
-constexpr double kProbeGap = 0.15;  // between probes, doubled for each failed trial up to so many times
-constexpr int kMostSetbacks = 3, kPassesNeeded = 2, kTrialEnd = 8; // probes before, trial room at the end
-constexpr double kCalmWait = 0.1, kFullWait = 0.3; // mean forecasts: all calm, admission at its strictest
-constexpr double kLocalScale = 2; // both, times this, for the replicas of one shard: fewer, so more chance
-constexpr double kPatientShare = 0.25, kPayingShare = 0.6; // of the time left: least and best paying search's
-constexpr double kFurtherRatio = 0.2, kFurtherSpare = 5;   // double attempts, where the terms state no budget
-constexpr double kSlowMachine = 1.5, kColdSafety = 2; // mean service times; parts a server works on at once
-constexpr double kFleetAge = 0.1;                     // how long a look at all servers serves
-constexpr double kLostWait = 0.25; // of the time in which news counts as told: between calls for the list
-constexpr double kStorm = 3, kStormSpan = 5; // signs of breaking servers, and how long they take to fade
-constexpr std::size_t kBreaksEnd = 2;        // servers broken under one search that end it
-constexpr double kLossWeight = 0.05, kLossLimit = 0.3; // mean loss at which idle connections are not trusted
-constexpr double kRenewedWeight = 0.2;                 // ... and of an attempt over a new one in theirs
-constexpr double kRest = 0.5, kRenewSpan = 20;         // ... idle for so long; closed before use for so long
-constexpr double kUsualWeight = 0.1, kZoneWeight = 0.1, kKindWeight = 0.03; // of an attempt in their means
-constexpr double kNewsGaps = 4, kGroupLimit = 0.4;  // news stands for; mean trouble that shuns a group
-constexpr double kHasty = 0.6, kAlike = 0.01;       // time left in haste; spread of first tries' time
-constexpr double kWeightSlack = 1e-6, kGulf = 1e12; // the latter lies between classes of standing
+// Fractions of a latency target unless stated otherwise; of the shortest one where no request class is given.
+constexpr double kUnknownServiceTime = 0.1;                  // while no server has answered
+constexpr double kNewWeight = 0.3, kReportWeight = 0.6;      // in a mean: of an answer, of a load report
+constexpr double kDeviations = 4;                            // hedge delay: mean plus these mean deviations,
+constexpr double kMinHedgeDelay = 0.3, kMaxHedgeDelay = 0.5; // ... within these bounds
+constexpr double kSilenceLimit = 0.35;  // silence that makes a server suspect; later answers are late
+constexpr int kCostlySlowParts = 2;     // slow parts, none fast, of a search that is expensive itself
+constexpr double kMaxFailureRate = 0.5; // above it a server is ejected
+constexpr int kMaxSilentAttempts = 2;   // ... as after so many overdue attempts in a row
+constexpr double kProbeInterval = 0.15; // doubled for each failed trial
+constexpr int kMaxDoublings = 3, kTrialProbes = 2, kTrialAttempts = 8; // a trial's passed probes, attempts
+constexpr double kIdleWait = 0.1, kFullWait = 0.3; // mean expected wait without and at full overload
+constexpr double kShardScale = 2; // both, times this, for the replicas of one shard: fewer samples
+constexpr double kMinWaitShare = 0.25, kMaxWaitShare = 0.6; // of the time left: least, most valuable search
+constexpr double kRetryRatio = 0.2, kRetrySlack = 5; // for repeated work, where the contract has no budget
+constexpr double kSlower = 1.5, kConcurrency = 2;    // mean service times; parts a server runs at once
+constexpr double kFleetMeanAge = 0.1;                // caching time of the fleet's mean service time
+constexpr double kQueryWait = 0.25; // between queries for the list: share of its propagation time
+constexpr double kCrashLimit = 3, kCrashDecay = 5; // recent crashes of servers; time constant of their decay
+constexpr std::size_t kMaxCrashes = 2;             // of servers under one search
+constexpr double kLossWeight = 0.05, kLossLimit = 0.3; // mean loss from which idle connections are distrusted
+constexpr double kNewLossWeight = 0.2;                 // ... weight of an attempt over a new connection
+constexpr double kIdle = 0.5, kRenewTime = 20;         // ... idle from then on; closed before use for so long
+constexpr double kFleetWeight = 0.1, kZoneWeight = 0.1, kKindWeight = 0.03; // of an attempt in their means
+constexpr double kRetentionAnswers = 4, kDegradedRate = 0.4; // answer intervals; failure rate of a group
+constexpr double kShortTime = 0.6,
+                 kSameTime = 0.01;                      // time left of a hasty client; spread of first tries
+constexpr double kWeightSlack = 1e-6, kRankStep = 1e12; // rounding error; distance between ranks
 
 using Stand = recovery::Relief::Stand;
 using replica_selection::kWindow;
 
-class ReplicaSelector : public SearchScheduler {
+class C3SearchScheduler : public SearchScheduler {
   public:
-    explicit ReplicaSelector(SchedulerConfig terms) : terms_(std::move(terms)), chance_(terms_.seed) {
-        for (const RequestClassConfig& request_class : terms_.request_classes) {
+    explicit C3SearchScheduler(SchedulerConfig config) : config_(std::move(config)), random_(config_.seed) {
+        for (const RequestClassConfig& request_class : config_.request_classes) {
             request_classes_.push_back({request_class, 0, 0, false, 1, 0, 0});
-            pace_ = std::min(pace_, static_cast<double>(request_class.latency_target));
+            target_ = std::min(target_, static_cast<double>(request_class.latency_target));
         }
-        tenants_.resize(terms_.tenants.size());
-        ask_wanted_ = terms_.list_mode == ListMode::kQueried;
-        if (!terms_.has_retry_budget) {
-            terms_.retry_slack = kFurtherSpare, terms_.retry_ratio = kFurtherRatio;
-            terms_.retry_budget_window = shares(4);
+        tenants_.resize(config_.tenants.size());
+        subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
+        if (!config_.has_retry_budget) {
+            config_.retry_slack = kRetrySlack, config_.retry_ratio = kRetryRatio;
+            config_.retry_window = of_target(4);
         }
     }
 
     void handle(Tenths now, const Event& event) override {
         now_ = now;
-        std::visit([this](auto& what) { hear(what); }, event);
+        std::visit([this](auto& what) { apply(what); }, event);
     }
 
     void decide(Tenths now, SchedulerHost& host) override {
         now_ = now;
-        next_ = kNever;
-        if (ask_wanted_) note(ask_at_);
-        std::erase_if(watched_, [this](auto& kept) { return !review(*kept.second); });
-        review_groups();
-        full_ = pressure(watched_ | std::views::values, 1);
+        wakeup_ = kNever;
+        if (subscribe_wanted_) wake_by(subscribe_at_);
+        std::erase_if(watched_, [this](auto& kept) { return !check_server(*kept.second); });
+        probe_degraded_groups();
+        overload_ = overload(watched_ | std::views::values, 1);
         for (auto& [job, search] : searches_) {
-            if (search.fate != Fate::kOpen) continue;
-            settle(search);
-            if (search.fate == Fate::kOpen) tend(search);
+            if (search.status != Status::kOpen) continue;
+            update_state(search);
+            if (search.status == Status::kOpen) send_attempts(search);
         }
         emit(host);
     }
 
   private:
-    void hear(const SearchAccepted& event) {
+    void apply(const SearchAccepted& event) {
         auto& request_class = request_classes_.at(event.request_class.value);
         Search& search = searches_[event.job];
         search.id = event.id, search.request_class = event.request_class, search.tenant = event.tenant;
-        search.spared = !relief_.admits(event.request_class, event.tenant, chance_);
-        search.utility = request_class.terms.utility;
-        // The due time counts from the first try, a repeat is given what is left of the expiry span. Where
-        // repeats are not marked, their time left differs from most searches'.
-        const Tenths off = std::abs(event.left - request_class.usual_left);
-        const bool alike = off < kAlike * request_class.usual_left;
-        const bool repeat = terms_.retries_marked ? event.repeat : !alike && request_class.votes > 0;
-        request_class.votes += alike ? 1 : -1; // a majority vote
-        if (request_class.votes < 0) request_class.usual_left = event.left, request_class.votes = 1;
-        // Much less time than even a due span is a client in haste, not one that has waited for long.
-        const bool hasty = !terms_.retries_marked && event.left < kHasty * request_class.terms.latency_target;
+        search.shed = !relief_.admits(event.request_class, event.tenant, random_);
+        search.utility = request_class.config.utility;
+        // The latency target counts from the first try; a retry carries the time left of the deadline.
+        // Unmarked retries are recognized by a time left that differs from the usual one (a majority vote).
+        const Tenths difference = std::abs(event.time_left - request_class.usual_time_left);
+        const bool usual = difference < kSameTime * request_class.usual_time_left;
+        const bool retry = config_.retries_marked ? event.is_retry : !usual && request_class.votes > 0;
+        request_class.votes += usual ? 1 : -1;
+        if (request_class.votes < 0) request_class.usual_time_left = event.time_left, request_class.votes = 1;
+        // A time left far below the latency target is a hasty client, not a late retry.
+        const bool hasty =
+            !config_.retries_marked && event.time_left < kShortTime * request_class.config.latency_target;
         const Tenths spent =
-            repeat && !hasty ? std::max<Tenths>(0, request_class.terms.overall_deadline - event.left) : 0;
-        search.due = now_ + request_class.terms.latency_target - spent;
-        search.expiry = now_ + event.left;
-        if (search.due <= now_) search.utility *= request_class.terms.late_utility_ratio;
-        if (!within_share(event.tenant)) search.utility *= terms_.over_quota_utility_ratio;
+            retry && !hasty ? std::max<Tenths>(0, request_class.config.deadline - event.time_left) : 0;
+        search.due = now_ + request_class.config.latency_target - spent;
+        search.expiry = now_ + event.time_left;
+        if (search.due <= now_) search.utility *= request_class.config.late_utility_ratio;
+        if (!within_quota(event.tenant)) search.utility *= config_.over_quota_utility_ratio;
         jobs_[event.id] = event.job;
-        taken_.push_back(now_);
+        arrivals_.push_back(now_);
     }
 
-    void hear(const PartAdded& event) {
-        taken_.push_back(now_);
+    void apply(const PartAdded& event) {
+        arrivals_.push_back(now_);
         const auto found = searches_.find(event.job);
-        if (found == searches_.end() || found->second.fate == Fate::kEnded) return;
+        if (found == searches_.end() || found->second.status == Status::kEnded) return;
         found->second.parts.push_back({event.id, event.shard, event.weight});
-        part_of_[event.id] = {event.job, found->second.parts.size() - 1};
+        part_places_[event.id] = {event.job, found->second.parts.size() - 1};
     }
-
-    void hear(const SearchAbandoned& event) {
-        if (const auto job = jobs_.find(event.id); job != jobs_.end()) end(searches_.at(job->second));
+    void apply(const SearchAbandoned& event) {
+        if (const auto it = jobs_.find(event.id); it != jobs_.end()) end(searches_.at(it->second));
     }
-
-    void hear(const SearchRevoked& event) {
-        if (const auto job = jobs_.find(event.id); job != jobs_.end())
-            searches_.at(job->second).barred = true;
+    void apply(const SearchRevoked& event) {
+        if (const auto it = jobs_.find(event.id); it != jobs_.end()) searches_.at(it->second).revoked = true;
     }
 
-    void hear(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
-    void hear(const SiteRecoveryPlan& told) { relief_.hear(told); }
-    void hear(const ServerListUpdate& news) {
-        if (news.kind == ListKind::kLost) {
-            ask_wanted_ = terms_.list_mode == ListMode::kQueried;
-            // The more calls are lost the longer the wait, but discovery's return must not be slept through.
-            const double wait = std::min(++lost_calls_ * pace_, kLostWait * terms_.list_propagation_time);
-            ask_at_ = now_ + static_cast<Tenths>(wait * (0.5 + chance_.unit() / 2));
+    void apply(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
+    void apply(const SiteRecoveryPlan& plan) { relief_.hear(plan); }
+    void apply(const ServerListUpdate& update) {
+        if (update.kind == ListKind::kLost) {
+            subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
+            // Backs off, but notices in time that discovery has recovered.
+            const double wait = std::min(++failed_queries_ * target_, kQueryWait * config_.list_propagation);
+            subscribe_at_ = now_ + static_cast<Tenths>(wait * (0.5 + random_.unit() / 2));
             return;
         }
-        if (news.kind != ListKind::kSaved) lost_calls_ = 0, ask_wanted_ = false;
-        if (news.kind != ListKind::kChanges)
+        if (update.kind != ListKind::kSaved) failed_queries_ = 0, subscribe_wanted_ = false;
+        if (update.kind != ListKind::kChanges)
             for (auto& [id, server] : servers_) server.entry.listed = ListedState::kGone;
-        for (const ListEntry& entry : news.entries) {
+        for (const ListEntry& entry : update.entries) {
             IndexServer& server = servers_[entry.server];
             if (!server.known || server.entry.cell != entry.cell) replicas_.clear();
             if (!server.known) server.id = entry.server;
-            const bool started = entry.born > server.entry.born && entry.born > server.cold_from;
-            if (started && server.known) sign_of_storm();
+            const bool restart = entry.started > server.entry.started && entry.started > server.started_at;
+            if (restart && server.known) count_crash();
             server.entry = entry, server.known = true;
-            if (started) chill(server, entry.born);
-            if (server.standing == Standing::kAside) watch(server);
+            if (restart) start_warm_up(server, entry.started);
+            if (server.health == Health::kEjected) watch(server);
         }
     }
 
-    void hear(const ProbeEnded& event) {
+    void apply(const ProbeEnded& event) {
         const auto found = servers_.find(event.server);
         if (found == servers_.end()) return;
         IndexServer& server = found->second;
         server.probe_out = false;
-        weigh_group(server, event.passed, event.took);
-        if (event.passed) hear_report(server, event.report);
-        if (server.standing != Standing::kAside) return;
-        server.next_probe = now_ + probe_gap(server.setbacks);
-        server.passes = event.passed && event.took < pace_ * kSilence ? server.passes + 1 : 0;
-        if (server.passes < kPassesNeeded) return;
-        server.standing = Standing::kTrial, server.trial_room = 1;
-        server.faults = 0, server.heard = false, server.silent = 0;
-        server.last_answer = now_; // what it still owes from before is not held against it
-        // Nobody was there and the list has not said why: it may have started anew and counts as cold, after
-        // any end of its process. A connection that only never came up in time was held on the way: a sound
-        // server is not spared a whole warming for it. It hurts where one is back cold long before it is
-        // listed.
-        if (server.gone) chill(server, now_);
-        server.unreachable = server.gone = false;
-    }
-
-    void hear(const AttemptEnded& event) {
-        const auto found = part_of_.find(event.part);
-        if (found == part_of_.end()) return;
+        record_group_result(server, event.passed, event.took);
+        if (event.passed) apply_report(server, event.report);
+        if (server.health != Health::kEjected) return;
+        server.next_probe = now_ + probe_interval(server.setbacks);
+        server.passes = event.passed && event.took < target_ * kSilenceLimit ? server.passes + 1 : 0;
+        if (server.passes < kTrialProbes) return;
+        server.health = Health::kTrial, server.trial_limit = 1;
+        server.failure_rate = 0, server.measured = false, server.silent = 0;
+        server.last_answer = now_; // attempts from before the trial do not count as silent
+        // A server that refused connections may have restarted and counts as cold; one that only timed out
+        // was delayed by the network. Known weakness: a server that is back, cold, long before it is listed.
+        if (server.refused) start_warm_up(server, now_);
+        server.unreachable = server.refused = false;
+    }
+
+    void apply(const AttemptEnded& event) {
+        const auto found = part_places_.find(event.part);
+        if (found == part_places_.end()) return;
         Search& search = searches_.at(found->second.first);
         Part& part = search.parts[found->second.second];
         if (event.attempt.value >= part.attempts.size()) return;
         Attempt& attempt = part.attempts[event.attempt.value];
-        if (attempt.stage != Stage::kOut) return;
-        attempt.stage = Stage::kOver;
+        if (attempt.state != AttemptState::kInFlight) return;
+        attempt.state = AttemptState::kEnded;
         attempt.may_have_run = event.outcome != Outcome::kRejected && !unconnected(event.outcome) &&
                                event.outcome != Outcome::kNotSent;
         if (event.outcome == Outcome::kAnswered) {
-            part.in = true;
-            search.quick =
-                search.quick || event.took <= patience(request_classes_[search.request_class.value]);
+            part.answered = true;
+            search.has_fast_part = search.has_fast_part ||
+                                   event.took <= hedge_delay(request_classes_[search.request_class.value]);
         }
-        // Turned away by one replica it goes to another at once, but attempts are not spent on a full set.
-        if (!attempt.may_have_run) part.not_before = now_ + shares(kProbeGap * event.attempt.value);
-        suspect(search, attempt, event.outcome);
+        // After a rejection another replica is tried at once, later attempts are delayed: all may be full.
+        if (!attempt.may_have_run) part.not_before = now_ + of_target(kProbeInterval * event.attempt.value);
+        detect_crashing_search(search, attempt, event.outcome);
         if (const auto at = servers_.find(attempt.server); at != servers_.end()) {
-            const auto sending = at->second.sent_at.find({part.id, event.attempt});
+            const auto sent = at->second.sent_at.find({part.id, event.attempt});
             const bool refused = unconnected(event.outcome);
-            const bool lost = sending->second.missed && event.outcome != Outcome::kAnswered;
+            const bool lost = sent->second.overdue && event.outcome != Outcome::kAnswered;
             if (refused || lost || event.outcome == Outcome::kAnswered)
-                weigh_rest(sending->second, lost, refused);
-            at->second.sent_at.erase(sending);
+                record_connection_result(sent->second, lost, refused);
+            at->second.sent_at.erase(sent);
             at->second.used = now_;
-            learn(at->second, request_classes_[search.request_class.value], event);
+            record_result(at->second, request_classes_[search.request_class.value], event);
         }
-        if (search.fate == Fate::kEnded) forget(found->second.first);
+        if (search.status == Status::kEnded) forget(found->second.first);
     }
-
-    static bool unconnected(Outcome end) {
-        return end == Outcome::kConnectTimeout || end == Outcome::kConnectionRefused;
+    static bool unconnected(Outcome outcome) {
+        return outcome == Outcome::kConnectTimeout || outcome == Outcome::kConnectionRefused;
     }
 
-    void learn(IndexServer& server, RequestClassView& request_class, const AttemptEnded& event) {
-        const double due = request_class.terms.latency_target;
+    void record_result(IndexServer& server, RequestClassState& request_class, const AttemptEnded& event) {
+        const double due = request_class.config.latency_target;
         const bool good = event.outcome == Outcome::kAnswered;
         if (event.outcome == Outcome::kNotSent) return;
-        // A connection that breaks takes all its attempts along: one failure, and no word of its server.
-        if (event.outcome == Outcome::kConnectionLost && std::exchange(server.broke_at, now_) == now_) return;
+        // A lost connection ends all its attempts: they count as one failure.
+        if (event.outcome == Outcome::kConnectionLost && std::exchange(server.lost_at, now_) == now_) return;
         if (event.outcome != Outcome::kCancelled && event.outcome != Outcome::kTimedOut)
-            weigh_group(server, good, event.took);
+            record_group_result(server, good, event.took);
         if (event.outcome == Outcome::kCancelled) {
-            if (server.heard && event.took > server.response) mix(server.response, event.took, kFresh);
+            if (server.measured && event.took > server.response) mix(server.response, event.took, kNewWeight);
             return;
         }
-        // Quick errors look like speed: a failure counts as an answer that took the whole due span.
+        // Fast errors must not look like a fast server: a failure counts as an answer at the latency target.
         double took = good ? static_cast<double>(event.took) : due;
         if (good) {
             if (server.last_answer > 0)
-                mix(news_gap_, static_cast<double>(now_ - server.last_answer), kUsualWeight);
+                mix(answer_interval_, static_cast<double>(now_ - server.last_answer), kFleetWeight);
             server.last_answer = now_, server.silent = 0;
-            server.sending.answered(now_);
-            server.sending.adapt(now_, server.out(), backlogged(server));
-            if (!request_class.heard) request_class.response = took;
-            const double odd =
+            server.limiter.answered(now_);
+            server.limiter.adapt(now_, server.in_flight(), backlogged(server));
+            if (!request_class.measured) request_class.response = took;
+            const double outlier =
                 request_class.response + 2 * kDeviations * std::max(request_class.deviation, due * 0.02);
-            took = std::min(took, request_class.heard ? odd : took);
-            if (request_class.heard)
-                mix(request_class.deviation, std::abs(took - request_class.response), kFresh);
-            mix(request_class.response, took, kFresh);
-            request_class.heard = true;
+            took = std::min(took, request_class.measured ? outlier : took);
+            if (request_class.measured)
+                mix(request_class.deviation, std::abs(took - request_class.response), kNewWeight);
+            mix(request_class.response, took, kNewWeight);
+            request_class.measured = true;
         }
         const double queue = event.report.queued.value_or(event.report.in_flight.value_or(0));
         const double service = took / (1 + queue);
-        if (good) mix_usual(queue, took);
-        if (!server.heard) { server.response = took, server.service = service, server.queue = queue; }
-        mix(server.response, took, kFresh);
-        if (good) mix(server.service, service, kFresh);
-        hear_report(server, event.report);
-        server.heard = server.heard || good;
-        mix(server.faults, good ? 0 : 1, kFresh);
-        if (good && server.standing == Standing::kTrial && ++server.trial_room >= kTrialEnd)
-            server.standing = Standing::kIn, server.setbacks = 0;
-        // A full server is sound, so it is not set aside, but nothing more is sent there for a latency
-        // target, or for as long as it takes to hear of a server again, doubled each time; forecasts know it.
-        // Where servers work on at what is given up, parts sent to full ones keep them full for nobody: among
-        // many front nodes each forgot sooner than it came by again. It hurts where one burst filled it.
-        if (good) server.turned_away = 0, server.full_until = 0;
+        if (good) update_fleet_means(queue, took);
+        if (!server.measured) { server.response = took, server.service = service, server.queue = queue; }
+        mix(server.response, took, kNewWeight);
+        if (good) mix(server.service, service, kNewWeight);
+        apply_report(server, event.report);
+        server.measured = server.measured || good;
+        mix(server.failure_rate, good ? 0 : 1, kNewWeight);
+        if (good && server.health == Health::kTrial && ++server.trial_limit >= kTrialAttempts)
+            server.health = Health::kInService, server.setbacks = 0;
+        // A full server is healthy, so it is not ejected, but gets nothing for a latency target or the usual
+        // interval between its answers, doubled each time. Parts sent to it would keep it busy with abandoned
+        // work, and each of many front nodes would retry too early. Known weakness: a burst fills one.
+        if (good) server.rejections = 0, server.backoff_until = 0;
         if (event.outcome == Outcome::kRejected) {
-            const double rest =
-                std::max(pace_, news_gap_) * (1 << std::min(server.turned_away++, kMostSetbacks));
-            server.full_until = now_ + static_cast<Tenths>(rest * (0.75 + 0.5 * chance_.unit()));
+            const double backoff =
+                std::max(target_, answer_interval_) * (1 << std::min(server.rejections++, kMaxDoublings));
+            server.backoff_until = now_ + static_cast<Tenths>(backoff * (0.75 + 0.5 * random_.unit()));
             return;
         }
         const bool refused = unconnected(event.outcome);
-        if (refused && !server.unreachable) sign_of_storm();
+        if (refused && !server.unreachable) count_crash();
         server.unreachable = server.unreachable || refused;
-        server.gone = server.gone || event.outcome == Outcome::kConnectionRefused;
-        if (!good && (refused || server.standing == Standing::kTrial || server.faults > kFaultLimit))
-            set_aside(server);
+        server.refused = server.refused || event.outcome == Outcome::kConnectionRefused;
+        if (!good && (refused || server.health == Health::kTrial || server.failure_rate > kMaxFailureRate))
+            eject(server);
     }
 
-    // Searches that break every server they reach: while servers break or start anew one after another, each
-    // search sends a single part until one is answered; one that breaks two servers, or one with its part out
-    // alone, is ended. Acts on deploys and lost zones too, for the time of one more answer.
-    void sign_of_storm() { storm_ = storm() + 1, storm_at_ = now_; }
-    double storm() const { return storm_ * std::exp(-(now_ - storm_at_) / (kStormSpan * pace_)); }
+    // Guards against searches that crash every server. While servers crash or restart in quick succession,
+    // each search sends one part until one is answered; it is ended if it crashes two servers, or one with a
+    // single part in flight. Deploys and lost zones trigger this too, at the cost of one more round trip.
+    void count_crash() { crash_count_ = crashes() + 1, crash_count_at_ = now_; }
+    double crashes() const {
+        return crash_count_ * std::exp(-(now_ - crash_count_at_) / (kCrashDecay * target_));
+    }
 
-    void suspect(Search& search, const Attempt& attempt, Outcome outcome) {
-        if (outcome == Outcome::kAnswered) search.proven = true;
-        if (outcome != Outcome::kConnectionLost || search.proven) return;
-        search.broken.insert(attempt.server);
-        search.breaker = search.broken.size() >= kBreaksEnd || (attempt.alone && storm() >= kStorm);
+    void detect_crashing_search(Search& search, const Attempt& attempt, Outcome outcome) {
+        if (outcome == Outcome::kAnswered) search.has_answer = true;
+        if (outcome != Outcome::kConnectionLost || search.has_answer) return;
+        search.crashed.insert(attempt.server);
+        search.crashing = search.crashed.size() >= kMaxCrashes || (attempt.alone && crashes() >= kCrashLimit);
     }
 
-    void hear_report(IndexServer& server, const LoadReport& report) {
+    void apply_report(IndexServer& server, const LoadReport& report) {
         watch(server);
         if (!report.queued && !report.in_flight) return;
-        mix(server.queue, report.queued.value_or(report.in_flight.value_or(0)), kFreshReport);
-        server.out_at_report = server.out();
+        mix(server.queue, report.queued.value_or(report.in_flight.value_or(0)), kReportWeight);
+        server.in_flight_at_report = server.in_flight();
     }
 
-    // Connections dropped unseen: attempts over long idle ones get no answer, others do. Idle ones are then
-    // closed before use for a while, unless new ones fail as well. Among many front nodes nearly every
-    // connection has long been idle, so it takes a mean over more than two slow parts in a row.
-    void weigh_rest(const Sending& sending, bool lost, bool refused) {
-        if (sending.renewed) mix(renewed_loss_, refused || lost ? 1 : 0, kRenewedWeight);
+    // Detects idle connections that the network has dropped silently: attempts over them get no answer,
+    // others do. They are then closed before use for a while, unless new ones fail as well. With many front
+    // nodes nearly every connection is idle, so two slow parts in a row must not be enough.
+    void record_connection_result(const SentAttempt& sent, bool lost, bool refused) {
+        if (sent.is_new) mix(new_loss_, refused || lost ? 1 : 0, kNewLossWeight);
         if (refused) return;
-        mix(sending.rested ? rested_loss_ : busy_loss_, lost ? 1 : 0, kLossWeight);
-        if (!lost || !sending.rested || rested_loss_ < kLossLimit || rested_loss_ < 2 * busy_loss_) return;
-        if (now_ >= renew_until_) renewed_loss_ = 0;
-        renew_until_ = now_ + shares(kRenewSpan);
+        mix(sent.was_idle ? idle_loss_ : busy_loss_, lost ? 1 : 0, kLossWeight);
+        if (!lost || !sent.was_idle || idle_loss_ < kLossLimit || idle_loss_ < 2 * busy_loss_) return;
+        if (now_ >= renew_until_) new_loss_ = 0;
+        renew_until_ = now_ + of_target(kRenewTime);
     }
 
-    // Few attempts tell of one server, many of its zone and kind of machine. Servers of a group whose
-    // attempts fail (in a zone also: come late) while another is sound come last, by a score worse by the
-    // square: zones cut off, lost, slow or full and releases gone bad on one kind. A zone blames no kind.
-    void weigh_group(const IndexServer& server, bool sound, double took) {
-        const bool late = took >= pace_ * kSilence;
+    // Servers of a zone or machine kind whose attempts fail (for a zone also: are late), while another group
+    // is healthy, rank last, their score divided by the squared success rate: zones partitioned, lost, slow
+    // or full, bad releases on one kind. Failures in a degraded zone do not count against the kind.
+    void record_group_result(const IndexServer& server, bool success, double took) {
+        const bool late = took >= target_ * kSilenceLimit;
         const Group zone = server.groups()[0], kind = server.groups()[1];
-        groups_[zone].weigh(!sound || late, sound ? took : pace_, kZoneWeight);
-        if (!in_trouble(zone)) groups_[kind].weigh(!sound, sound ? took : pace_, kKindWeight);
+        groups_[zone].record(!success || late, success ? took : target_, kZoneWeight);
+        if (!degraded(zone)) groups_[kind].record(!success, success ? took : target_, kKindWeight);
     }
-
-    double trouble(Group group) const {
+    double failure_rate(Group group) const {
         const auto found = groups_.find(group);
-        return found == groups_.end() ? 0 : std::min(found->second.trouble, 0.99);
+        return found == groups_.end() ? 0 : std::min(found->second.failure_rate, 0.99);
     }
 
-    bool in_trouble(Group group) const {
-        const double here = trouble(group);
-        return here >= kGroupLimit && std::ranges::any_of(groups_, [&](auto& other) {
-                   return other.first.first == group.first && other.second.trouble < here / 2;
+    bool degraded(Group group) const {
+        const double here = failure_rate(group);
+        return here >= kDegradedRate && std::ranges::any_of(groups_, [&](auto& other) {
+                   return other.first.first == group.first && other.second.failure_rate < here / 2;
                });
     }
-
-    bool unshown(const IndexServer& server) const { return now_ > server.last_answer + shares(1); }
-
-    bool in_trouble(const IndexServer& server) const {
-        return unshown(server) &&
-               std::ranges::any_of(server.groups(), [&](auto& g) { return in_trouble(g); });
+    bool stale(const IndexServer& server) const { return now_ > server.last_answer + of_target(1); }
+    bool degraded(const IndexServer& server) const {
+        return stale(server) && std::ranges::any_of(server.groups(), [&](auto& g) { return degraded(g); });
     }
 
-    void review_groups() {
-        if (!terms_.may_probe) return;
+    void probe_degraded_groups() {
+        if (!config_.may_probe) return;
         for (auto& [group, view] : groups_) {
-            if (!in_trouble(group)) continue;
-            note(view.next_probe);
+            if (!degraded(group)) continue;
+            wake_by(view.next_probe);
             if (now_ < view.next_probe) continue;
-            IndexServer* scout = nullptr;
+            IndexServer* target = nullptr;
             int seen = 0;
             for (auto& [id, server] : servers_)
                 if (std::ranges::count(server.groups(), group) > 0 && !server.probe_out &&
-                    server.entry.listed == ListedState::kLive && chance_.unit() < 1.0 / ++seen)
-                    scout = &server;
-            view.next_probe = now_ + probe_gap(0);
-            if (scout != nullptr) scout->probe_wanted = true, watch(*scout);
+                    server.entry.listed == ListedState::kLive && random_.unit() < 1.0 / ++seen)
+                    target = &server;
+            view.next_probe = now_ + probe_interval(0);
+            if (target != nullptr) target->probe_wanted = true, watch(*target);
         }
     }
-
-    Tenths silence(const IndexServer& server) const {
-        return static_cast<Tenths>(std::clamp(2 * response_mean(server), pace_ * kSilence, pace_));
+    Tenths silence_limit(const IndexServer& server) const {
+        return static_cast<Tenths>(std::clamp(2 * response_mean(server), target_ * kSilenceLimit, target_));
     }
 
-    void set_aside(IndexServer& server) {
-        if (server.standing == Standing::kAside) return;
-        const int failed_trial = server.standing == Standing::kTrial ? 1 : 0;
-        server.setbacks = std::min(server.setbacks + failed_trial, kMostSetbacks);
-        server.standing = Standing::kAside, server.passes = server.silent = 0, watch(server);
-        server.next_probe = now_ + probe_gap(server.setbacks);
+    void eject(IndexServer& server) {
+        if (server.health == Health::kEjected) return;
+        const int failed_trial = server.health == Health::kTrial ? 1 : 0;
+        server.setbacks = std::min(server.setbacks + failed_trial, kMaxDoublings);
+        server.health = Health::kEjected, server.passes = server.silent = 0, watch(server);
+        server.next_probe = now_ + probe_interval(server.setbacks);
     }
 
-    Tenths probe_gap(int setbacks) {
-        const double news = std::max(pace_, news_gap_); // by the due span, 300 that probe are a load
-        return static_cast<Tenths>(news * kProbeGap * (1 << setbacks) * (0.75 + 0.5 * chance_.unit()));
+    // At least the interval between answers: 300 front nodes probing each latency target would be a load.
+    Tenths probe_interval(int setbacks) {
+        const double base = std::max(target_, answer_interval_);
+        return static_cast<Tenths>(base * kProbeInterval * (1 << setbacks) * (0.75 + 0.5 * random_.unit()));
     }
-
     bool backlogged(const IndexServer& server) const {
         return std::ranges::any_of(
-            backlog_, [&](auto& s) { return s.second > 0 && terms_.holds(server.entry.cell, s.first); });
+            backlog_, [&](auto& s) { return s.second > 0 && config_.holds(server.entry.cell, s.first); });
     }
-
-    double service_of(const IndexServer& server) const {
-        return server.heard ? std::max(server.service, 1.0) : usual_service();
+    double service_time(const IndexServer& server) const {
+        return server.measured ? std::max(server.service, 1.0) : mean_service();
     }
 
-    // One look at all servers serves for a while: a turn costs what it touches, not what the fleet counts.
-    double usual_service() const {
-        if (now_ < fleet_until_) return fleet_service_;
-        double sum = 0, heard = 0;
+    // Cached for a while, so that the cost of a turn does not grow with the fleet.
+    double mean_service() const {
+        if (now_ < fleet_service_until_) return fleet_service_;
+        double sum = 0, count = 0;
         for (const auto& [id, server] : servers_)
-            if (server.heard && !is_cold(server)) sum += server.service, ++heard;
-        fleet_until_ = now_ + (heard > 0 ? shares(kFleetAge) : 1);
-        return fleet_service_ = heard > 0 ? std::max(sum / heard, 1.0) : pace_ * kUnheardShare;
+            if (server.measured && !is_cold(server)) sum += server.service, ++count;
+        fleet_service_until_ = now_ + (count > 0 ? of_target(kFleetMeanAge) : 1);
+        return fleet_service_ = count > 0 ? std::max(sum / count, 1.0) : target_ * kUnknownServiceTime;
     }
 
     const std::vector<IndexServer*>& replicas(ShardNo shard) {
         const auto [place, fresh] = replicas_.try_emplace(shard);
         if (fresh)
             for (auto& [id, server] : servers_)
-                if (terms_.holds(server.entry.cell, shard)) place->second.push_back(&server);
-        for (IndexServer* server : place->second) drain(*server);
+                if (config_.holds(server.entry.cell, shard)) place->second.push_back(&server);
+        for (IndexServer* server : place->second) decay_means(*server);
         return place->second;
     }
 
-    // Servers that were lately sent to or heard, or are set aside: a turn looks at these alone.
-    void watch(IndexServer& server) { watched_[server.id] = &server, server.touched = now_; }
+    // A turn checks only servers with recent traffic and ejected ones.
+    void watch(IndexServer& server) { watched_[server.id] = &server, server.watched_at = now_; }
 
-    double queue_of(const IndexServer& s) const { return s.heard ? s.queue : usual(usual_queue_); }
+    double queue_of(const IndexServer& s) const { return s.measured ? s.queue : faded(fleet_queue_); }
     double response_mean(const IndexServer& s) const {
-        return s.heard ? s.response : std::max(usual(usual_response_), service_of(s));
+        return s.measured ? s.response : std::max(faded(fleet_response_), service_time(s));
     }
 
-    // C3 expects feedback all the time; where it is scarce, silence counts as a response of its length.
+    // C3 expects steady feedback. Where it is sparse, silence counts as a response of that length.
     double response_of(const IndexServer& server) const {
         const double known = response_mean(server);
         const Tenths oldest = server.oldest();
@@ -411,459 +400,456 @@
         return std::max(known, static_cast<double>(now_ - std::max(oldest, server.last_answer)));
     }
 
-    // Without answers, what was high drains and what was low is forgotten, towards the fleet's usual.
-    void drain(IndexServer& server) {
-        server.sending.roll(now_);
-        const double passed = static_cast<double>(now_ - server.drained);
-        server.drained = now_;
-        if (server.out() > 0 || passed <= 0 || !server.heard) return;
-        const double service = service_of(server), span = memory();
-        const double forgotten = 1 - std::exp(-passed / span), pass = passed * pace_ / span;
-        relax(server.queue, usual(usual_queue_), pass / service, forgotten);
-        relax(server.response, std::max(service, usual(usual_response_)), pass, forgotten);
+    // Without answers, high means fall at the rate of service and low ones decay, towards the fleet's means.
+    void decay_means(IndexServer& server) {
+        server.limiter.roll(now_);
+        const double passed = static_cast<double>(now_ - server.decayed_at);
+        server.decayed_at = now_;
+        if (server.in_flight() > 0 || passed <= 0 || !server.measured) return;
+        const double service = service_time(server), span = retention();
+        const double forgotten = 1 - std::exp(-passed / span), pass = passed * target_ / span;
+        decay(server.queue, faded(fleet_queue_), pass / service, forgotten);
+        decay(server.response, std::max(service, faded(fleet_response_)), pass, forgotten);
     }
 
-    // Fades without news, lest all searches are rejected for ever for what once was.
-    double usual(double mean) const { return mean * std::exp(-(now_ - usual_at_) / pace_); }
-
-    void mix_usual(double queue, double took) {
-        usual_queue_ = usual(usual_queue_), usual_response_ = usual(usual_response_), usual_at_ = now_;
-        mix(usual_queue_, queue, kUsualWeight), mix(usual_response_, took, kUsualWeight);
+    // Decays without answers, so that searches are not rejected forever because of an old overload.
+    double faded(double mean) const { return mean * std::exp(-(now_ - fleet_means_at_) / target_); }
+    void update_fleet_means(double queue, double took) {
+        fleet_queue_ = faded(fleet_queue_), fleet_response_ = faded(fleet_response_), fleet_means_at_ = now_;
+        mix(fleet_queue_, queue, kFleetWeight), mix(fleet_response_, took, kFleetWeight);
     }
 
     double score(const IndexServer& server) const {
-        const double service = service_of(server);
-        // A sibling in the same call spares the work of a call of its own, and no other front node sends it.
-        const double joined =
-            terms_.per_call_work > 0 ? service / (service + terms_.per_call_work) : front_nodes_;
-        const double before = (server.out() - server.joining) * front_nodes_;
+        const double service = service_time(server);
+        // An attempt in the same call saves the work of a separate one, and no other front node sends it.
+        const double joined = config_.call_work > 0 ? service / (service + config_.call_work) : front_nodes_;
+        const double before = (server.in_flight() - server.joining) * front_nodes_;
         const double waiting = 1 + before + server.joining * joined + queue_of(server);
         return replica_selection::score(response_of(server), service, waiting);
     }
 
-    bool review(IndexServer& server) {
-        drain(server);
+    bool check_server(IndexServer& server) {
+        decay_means(server);
         server.joining = 0;
-        // One attempt may be lost on its way, so it takes two to set a server aside; after one it comes last.
-        if (now_ >= server.silent_at + shares(2)) server.silent = 0;
-        for (auto& [attempt, sending] : server.sent_at) {
-            if (sending.at < server.last_answer) continue;
-            const Tenths limit = sending.at + silence(server);
-            note(limit);
-            if (now_ < limit || sending.missed) continue;
-            sending.missed = true, ++server.silent, server.silent_at = now_;
-            weigh_group(server, false, 0);
+        // The network may lose one attempt, so ejection takes two; after one the server only ranks lower.
+        if (now_ >= server.silent_at + of_target(2)) server.silent = 0;
+        for (auto& [attempt, sent] : server.sent_at) {
+            if (sent.at < server.last_answer) continue;
+            const Tenths limit = sent.at + silence_limit(server);
+            wake_by(limit);
+            if (now_ < limit || sent.overdue) continue;
+            sent.overdue = true, ++server.silent, server.silent_at = now_;
+            record_group_result(server, false, 0);
         }
-        if (server.silent >= (server.standing == Standing::kTrial ? 1 : kSilentAttempts)) set_aside(server);
-        if (server.standing != Standing::kAside || server.entry.listed != ListedState::kLive)
-            return server.out() > 0 || now_ < server.touched + shares(2);
-        server.probe_wanted = terms_.may_probe && !server.probe_out && now_ >= server.next_probe;
-        note(server.next_probe);
+        if (server.silent >= (server.health == Health::kTrial ? 1 : kMaxSilentAttempts)) eject(server);
+        if (server.health != Health::kEjected || server.entry.listed != ListedState::kLive)
+            return server.in_flight() > 0 || now_ < server.watched_at + of_target(2);
+        server.probe_wanted = config_.may_probe && !server.probe_out && now_ >= server.next_probe;
+        wake_by(server.next_probe);
         return true;
     }
 
-    // Rule 4: attempts to a server that started lately are spaced so that all front nodes together stay
-    // within its budget (limits/cold_rule.hpp); its full power is what warm servers do.
-    Tenths cold_moment(const IndexServer& server, double attempts) const {
-        const Tenths age = now_ - server.cold_from; // what it takes now is the longer for its being cold
-        const double slow = std::max(service_of(server) * cold_.share(age), kSlowMachine * usual_service());
-        const double nodes = std::max<double>(front_nodes_, terms_.front_nodes); // fewer seen may be a cut
-        return now_ + cold_.gap(age, cold_.full(kColdSafety, slow), nodes, attempts);
+    // Rule 4: attempts to a recently started server are spaced so that all front nodes together stay within
+    // its budget (limits/slow_start.hpp). Its full capacity is estimated from warm servers.
+    Tenths cold_attempt_time(const IndexServer& server, double attempts) const {
+        const Tenths age = now_ - server.started_at; // its service time is longer while it is cold
+        const double slow = std::max(service_time(server) * slow_start_.share(age), kSlower * mean_service());
+        const double nodes = std::max<double>(front_nodes_, config_.front_nodes); // fewer may be a partition
+        return now_ + slow_start_.gap(age, slow_start_.full(kConcurrency, slow), nodes, attempts);
     }
 
-    // All hear of a start at about the same time, so each draws its own moment of the first gap.
-    void chill(IndexServer& server, Tenths from) {
-        server.cold_from = from, server.cold_next = cold_moment(server, chance_.unit());
+    // All front nodes learn of a start at about the same time, so each picks a random point of the first gap.
+    void start_warm_up(IndexServer& server, Tenths from) {
+        server.started_at = from, server.cold_next = cold_attempt_time(server, random_.unit());
     }
-
     bool is_cold(const IndexServer& server) const {
-        return server.cold_from > 0 && now_ < server.cold_from + terms_.warm_up_time;
+        return server.started_at > 0 && now_ < server.started_at + config_.warm_up_time;
     }
 
-    // Rules 3 and 4 for every attempt.
+    // Rules 3 and 4.
     bool may_serve(const IndexServer& server) {
         const bool room = !is_cold(server) || now_ >= server.cold_next;
-        if (!room) note(server.cold_next);
+        if (!room) wake_by(server.cold_next);
         return room && server.entry.listed == ListedState::kLive;
     }
 
-    // The lowest score among the replicas in good standing and under their limit, else the least bad.
-    IndexServer* choose(Part& part, const RequestClassView& request_class, bool sound_only) {
+    // The healthy replica with the lowest score and room under its limit, else the best of the others.
+    IndexServer* choose_replica(Part& part, const RequestClassState& request_class, bool healthy_only) {
         IndexServer* best = nullptr;
         double best_rank = 0;
         int ties = 0;
         bool limited = false;
-        const bool once = request_class.terms.idempotency == Idempotency::kNonIdempotent;
+        const bool once = request_class.config.idempotency == Idempotency::kNonIdempotent;
         for (IndexServer* server : replicas(part.shard)) {
-            const bool open = is_open(*server), bad = in_trouble(*server);
+            const bool open = admits(*server), bad = degraded(*server);
             const auto used =
                 std::ranges::count_if(part.attempts, [&](auto& l) { return l.server == server->id; });
-            const auto stand = relief_.stand(server->entry.zone, once, chance_);
-            if (!may_serve(*server) || (!open && !may_try(*server)) || stand == Stand::kShut) continue;
-            if (now_ < server->full_until) {
-                note(server->full_until);
+            const auto stand = relief_.stand(server->entry.zone, once, random_);
+            if (!may_serve(*server) || (!open && !may_test(*server)) || stand == Stand::kShut) continue;
+            if (now_ < server->backoff_until) {
+                wake_by(server->backoff_until);
                 continue;
             }
-            if (sound_only && (!open || used > 0 || bad || stand != Stand::kOpen)) continue;
-            limited = limited || !server->sending.has_room(now_);
-            if (!server->sending.has_room(now_)) continue;
-            double rank = score(*server), below = 0.5 * static_cast<double>(used);
-            if (!open) below += server->unreachable ? 3 : 2;
-            if (once && server->standing == Standing::kTrial) ++below;
-            if (server->silent > 0) below += 0.25;
-            if (stand == Stand::kBehind) below += 1.2;
+            if (healthy_only && (!open || used > 0 || bad || stand != Stand::kOpen)) continue;
+            limited = limited || !server->limiter.has_room(now_);
+            if (!server->limiter.has_room(now_)) continue;
+            double rank = score(*server), penalty = 0.5 * static_cast<double>(used);
+            if (!open) penalty += server->unreachable ? 3 : 2;
+            if (once && server->health == Health::kTrial) ++penalty;
+            if (server->silent > 0) penalty += 0.25;
+            if (stand == Stand::kBehind) penalty += 1.2;
             if (bad) {
                 double sound = 1;
-                for (const Group& group : server->groups()) sound *= 1 - trouble(group);
-                rank /= sound * sound, below += 1.5;
+                for (const Group& group : server->groups()) sound *= 1 - failure_rate(group);
+                rank /= sound * sound, penalty += 1.5;
             }
-            rank += kGulf * below;
-            // Front nodes with the same reports must not all pick the same server: chance breaks a tie.
+            rank += kRankStep * penalty;
+            // Ties are broken at random: front nodes with the same reports must not all pick the same server.
             if (best == nullptr || rank < best_rank)
                 best = server, best_rank = rank, ties = 1;
-            else if (rank == best_rank && chance_.unit() < 1.0 / ++ties)
+            else if (rank == best_rank && random_.unit() < 1.0 / ++ties)
                 best = server;
         }
-        if (best == nullptr && limited && !part.held) ++backlog_[part.shard];
-        part.held = best == nullptr && limited;
+        if (best == nullptr && limited && !part.backlogged) ++backlog_[part.shard];
+        part.backlogged = best == nullptr && limited;
         return best;
     }
 
-    bool within_share(TenantNo tenant) {
+    bool within_quota(TenantNo tenant) {
         if (tenant.value < 0 || static_cast<std::size_t>(tenant.value) >= tenants_.size()) return true;
-        TenantView& view = tenants_[tenant.value];
-        const double rate = terms_.tenants[tenant.value].quota_per_s / terms_.front_nodes;
-        view.room = std::min(rate * 2, view.room + rate * (now_ - view.filled) / kTenthsPerSecond);
-        view.filled = now_;
-        return view.room >= 1 ? (view.room -= 1, true) : false;
+        TenantState& view = tenants_[tenant.value];
+        const double rate = config_.tenants[tenant.value].quota_per_s / config_.front_nodes;
+        view.tokens = std::min(rate * 2, view.tokens + rate * (now_ - view.filled_at) / kTenthsPerSecond);
+        view.filled_at = now_;
+        return view.tokens >= 1 ? (view.tokens -= 1, true) : false;
     }
 
-    Tenths margin() const { return 4 * terms_.decision_interval; }
-    Tenths patience(const RequestClassView& request_class) const {
-        const double due = static_cast<double>(request_class.terms.latency_target);
+    Tenths margin() const { return 4 * config_.decision_interval; }
+    Tenths hedge_delay(const RequestClassState& request_class) const {
+        const double due = static_cast<double>(request_class.config.latency_target);
         const double usual =
-            request_class.heard ? request_class.response + kDeviations * request_class.deviation : due;
-        return static_cast<Tenths>(std::clamp(usual, due * kLeastPatience, due * kMostPatience));
+            request_class.measured ? request_class.response + kDeviations * request_class.deviation : due;
+        return static_cast<Tenths>(std::clamp(usual, due * kMinHedgeDelay, due * kMaxHedgeDelay));
     }
 
-    // Ends what is complete, out of time, or beyond hope; the final answer then goes out at once.
-    void settle(Search& search) {
-        const RequestClassView& request_class = request_classes_[search.request_class.value];
-        double in = 0, may_be = 0; // weight
+    // Ends a search that is complete, out of time, or can no longer succeed.
+    void update_state(Search& search) {
+        const RequestClassState& request_class = request_classes_[search.request_class.value];
+        double answered = 0, possible = 0; // weight
         bool all = search.parts.size() > search.step_begin;
-        bool hopeless = false, out = false, lacks = false, waits = false;
+        bool hopeless = false, in_flight = false, omits = false, waits = false;
         for (std::size_t i = search.step_begin; i < search.parts.size(); ++i) {
             Part& part = search.parts[i];
-            if (part.in) in += part.weight;
-            all = all && part.in;
-            part.slow = part.slow || (!part.in && dawdles(part, request_class));
-            out = out || (!part.in && part.out());
-            const bool done = search.barred || !may_go_again(part, request_class);
-            const bool missing = !part.in && !part.out(), without = missing && does_without(part);
-            hopeless = hopeless || (missing && done && !without);
-            lacks = lacks || without, waits = waits || (missing && !done && !without);
-            if (!without) may_be += part.weight;
+            if (part.answered) answered += part.weight;
+            all = all && part.answered;
+            part.slow = part.slow || (!part.answered && is_slow(part, request_class));
+            in_flight = in_flight || (!part.answered && part.in_flight());
+            const bool exhausted = search.revoked || !may_attempt(part, request_class);
+            const bool missing = !part.answered && !part.in_flight(), omitted = missing && is_omitted(part);
+            hopeless = hopeless || (missing && exhausted && !omitted);
+            omits = omits || omitted, waits = waits || (missing && !exhausted && !omitted);
+            if (!omitted) possible += part.weight;
         }
-        const double need = search.step == 1 ? request_class.terms.need : 1;
-        if (all || (need < 1 && in + kWeightSlack >= need))
-            return void(search.fate = search.whole ? Fate::kWhole : Fate::kPartial);
-        const bool partial = request_class.terms.floor < request_class.terms.need;
-        if (lacks && may_be + kWeightSlack < request_class.terms.floor) return give_up(search);
-        const bool enough = partial && in + kWeightSlack >= request_class.terms.floor;
+        const double need = search.step == 1 ? request_class.config.need : 1;
+        if (all || (need < 1 && answered + kWeightSlack >= need))
+            return void(search.status = search.complete ? Status::kComplete : Status::kPartial);
+        const bool partial = request_class.config.floor < request_class.config.need;
+        if (omits && possible + kWeightSlack < request_class.config.floor) return reject_or_fail(search);
+        const bool enough = partial && answered + kWeightSlack >= request_class.config.floor;
         const bool over = now_ >= search.expiry - margin(), late = now_ >= search.due - margin();
-        const bool no_more = !out && (lacks ? !waits : hopeless);
-        if (enough && (over || late || no_more)) return void(search.fate = Fate::kPartial);
-        const bool pointless =
-            late && request_class.terms.late_utility_ratio <= full_; // it costs others more
-        if (over || pointless || (hopeless && !(partial && out))) give_up(search);
-        note(late ? search.expiry - margin() : std::min(search.due, search.expiry) - margin());
+        const bool no_more = !in_flight && (omits ? !waits : hopeless);
+        if (enough && (over || late || no_more)) return void(search.status = Status::kPartial);
+        const bool pointless = late && request_class.config.late_utility_ratio <= overload_; // costs others
+        if (over || pointless || (hopeless && !(partial && in_flight))) reject_or_fail(search);
+        wake_by(late ? search.expiry - margin() : std::min(search.due, search.expiry) - margin());
     }
 
-    void give_up(Search& search) {
-        const RequestClassView& request_class = request_classes_[search.request_class.value];
+    void reject_or_fail(Search& search) {
+        const RequestClassState& request_class = request_classes_[search.request_class.value];
         const bool ran = std::ranges::any_of(search.parts, &Part::may_have_run);
-        const bool harmless = !search.breaker && // to come again would break more
-                              (request_class.terms.idempotency != Idempotency::kNonIdempotent || !ran);
-        search.fate = harmless ? Fate::kRejected : Fate::kFailed;
-        const double wait = std::min(pace_ * kSilence, static_cast<double>(terms_.max_retry_after));
+        const bool harmless = !search.crashing && // a retry would crash more
+                              (request_class.config.idempotency != Idempotency::kNonIdempotent || !ran);
+        search.status = harmless ? Status::kRejected : Status::kFailed;
+        const double wait = std::min(target_ * kSilenceLimit, static_cast<double>(config_.max_retry_after));
         const auto usual =
-            static_cast<Tenths>(wait * (0.5 + (terms_.may_send_retry_after ? chance_.unit() : 0) / 2));
-        search.retry_after = terms_.may_send_retry_after ? relief_.retry_after(usual, chance_) : 0;
+            static_cast<Tenths>(wait * (0.5 + (config_.may_send_retry_after ? random_.unit() : 0) / 2));
+        search.retry_after = config_.may_send_retry_after ? relief_.retry_after(usual, random_) : 0;
     }
+    bool is_omitted(const Part& part) const { return part.left_out || relief_.gone(part.shard); }
 
-    bool does_without(const Part& part) const { return part.left_out || relief_.gone(part.shard); }
-
-    // Rule 2 and the attempt limit: whether a part without an answer may be attempted at all.
-    bool may_go_again(const Part& part, const RequestClassView& request_class) const {
-        if (static_cast<int>(part.attempts.size()) >= terms_.max_attempts) return false;
-        if (part.attempts.empty() || request_class.terms.idempotency == Idempotency::kIdempotent) return true;
+    // Rule 2 and the limit on attempts, for a part without an answer.
+    bool may_attempt(const Part& part, const RequestClassState& request_class) const {
+        if (static_cast<int>(part.attempts.size()) >= config_.max_attempts) return false;
+        if (part.attempts.empty() || request_class.config.idempotency == Idempotency::kIdempotent)
+            return true;
         if (!part.may_have_run()) return true;
-        return request_class.terms.idempotency != Idempotency::kNonIdempotent &&
-               now_ < repeats_until(part, request_class);
+        return request_class.config.idempotency != Idempotency::kNonIdempotent &&
+               now_ < dedup_deadline(part, request_class);
     }
 
-    // The window in which repeats are dropped counts from the first attempt that may have run.
-    Tenths repeats_until(const Part& part, const RequestClassView& request_class) const {
-        if (request_class.terms.idempotency != Idempotency::kIdempotencyKey) return kNever;
+    // Servers' deduplication window counts from the first attempt that may have run.
+    Tenths dedup_deadline(const Part& part, const RequestClassState& request_class) const {
+        if (request_class.config.idempotency != Idempotency::kIdempotencyKey) return kNever;
         Tenths first = kNever;
         for (const Attempt& attempt : part.attempts)
-            if (attempt.may_have_run && attempt.stage != Stage::kPlanned)
+            if (attempt.may_have_run && attempt.state != AttemptState::kPlanned)
                 first = std::min(first, attempt.sent);
-        return first == kNever ? kNever : first + request_class.terms.dedup_window - margin();
+        return first == kNever ? kNever : first + request_class.config.dedup_window - margin();
     }
 
-    // Rule 6, and our own bound where the terms state none: further attempts must not feed a storm.
-    bool budget_left() {
-        while (!taken_.empty() && taken_.front() <= now_ - terms_.retry_budget_window) taken_.pop_front();
-        while (!further_.empty() && further_.front() <= now_ - terms_.retry_budget_window - 1)
-            further_.pop_front();
-        const double share = terms_.retry_ratio * (1 - full_);
-        return further_.size() + 1 <= (terms_.retry_slack + share * taken_.size()) * relief_.further();
+    // Rule 6, or the default budget: retries must not amplify an overload.
+    bool retry_budget_left() {
+        while (!arrivals_.empty() && arrivals_.front() <= now_ - config_.retry_window) arrivals_.pop_front();
+        while (!retries_.empty() && retries_.front() <= now_ - config_.retry_window - 1) retries_.pop_front();
+        const double share = config_.retry_ratio * (1 - overload_);
+        return retries_.size() + 1 <= (config_.retry_slack + share * arrivals_.size()) * relief_.further();
     }
 
-    // How long a part would take at the replica that promises most, the sound ones first.
-    double forecast(const Part& part) {
+    // Expected time of a part at its best replica, preferring healthy ones.
+    double best_time(const Part& part) {
         double sound = static_cast<double>(kNever), any = sound;
         const int ahead = backlog_[part.shard];
         for (IndexServer* server : replicas(part.shard)) {
             if (!may_serve(*server) || relief_.shut(server->entry.zone)) continue;
-            if (is_open(*server) && !in_trouble(*server))
-                sound = std::min(sound, forecast_of(*server, ahead));
-            if (may_try(*server)) any = std::min(any, forecast_of(*server, ahead));
+            if (admits(*server) && !degraded(*server)) sound = std::min(sound, expected_time(*server, ahead));
+            if (may_test(*server)) any = std::min(any, expected_time(*server, ahead));
         }
         return sound < static_cast<double>(kNever) ? sound : any;
     }
 
-    // How overloaded some servers are, from 0 to 1: one slow server is none, long queues all round are.
-    template <class Servers> double pressure(const Servers& servers, double scale) const {
+    // Overload from 0 to 1, by the mean expected wait: one slow server is none, long queues everywhere are.
+    template <class Servers> double overload(const Servers& servers, double scale) const {
         double sum = 0, counted = 0;
         for (const IndexServer* server : servers)
-            if (server->entry.listed == ListedState::kLive && server->standing == Standing::kIn)
-                sum += std::min(forecast_of(*server), pace_), ++counted;
-        const double wait = sum / std::max(counted, 1.0) / pace_;
-        return std::clamp((wait - kCalmWait * scale) / (kFullWait - kCalmWait) / scale, 0.0, 1.0);
+            if (server->entry.listed == ListedState::kLive && server->health == Health::kInService)
+                sum += std::min(expected_time(*server), target_), ++counted;
+        const double wait = sum / std::max(counted, 1.0) / target_;
+        return std::clamp((wait - kIdleWait * scale) / (kFullWait - kIdleWait) / scale, 0.0, 1.0);
     }
 
-    static bool is_open(const IndexServer& server) {
-        return server.standing == Standing::kIn ||
-               (server.standing == Standing::kTrial && server.out() < server.trial_room);
+    static bool admits(const IndexServer& server) {
+        return server.health == Health::kInService ||
+               (server.health == Health::kTrial && server.in_flight() < server.trial_limit);
     }
 
-    // The least bad gets work, but one that nobody reaches only one attempt at a time, to learn from.
-    static bool may_try(const IndexServer& server) { return !server.unreachable || server.out() == 0; }
+    // An unreachable server gets one attempt at a time, to find out when it is back.
+    static bool may_test(const IndexServer& server) { return !server.unreachable || server.in_flight() == 0; }
 
-    double forecast_of(const IndexServer& server, int ahead = 0) const {
-        const double waiting = ahead + queue_of(server) + std::max(0, server.out() - server.out_at_report);
-        const Group home = server.groups()[0];
-        const double zone = unshown(server) && in_trouble(home) ? groups_.at(home).response : 0;
-        const double full = static_cast<double>(std::max<Tenths>(0, server.full_until - now_));
-        return full + std::max({zone, response_of(server), service_of(server) * (1 + waiting)});
+    double expected_time(const IndexServer& server, int ahead = 0) const {
+        const double waiting =
+            ahead + queue_of(server) + std::max(0, server.in_flight() - server.in_flight_at_report);
+        const Group zone_group = server.groups()[0];
+        const double zone = stale(server) && degraded(zone_group) ? groups_.at(zone_group).response : 0;
+        const double full = static_cast<double>(std::max<Tenths>(0, server.backoff_until - now_));
+        return full + std::max({zone, response_of(server), service_time(server) * (1 + waiting)});
     }
 
-    // Pushes back, before any work, what would not make it. The less a search pays for its work, the less of
-    // its time it may wait; the fuller the fleet, the less it is let in for an answer in part.
+    // Rejects, before any work, a search that would be late. The lower its utility for its work, the less of
+    // its time it may wait; the higher the overload, the less a possible partial answer counts.
     bool admit(Search& search) {
-        RequestClassView& request_class = request_classes_[search.request_class.value];
-        mix(request_class.parts, static_cast<double>(search.parts.size()), kFresh);
+        RequestClassState& request_class = request_classes_[search.request_class.value];
+        mix(request_class.parts, static_cast<double>(search.parts.size()), kNewWeight);
         double best = 0;
-        for (const RequestClassView& other : request_classes_)
-            best = std::max(best, other.terms.utility / other.parts);
-        const double paying = std::sqrt(std::min(1.0, search.utility / search.parts.size() / best));
-        const int steps = request_class.terms.follow_up_parts > 0 ? 2 : 1;
+        for (const RequestClassState& other : request_classes_)
+            best = std::max(best, other.config.utility / other.parts);
+        const double value = std::sqrt(std::min(1.0, search.utility / search.parts.size() / best));
+        const int steps = request_class.config.follow_up_parts > 0 ? 2 : 1;
         const Tenths left = (search.due > now_ ? search.due : search.expiry) - now_;
-        const double strict = kPatientShare + (kPayingShare - kPatientShare) * paying;
-        // Where an answer in part will do, the parts' mean wait decides, else that of each.
-        const bool whole = request_class.terms.floor >= request_class.terms.need;
-        double missing = 0, asked = 0;
+        const double wait_share = kMinWaitShare + (kMaxWaitShare - kMinWaitShare) * value;
+        // Where a partial answer is allowed, the parts' mean wait decides, else that of each part.
+        const bool whole = request_class.config.floor >= request_class.config.need;
+        double missing = 0, wait_ratio = 0;
         for (Part& part : search.parts) {
-            if (does_without(part)) continue; // settle() looks whether the rest will do
-            const double full = std::max(full_, pressure(replicas(part.shard), kLocalScale));
-            const double wait = forecast(part) * steps, room = left * (1 - full * (1 - strict));
+            if (is_omitted(part)) continue; // update_state() checks the rest
+            const double full = std::max(overload_, overload(replicas(part.shard), kShardScale));
+            const double wait = best_time(part) * steps, room = left * (1 - full * (1 - wait_share));
             if (wait > (whole ? room : left)) missing += part.weight;
-            asked += part.weight * std::min(1.5, wait / room);
+            wait_ratio += part.weight * std::min(1.5, wait / room);
         }
-        if (!whole && asked > 1) return false;
-        missing -= (1 - std::min(request_class.terms.floor, request_class.terms.need)) * (1 - full_);
+        if (!whole && wait_ratio > 1) return false;
+        missing -= (1 - std::min(request_class.config.floor, request_class.config.need)) * (1 - overload_);
         return missing <= kWeightSlack;
     }
 
-    void tend(Search& search) {
-        RequestClassView& request_class = request_classes_[search.request_class.value];
-        if (search.parts.empty() || search.barred) return;
-        const bool begun =
-            std::ranges::any_of(search.parts, [](auto& part) { return !part.attempts.empty(); });
-        if (!begun) relief_.leave_out(search, request_class.terms.floor, search.tenant);
-        if (!begun && (search.spared || !admit(search))) return give_up(search); // asked anew in the backlog
-        if (search.breaker) return give_up(search);
-        const bool singly = !search.proven && storm() >= kStorm;
-        const bool out = search.out();
-        Part* first = nullptr; // of those to attempt, the one that promises most
+    void send_attempts(Search& search) {
+        RequestClassState& request_class = request_classes_[search.request_class.value];
+        if (search.parts.empty() || search.revoked) return;
+        const bool begun = std::ranges::any_of(search.parts, [](auto& p) { return !p.attempts.empty(); });
+        if (!begun) relief_.leave_out(search, request_class.config.floor, search.tenant);
+        if (!begun && (search.shed || !admit(search))) return reject_or_fail(search); // also while backlogged
+        if (search.crashing) return reject_or_fail(search);
+        const bool singly = !search.has_answer && crashes() >= kCrashLimit;
+        const bool in_flight = search.in_flight();
+        Part* first = nullptr; // the one with the least expected time
         double least = 0;
         for (std::size_t i = search.step_begin; i < search.parts.size(); ++i) {
             Part& part = search.parts[i];
-            if (part.in || (!part.out() && does_without(part))) continue;
-            if (part.out())
-                hurry(search, part, request_class);
+            if (part.answered || (!part.in_flight() && is_omitted(part))) continue;
+            if (part.in_flight())
+                hedge_or_move(search, part, request_class);
             else if (!singly)
-                attempt(part, request_class);
-            else if (const double wait = out ? 0 : forecast(part); !out && (first == nullptr || wait < least))
+                start_attempt(part, request_class);
+            else if (const double wait = in_flight ? 0 : best_time(part);
+                     !in_flight && (first == nullptr || wait < least))
                 first = &part, least = wait;
         }
-        if (first != nullptr && attempt(*first, request_class)) first->attempts.back().alone = true;
+        if (first != nullptr && start_attempt(*first, request_class)) first->attempts.back().alone = true;
     }
 
-    bool dawdles(const Part& part, const RequestClassView& request_class) const {
+    bool is_slow(const Part& part, const RequestClassState& request_class) const {
         return std::ranges::any_of(part.attempts, [&](auto& attempt) {
             const IndexServer& server = servers_.at(attempt.server);
-            return attempt.stage == Stage::kOut && now_ >= attempt.sent + patience(request_class) &&
-                   server.standing == Standing::kIn && server.silent == 0;
+            return attempt.state == AttemptState::kInFlight &&
+                   now_ >= attempt.sent + hedge_delay(request_class) && server.health == Health::kInService &&
+                   server.silent == 0;
         });
     }
 
-    // An overdue attempt gets company where copies are allowed, else it is called off to go elsewhere.
-    void hurry(Search& search, Part& part, RequestClassView& request_class) {
-        if (request_class.terms.idempotency == Idempotency::kNonIdempotent) return;
+    // Hedges an overdue attempt where that is allowed, else cancels it to retry at another replica.
+    void hedge_or_move(Search& search, Part& part, RequestClassState& request_class) {
+        if (request_class.config.idempotency == Idempotency::kNonIdempotent) return;
         Attempt* last = nullptr;
-        int copies = 0, alive = 0; // out, and those at servers that answer
+        int copies = 0, alive = 0; // in flight; those at servers that answer
         for (Attempt& attempt : part.attempts) {
-            if (attempt.stage == Stage::kOver) continue;
+            if (attempt.state == AttemptState::kEnded) continue;
             last = &attempt, ++copies, alive += servers_[attempt.server].silent == 0 ? 1 : 0;
         }
-        const bool aside = servers_[last->server].standing == Standing::kAside;
-        const Tenths overdue = last->sent + patience(request_class);
-        if (!aside && now_ < overdue) return note(overdue);
-        if (copies > 1 && alive > 0) return note(overdue + shares(kLeastPatience));
-        if (now_ >= search.due || !budget_left() || !may_go_again(part, request_class)) return;
-        // The search is slow, not its servers: to attempt its parts again would only double the work.
-        const bool costly = !search.quick && std::ranges::count_if(search.parts, &Part::slow) >= kCostlyParts;
-        if (!aside && costly) return note(last->sent + 2 * patience(request_class));
-        // Long overdue: even a replica in bad standing beats waiting for one that says nothing.
-        const bool sound_only = now_ < last->sent + 2 * patience(request_class);
-        if (sound_only) note(last->sent + 2 * patience(request_class));
-        IndexServer* other = choose(part, request_class, sound_only);
-        if (other != nullptr && terms_.hedging_enabled) place(part, *other);
-        if (other != nullptr && !terms_.hedging_enabled && terms_.may_cancel) last->wanted = false;
-    }
-
-    bool attempt(Part& part, const RequestClassView& request_class) {
-        if (now_ < part.not_before) return note(part.not_before), false;
-        if (!may_go_again(part, request_class) || (counts(part) && !budget_left()))
-            return note(now_ + kWindow), false;
-        IndexServer* server = choose(part, request_class, false);
-        return server == nullptr ? (note((now_ / kWindow + 1) * kWindow), false)
-                                 : (place(part, *server), true);
-    }
-
-    // Our own bound is on double work; a stated budget counts every further attempt.
-    bool counts(const Part& part) const {
-        return terms_.has_retry_budget ? !part.attempts.empty() : part.may_have_run();
-    }
-
-    void place(Part& part, IndexServer& server) {
-        if (counts(part)) further_.push_back(now_);
-        part.attempts.push_back({server.id, Stage::kPlanned, true, false, true, false, now_});
-        const bool idle = server.used > 0 && server.out() == 0 && now_ > server.used + shares(kRest);
-        const bool trusted = now_ >= renew_until_ || renewed_loss_ >= kLossLimit;
+        const bool ejected = servers_[last->server].health == Health::kEjected;
+        const Tenths overdue = last->sent + hedge_delay(request_class);
+        if (!ejected && now_ < overdue) return wake_by(overdue);
+        if (copies > 1 && alive > 0) return wake_by(overdue + of_target(kMinHedgeDelay));
+        if (now_ >= search.due || !retry_budget_left() || !may_attempt(part, request_class)) return;
+        // The search itself is slow, not its servers: repeating its parts would only double the work.
+        const bool costly =
+            !search.has_fast_part && std::ranges::count_if(search.parts, &Part::slow) >= kCostlySlowParts;
+        if (!ejected && costly) return wake_by(last->sent + 2 * hedge_delay(request_class));
+        // Once it is long overdue, an unhealthy replica is better than a silent one.
+        const bool healthy_only = now_ < last->sent + 2 * hedge_delay(request_class);
+        if (healthy_only) wake_by(last->sent + 2 * hedge_delay(request_class));
+        IndexServer* other = choose_replica(part, request_class, healthy_only);
+        if (other != nullptr && config_.hedging_enabled) plan_attempt(part, *other);
+        if (other != nullptr && !config_.hedging_enabled && config_.may_cancel) last->wanted = false;
+    }
+
+    bool start_attempt(Part& part, const RequestClassState& request_class) {
+        if (now_ < part.not_before) return wake_by(part.not_before), false;
+        if (!may_attempt(part, request_class) || (uses_retry_budget(part) && !retry_budget_left()))
+            return wake_by(now_ + kWindow), false;
+        IndexServer* server = choose_replica(part, request_class, false);
+        return server == nullptr ? (wake_by((now_ / kWindow + 1) * kWindow), false)
+                                 : (plan_attempt(part, *server), true);
+    }
+
+    // The default budget counts repeated work, a configured one every further attempt.
+    bool uses_retry_budget(const Part& part) const {
+        return config_.has_retry_budget ? !part.attempts.empty() : part.may_have_run();
+    }
+
+    void plan_attempt(Part& part, IndexServer& server) {
+        if (uses_retry_budget(part)) retries_.push_back(now_);
+        part.attempts.push_back({server.id, AttemptState::kPlanned, true, false, true, false, now_});
+        const bool idle = server.used > 0 && server.in_flight() == 0 && now_ > server.used + of_target(kIdle);
+        const bool trusted = now_ >= renew_until_ || new_loss_ >= kLossLimit;
         server.renew = server.renew || (idle && !trusted);
         const AttemptNo number{static_cast<std::uint32_t>(part.attempts.size() - 1)};
         server.sent_at[{part.id, number}] = {now_, idle && !server.renew, false, server.renew};
-        server.used = now_, server.sending.sent(now_), ++server.joining;
+        server.used = now_, server.limiter.sent(now_), ++server.joining;
         watch(server);
-        if (is_cold(server)) server.cold_next = cold_moment(server, 0.5 + chance_.unit());
+        if (is_cold(server)) server.cold_next = cold_attempt_time(server, 0.5 + random_.unit());
     }
 
-    // How long what was heard of a server stands: a due span, or as long as it takes to hear of it again.
-    double memory() const { return std::max(pace_, kNewsGaps * news_gap_); }
-    Tenths shares(double of_pace) const { return static_cast<Tenths>(pace_ * of_pace); }
-    void note(Tenths at) { next_ = std::min(next_, std::max(at, now_ + terms_.decision_interval)); }
+    // How long a server's means stay valid: a latency target, or several intervals between its answers.
+    double retention() const { return std::max(target_, kRetentionAnswers * answer_interval_); }
+    Tenths of_target(double share) const { return static_cast<Tenths>(target_ * share); }
+    void wake_by(Tenths at) { wakeup_ = std::min(wakeup_, std::max(at, now_ + config_.decision_interval)); }
 
     void emit(SchedulerHost& host) {
-        if (ask_wanted_ && now_ >= ask_at_) host.subscribe(), ask_wanted_ = false;
+        if (subscribe_wanted_ && now_ >= subscribe_at_) host.subscribe(), subscribe_wanted_ = false;
         backlog_.clear();
         for (auto next = searches_.begin(); next != searches_.end();) {
             auto& [job, search] = *next++;
-            const bool answered = search.fate == Fate::kWhole || search.fate == Fate::kPartial;
-            const int steps = request_classes_[search.request_class.value].terms.follow_up_parts > 0 ? 2 : 1;
-            search.whole = search.fate == Fate::kWhole || (search.whole && !answered);
-            if (answered) host.answer(search.id, search.whole);
-            if (search.fate == Fate::kRejected) host.reject(search.id, search.retry_after);
-            if (search.fate == Fate::kFailed) host.fail(search.id);
+            const bool answered = search.status == Status::kComplete || search.status == Status::kPartial;
+            const int steps = request_classes_[search.request_class.value].config.follow_up_parts > 0 ? 2 : 1;
+            search.complete = search.status == Status::kComplete || (search.complete && !answered);
+            if (answered) host.answer(search.id, search.complete);
+            if (search.status == Status::kRejected) host.reject(search.id, search.retry_after);
+            if (search.status == Status::kFailed) host.fail(search.id);
             if (answered && search.step < steps)
-                ++search.step, search.step_begin = search.parts.size(), search.fate = Fate::kOpen;
-            else if (search.fate != Fate::kOpen && search.fate != Fate::kEnded)
+                ++search.step, search.step_begin = search.parts.size(), search.status = Status::kOpen;
+            else if (search.status != Status::kOpen && search.status != Status::kEnded)
                 end(search);
             for (Part& part : search.parts) {
                 for (std::size_t i = 0; i < part.attempts.size(); ++i) {
                     Attempt& attempt = part.attempts[i];
-                    const bool wanted = attempt.wanted && !part.in && search.fate == Fate::kOpen;
-                    if (attempt.stage == Stage::kPlanned) {
+                    const bool wanted = attempt.wanted && !part.answered && search.status == Status::kOpen;
+                    if (attempt.state == AttemptState::kPlanned) {
                         IndexServer& server = servers_.at(attempt.server);
                         if (server.renew) host.close_idle_connections(attempt.server), server.renew = false;
-                        const Tenths by = repeats_until(part, request_classes_[search.request_class.value]);
+                        const Tenths by = dedup_deadline(part, request_classes_[search.request_class.value]);
                         host.attempt(part.id, attempt.server, search.expiry - now_,
                                      std::min(search.expiry, by) - now_);
-                        attempt.stage = Stage::kOut;
-                    } else if (attempt.stage == Stage::kOut && !wanted && !attempt.recalled &&
-                               terms_.may_cancel) {
+                        attempt.state = AttemptState::kInFlight;
+                    } else if (attempt.state == AttemptState::kInFlight && !wanted && !attempt.cancelled &&
+                               config_.may_cancel) {
                         host.cancel_attempt(part.id, AttemptNo{static_cast<std::uint32_t>(i)}),
-                            attempt.recalled = true;
+                            attempt.cancelled = true;
                     }
                 }
-                if (part.held && search.fate == Fate::kOpen) ++backlog_[part.shard];
+                if (part.backlogged && search.status == Status::kOpen) ++backlog_[part.shard];
             }
-            if (search.fate == Fate::kEnded) forget(job);
+            if (search.status == Status::kEnded) forget(job);
         }
         for (auto& [id, server] : watched_) {
             if (!server->probe_wanted) continue;
             host.probe(id);
             server->probe_wanted = false, server->probe_out = true;
         }
-        if (next_ != kNever && (alarm_ <= now_ || next_ < alarm_))
-            host.schedule_wakeup(next_ - now_), alarm_ = next_;
+        if (wakeup_ != kNever && (armed_ <= now_ || wakeup_ < armed_))
+            host.schedule_wakeup(wakeup_ - now_), armed_ = wakeup_;
     }
 
-    void end(Search& search) { search.fate = Fate::kEnded, jobs_.erase(search.id); }
+    void end(Search& search) { search.status = Status::kEnded, jobs_.erase(search.id); }
 
-    // An ended search is kept until its last attempt has returned: that still teaches about its server.
+    // An ended search is kept until its last attempt has ended: its outcome updates its server.
     void forget(JobNo job) {
         const Search& search = searches_.at(job);
-        if (search.out()) return;
-        for (const Part& part : search.parts) part_of_.erase(part.id);
+        if (search.in_flight()) return;
+        for (const Part& part : search.parts) part_places_.erase(part.id);
         searches_.erase(job);
     }
 
-    SchedulerConfig terms_;
-    Pcg chance_;
-    limits::SlowStart cold_{terms_.warm_up_time, terms_.cold_capacity_ratio, terms_.overload_window,
-                            terms_.overload_factor};
-    recovery::Relief relief_;                              // while sites are lost
-    double front_nodes_ = terms_.front_nodes, pace_ = 1e9; // as seen; the shortest due span, a while here
-    double full_ = 0;                                      // the pressure at the start of this decision
-    Tenths now_ = 0, next_ = kNever, alarm_ = 0;
-    std::vector<RequestClassView> request_classes_;
-    std::vector<TenantView> tenants_;
-    std::map<JobNo, Search> searches_; // in the order they were taken
+    SchedulerConfig config_;
+    Pcg random_;
+    limits::SlowStart slow_start_{config_.warm_up_time, config_.cold_capacity_ratio, config_.overload_window,
+                                  config_.overload_factor};
+    recovery::Relief relief_;
+    double front_nodes_ = config_.front_nodes, target_ = 1e9; // target_: the shortest latency target
+    double overload_ = 0;                                     // at the start of this decision
+    Tenths now_ = 0, wakeup_ = kNever, armed_ = 0;            // armed_: the wake-up last scheduled
+    std::vector<RequestClassState> request_classes_;
+    std::vector<TenantState> tenants_;
+    std::map<JobNo, Search> searches_; // in order of arrival
     std::map<SearchId, JobNo> jobs_;
-    std::map<PartId, std::pair<JobNo, std::size_t>> part_of_;
+    std::map<PartId, std::pair<JobNo, std::size_t>> part_places_;
     std::map<ServerId, IndexServer> servers_;
-    std::map<Group, GroupView> groups_;
+    std::map<Group, GroupStats> groups_;
     std::map<ServerId, IndexServer*> watched_;
-    std::map<ShardNo, std::vector<IndexServer*>> replicas_; // by shard, in the order of their ids
-    mutable Tenths fleet_until_ = 0;                        // the mean service time stands until then
-    mutable double fleet_service_ = 0;
-    double usual_queue_ = 0, usual_response_ = 0, news_gap_ = 0; // means over all; between a server's answers
-    std::map<ShardNo, int> backlog_; // parts that wait for a replica of their shard under its limit
-    double rested_loss_ = 0, busy_loss_ = 0, renewed_loss_ = 0; // no answer over idle, other, new connections
-    double storm_ = 0; // servers that broke or started anew of late, fading, at:
-    Tenths usual_at_ = 0, storm_at_ = 0, renew_until_ = 0, ask_at_ = 0;
-    std::deque<Tenths> taken_, further_;
-    bool ask_wanted_ = false; // a subscription to the list
-    int lost_calls_ = 0;
+    std::map<ShardNo, std::vector<IndexServer*>> replicas_;             // by shard, in order of their ids
+    mutable Tenths fleet_service_until_ = 0;                            // expiry of the cached value below
+    mutable double fleet_service_ = 0;                                  // mean service time
+    double fleet_queue_ = 0, fleet_response_ = 0, answer_interval_ = 0; // means over all servers
+    std::map<ShardNo, int> backlog_; // parts that wait for room under a replica's sending limit
+    double idle_loss_ = 0, busy_loss_ = 0, new_loss_ = 0; // unanswered over idle, other, new connections
+    double crash_count_ = 0;                              // decaying, as of crash_count_at_
+    Tenths fleet_means_at_ = 0, crash_count_at_ = 0, renew_until_ = 0, subscribe_at_ = 0;
+    std::deque<Tenths> arrivals_, retries_;
+    bool subscribe_wanted_ = false; // to the server list
+    int failed_queries_ = 0;        // in a row
 };
 
 } // namespace
 
-std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig terms) {
-    return std::make_unique<ReplicaSelector>(std::move(terms));
+std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig config) {
+    return std::make_unique<C3SearchScheduler>(std::move(config));
 }
 } // namespace ivyrill
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -1,6 +1,6 @@
-// The interface of the decision module: typed events in, actions to an abstract host. No decision is made
-// here. A caller applies the events of one turn with `on`, in their order, then calls `decide` once; all
-// actions of that turn are made inside `decide`. The clock is the one handed in, and it never goes back.
+// Interface of the search scheduler: typed events in, actions on an abstract host out. A caller passes the
+// events of one turn to `handle` in order, then calls `decide` once; `decide` performs all actions of that
+// turn. The caller supplies the clock, which must never go back.
 #pragma once
 #include "base/ids.hpp"
 #include "base/time.hpp"
@@ -17,51 +17,50 @@
 enum class ListMode { kPushed, kQueried };
 
 struct RequestClassConfig {
-    Tenths latency_target = 0;   // an answer within this earns the full utility
-    Tenths overall_deadline = 0; // how long the client waits in all, over all its tries
-    Tenths dedup_window = 0;
+    Tenths latency_target = 0; // an answer within this earns the full utility
+    Tenths deadline = 0;       // how long the client waits in total, including retries
+    Tenths dedup_window = 0;   // in which servers drop a repeated idempotency key
     Idempotency idempotency = Idempotency::kIdempotent;
     double utility = 1;
-    double late_utility_ratio = 0;
-    double floor = 1;        // least weight that may be answered from
-    double need = 1;         // weight that makes a whole answer
-    int follow_up_parts = 0; // parts of the second step, 0 for none
+    double late_utility_ratio = 0; // share of the utility that a late answer earns
+    double floor = 1;              // minimum weight of a partial answer
+    double need = 1;               // weight of a complete answer
+    int follow_up_parts = 0;       // parts of the second step, 0: there is no second step
 };
 
 struct TenantConfig {
     double quota_per_s = 0; // over all front nodes
 };
 
-// What an instance is told when it starts.
 struct SchedulerConfig {
     std::uint64_t seed = 0;
     std::vector<RequestClassConfig> request_classes;
     std::vector<TenantConfig> tenants;
     int front_nodes = 1;
-    Tenths decision_interval = 0;
-    Tenths warm_up_time = 0;
-    double cold_capacity_ratio = 1;
-    Tenths overload_window = 0;
-    double overload_factor = 1;
+    Tenths decision_interval = 0;   // minimum time between two decisions
+    Tenths warm_up_time = 0;        // until a started server has its full capacity
+    double cold_capacity_ratio = 1; // capacity at its start
+    Tenths overload_window = 0;     // in which a cold server's load is limited
+    double overload_factor = 1;     // limit of that load, as a multiple of its capacity
     bool has_retry_budget = false;
-    double retry_slack = 0;
-    double retry_ratio = 0;
-    Tenths retry_budget_window = 0;
+    double retry_slack = 0; // retries beyond the ratio, in one window
+    double retry_ratio = 0; // retries to requests, in one window
+    Tenths retry_window = 0;
     Tenths max_retry_after = 0;
-    int max_attempts = 1;
-    Tenths connect_timeout = 0; // a connection not made by then never comes
+    int max_attempts = 1;       // of one part
+    Tenths connect_timeout = 0; // a connection not established by then never is
     bool may_cancel = false;
     bool may_probe = false;
     bool may_send_retry_after = false;
     bool hedging_enabled = false;
-    bool retries_marked = false;
+    bool retries_marked = false; // clients mark their retries
     double over_quota_utility_ratio = 1;
     ListMode list_mode = ListMode::kPushed;
-    Tenths list_propagation_time =
-        6 * kTenthsPerSecond; // the protocol's: a change counts as told so long after it came
-    int cells = 1;            // shard s is held by cells (s + j) mod this, j from 0 to span - 1
+    // From the protocol: a change of the server list counts as known to all this long after it was published.
+    Tenths list_propagation = 6 * kTenthsPerSecond;
+    int cells = 1; // shard s is held by cells (s + j) mod this, j from 0 to span - 1
     int span = 1;
-    Tenths per_call_work = 0; // what a call costs a server beside its parts
+    Tenths call_work = 0; // server time of a call in addition to its parts
     bool holds(CellNo cell, ShardNo shard) const {
         return (cell.value - shard.value % cells + cells) % cells < span;
     }
@@ -75,24 +74,24 @@
 enum class Outcome {
     kAnswered,
     kError,
-    kRejected,
+    kRejected, // by a full server, before it ran
     kTimedOut,
-    kConnectTimeout,    // none came up in time
-    kConnectionRefused, // nobody takes connections there
+    kConnectTimeout,
+    kConnectionRefused,
     kConnectionLost,
     kCancelled,
     kNotSent
 };
 enum class ListedState { kLive, kDraining, kGone };
-enum class ListKind { kChanges, kWhole, kSaved, kLost };
+enum class ListKind { kChanges, kWhole, kSaved, kLost }; // kSaved: from the last run; kLost: the query failed
 
 struct SearchAccepted {
     SearchId id;
     JobNo job;
     RequestClassNo request_class;
     TenantNo tenant;
-    Tenths left = 0; // until this try's expiry
-    bool repeat = false;
+    Tenths time_left = 0; // until this try expires
+    bool is_retry = false;
 };
 struct PartAdded {
     PartId id;
@@ -114,11 +113,11 @@
     Tenths took = 0;
     LoadReport report;
 };
-struct SearchAbandoned {
+struct SearchAbandoned { // expired, or given up by its client
     SearchId id;
 };
-struct SearchRevoked { // what is out may answer, no further attempt is made; whoever asked has lost the right
-                       // to
+// The caller has lost its right to the search: attempts in flight may still answer, no further one is made.
+struct SearchRevoked {
     SearchId id;
 };
 struct ListEntry {
@@ -128,53 +127,54 @@
     CellNo cell;
     ListedState listed = ListedState::kLive;
     double weight = 1;
-    Tenths born = 0; // 0: long ago
+    Tenths started = 0; // 0: long ago
 };
 struct ServerListUpdate {
     ListKind kind = ListKind::kChanges;
     std::vector<ListEntry> entries;
 };
 
-struct FrontNodeCount { // so many are there, as far as this one knows; it may be wrong
+struct FrontNodeCount { // live front nodes as this one sees them, which may be wrong
     int count = 1;
 };
 
-// A plan for sites that are lost, cut off or coming back (src/recovery/), whole each time; an empty one: all
-// is as ever.
+// Restrictions while sites are lost, cut off or recovering (src/recovery/). Each plan replaces the one
+// before; an empty plan lifts all restrictions.
 struct SiteRecoveryPlan {
     struct Site {
         ZoneNo zone;
-        double share = 1; // of the choices in which its servers take part as ever; 0: in none
+        double share = 1; // of the choices in which its servers take part; 0: in none
     };
-    struct Row { // tenant -1: of all that have no row of their own
+    struct Row { // tenant -1: all tenants without a row of their own
         RequestClassNo request_class;
         TenantNo tenant;
-        double admitted = 1, weight = 1; // share of its searches; least weight of an answer in part
+        double admitted = 1, weight = 1; // share of its searches; minimum weight of a partial answer
     };
     std::vector<Site> sites;
-    std::vector<ShardNo> gone; // no replica is left
+    std::vector<ShardNo> gone; // shards without a replica
     std::vector<Row> rows;
-    std::vector<std::pair<ShardNo, double>> tight; // share of its demand for which there is room
-    double further = 1;                            // of the budget for further attempts
-    Tenths retry_after = 0;                        // longest, for those refused; 0: as ever
+    std::vector<std::pair<ShardNo, double>> tight; // shards short of capacity: share of the demand that fits
+    double further = 1;                            // share of the retry budget
+    Tenths retry_after = 0;                        // maximum for rejected searches; 0: no change
 };
 
 using Event = std::variant<SearchAccepted, PartAdded, AttemptEnded, ProbeEnded, SearchAbandoned,
                            SearchRevoked, ServerListUpdate, FrontNodeCount, SiteRecoveryPlan>;
 
+// Performs the scheduler's actions.
 class SchedulerHost {
   public:
     virtual ~SchedulerHost() = default;
-    // Where it has not been sent after `send_within`, it must not be sent any more.
+    // An attempt that has not been sent after `send_within` must not be sent any more.
     virtual void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) = 0;
     virtual void cancel_attempt(PartId part, AttemptNo attempt) = 0;
     virtual void answer(SearchId search, bool whole) = 0;
     virtual void reject(SearchId search, Tenths retry_after) = 0; // retry_after 0: no advice
     virtual void fail(SearchId search) = 0;
     virtual void probe(ServerId server) = 0;
-    virtual void close_idle_connections(ServerId server) = 0; // closes idle connections to it
+    virtual void close_idle_connections(ServerId server) = 0;
     virtual void schedule_wakeup(Tenths in) = 0;
-    virtual void subscribe() = 0;
+    virtual void subscribe() = 0; // to the server list
 };
 
 class SearchScheduler {
@@ -184,6 +184,6 @@
     virtual void decide(Tenths now, SchedulerHost& host) = 0;
 };
 
-std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig terms);
+std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig config);
 
 } // namespace ivyrill
--- a/src/search_scheduler_state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -1,5 +1,5 @@
-// What the decision module remembers, grouped by how long it lives: an attempt, a part, a search, an index
-// server, a group of servers, the instance. Types only: no decision and no value set by tuning stands here.
+// State of the search scheduler by lifetime: attempt, part, search, index server, group of servers,
+// scheduler. Only types: decisions and tuned constants are in search_scheduler.cpp.
 #pragma once
 #include "replica_selection/c3.hpp"
 #include "search_scheduler.hpp"
@@ -16,24 +16,25 @@
 
 constexpr Tenths kNever = std::numeric_limits<Tenths>::max();
 
-enum class Standing { kIn, kAside, kTrial };
-enum class Stage { kPlanned, kOut, kOver };
-enum class Fate { kOpen, kWhole, kPartial, kRejected, kFailed, kEnded };
+enum class Health { kInService, kEjected, kTrial };
+enum class AttemptState { kPlanned, kInFlight, kEnded };
+enum class Status { kOpen, kComplete, kPartial, kRejected, kFailed, kEnded };
 
-inline void mix(double& mean, double fresh, double weight) { mean += weight * (fresh - mean); }
+// Updates an exponentially weighted mean.
+inline void mix(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
-// Lets a mean fall towards what is usual by a span, or rise towards it by a share.
-inline void relax(double& mean, double usual, double fall, double share) {
+// Lowers a mean towards `usual` by at most `fall`, or raises it towards `usual` by a share of the difference.
+inline void decay(double& mean, double usual, double fall, double share) {
     mean = mean > usual ? std::max(usual, mean - fall) : mean + share * (usual - mean);
 }
 
 using Group = std::pair<int, std::int32_t>; // servers of one zone (0) or of one kind of machine (1)
 
-struct Attempt { // lives from its plan to its return
+struct Attempt {
     ServerId server;
-    Stage stage = Stage::kPlanned;
-    bool wanted = true, recalled = false, may_have_run = true;
-    bool alone = false; // sent to learn whether its search breaks servers
+    AttemptState state = AttemptState::kPlanned;
+    bool wanted = true, cancelled = false, may_have_run = true;
+    bool alone = false; // its search's only attempt, sent to learn whether the search crashes servers
     Tenths sent = 0;
 };
 
@@ -41,13 +42,13 @@
     PartId id;
     ShardNo shard;
     double weight = 0;
-    bool in = false, held = false; // answered; in its shard's backlog
-    bool slow = false;             // overdue at a server that answers
-    bool left_out = false;         // done without, while there is not room for all
-    Tenths not_before = 0;         // no attempt until then
+    bool answered = false, backlogged = false;
+    bool slow = false;     // overdue at a server that answers others
+    bool left_out = false; // omitted from the answer while its shard lacks capacity
+    Tenths not_before = 0; // no attempt until then
     std::vector<Attempt> attempts{};
-    bool out() const {
-        return std::ranges::any_of(attempts, [](auto& l) { return l.stage != Stage::kOver; });
+    bool in_flight() const {
+        return std::ranges::any_of(attempts, [](auto& l) { return l.state != AttemptState::kEnded; });
     }
     bool may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
 };
@@ -59,74 +60,78 @@
     Tenths due = 0, expiry = 0, retry_after = 0;
     double utility = 0;
     int step = 1;
-    bool whole = true; // so far
-    Fate fate = Fate::kOpen;
+    bool complete = true; // so far
+    Status status = Status::kOpen;
     std::vector<Part> parts;
-    std::size_t step_begin = 0; // where the present step's parts begin
-    std::set<ServerId> broken;  // servers that broke while they held one of its attempts
-    bool proven = false, breaker = false, quick = false, barred = false,
-         spared = false; // answered in part; breaks servers; not slow in all parts; no attempts; not let in
-    bool out() const { return std::ranges::any_of(parts, &Part::out); }
+    std::size_t step_begin = 0; // index of the current step's first part
+    std::set<ServerId> crashed; // servers that lost the connection during one of its attempts
+    bool has_answer = false;
+    bool crashing = false; // a "query of death"
+    bool has_fast_part = false;
+    bool revoked = false; // no further attempts
+    bool shed = false;    // not admitted under the recovery plan
+    bool in_flight() const { return std::ranges::any_of(parts, &Part::in_flight); }
 };
 
-struct Sending { // an attempt as its server sees it
+struct SentAttempt { // an attempt, in its server's records
     Tenths at = 0;
-    bool rested = false, missed = false,
-         renewed = false; // over a connection long idle; silent; over a new one
+    bool was_idle = false; // sent over a connection that had been idle for long
+    bool overdue = false;
+    bool is_new = false;
 };
 
 struct IndexServer {
     ServerId id;
     ListEntry entry;
-    // C3: exponentially weighted means of response, reported queue and service time.
-    bool heard = false;
+    // C3: exponentially weighted means of response time, reported queue and service time.
+    bool measured = false;
     double response = 0, queue = 0, service = 0;
-    replica_selection::SendRateLimiter sending;
-    int out_at_report = 0, joining = 0; // attempts out then; siblings that share this turn's call
+    replica_selection::SendRateLimiter limiter;
+    int in_flight_at_report = 0, joining = 0; // joining: attempts that share this turn's call
     // health
-    std::map<std::pair<PartId, AttemptNo>, Sending> sent_at;
-    Standing standing = Standing::kIn;
-    double faults = 0;
-    int setbacks = 0, passes = 0, trial_room = 0;
-    int silent = 0; // attempts unanswered for too long since its last answer, the latest at:
-    Tenths silent_at = 0, last_answer = 0, next_probe = 0, drained = 0, broke_at = 0;
-    Tenths touched = 0, used = 0; // last looked after; when something last went over a connection to it
-    Tenths cold_from = 0, cold_next = 0; // its last start, as listed or guessed; our next attempt
-    int turned_away = 0;                 // in a row, for which nothing more is sent until:
-    Tenths full_until = 0;
-    bool known = false, unreachable = false, gone = false, probe_wanted = false, probe_out = false;
-    bool renew = false; // its idle connections are to be closed before it is sent to
+    std::map<std::pair<PartId, AttemptNo>, SentAttempt> sent_at;
+    Health health = Health::kInService;
+    double failure_rate = 0;
+    int setbacks = 0, passes = 0, trial_limit = 0; // failed trials; passed probes; attempts during a trial
+    int silent = 0;                                // overdue attempts since its last answer
+    Tenths silent_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, lost_at = 0;
+    Tenths watched_at = 0, used = 0;      // used: traffic on a connection to it
+    Tenths started_at = 0, cold_next = 0; // last start, listed or inferred; next attempt while cold
+    int rejections = 0;                   // in a row
+    Tenths backoff_until = 0;             // after rejections
+    bool known = false, unreachable = false, refused = false, probe_wanted = false, probe_out = false;
+    bool renew = false; // idle connections are to be closed before the next attempt
 
     std::array<Group, 2> groups() const { return {Group{0, entry.zone.value}, Group{1, entry.kind.value}}; }
-    int out() const { return static_cast<int>(sent_at.size()); }
+    int in_flight() const { return static_cast<int>(sent_at.size()); }
     Tenths oldest() const {
         Tenths first = kNever;
-        for (const auto& [attempt, sending] : sent_at) first = std::min(first, sending.at);
+        for (const auto& [attempt, sent] : sent_at) first = std::min(first, sent.at);
         return first;
     }
 };
 
-struct GroupView {
-    double trouble = 0;  // mean share of failed attempts and probes
-    double response = 0; // mean, losses counted as a due span
+struct GroupStats {
+    double failure_rate = 0; // mean over attempts and probes
+    double response = 0;     // mean, losses counted as a latency target
     Tenths next_probe = 0;
-    void weigh(bool bad, double took, double weight) {
-        mix(trouble, bad ? 1 : 0, weight), mix(response, took, weight);
+    void record(bool failed, double took, double weight) {
+        mix(failure_rate, failed ? 1 : 0, weight), mix(response, took, weight);
     }
 };
 
-struct RequestClassView { // a row a request class: what the module reads of it, and what it has learnt
-    RequestClassConfig terms;
+struct RequestClassState {
+    RequestClassConfig config;
     double response = 0, deviation = 0; // of answered attempts, fleet-wide
-    bool heard = false;
-    double parts = 1;      // a search, on average
-    Tenths usual_left = 0; // of first tries
+    bool measured = false;
+    double parts = 1;           // mean number for one search
+    Tenths usual_time_left = 0; // of first tries
     int votes = 0;
 };
 
-struct TenantView {
-    double room = 0; // searches inside its share that may come now
-    Tenths filled = 0;
+struct TenantState { // token bucket of its quota
+    double tokens = 0;
+    Tenths filled_at = 0;
 };
 
 } // namespace ivyrill
--- a/tests/desk.hpp
+++ b/tests/desk.hpp
@@ -12,7 +12,7 @@
 
 inline protocol::NodeTerms node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
     protocol::NodeTerms terms;
-    terms.opening = plain_terms();
+    terms.opening = default_config();
     terms.opening.hedging_enabled = false;
     terms.opening.list_mode = ListMode::kQueried;
     terms.opening.request_classes[0].idempotency = idempotency;
--- a/tests/fake_host.hpp
+++ b/tests/fake_host.hpp
@@ -1,5 +1,5 @@
-// One tiny fake host: it keeps what the module asked for, and plays servers that answer as a test says.
-// Beside it what all tests share: how one is played by its name.
+// A fake host for the search scheduler: records its actions and returns attempts as a test says. Also the
+// runner that the assert-based tests share.
 #pragma once
 #include "search_scheduler.hpp"
 
@@ -16,7 +16,7 @@
 
 struct Test {
     const char* name;
-    void (*play)();
+    void (*run)();
 };
 #define TEST(name)                                                                                           \
     { #name, name }
@@ -24,10 +24,10 @@
 inline int run_test(std::span<const Test> tests, int count, char** arguments) {
     for (const Test& test : tests) {
         if (count != 2 || std::string_view(arguments[1]) != test.name) continue;
-        test.play();
+        test.run();
         return 0;
     }
-    std::cerr << "no such story\n";
+    std::cerr << "no such test\n";
     return 1;
 }
 
@@ -38,82 +38,83 @@
     AttemptNo attempt;
     ServerId server;
     Tenths send_within = 0, at = 0;
-    bool over = false, recalled = false;
+    bool ended = false, cancelled = false;
 };
-enum class End { kNone, kWhole, kPart, kRejected, kFailed };
+enum class End { kNone, kComplete, kPartial, kRejected, kFailed };
 
-// Two shards a cell, three replicas in one cell, one request class due in 1 s and expiring in 2 s.
-inline SchedulerConfig plain_terms() {
-    SchedulerConfig terms;
+// One cell, one request class with a latency target of 1 s and a deadline of 2 s.
+inline SchedulerConfig default_config() {
+    SchedulerConfig config;
     RequestClassConfig request_class;
     request_class.latency_target = ms(1000);
-    request_class.overall_deadline = ms(2000);
+    request_class.deadline = ms(2000);
     request_class.late_utility_ratio = 0.1;
-    terms.request_classes = {request_class};
-    terms.tenants = {{1000}};
-    terms.front_nodes = 3;
-    terms.decision_interval = ms(5);
-    terms.warm_up_time = ms(10000);
-    terms.cold_capacity_ratio = 0.2;
-    terms.overload_window = ms(1000);
-    terms.overload_factor = 2;
-    terms.max_attempts = 4;
-    terms.may_cancel = terms.may_probe = terms.hedging_enabled = true;
-    return terms;
+    config.request_classes = {request_class};
+    config.tenants = {{1000}};
+    config.front_nodes = 3;
+    config.decision_interval = ms(5);
+    config.warm_up_time = ms(10000);
+    config.cold_capacity_ratio = 0.2;
+    config.overload_window = ms(1000);
+    config.overload_factor = 2;
+    config.max_attempts = 4;
+    config.may_cancel = config.may_probe = config.hedging_enabled = true;
+    return config;
 }
 
 class FakeHost : public SchedulerHost {
   public:
-    explicit FakeHost(const SchedulerConfig& terms, int servers = 3)
-        : scheduler(make_search_scheduler(terms)) {
-        ServerListUpdate news{ListKind::kSaved, {}};
-        for (int i = 0; i < servers; ++i) news.entries.push_back(entry(i));
-        tell(news);
+    explicit FakeHost(const SchedulerConfig& config, int servers = 3)
+        : scheduler(make_search_scheduler(config)) {
+        ServerListUpdate update{ListKind::kSaved, {}};
+        for (int i = 0; i < servers; ++i) update.entries.push_back(entry(i));
+        handle(update);
     }
 
-    static ListEntry entry(int server, ListedState listed = ListedState::kLive, Tenths born = 0) {
-        return {ServerId{static_cast<std::uint32_t>(server)}, {}, {}, {}, listed, 1, born};
+    static ListEntry entry(int server, ListedState listed = ListedState::kLive, Tenths started = 0) {
+        return {ServerId{static_cast<std::uint32_t>(server)}, {}, {}, {}, listed, 1, started};
     }
 
-    void tell(const Event& event) { scheduler->handle(now, event); }
+    void handle(const Event& event) { scheduler->handle(now, event); }
     void turn() { scheduler->decide(now, *this); }
-    void pass(Tenths span) { // time goes by, with a turn each 5 ms
+    void pass(Tenths span) { // advances the clock, with a turn every 5 ms
         for (const Tenths end = now + span; now < end;) now += ms(5), turn();
     }
 
-    // Takes a search with a part at each of these shards and decides.
+    // Starts a search with a part at each of these shards, then decides.
     SearchId search(std::vector<int> shards, Tenths left = ms(2000), int request_class = 0) {
         const SearchId id{next_id++};
         const JobNo job{next_job++};
-        tell(SearchAccepted{id, job, RequestClassNo{request_class}, {}, left, false});
+        handle(SearchAccepted{id, job, RequestClassNo{request_class}, {}, left, false});
         add_parts(job, std::move(shards));
         turn();
         return id;
     }
     void add_parts(JobNo job, std::vector<int> shards) {
         for (const int shard : shards)
-            tell(PartAdded{PartId{next_id++}, job, ShardNo{shard}, 1.0 / static_cast<double>(shards.size())});
+            handle(
+                PartAdded{PartId{next_id++}, job, ShardNo{shard}, 1.0 / static_cast<double>(shards.size())});
     }
 
-    void returns(std::size_t at, Outcome outcome, Tenths took, LoadReport report = {}) {
-        assert(!sent.at(at).over);
-        sent[at].over = true;
-        tell(AttemptEnded{sent[at].part, sent[at].attempt, sent[at].server, outcome, took, report});
+    void end(std::size_t at, Outcome outcome, Tenths took, LoadReport report = {}) {
+        assert(!sent.at(at).ended);
+        sent[at].ended = true;
+        handle(AttemptEnded{sent[at].part, sent[at].attempt, sent[at].server, outcome, took, report});
     }
-    // All attempts out at this server, or at any, return.
-    void all_return(Outcome outcome, Tenths took, int server = -1, LoadReport report = {}) {
+    // Ends all attempts in flight at this server, or at any.
+    void end_all(Outcome outcome, Tenths took, int server = -1, LoadReport report = {}) {
         for (std::size_t i = 0; i < sent.size(); ++i)
-            if (!sent[i].over &&
+            if (!sent[i].ended &&
                 (server < 0 || sent[i].server == ServerId{static_cast<std::uint32_t>(server)}))
-                returns(i, outcome, took, report);
+                end(i, outcome, took, report);
         turn();
     }
-    // Teaches the module that a server takes so long, with such a queue.
+    // Gives the scheduler means: servers that take this long, with such a queue.
     void warm(int servers, Tenths took = ms(50), double queued = 0) {
         for (int round = 0; round < 12 * servers; ++round) {
             search({0});
             pass(took);
-            all_return(Outcome::kAnswered, took, -1, LoadReport{{}, queued});
+            end_all(Outcome::kAnswered, took, -1, LoadReport{{}, queued});
         }
     }
 
@@ -134,16 +135,16 @@
     }
     void cancel_attempt(PartId part, AttemptNo number) override {
         for (Sent& attempt : sent)
-            if (attempt.part == part && attempt.attempt == number) attempt.recalled = true;
+            if (attempt.part == part && attempt.attempt == number) attempt.cancelled = true;
     }
-    void answer(SearchId id, bool whole) override { finish(id, whole ? End::kWhole : End::kPart); }
+    void answer(SearchId id, bool whole) override { finish(id, whole ? End::kComplete : End::kPartial); }
     void reject(SearchId id, Tenths retry_after) override {
         finish(id, End::kRejected);
-        advice = retry_after;
+        retry_advice = retry_after;
     }
     void fail(SearchId id) override { finish(id, End::kFailed); }
     void probe(ServerId server) override { probes.push_back(server); }
-    void close_idle_connections(ServerId server) override { hung_up.push_back(server); }
+    void close_idle_connections(ServerId server) override { idle_closed.push_back(server); }
     void schedule_wakeup(Tenths in) override { assert(in > 0); }
     void subscribe() override { ++subscribed; }
 
@@ -151,15 +152,15 @@
     Tenths now = ms(1000);
     std::vector<Sent> sent;
     std::map<SearchId, End> ends;
-    std::vector<ServerId> probes, hung_up;
+    std::vector<ServerId> probes, idle_closed;
     int subscribed = 0, answers = 0;
-    Tenths advice = 0;
+    Tenths retry_advice = 0;
     std::uint32_t next_id = 1;
     std::uint64_t next_job = 1;
 
   private:
     void finish(SearchId id, End end) {
-        if (end == End::kWhole || end == End::kPart) ++answers;
+        if (end == End::kComplete || end == End::kPartial) ++answers;
         ends[id] = end;
     }
 };
--- a/tests/lab/hall.cpp
+++ b/tests/lab/hall.cpp
@@ -65,8 +65,8 @@
     SchedulerConfig& terms = orders.terms.opening;
     for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
         RequestClassConfig request_class;
-        request_class.latency_target = kTenthsPerSecond,
-        request_class.overall_deadline = 2 * kTenthsPerSecond, request_class.idempotency = idempotency;
+        request_class.latency_target = kTenthsPerSecond, request_class.deadline = 2 * kTenthsPerSecond,
+        request_class.idempotency = idempotency;
         request_class.late_utility_ratio = 0.1;
         terms.request_classes.push_back(request_class);
     }
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -16,7 +16,7 @@
 std::vector<SiteRequestClass> usual_request_classes() {
     const auto terms = [](Idempotency idempotency, double utility, double floor) {
         RequestClassConfig made;
-        made.latency_target = 500 * kMs, made.overall_deadline = 1500 * kMs, made.idempotency = idempotency;
+        made.latency_target = 500 * kMs, made.deadline = 1500 * kMs, made.idempotency = idempotency;
         made.utility = utility, made.late_utility_ratio = 0.1, made.floor = floor, made.need = 1;
         return made;
     };
@@ -400,7 +400,7 @@
     const int count = std::min(request_class.parts, plan_.shards);
     front.scheduler->handle(now_, SearchAccepted{id, job, RequestClassNo{static_cast<std::int32_t>(class_no)},
                                                  TenantNo{static_cast<std::int32_t>(tenant)},
-                                                 request_class.terms.overall_deadline, again});
+                                                 request_class.terms.deadline, again});
     for (int i = 0; i < count; ++i) {
         const PartId part{front.next_id++};
         open.parts.push_back(part);
@@ -410,7 +410,7 @@
         front.book.part(key, shards[i]);
         front.scheduler->handle(now_, PartAdded{part, job, ShardNo{shards[i]}, 1.0 / count});
     }
-    at(now_ + request_class.terms.overall_deadline, [this, number, life = front.life, id] {
+    at(now_ + request_class.terms.deadline, [this, number, life = front.life, id] {
         Front& late = *fronts_[number];
         if (!late.alive || late.life != life || !late.searches.contains(id)) return;
         if (now_ < late.stalled_until + kConnect) return; // it could not; its clients went elsewhere
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -124,7 +124,7 @@
                    const Start* start = nullptr, Tenths due = ms(1000), int calls_a_connection = 100) {
         protocol::StartOrders orders;
         orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
-        orders.terms.opening = plain_terms();
+        orders.terms.opening = default_config();
         orders.terms.opening.list_mode = ListMode::kQueried;
         orders.terms.opening.hedging_enabled = false;
         orders.terms.opening.cells = 2;
