--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -20,8 +20,8 @@
 // waiting. Where somebody leads, those who hear it deny the pre-vote.
 void Replica::hasten_first_election(Tenths now) {
     if (knew_leader_ || role_ != Role::kFollower || !may_stand()) return;
-    const Holds is_there = [this](MemberId id) {
-        const Candidate* listed = candidate(id);
+    const MemberPredicate is_there = [this](MemberId id) {
+        const MemberStatus* listed = candidate(id);
         return id == options_.self.id || (listed && listed->alive);
     };
     if (!is_majority(is_there)) return;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -12,9 +12,9 @@
 
 } // namespace
 
-void Replica::set_candidates(std::vector<Candidate> candidates, std::size_t least, std::size_t most,
-                             Tenths now) {
-    const std::vector<Candidate> before = std::exchange(candidates_, std::move(candidates));
+void Replica::set_member_statuses(std::vector<MemberStatus> candidates, std::size_t least, std::size_t most,
+                                  Tenths now) {
+    const std::vector<MemberStatus> before = std::exchange(candidates_, std::move(candidates));
     least_ = least;
     most_ = most;
     std::map<MemberId, Tenths> unlisted;
@@ -35,10 +35,10 @@
 
 // What was sent to a peer before its link stood was lost: after a start of the whole group it would wait for
 // the entry until it is sent again.
-void Replica::greet_arrivals(const std::vector<Candidate>& before, Tenths now) {
+void Replica::greet_arrivals(const std::vector<MemberStatus>& before, Tenths now) {
     for (auto& [id, progress] : peers_) {
-        const Candidate* listed = candidate(id);
-        const auto was = std::ranges::find(before, id, [](const Candidate& c) { return c.member.id; });
+        const MemberStatus* listed = candidate(id);
+        const auto was = std::ranges::find(before, id, [](const MemberStatus& c) { return c.member.id; });
         const bool was_alive = was != before.end() && was->alive;
         if (listed == nullptr || !listed->alive || was_alive) continue;
         progress.sent = {};
@@ -58,33 +58,33 @@
     };
     std::ranges::for_each(newest_->voters, add);
     std::ranges::for_each(newest_->former_voters, add);
-    for (const Candidate& listed : candidates_)
+    for (const MemberStatus& listed : candidates_)
         if (listed.alive && !listed.removed) add(listed.member);
     peers_ = std::move(wanted);
 }
 
-const Candidate* Replica::candidate(MemberId id) const {
+const MemberStatus* Replica::candidate(MemberId id) const {
     const auto found =
-        std::ranges::find_if(candidates_, [&](const Candidate& c) { return c.member.id == id; });
+        std::ranges::find_if(candidates_, [&](const MemberStatus& c) { return c.member.id == id; });
     return found == candidates_.end() ? nullptr : &*found;
 }
 
 // Another disk holds its address now. A leader that has just started may never have met the former one.
 bool Replica::disk_was_replaced(const Member& voter) const {
     if (planted(PlantedFault::kReplacedDiskAwaited)) return false;
-    return std::ranges::any_of(candidates_, [&](const Candidate& listed) {
+    return std::ranges::any_of(candidates_, [&](const MemberStatus& listed) {
         return listed.alive && listed.member.address == voter.address && listed.member.id != voter.id;
     });
 }
 
 bool Replica::alive(const Member& voter) const {
-    const Candidate* listed = candidate(voter.id);
+    const MemberStatus* listed = candidate(voter.id);
     if ((listed && listed->removed) || disk_was_replaced(voter)) return false;
     return voter.id == options_.self.id || (listed && listed->alive);
 }
 
 bool Replica::gone(const Member& voter, Tenths now) const {
-    const Candidate* listed = candidate(voter.id);
+    const MemberStatus* listed = candidate(voter.id);
     if ((listed && listed->removed) || disk_was_replaced(voter)) return true;
     if (voter.id == options_.self.id) return false;
     if (listed) return !listed->alive && now - listed->since >= kGoneAfter;
@@ -98,7 +98,7 @@
     const auto voters_in = [&](const std::string& zone) {
         return std::ranges::count_if(newest_->voters, [&](const Member& v) { return v.zone == zone; });
     };
-    for (const Candidate& listed : candidates_) {
+    for (const MemberStatus& listed : candidates_) {
         const Member& member = listed.member;
         const auto peer = peers_.find(member.id);
         const bool is_voter =
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -18,16 +18,16 @@
     postpone_election(now);
 }
 
-void Replica::found(std::vector<Member> founders, std::string payload, Tenths now) {
+void Replica::bootstrap(std::vector<Member> initial_voters, std::string payload, Tenths now) {
     if (newest_) return;
     term_ = std::max(term_, kFoundingTerm);
-    newest_ = Entry{{kFoundingTerm, kFoundingIndex}, std::move(founders), {}, std::move(payload)};
+    newest_ = Entry{{kFoundingTerm, kFoundingIndex}, std::move(initial_voters), {}, std::move(payload)};
     settle(now);
 }
 
 void Replica::receive(const Message& message, Tenths now) {
     if (message.to != options_.self.id) {
-        ++message_counts_.other_member;
+        ++dropped_messages_.other_member;
         if (planted(PlantedFault::kNewDiskVotes)) vote_as_former_disk(message, now);
         return;
     }
@@ -178,7 +178,7 @@
 }
 
 std::optional<std::string> Replica::address_of(MemberId id) const {
-    if (const Candidate* listed = candidate(id)) return listed->member.address;
+    if (const MemberStatus* listed = candidate(id)) return listed->member.address;
     if (!newest_) return std::nullopt;
     for (const auto* voters : {&newest_->voters, &newest_->former_voters})
         for (const Member& voter : *voters)
--- a/src/consensus/replica.hpp
+++ b/src/consensus/replica.hpp
@@ -28,7 +28,7 @@
     std::uint64_t seed = 1;
     // Voters' disks, none of them about to leave, that hold an entry before it counts as committed: one more
     // than may be lost at once, where that is more than a majority.
-    std::size_t least_copies = 1;
+    std::size_t min_copies = 1;
 };
 
 // Effects.
@@ -64,7 +64,7 @@
 using Effect = std::variant<Send, Store, Committed, ProposalDone, ReadDone, RoleChanged>;
 
 // A member of the control plane as the caller sees it now, voter or not.
-struct Candidate {
+struct MemberStatus {
     Member member;
     bool alive = false;   // its link stands and it has spoken lately
     bool ready = true;    // it holds what else a voter has to hold
@@ -73,7 +73,7 @@
 };
 
 // Messages that were passed over, by cause. None of them changes anything.
-struct MessageCounts {
+struct DroppedMessages {
     std::uint64_t other_member = 0; // meant for another disk than this one
     std::uint64_t older_term = 0;   // an append or a reply of a leader that was replaced
     std::uint64_t unknown_member =
@@ -86,7 +86,7 @@
     Replica(Options options, DurableState durable, Tenths now);
 
     // The group's first entry, on a first start only: the same list at each founder, who is one of them.
-    void found(std::vector<Member> founders, std::string payload, Tenths now);
+    void bootstrap(std::vector<Member> initial_voters, std::string payload, Tenths now);
 
     void receive(const Message& message, Tenths now);
     void stored(StoreTicket ticket, Tenths now);
@@ -105,13 +105,13 @@
     std::optional<Tenths> contact_at() const;
     // Knows, in this process, all that the present leader said it has committed in its own term.
     bool caught_up() const;
-    using Holds = std::function<bool(MemberId)>;
-    bool is_majority(const Holds& holds) const; // of the voters, and of the former ones
+    using MemberPredicate = std::function<bool(MemberId)>;
+    bool is_majority(const MemberPredicate& holds) const; // of the voters, and of the former ones
     // A majority, with so many voters that stay as one more than may be lost at once. `group_may_be_small`:
     // all of them are enough where the group has fewer.
-    bool outlasts_losses(const Holds& holds, bool group_may_be_small) const;
+    bool survives_losses(const MemberPredicate& holds, bool group_may_be_small) const;
     std::uint64_t term() const { return term_; }
-    const MessageCounts& message_counts() const { return message_counts_; }
+    const DroppedMessages& dropped_messages() const { return dropped_messages_; }
 
     // Makes the next payload from the newest one; none where there is nothing to replicate.
     using MakePayload = std::function<std::optional<std::string>(const std::string& current)>;
@@ -125,7 +125,8 @@
 
     // Who is there. A leader replaces voters that are gone by members that are alive, keeps a group of all
     // that are alive up to `most` voters, and never lets it fall under `least` by a removal alone.
-    void set_candidates(std::vector<Candidate> candidates, std::size_t least, std::size_t most, Tenths now);
+    void set_member_statuses(std::vector<MemberStatus> candidates, std::size_t least, std::size_t most,
+                             Tenths now);
     // Before a planned end: hands leadership to a voter that is up to date. Never stands for election again.
     void resign(Tenths now);
 
@@ -179,7 +180,7 @@
     void reply(MemberId to, Body body);
     std::optional<std::string> address_of(MemberId id) const;
     template <class Effective> void emit(Effective effect) { effects_.emplace_back(std::move(effect)); }
-    static bool majority(const std::vector<Member>& voters, const Holds& holds);
+    static bool majority(const std::vector<Member>& voters, const MemberPredicate& holds);
 
     // election.cpp
     void postpone_election(Tenths now);
@@ -208,7 +209,7 @@
     bool settled() const;      // the newest entry is held by a majority: the next one may follow
     bool is_committed() const; // ... and by as many disks as may be lost, and one
     bool has_stored(MemberId id) const;
-    std::size_t copies_that_stay(const Holds& holds) const;
+    std::size_t copies_that_stay(const MemberPredicate& holds) const;
     bool leaves(const Member& voter) const;
     bool may_propose(Tenths now) const;
     void advance(Tenths now);
@@ -223,8 +224,8 @@
 
     // membership.cpp
     void refresh_peers();
-    void greet_arrivals(const std::vector<Candidate>& before, Tenths now);
-    const Candidate* candidate(MemberId id) const;
+    void greet_arrivals(const std::vector<MemberStatus>& before, Tenths now);
+    const MemberStatus* candidate(MemberId id) const;
     bool disk_was_replaced(const Member& voter) const;
     bool alive(const Member& voter) const;
     bool gone(const Member& voter, Tenths now) const;
@@ -273,11 +274,11 @@
     std::uint64_t last_proposal_ = 0, last_read_ = 0;
     std::deque<Read> reads_;
 
-    std::vector<Candidate> candidates_;
+    std::vector<MemberStatus> candidates_;
     std::map<MemberId, Tenths> unlisted_since_; // voters of whom the candidates say nothing
     std::size_t least_ = 0, most_ = 0;
 
-    MessageCounts message_counts_;
+    DroppedMessages dropped_messages_;
     std::vector<Effect> effects_;
 };
 
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -92,7 +92,7 @@
 
 void Replica::on(MemberId from, const Append& append, Tenths now) {
     if (append.term < term_ && !planted(PlantedFault::kOlderTermAccepted)) {
-        ++message_counts_.older_term;
+        ++dropped_messages_.older_term;
         return reply(from, AppendReply{term_, 0, durable_.newest, token(now)});
     }
     if (append.term < term_) term_ = append.term; // the planted fault
@@ -138,11 +138,11 @@
     const auto peer = peers_.find(from);
     if (role_ != Role::kLeader) return;
     if (answer.term < term_) {
-        ++message_counts_.older_term;
+        ++dropped_messages_.older_term;
         return;
     }
     if (peer == peers_.end()) {
-        ++message_counts_.unknown_member;
+        ++dropped_messages_.unknown_member;
         return;
     }
     peer->second.stored = std::max(peer->second.stored, answer.stored);
@@ -166,31 +166,30 @@
 // Said that it ends, or its disk is gone.
 bool Replica::leaves(const Member& voter) const {
     if (planted(PlantedFault::kLeavingVoterCounted)) return false;
-    const Candidate* listed = candidate(voter.id);
+    const MemberStatus* listed = candidate(voter.id);
     return (listed && listed->removed) || disk_was_replaced(voter);
 }
 
-bool Replica::majority(const std::vector<Member>& voters, const Holds& holds) {
+bool Replica::majority(const std::vector<Member>& voters, const MemberPredicate& holds) {
     const auto held = std::ranges::count_if(voters, [&](const Member& voter) { return holds(voter.id); });
     return static_cast<std::size_t>(held) > voters.size() / 2;
 }
 
-bool Replica::is_majority(const Holds& holds) const {
+bool Replica::is_majority(const MemberPredicate& holds) const {
     if (!newest_ || !majority(newest_->voters, holds)) return false;
     if (planted(PlantedFault::kFormerVotersIgnored)) return true;
     return newest_->former_voters.empty() || majority(newest_->former_voters, holds);
 }
 
-std::size_t Replica::copies_that_stay(const Holds& holds) const {
+std::size_t Replica::copies_that_stay(const MemberPredicate& holds) const {
     const auto stays = [&](const Member& voter) { return holds(voter.id) && !leaves(voter); };
     return static_cast<std::size_t>(std::ranges::count_if(newest_->voters, stays));
 }
 
-bool Replica::outlasts_losses(const Holds& holds, bool group_may_be_small) const {
+bool Replica::survives_losses(const MemberPredicate& holds, bool group_may_be_small) const {
     if (!is_majority(holds)) return false;
     const std::size_t size = newest_->voters.size();
-    const std::size_t wanted =
-        group_may_be_small ? std::min(options_.least_copies, size) : options_.least_copies;
+    const std::size_t wanted = group_may_be_small ? std::min(options_.min_copies, size) : options_.min_copies;
     return copies_that_stay(holds) >= wanted || planted(PlantedFault::kMajorityIsEnough);
 }
 
@@ -198,9 +197,9 @@
 void Replica::advance(Tenths now) {
     if (role_ != Role::kLeader) return;
     update_quorum();
-    const Holds stored = [this](MemberId id) { return has_stored(id); };
+    const MemberPredicate stored = [this](MemberId id) { return has_stored(id); };
     if (!settled() && is_majority(stored)) agreed_ = newest_->stamp;
-    if (settled() && !is_committed() && outlasts_losses(stored, true)) commit(now);
+    if (settled() && !is_committed() && survives_losses(stored, true)) commit(now);
     answer_reads(now);
     if (settled()) next_entry(now);
 }
--- a/src/control/configuration_group.cpp
+++ b/src/control/configuration_group.cpp
@@ -51,19 +51,19 @@
 Result<void> ConfigurationGroup::load() {
     BOOST_OUTCOME_TRY(loaded, disk_->load());
     // What the disk has forgotten may be a vote or an acknowledged entry: the member that it was is lost.
-    const bool rotten = loaded.newest_is_spoilt || options_.disk_is_spoilt;
+    const bool rotten = loaded.newest_is_corrupt || options_.disk_is_corrupt;
     const bool spoilt = rotten && !planted(PlantedFault::kOlderFileUsed);
     if (spoilt) log_line("state_spoilt", {{"remedy", "it joins as a new member; check the disk"}});
-    MemberState held;
+    StoredReplicaState held;
     if (loaded.bytes && !spoilt) {
-        BOOST_OUTCOME_TRY(read, wire::from_bytes<MemberState>(*loaded.bytes));
+        BOOST_OUTCOME_TRY(read, wire::from_bytes<StoredReplicaState>(*loaded.bytes));
         held = std::move(read);
         if (held.self.address != options_.address)
             log_line("address_changed", {{"was", held.self.address}, {"is", options_.address}});
     }
     const bool is_empty = !loaded.bytes && !rotten;
     founding_ = is_empty && options_.first_start &&
-                std::ranges::find(options_.founders, options_.address) != options_.founders.end();
+                std::ranges::find(options_.initial_voters, options_.address) != options_.initial_voters.end();
     if (founding_)
         held.self.id = founder_id(options_.address);
     else if (is_empty || spoilt)
@@ -74,10 +74,10 @@
                               {"founder", founding_ ? "yes" : "no"},
                               {"entry", held.state.entry ? "yes" : "no"}});
     if (!founding_) return boost::outcome_v2::success();
-    if (options_.founders.size() == 1 || planted(PlantedFault::kFoundsAgain))
-        found();
+    if (options_.initial_voters.size() == 1 || planted(PlantedFault::kFoundsAgain))
+        bootstrap();
     else
-        founding_timer_ = reactor_.call_after(kFoundingDelay, [this] { found_if_alone(); });
+        founding_timer_ = reactor_.call_after(kFoundingDelay, [this] { bootstrap_if_unopposed(); });
     return boost::outcome_v2::success();
 }
 
@@ -85,7 +85,7 @@
     consensus::Options options;
     options.self = self_, options.seed = options_.draw();
     options.election_timeout = kElectionTimeout;
-    options.least_copies = options_.least_copies;
+    options.min_copies = options_.min_copies;
     ReplicatedGroup::Callbacks callbacks;
     callbacks.send = callbacks_.send;
     callbacks.committed = [this](const consensus::Entry& entry) { publish(entry); };
@@ -98,33 +98,34 @@
 }
 
 // The same entry at each founder.
-void ConfigurationGroup::found() {
+void ConfigurationGroup::bootstrap() {
     founding_ = false;
     reactor_.cancel(founding_timer_);
-    std::vector<consensus::Member> founders;
-    for (const std::string& address : options_.founders)
-        founders.push_back({founder_id(address), address, ""});
-    std::ranges::sort(founders, {}, &consensus::Member::address);
-    member_->found(std::move(founders), wire::to_bytes(ConfigurationState{}));
+    std::vector<consensus::Member> initial_voters;
+    for (const std::string& address : options_.initial_voters)
+        initial_voters.push_back({founder_id(address), address, ""});
+    std::ranges::sort(initial_voters, {}, &consensus::Member::address);
+    member_->bootstrap(std::move(initial_voters), wire::to_bytes(ConfigurationState{}));
     log_line("group_founded");
 }
 
 // A founder whose empty disk comes back while its settings still say that all starts for the first time must
-// not vote again: anybody who knows of an election tells it. One of the founders that can't be asked is
+// not vote again: anybody who knows of an election tells it. One of the initial_voters that can't be asked is
 // waited for; then a majority of them that know of none is enough.
-void ConfigurationGroup::found_if_alone() {
+void ConfigurationGroup::bootstrap_if_unopposed() {
     if (!founding_) return;
     const std::size_t know_of_none = met_founders_.size() + 1;
     const bool waited = reactor_.now() - opened_at_ >= kFoundingPatience;
-    const std::size_t wanted = waited ? options_.founders.size() / 2 + 1 : options_.founders.size();
-    if (know_of_none >= wanted) return found();
-    founding_timer_ = reactor_.call_after(kFoundingLook, [this] { found_if_alone(); });
+    const std::size_t wanted =
+        waited ? options_.initial_voters.size() / 2 + 1 : options_.initial_voters.size();
+    if (know_of_none >= wanted) return bootstrap();
+    founding_timer_ = reactor_.call_after(kFoundingLook, [this] { bootstrap_if_unopposed(); });
 }
 
-void ConfigurationGroup::met(const std::string& address, std::uint64_t term) {
+void ConfigurationGroup::handle_peer_hello(const std::string& address, std::uint64_t term) {
     if (!founding_) return;
     if (term > kFoundingTerm) return join_as_new_disk();
-    if (std::ranges::find(options_.founders, address) != options_.founders.end())
+    if (std::ranges::find(options_.initial_voters, address) != options_.initial_voters.end())
         met_founders_.insert(address);
 }
 
@@ -142,26 +143,27 @@
     if (!founding_) member_->receive(message);
 }
 
-void ConfigurationGroup::set_candidates(std::vector<consensus::Candidate> candidates) {
-    member_->set_candidates(std::move(candidates), options_.least_voters, options_.most_voters);
+void ConfigurationGroup::set_member_statuses(std::vector<consensus::MemberStatus> candidates) {
+    member_->set_member_statuses(std::move(candidates), options_.min_voters, options_.max_voters);
 }
 
 void ConfigurationGroup::resign() { member_->resign(); }
 
-void ConfigurationGroup::name_duty_founders(std::size_t count) {
+void ConfigurationGroup::propose_initial_duty_voters(std::size_t count) {
     if (!leads() || replica().proposal_under_way()) return;
     const auto current = wire::from_bytes<ConfigurationState>(replica().committed()->payload);
-    if (current.has_error() || !current.value().duty_founders.empty()) return;
-    std::vector<consensus::Member> founders = voters();
-    if (founders.size() < count) return;
-    std::ranges::sort(founders, {}, &consensus::Member::address);
-    founders.resize(count);
-    member_->propose_unawaited([founders](const std::string& payload) -> std::optional<std::string> {
-        auto state = wire::from_bytes<ConfigurationState>(payload);
-        if (state.has_error() || !state.value().duty_founders.empty()) return std::nullopt;
-        state.value().duty_founders = founders;
-        return wire::to_bytes(state.value());
-    });
+    if (current.has_error() || !current.value().initial_duty_voters.empty()) return;
+    std::vector<consensus::Member> initial_voters = voters();
+    if (initial_voters.size() < count) return;
+    std::ranges::sort(initial_voters, {}, &consensus::Member::address);
+    initial_voters.resize(count);
+    member_->propose_without_waiting(
+        [initial_voters](const std::string& payload) -> std::optional<std::string> {
+            auto state = wire::from_bytes<ConfigurationState>(payload);
+            if (state.has_error() || !state.value().initial_duty_voters.empty()) return std::nullopt;
+            state.value().initial_duty_voters = initial_voters;
+            return wire::to_bytes(state.value());
+        });
 }
 
 void ConfigurationGroup::watch_leader() {
@@ -174,8 +176,8 @@
 void ConfigurationGroup::publish(const consensus::Entry& entry) {
     const auto state = wire::from_bytes<ConfigurationState>(entry.payload);
     if (state.has_error()) return;
-    if (!state.value().duty_founders.empty() && callbacks_.duty_founders)
-        callbacks_.duty_founders(state.value().duty_founders);
+    if (!state.value().initial_duty_voters.empty() && callbacks_.initial_duty_voters)
+        callbacks_.initial_duty_voters(state.value().initial_duty_voters);
     if (state.value().version <= published_version_) return;
     const auto configuration = configuration::parse(state.value().body);
     if (configuration.has_error()) {
@@ -193,7 +195,7 @@
     return contact_at && reactor_.now() - *contact_at <= span;
 }
 
-Tenths ConfigurationGroup::out_of_contact() const {
+Tenths ConfigurationGroup::time_out_of_contact() const {
     return in_contact() ? 0 : reactor_.now() - replica().contact_at().value_or(opened_at_);
 }
 
@@ -202,11 +204,11 @@
     return newest ? newest->voters : std::vector<consensus::Member>{};
 }
 
-bool ConfigurationGroup::copies_last(const std::set<std::uint64_t>& members) const {
+bool ConfigurationGroup::survives_losses(const std::set<std::uint64_t>& members) const {
     if (planted(PlantedFault::kLeavingHeldByAnyone))
         return !voters().empty() && 2 * members.size() > voters().size();
     const auto holds = [&](consensus::MemberId id) { return members.contains(id.value); };
-    return replica().outlasts_losses(holds, false);
+    return replica().survives_losses(holds, false);
 }
 
 bool ConfigurationGroup::is_majority(const std::set<std::uint64_t>& members) const {
@@ -233,10 +235,10 @@
     if (!*verdict || **verdict == Verdict::kAccept) co_return not_leading();
     // A refusal, or a word on what was taken before, is only as good as this node's knowledge: proven by a
     // majority.
-    if (!planted(PlantedFault::kRefusalUnconfirmed) && !co_await member_->confirmed(kReadPatience))
+    if (!planted(PlantedFault::kRefusalUnconfirmed) && !co_await member_->confirm_leadership(kReadPatience))
         co_return not_leading();
-    if (**verdict == Verdict::kAlreadyTaken) co_return boost::outcome_v2::success();
-    if (**verdict == Verdict::kOldVersion)
+    if (**verdict == Verdict::kAlreadyAccepted) co_return boost::outcome_v2::success();
+    if (**verdict == Verdict::kStaleVersion)
         co_return error(ErrorKind::kInvalidInput,
                         "version: not above the current one; read /config and raise it");
     co_return error(ErrorKind::kVersionConflict,
@@ -245,7 +247,7 @@
 
 transport::Async<Result<std::optional<std::string>>> ConfigurationGroup::read() {
     if (!planted(PlantedFault::kReadUnconfirmed)) {
-        if (!leads() || !co_await member_->confirmed(kReadPatience)) co_return not_leading();
+        if (!leads() || !co_await member_->confirm_leadership(kReadPatience)) co_return not_leading();
     }
     const auto& committed = replica().committed();
     if (!committed) co_return not_leading();
--- a/src/control/configuration_group.hpp
+++ b/src/control/configuration_group.hpp
@@ -22,12 +22,12 @@
 class ConfigurationGroup {
   public:
     struct Options {
-        std::string address, zone;         // of this node, for its peers
-        std::vector<std::string> founders; // addresses of those who found the group on a first start
+        std::string address, zone;               // of this node, for its peers
+        std::vector<std::string> initial_voters; // addresses of those who found the group on a first start
         bool first_start = false;
-        bool disk_is_spoilt = false; // in another of its files
-        std::size_t least_voters = 3, most_voters = 9;
-        std::size_t least_copies = 1;        // disks, of voters that stay, that hold what is acknowledged
+        bool disk_is_corrupt = false; // in another of its files
+        std::size_t min_voters = 3, max_voters = 9;
+        std::size_t min_copies = 1;          // disks, of voters that stay, that hold what is acknowledged
         std::function<std::uint64_t()> draw; // random numbers, never 0
     };
     struct Callbacks {
@@ -37,7 +37,7 @@
         std::function<void()> leader_changed;   // another one is known to lead, or none
         std::function<void()> identity_changed; // this disk turned out to be a new one
         // Who founds the duties' groups, each time it is read from what was committed.
-        std::function<void(const std::vector<consensus::Member>&)> duty_founders;
+        std::function<void(const std::vector<consensus::Member>&)> initial_duty_voters;
     };
     // An error where the disk holds what can't be served from.
     static Result<std::unique_ptr<ConfigurationGroup>>
@@ -50,13 +50,13 @@
     std::optional<consensus::MemberId> leader() const { return replica().leader(); }
     // Heard lately from whoever leads, or leads with a majority: what it knows is current.
     bool in_contact() const;
-    Tenths out_of_contact() const; // for how long it has not been
+    Tenths time_out_of_contact() const; // for how long it has not been
     bool caught_up() const { return replica().caught_up(); }
     std::uint64_t term() const { return replica().term(); }
-    const consensus::MessageCounts& message_counts() const { return replica().message_counts(); }
+    const consensus::DroppedMessages& dropped_messages() const { return replica().dropped_messages(); }
     std::vector<consensus::Member> voters() const;
     // Whether what these members hold on their disks outlasts what may be lost at once.
-    bool copies_last(const std::set<std::uint64_t>& members) const;
+    bool survives_losses(const std::set<std::uint64_t>& members) const;
     // Whether these members, with this node where it votes, are a majority of the voters.
     bool is_majority(const std::set<std::uint64_t>& members) const;
     std::int64_t version() const { return published_version_; }
@@ -64,12 +64,12 @@
     void receive(const consensus::Message& message);
     // A peer has said hello and told the newest term that it knows of: a founder learns by it whether the
     // group exists already.
-    void met(const std::string& address, std::uint64_t term);
-    void set_candidates(std::vector<consensus::Candidate> candidates);
+    void handle_peer_hello(const std::string& address, std::uint64_t term);
+    void set_member_statuses(std::vector<consensus::MemberStatus> candidates);
     void resign();
     // Leading, and nobody is named yet: names so many of the voters, once there are as many.
-    void name_duty_founders(std::size_t count);
-    bool is_founding() const { return founding_; } // takes part in nothing yet
+    void propose_initial_duty_voters(std::size_t count);
+    bool is_bootstrapping() const { return founding_; } // takes part in nothing yet
 
     // Only where this node leads; else kUnavailable at once.
     transport::Async<Result<void>> replace(std::int64_t if_match, std::string body);
@@ -81,8 +81,8 @@
     Result<void> load();
     const consensus::Replica& replica() const { return member_->replica(); }
     void open_member(const consensus::DurableState& durable);
-    void found();
-    void found_if_alone(); // nobody knows of a group, or nobody else can be asked any longer
+    void bootstrap();
+    void bootstrap_if_unopposed(); // nobody knows of a group, or nobody else can be asked any longer
     void join_as_new_disk();
     void watch_leader();
     void publish(const consensus::Entry& entry);
--- a/src/control/control_api.cpp
+++ b/src/control/control_api.cpp
@@ -23,16 +23,18 @@
          [](const protocol::HttpMessage& message, const std::string& id) {
              return read_register_call(id, message.body);
          },
-         [this](RegisterCall call) { return registry_.carry_out(std::move(call)); },
+         [this](RegisterCall call) { return registry_.handle(std::move(call)); },
          [](const RegisterReply& reply) {
-             if (reply.beat_address.empty()) return http::json_answer("{}");
-             return http::json_answer("{\"beatAddr\":\"" + reply.beat_address + "\"}");
+             if (reply.heartbeat_address.empty()) return http::json_answer("{}");
+             return http::json_answer("{\"beatAddr\":\"" + reply.heartbeat_address + "\"}");
          }});
-    router_.add<LeaveCall, LeaveReply>(
+    router_.add<DeregisterCall, DeregisterReply>(
         {"DELETE", "/instances/",
-         [](const protocol::HttpMessage&, const std::string& id) { return Result<LeaveCall>(LeaveCall{id}); },
-         [this](LeaveCall call) { return registry_.carry_out(std::move(call)); },
-         [](const LeaveReply&) { return http::json_answer("{}"); }});
+         [](const protocol::HttpMessage&, const std::string& id) {
+             return Result<DeregisterCall>(DeregisterCall{id});
+         },
+         [this](DeregisterCall call) { return registry_.handle(std::move(call)); },
+         [](const DeregisterReply&) { return http::json_answer("{}"); }});
 }
 
 void ControlApi::add_calls_of_operators() {
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -51,7 +51,7 @@
 }
 
 Result<void> ControlNode::start() {
-    BOOST_OUTCOME_TRYV(open_known_state());
+    BOOST_OUTCOME_TRYV(open_snapshot_store());
     BOOST_OUTCOME_TRYV(open_duty_parts());
     BOOST_OUTCOME_TRYV(open_group());
     self_ = {feed::peer_address(settings_, settings_.ip), settings_.zone, group_->self().value};
@@ -63,17 +63,17 @@
     open_count_duty();
     open_peers();
     open_feed();
-    tell_known_state();
+    restore_snapshot();
     api_ = std::make_unique<ControlApi>(*registry_, *operator_calls_, [this] { return inspect(); });
     watch();
     peers_->start();
     return boost::outcome_v2::success();
 }
 
-Result<void> ControlNode::open_known_state() {
-    BOOST_OUTCOME_TRY(keeper, KnownStateKeeper::open(reactor_, environment_.open_file("known"),
-                                                     [this] { return known_state(); }));
-    known_state_ = std::move(keeper);
+Result<void> ControlNode::open_snapshot_store() {
+    BOOST_OUTCOME_TRY(keeper, SnapshotStore::open(reactor_, environment_.open_file("known"),
+                                                  [this] { return take_snapshot(); }));
+    snapshot_store_ = std::move(keeper);
     return boost::outcome_v2::success();
 }
 
@@ -81,14 +81,14 @@
 std::size_t ControlNode::losses() const {
     return static_cast<std::size_t>(std::max<std::int64_t>(0, settings_.tolerance.machines));
 }
-std::size_t ControlNode::least_voters() const { return std::max<std::size_t>(3, 2 * losses() + 1); }
+std::size_t ControlNode::min_voters() const { return std::max<std::size_t>(3, 2 * losses() + 1); }
 
 Result<void> ControlNode::open_duty_parts() {
     const bool has_stages =
         std::ranges::find(settings_.contracts, kEngineContract) != settings_.contracts.end();
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
     DutyParts::Options options;
-    options.least_copies = losses() + 1, options.voters = least_voters();
+    options.min_copies = losses() + 1, options.voters = min_voters();
     options.lease = settings_.bounds.lease_ms * (kTenthsPerSecond / 1000);
     options.draw = environment_.draw;
     const auto send = [this](std::size_t part, const consensus::Send& sent) {
@@ -106,11 +106,11 @@
     options.zone = settings_.zone;
     options.address = feed::peer_address(settings_, settings_.ip);
     for (const std::string& seed : settings_.seed_nodes)
-        options.founders.push_back(feed::peer_address(settings_, host_text(seed)));
+        options.initial_voters.push_back(feed::peer_address(settings_, host_text(seed)));
     options.first_start = settings_.first_start, options.draw = environment_.draw;
-    options.disk_is_spoilt = known_state_->is_spoilt() || (duty_parts_ && duty_parts_->is_spoilt());
-    options.least_copies = losses() + 1, options.least_voters = least_voters();
-    options.most_voters = std::max<std::size_t>(options.least_voters, 9);
+    options.disk_is_corrupt = snapshot_store_->is_corrupt() || (duty_parts_ && duty_parts_->is_spoilt());
+    options.min_copies = losses() + 1, options.min_voters = min_voters();
+    options.max_voters = std::max<std::size_t>(options.min_voters, 9);
     ConfigurationGroup::Callbacks callbacks;
     callbacks.send = [this](const consensus::Send& sent) {
         if (!peers_) return;
@@ -124,8 +124,8 @@
         if (operator_calls_) operator_calls_->leader_changed();
     };
     callbacks.identity_changed = [this] { identity_changed(); };
-    callbacks.duty_founders = [this](const std::vector<consensus::Member>& founders) {
-        if (duty_parts_) duty_parts_->found(founders);
+    callbacks.initial_duty_voters = [this](const std::vector<consensus::Member>& initial_voters) {
+        if (duty_parts_) duty_parts_->found(initial_voters);
     };
     BOOST_OUTCOME_TRY(group, ConfigurationGroup::open(reactor_, environment_.open_file("state"),
                                                       std::move(options), std::move(callbacks)));
@@ -147,7 +147,7 @@
     options.heartbeat = settings_.beat_interval_ms * (kTenthsPerSecond / 1000);
     // Each server keeps a connection; as many again come from those that turn here when another node is gone.
     const std::int64_t room = settings_.limits.file_descriptors - kOtherDescriptors;
-    options.most_at_owner = static_cast<std::size_t>(std::max<std::int64_t>(0, room / 2));
+    options.max_per_owner = static_cast<std::size_t>(std::max<std::int64_t>(0, room / 2));
     InstanceRegistry::Callbacks callbacks;
     callbacks.send_to_peers = [this](const feed::Message& message) {
         if (peers_) peers_->send_to_all(message);
@@ -155,12 +155,12 @@
     callbacks.send = [this](const std::string& peer, const feed::Message& message) {
         return peers_->send(peer, message);
     };
-    callbacks.copies_last = [this](const std::set<std::uint64_t>& members) {
-        return group_->copies_last(members);
+    callbacks.survives_losses = [this](const std::set<std::uint64_t>& members) {
+        return group_->survives_losses(members);
     };
     callbacks.self = [this] { return self_.member; };
     callbacks.make_durable = [this](std::function<void(bool)> done) {
-        known_state_->make_durable(std::move(done));
+        snapshot_store_->make_durable(std::move(done));
     };
     callbacks.in_contact = [this] { return group_->in_contact(); };
     callbacks.serves = [this] { return gate_.is_open(); };
@@ -303,17 +303,17 @@
         if (usage_exchange_) usage_exchange_->fill(status, reactor_.now());
     };
     callbacks.term = [this] { return group_->term(); };
-    callbacks.met = [this](const model::ControlNode& peer, std::uint64_t term) {
-        group_->met(peer.address, term);
-        registry_->ask_for_copy(peer);
+    callbacks.peer_hello = [this](const model::ControlNode& peer, std::uint64_t term) {
+        group_->handle_peer_hello(peer.address, term);
+        registry_->request_sync(peer);
     };
-    callbacks.linked = [this](const std::string& address) {
+    callbacks.link_up = [this](const std::string& address) {
         if (!usage_exchange_) return;
         for (feed::UsageCounts& counts : usage_exchange_->recent()) peers_->send(address, std::move(counts));
     };
     peers_ = std::make_unique<PeerMesh>(reactor_, environment_.network, options, std::move(callbacks));
     peer_listener_ = environment_.network.listen(
-        self_.address, [this](const feed::AcceptedLink& connection) { peers_->take(connection); });
+        self_.address, [this](const feed::AcceptedLink& connection) { peers_->accept(connection); });
 }
 
 void ControlNode::open_feed() {
@@ -336,9 +336,9 @@
         callbacks.fleet_time = [this] { return fleet_clock_.at(reactor_.now()); };
     }
     callbacks.instances = [this](const std::vector<model::Instance>& records) {
-        registry_->merge_known(records);
+        registry_->merge_agent_records(records);
     };
-    callbacks.loads = [this](const std::vector<model::Load>& loads) { registry_->take_loads(loads, true); };
+    callbacks.loads = [this](const std::vector<model::Load>& loads) { registry_->update_loads(loads, true); };
     callbacks.demands = [this](const std::string& node, const std::vector<model::ServiceDemand>& demands) {
         if (stage_duty_) stage_duty_->demand().told_by_node(node, demands, reactor_.now());
     };
@@ -350,8 +350,8 @@
 }
 
 // The servers that the disk knew have their usual time to be heard from.
-void ControlNode::tell_known_state() {
-    const KnownState& loaded = known_state_->loaded();
+void ControlNode::restore_snapshot() {
+    const NodeSnapshot& loaded = snapshot_store_->loaded();
     if (loaded.version > 0 && log_.configuration() == nullptr) {
         const auto configuration = configuration::parse(loaded.body);
         if (configuration.has_value()) {
@@ -359,14 +359,14 @@
             configuration_body_ = loaded.body;
         }
     }
-    registry_->merge_known(loaded.instances);
+    registry_->merge_agent_records(loaded.instances);
     log_line("known_state", {{"version", std::to_string(loaded.version)},
                              {"servers", std::to_string(loaded.instances.size())}});
     publish();
 }
 
-KnownState ControlNode::known_state() const {
-    KnownState state;
+NodeSnapshot ControlNode::take_snapshot() const {
+    NodeSnapshot state;
     if (const model::Configuration* configuration = log_.configuration())
         state.version = configuration->version;
     state.body = configuration_body_;
@@ -376,7 +376,7 @@
 
 void ControlNode::publish() {
     if (publisher_) publisher_->publish();
-    known_state_->changed();
+    snapshot_store_->changed();
 }
 
 std::string ControlNode::call_address(const std::string& peer) const {
@@ -403,7 +403,7 @@
     } else if (const auto* ordered = std::get_if<feed::Ordered>(&message)) {
         put_orders(ordered->orders);
     } else if (const auto* heard = std::get_if<feed::Heard>(&message)) {
-        registry_->heard_elsewhere(*heard);
+        registry_->record_remote_heartbeats(*heard);
     } else if (const auto* records = std::get_if<feed::Replicate>(&message)) {
         registry_->replicate(peer, *records);
     } else if (const auto* done = std::get_if<feed::Replicated>(&message)) {
@@ -411,12 +411,12 @@
     } else if (const auto* wanted = std::get_if<feed::WantRanges>(&message)) {
         registry_->send_ranges(peer, *wanted);
     } else if (const auto* copy = std::get_if<feed::Instances>(&message)) {
-        registry_->take_copy(peer, *copy);
+        registry_->receive_records(peer, *copy);
         update_gate();
     } else if (auto* call = std::get_if<feed::ForwardedCall>(&message)) {
-        operator_calls_->forwarded(peer, std::move(*call));
+        operator_calls_->handle_forwarded_call(peer, std::move(*call));
     } else if (auto* answer = std::get_if<feed::ForwardedAnswer>(&message)) {
-        operator_calls_->answered(peer, std::move(*answer));
+        operator_calls_->handle_forwarded_answer(peer, std::move(*answer));
     }
 }
 
@@ -426,11 +426,11 @@
     for (const model::ControlNode& node : alive_) addresses.push_back(node.address);
     std::ranges::sort(addresses);
     registry_->set_nodes(std::move(addresses));
-    group_->set_candidates(peers_->candidates());
+    group_->set_member_statuses(peers_->member_statuses());
     for (const model::ControlNode& node : before)
         if (std::ranges::find(alive_, node) == alive_.end()) operator_calls_->peer_lost(node.member);
     for (const model::ControlNode& node : alive_)
-        if (std::ranges::find(before, node) == before.end()) registry_->ask_for_copy(node);
+        if (std::ranges::find(before, node) == before.end()) registry_->request_sync(node);
     put_control_nodes();
     put_edge_nodes();
 }
@@ -439,7 +439,7 @@
 void ControlNode::identity_changed() {
     self_.member = group_->self().value;
     peers_->set_member(self_.member);
-    group_->set_candidates(peers_->candidates());
+    group_->set_member_statuses(peers_->member_statuses());
     put_control_nodes();
 }
 
@@ -461,16 +461,16 @@
     publisher_->publish();
 }
 
-Standing ControlNode::standing() const {
-    return {group_->out_of_contact(), group_->caught_up(), group_->is_majority(registry_->copied_from()),
-            ending_};
+FeedConditions ControlNode::feed_conditions() const {
+    return {group_->time_out_of_contact(), group_->caught_up(),
+            group_->is_majority(registry_->synced_members()), ending_};
 }
 
 void ControlNode::watch() {
     timer_ = reactor_.call_after(kWatchInterval, [this] { watch(); });
     for (const consensus::Member& voter : group_->voters())
-        peers_->know({voter.address, voter.zone, voter.id.value});
-    group_->set_candidates(peers_->candidates());
+        peers_->add_peer({voter.address, voter.zone, voter.id.value});
+    group_->set_member_statuses(peers_->member_statuses());
     put_edge_nodes(); // what was too soon to be told
     watch_duties();
     update_gate();
@@ -478,18 +478,18 @@
 
 // Whose disk this is must be certain before it votes for anything.
 void ControlNode::watch_duties() {
-    if (!duty_parts_ || group_->is_founding() || ending_) return;
+    if (!duty_parts_ || group_->is_bootstrapping() || ending_) return;
     duty_parts_->join(group_->self_member());
-    duty_parts_->set_candidates(peers_->candidates());
-    group_->name_duty_founders(least_voters());
+    duty_parts_->set_member_statuses(peers_->member_statuses());
+    group_->propose_initial_duty_voters(min_voters());
 }
 
 // Whoever holds what a majority held may become a voter: a leaving that was acknowledged then stays known to
 // every majority.
 void ControlNode::become_ready() {
-    if (ready_ || !group_->is_majority(registry_->copied_from())) return;
+    if (ready_ || !group_->is_majority(registry_->synced_members())) return;
     ready_ = true;
-    known_state_->make_durable([this, cuts = cuts_](bool is_durable) {
+    snapshot_store_->make_durable([this, cuts = cuts_](bool is_durable) {
         if (cuts != cuts_) return;
         ready_ = is_durable;
         peers_->set_ready(is_durable);
@@ -500,7 +500,7 @@
 // where it does not yet.
 void ControlNode::cut_off() {
     ++cuts_;
-    registry_->forget_copies();
+    registry_->reset_sync();
     if (planted(PlantedFault::kReadyKept)) return;
     ready_ = false;
     peers_->set_ready(false);
@@ -508,16 +508,16 @@
 
 void ControlNode::update_gate() {
     become_ready();
-    if (!gate_.update(standing())) return;
+    if (!gate_.update(feed_conditions())) return;
     log_line("feed", {{"serves", gate_.is_open() ? "yes" : "no"}});
     if (gate_.is_open()) return publisher_->serve_waiting();
     cut_off();
     publisher_->end_all("this node is cut off from the majority");
 }
 
-std::uint64_t ControlNode::refused_answers() const {
-    const OperatorCalls::Refused& calls = operator_calls_->refused();
-    const RefusedCopies& copies = registry_->refused();
+std::uint64_t ControlNode::dropped_replies() const {
+    const OperatorCalls::DroppedReplies& calls = operator_calls_->dropped_replies();
+    const DroppedSyncReplies& copies = registry_->dropped_replies();
     return calls.other_process + calls.unasked + calls.other_peer + copies.other_process + copies.unasked;
 }
 
@@ -531,18 +531,18 @@
     if (stage_duty_) seen.orders = stage_duty_->counts();
     if (usage_duty_) seen.usage = usage_duty_->standing();
     if (count_duty_) seen.server_counts = count_duty_->standings(), seen.count_calls = count_duty_->calls();
-    seen.group = group_->message_counts(), seen.links = peers_->refused();
-    seen.copies = registry_->refused(), seen.calls = operator_calls_->refused();
+    seen.group = group_->dropped_messages(), seen.links = peers_->rejected_messages();
+    seen.copies = registry_->dropped_replies(), seen.calls = operator_calls_->dropped_replies();
     return to_json(seen);
 }
 
-void ControlNode::begin_end() {
+void ControlNode::begin_shutdown() {
     if (std::exchange(ending_, true)) return;
     log_line("ending");
     group_->resign();
     if (duty_parts_) duty_parts_->resign();
-    peers_->set_ending();
-    group_->set_candidates(peers_->candidates());
+    peers_->announce_shutdown();
+    group_->set_member_statuses(peers_->member_statuses());
     put_control_nodes();
     publisher_->end_all("this node ends");
     reactor_.call_after(kEndSpan, [this] { reactor_.stop(); });
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -11,7 +11,7 @@
 #include "control/environment.hpp"
 #include "control/feed_gate.hpp"
 #include "control/instance_registry.hpp"
-#include "control/known_state.hpp"
+#include "control/node_snapshot.hpp"
 #include "control/operator_calls.hpp"
 #include "control/peer_mesh.hpp"
 #include "control/stage_duty.hpp"
@@ -37,7 +37,7 @@
     transport::Async<http::Answer> handle(protocol::HttpMessage message) const {
         return api_->handle(std::move(message));
     }
-    void begin_end(); // SIGTERM: hands over, tells its peers, stops the reactor within a second
+    void begin_shutdown(); // SIGTERM: hands over, tells its peers, stops the reactor within a second
 
     const ConfigurationGroup& group() const { return *group_; }
     const InstanceRegistry& registry() const { return *registry_; }
@@ -47,14 +47,14 @@
     const duties::UsageTally& usage_tally() const { return usage_tally_; } // likewise
     bool serves_feed() const { return gate_.is_open(); }
     // Answers of peers that were passed over: of another process's question, of none, or of a peer not asked.
-    std::uint64_t refused_answers() const;
+    std::uint64_t dropped_replies() const;
 
   private:
     ControlNode(Environment environment, const settings::Settings& settings);
     Result<void> start();
     std::size_t losses() const;
-    std::size_t least_voters() const;
-    Result<void> open_known_state();
+    std::size_t min_voters() const;
+    Result<void> open_snapshot_store();
     Result<void> open_duty_parts();
     Result<void> open_group();
     void open_registry();
@@ -63,8 +63,8 @@
     void open_count_duty(); // after the servers' parts, whose picture it shares
     void open_peers();
     void open_feed();
-    void tell_known_state(); // what the disk knew, as a head start
-    KnownState known_state() const;
+    void restore_snapshot(); // what the disk knew, as a head start
+    NodeSnapshot take_snapshot() const;
     void publish(); // after items were put into the log
     void committed(const model::Configuration& configuration, const std::string& body);
     void peer_said(const model::ControlNode& peer, feed::Message message);
@@ -83,7 +83,7 @@
     void update_gate();
     void become_ready();
     void cut_off();
-    Standing standing() const;
+    FeedConditions feed_conditions() const;
     std::string call_address(const std::string& peer) const;
     std::string inspect() const;
 
@@ -97,7 +97,7 @@
     duties::UsageTally usage_tally_;
     std::unique_ptr<UsageExchange> usage_exchange_; // null where no usage is due
     duties::CallBudget call_budget_{settings_.cloud_api.duty_per_s, reactor_.now()}; // of all duties
-    std::unique_ptr<KnownStateKeeper> known_state_;
+    std::unique_ptr<SnapshotStore> snapshot_store_;
     std::unique_ptr<feed::Publisher> publisher_;
     std::unique_ptr<PeerMesh> peers_;
     std::unique_ptr<DutyParts> duty_parts_;
--- a/src/control/control_program.cpp
+++ b/src/control/control_program.cpp
@@ -1,7 +1,7 @@
 #include "control/control_program.hpp"
 
 #include "clock/time_of_day.hpp"
-#include "control/disk_writer.hpp"
+#include "control/disk_state_file.hpp"
 
 #include <algorithm>
 #include <random>
@@ -34,7 +34,7 @@
                                                              const settings::Settings& settings) {
     std::unique_ptr<ControlProgram> program(new ControlProgram(reactor, settings));
     const auto open_file = [&reactor, folder = settings.data_dir](const std::string& kind) {
-        return std::make_unique<DiskWriter>(reactor, storage::VersionStore(folder, kind));
+        return std::make_unique<DiskStateFile>(reactor, storage::VersionStore(folder, kind));
     };
     Environment environment{reactor, program->network_, program->orders_, program->platform_, open_file,
                             draw,    clock::time_of_day};
--- a/src/control/control_program.hpp
+++ b/src/control/control_program.hpp
@@ -16,7 +16,7 @@
     // An error where the settings or the disk can't be served with; throws where it can't listen.
     static Result<std::unique_ptr<ControlProgram>> open(transport::Reactor& reactor,
                                                         const settings::Settings& settings);
-    void begin_end() { node_->begin_end(); }
+    void begin_shutdown() { node_->begin_shutdown(); }
 
   private:
     ControlProgram(transport::Reactor& reactor, const settings::Settings& settings)
--- a/src/control/disk_writer.cpp
+++ b/src/control/disk_state_file.cpp
@@ -1,13 +1,13 @@
-#include "control/disk_writer.hpp"
+#include "control/disk_state_file.hpp"
 
 #include <utility>
 
 namespace ivyrill::control {
 
-DiskWriter::DiskWriter(transport::Reactor& reactor, storage::VersionStore store)
+DiskStateFile::DiskStateFile(transport::Reactor& reactor, storage::VersionStore store)
     : reactor_(reactor), store_(std::move(store)) {}
 
-DiskWriter::~DiskWriter() {
+DiskStateFile::~DiskStateFile() {
     {
         const std::lock_guard lock(mutex_);
         ending_ = true;
@@ -16,17 +16,17 @@
     if (thread_.joinable()) thread_.join();
 }
 
-Result<StateFile::Loaded> DiskWriter::load() {
+Result<StateFile::Loaded> DiskStateFile::load() {
     BOOST_OUTCOME_TRY(found, store_.load());
     Loaded loaded;
-    loaded.newest_is_spoilt = store_.torn_files() > 0;
+    loaded.newest_is_corrupt = store_.corrupt_files() > 0;
     number_ = store_.highest_number();
     if (found) loaded.bytes = std::move(found->bytes);
     thread_ = std::thread([this] { work(); });
     return loaded;
 }
 
-void DiskWriter::save(std::string bytes, std::function<void(Result<void>)> done) {
+void DiskStateFile::save(std::string bytes, std::function<void(Result<void>)> done) {
     {
         const std::lock_guard lock(mutex_);
         jobs_.push_back({std::move(bytes), std::move(done)});
@@ -34,7 +34,7 @@
     changed_.notify_one();
 }
 
-void DiskWriter::work() {
+void DiskStateFile::work() {
     for (;;) {
         Job job;
         {
--- a/src/control/disk_writer.hpp
+++ b/src/control/disk_state_file.hpp
@@ -14,10 +14,10 @@
 
 namespace ivyrill::control {
 
-class DiskWriter : public StateFile {
+class DiskStateFile : public StateFile {
   public:
-    DiskWriter(transport::Reactor& reactor, storage::VersionStore store);
-    ~DiskWriter() override; // waits for the write under way
+    DiskStateFile(transport::Reactor& reactor, storage::VersionStore store);
+    ~DiskStateFile() override; // waits for the write under way
     Result<Loaded> load() override;
     void save(std::string bytes, std::function<void(Result<void>)> done) override;
 
--- a/src/control/duty_parts.cpp
+++ b/src/control/duty_parts.cpp
@@ -50,9 +50,9 @@
         Part& part = parts_[number];
         part.disk = open_file("duties-" + std::to_string(number));
         BOOST_OUTCOME_TRY(loaded, part.disk->load());
-        spoilt_ = spoilt_ || loaded.newest_is_spoilt;
-        if (!loaded.bytes || loaded.newest_is_spoilt) continue;
-        BOOST_OUTCOME_TRY(read, wire::from_bytes<MemberState>(*loaded.bytes));
+        spoilt_ = spoilt_ || loaded.newest_is_corrupt;
+        if (!loaded.bytes || loaded.newest_is_corrupt) continue;
+        BOOST_OUTCOME_TRY(read, wire::from_bytes<StoredReplicaState>(*loaded.bytes));
         part.loaded = std::move(read);
     }
     return boost::outcome_v2::success();
@@ -73,7 +73,7 @@
     consensus::Options options;
     options.self = self, options.seed = options_.draw();
     options.heartbeat_interval = kHeartbeat, options.election_timeout = kElectionTimeout;
-    options.least_copies = options_.least_copies;
+    options.min_copies = options_.min_copies;
     ReplicatedGroup::Callbacks callbacks;
     callbacks.send = [this, number](const consensus::Send& sent) { send_(number, sent); };
     callbacks.committed = [](const consensus::Entry&) {};
@@ -94,16 +94,16 @@
         return;
     for (Part& part : parts_)
         if (!part.member->replica().newest())
-            part.member->found(founders, wire::to_bytes(duties::PartState{}));
+            part.member->bootstrap(founders, wire::to_bytes(duties::PartState{}));
 }
 
 void DutyParts::receive(std::size_t part, const consensus::Message& message) {
     if (part < parts_.size() && has_joined()) parts_[part].member->receive(message);
 }
 
-void DutyParts::set_candidates(const std::vector<consensus::Candidate>& candidates) {
+void DutyParts::set_member_statuses(const std::vector<consensus::MemberStatus>& candidates) {
     if (!has_joined()) return;
-    for (Part& part : parts_) part.member->set_candidates(candidates, options_.voters, options_.voters);
+    for (Part& part : parts_) part.member->set_member_statuses(candidates, options_.voters, options_.voters);
 }
 
 void DutyParts::role_changed(Part& part, const consensus::RoleChanged& role) {
@@ -135,7 +135,7 @@
     if (!planted(PlantedFault::kActsAfterRelease)) part.lease->end(reactor_.now());
     if (!says_so) return;
     const std::uint64_t term = part.member->replica().term();
-    part.member->propose_unawaited(payload_by([term](const duties::PartState& newest) {
+    part.member->propose_without_waiting(payload_by([term](const duties::PartState& newest) {
         duties::PartState released = planted(PlantedFault::kLedgerForgotten) ? duties::PartState{} : newest;
         released.released_term = term;
         return std::optional(std::move(released));
@@ -172,7 +172,7 @@
 
 void DutyParts::propose(const duties::Duty& duty, ChangeState change) {
     if (may_propose(duty))
-        parts_[duties::part_of(duty)].member->propose_unawaited(payload_by(std::move(change)));
+        parts_[duties::part_of(duty)].member->propose_without_waiting(payload_by(std::move(change)));
 }
 
 std::array<DutyParts::Standing, duties::kDutyParts> DutyParts::standings() const {
--- a/src/control/duty_parts.hpp
+++ b/src/control/duty_parts.hpp
@@ -19,9 +19,9 @@
 class DutyParts {
   public:
     struct Options {
-        std::size_t least_copies = 1; // disks, of voters that stay, that hold what is agreed on
-        std::size_t voters = 3;       // of each part
-        Tenths lease = 0;             // `leaseMs`
+        std::size_t min_copies = 1; // disks, of voters that stay, that hold what is agreed on
+        std::size_t voters = 3;     // of each part
+        Tenths lease = 0;           // `leaseMs`
         std::function<std::uint64_t()> draw;
     };
     using SendToMember = std::function<void(std::size_t part, const consensus::Send&)>;
@@ -44,7 +44,7 @@
     void join(const consensus::Member& self); // once it is certain whose disk this is
     void found(const std::vector<consensus::Member>& founders);
     void receive(std::size_t part, const consensus::Message& message);
-    void set_candidates(const std::vector<consensus::Candidate>& candidates);
+    void set_member_statuses(const std::vector<consensus::MemberStatus>& candidates);
     void resign(); // before a planned end: acts no more, says so, and hands over
 
     // The fence under which this node may act for the duty at this moment; none where it may not.
@@ -64,7 +64,7 @@
   private:
     struct Part {
         std::unique_ptr<StateFile> disk;
-        MemberState loaded;
+        StoredReplicaState loaded;
         std::unique_ptr<ReplicatedGroup> member; // after its disk, which it writes to
         std::unique_ptr<duties::Lease> lease;
         std::uint64_t times_led = 0; // by this process
--- a/src/control/silence_watch.cpp
+++ b/src/control/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "control/silence_watch.hpp"
+#include "control/failure_detector.hpp"
 
 namespace ivyrill::control {
 
@@ -8,7 +8,7 @@
 
 } // namespace
 
-model::InstanceState SilenceWatch::judge(const model::Instance& record, Tenths now) {
+model::InstanceState FailureDetector::judge(const model::Instance& record, Tenths now) {
     const Tenths at = last_heard_.try_emplace(record.id, now).first->second;
     const double missed = static_cast<double>(now - at) / static_cast<double>(heartbeat_);
     if (missed >= kGoneBeats) return model::InstanceState::kGone;
@@ -16,9 +16,9 @@
     return falls_silent ? model::InstanceState::kSilent : record.state;
 }
 
-std::vector<model::Instance> SilenceWatch::judge(const feed::InstanceTable& table,
-                                                 const std::function<bool(const std::string& service)>& owned,
-                                                 Tenths now) {
+std::vector<model::Instance>
+FailureDetector::judge(const feed::InstanceTable& table,
+                       const std::function<bool(const std::string& service)>& owned, Tenths now) {
     std::vector<model::Instance> judged;
     for (const auto& [id, record] : table.records()) {
         if (record.state == model::InstanceState::kGone || !owned(record.service)) continue;
--- a/src/control/silence_watch.hpp
+++ b/src/control/failure_detector.hpp
@@ -12,18 +12,18 @@
 
 namespace ivyrill::control {
 
-class SilenceWatch {
+class FailureDetector {
   public:
-    explicit SilenceWatch(Tenths heartbeat) : heartbeat_(heartbeat) {} // that servers keep
+    explicit FailureDetector(Tenths heartbeat) : heartbeat_(heartbeat) {} // that servers keep
 
     void heard(const std::string& id, Tenths now) { last_heard_[id] = now; }
     void forget(const std::string& id) { last_heard_.erase(id); }
     // While this process stood still it heard nobody; the servers aren't to blame.
-    void slept(Tenths span) {
+    void discount_pause(Tenths span) {
         for (auto& [id, at] : last_heard_) at += span;
     }
     // Whoever was cut off has not heard what servers told the others: they get their whole time again.
-    void give_whole_time(Tenths now) {
+    void restart_timeouts(Tenths now) {
         for (auto& [id, at] : last_heard_) at = now;
     }
     // The records, as judged now, of servers of services that `owned` names whose state changes by it.
--- a/src/control/feed_gate.hpp
+++ b/src/control/feed_gate.hpp
@@ -5,11 +5,11 @@
 
 namespace ivyrill::control {
 
-// What a node knows of its own standing.
-struct Standing {
-    Tenths out_of_contact = 0;  // for how long it has not heard a leader; 0: it hears one
-    bool caught_up = false;     // it knows what that leader has committed
-    bool knows_servers = false; // it has merged the servers' records of a majority
+// What a node knows of its own conditions.
+struct FeedConditions {
+    Tenths time_out_of_contact = 0; // for how long it has not heard a leader; 0: it hears one
+    bool caught_up = false;         // it knows what that leader has committed
+    bool knows_servers = false;     // it has merged the servers' records of a majority
     bool ending = false;
 };
 
@@ -21,9 +21,9 @@
     // Has never been open: whoever comes may wait, as it will know all soon or the others don't either.
     bool is_opening() const { return !open_ && !was_open_; }
     // True where it has opened or closed.
-    bool update(const Standing& standing) {
+    bool update(const FeedConditions& conditions) {
         const bool was_open = open_;
-        open_ = !standing.ending && (was_open ? may_stay_open(standing) : may_open(standing));
+        open_ = !conditions.ending && (was_open ? may_stay_open(conditions) : may_open(conditions));
         was_open_ = was_open_ || open_;
         return open_ != was_open;
     }
@@ -33,13 +33,13 @@
     // whoever is fed here has to turn elsewhere before. An election that is contested once is mostly over by
     // then.
     static constexpr Tenths kOutOfContact = 16'000;
-    static bool may_open(const Standing& standing) {
-        const bool caught_up = standing.caught_up || planted(PlantedFault::kFeedBeforeCaughtUp);
-        const bool knows_servers = standing.knows_servers || planted(PlantedFault::kFeedBeforeServersKnown);
-        return standing.out_of_contact == 0 && caught_up && knows_servers;
+    static bool may_open(const FeedConditions& conditions) {
+        const bool caught_up = conditions.caught_up || planted(PlantedFault::kFeedBeforeCaughtUp);
+        const bool knows_servers = conditions.knows_servers || planted(PlantedFault::kFeedBeforeServersKnown);
+        return conditions.time_out_of_contact == 0 && caught_up && knows_servers;
     }
-    static bool may_stay_open(const Standing& standing) {
-        return standing.out_of_contact < kOutOfContact || planted(PlantedFault::kFeedServedCutOff);
+    static bool may_stay_open(const FeedConditions& conditions) {
+        return conditions.time_out_of_contact < kOutOfContact || planted(PlantedFault::kFeedServedCutOff);
     }
     bool open_ = false, was_open_ = false;
 };
--- a/src/control/heartbeat_call.hpp
+++ b/src/control/heartbeat_call.hpp
@@ -11,12 +11,12 @@
     model::Instance instance; // with the heartbeat's own sequence number as its revision
 };
 struct RegisterReply {
-    std::string beat_address; // where later heartbeats should go; empty for no advice
+    std::string heartbeat_address; // where later heartbeats should go; empty for no advice
 };
-struct LeaveCall {
+struct DeregisterCall {
     std::string instance;
 };
-struct LeaveReply {};
+struct DeregisterReply {};
 
 Result<RegisterCall> read_register_call(const std::string& id, const std::string& json);
 
--- a/src/control/inspection.hpp
+++ b/src/control/inspection.hpp
@@ -31,10 +31,10 @@
     std::vector<CountDuty::Standing> server_counts; // of the zones that this node orders for
     duties::PlatformCounts count_calls;             // for them, by this process
     // Messages that were passed over, by cause.
-    consensus::MessageCounts group;
-    PeerMesh::Refused links;
-    RefusedCopies copies;
-    OperatorCalls::Refused calls;
+    consensus::DroppedMessages group;
+    PeerMesh::RejectedMessages links;
+    DroppedSyncReplies copies;
+    OperatorCalls::DroppedReplies calls;
 };
 
 std::string to_json(const Inspection& inspection);
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -35,7 +35,7 @@
 InstanceRegistry::InstanceRegistry(transport::Reactor& reactor, feed::FeedLog& log, Options options,
                                    Callbacks callbacks)
     : reactor_(reactor), log_(log), options_(std::move(options)), callbacks_(std::move(callbacks)),
-      parts_(options_.most_at_owner), silence_(options_.heartbeat), copies_(options_.incarnation) {
+      parts_(options_.max_per_owner), silence_(options_.heartbeat), copies_(options_.incarnation) {
     check_silence();
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-transport::Async<Result<RegisterReply>> InstanceRegistry::carry_out(RegisterCall call) {
+transport::Async<Result<RegisterReply>> InstanceRegistry::handle(RegisterCall call) {
     Instance record = std::move(call.instance);
     const Instance* known = table_.find(record.id);
     const bool finished = known != nullptr && known->revision == model::kFinalRevision;
@@ -94,7 +94,7 @@
     co_return RegisterReply{target.empty() || target == options_.self ? "" : callbacks_.call_address(target)};
 }
 
-transport::Async<Result<LeaveReply>> InstanceRegistry::carry_out(LeaveCall call) {
+transport::Async<Result<DeregisterReply>> InstanceRegistry::handle(DeregisterCall call) {
     const Instance* known = table_.find(call.instance);
     Instance record;
     if (known != nullptr) record = *known;
@@ -105,7 +105,7 @@
     }
     std::vector<Instance> held(1, *table_.find(call.instance));
     if (!co_await secure(std::move(held))) co_return not_held();
-    co_return LeaveReply{};
+    co_return DeregisterReply{};
 }
 
 transport::Async<bool> InstanceRegistry::secure(std::vector<Instance> records) {
@@ -128,12 +128,12 @@
     const auto found = leavings_.find(number);
     if (found == leavings_.end()) return;
     found->second.members.insert(member);
-    if (callbacks_.copies_last(found->second.members)) found->second.enough->resolve(true);
+    if (callbacks_.survives_losses(found->second.members)) found->second.enough->resolve(true);
 }
 
 void InstanceRegistry::replicated(const model::ControlNode& peer, const feed::Replicated& message) {
-    if (!copies_.asked_by_this_process(message.id)) return;
-    if (!leavings_.contains(message.id.number)) return copies_.pass_over_unasked();
+    if (!copies_.is_own_request(message.id)) return;
+    if (!leavings_.contains(message.id.number)) return copies_.count_unsolicited();
     stored_at(message.id.number, peer.member);
 }
 
@@ -152,7 +152,7 @@
 
 void InstanceRegistry::replicate(const model::ControlNode& peer, const feed::Replicate& message) {
     if (merge(message.instances)) callbacks_.changed();
-    if (!message.loads.empty()) take_loads(message.loads, false);
+    if (!message.loads.empty()) update_loads(message.loads, false);
     if (message.id.number == 0) return;
     if (planted(PlantedFault::kLeavingInMemoryOnly)) {
         callbacks_.send(peer.address, feed::Replicated{message.id});
@@ -163,7 +163,7 @@
     });
 }
 
-void InstanceRegistry::take_loads(const std::vector<model::Load>& loads, bool first_hand) {
+void InstanceRegistry::update_loads(const std::vector<model::Load>& loads, bool first_hand) {
     std::vector<model::Load> news;
     for (const model::Load& load : loads) {
         const Instance* known = table_.find(load.instance);
@@ -180,7 +180,7 @@
 }
 
 void InstanceRegistry::compare(const model::ControlNode& peer, const feed::PeerStatus& status) {
-    ask_for_copy(peer);
+    request_sync(peer);
     const auto ranges = feed::InstanceTable::differing(digests(), status.instances);
     int& times = differs_[peer.address];
     times = ranges.empty() ? 0 : times + 1;
@@ -189,21 +189,21 @@
     callbacks_.send(peer.address, feed::WantRanges{ranges, {}});
 }
 
-void InstanceRegistry::ask_for_copy(const model::ControlNode& peer) {
-    const auto question = copies_.question(peer.member, reactor_.now());
-    if (question && !callbacks_.send(peer.address, *question)) copies_.not_asked(peer.member);
+void InstanceRegistry::request_sync(const model::ControlNode& peer) {
+    const auto question = copies_.request(peer.member, reactor_.now());
+    if (question && !callbacks_.send(peer.address, *question)) copies_.request_failed(peer.member);
 }
 
 void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted) {
     callbacks_.send(peer.address, feed::Instances{table_.in_ranges(wanted.ranges), true, wanted.id});
 }
 
-void InstanceRegistry::take_copy(const model::ControlNode& peer, const feed::Instances& records) {
+void InstanceRegistry::receive_records(const model::ControlNode& peer, const feed::Instances& records) {
     if (merge(records.records)) callbacks_.changed();
-    copies_.answered(peer.member, records.answers);
+    copies_.reply_received(peer.member, records.answers);
 }
 
-void InstanceRegistry::merge_known(const std::vector<Instance>& records) {
+void InstanceRegistry::merge_agent_records(const std::vector<Instance>& records) {
     bool news = false;
     for (const Instance& record : records) {
         if (!merge({record})) continue;
@@ -237,7 +237,7 @@
         callbacks_.send(node, feed::Heard{{ids.begin(), ids.end()}});
 }
 
-void InstanceRegistry::heard_elsewhere(const feed::Heard& message) {
+void InstanceRegistry::record_remote_heartbeats(const feed::Heard& message) {
     for (const std::string& id : message.instances) heard(id);
 }
 
@@ -245,10 +245,10 @@
     timer_ = reactor_.call_after(kCheckInterval, [this] { check_silence(); });
     tell_watchers();
     parts_.count_servers(table_);
-    if (const Tenths slept = reactor_.overslept(); slept > kCheckInterval / 5) silence_.slept(slept);
+    if (const Tenths slept = reactor_.overslept(); slept > kCheckInterval / 5) silence_.discount_pause(slept);
     std::vector<Instance> judged;
     const bool may_judge = callbacks_.in_contact();
-    if (may_judge && std::exchange(was_blind_, false)) silence_.give_whole_time(reactor_.now());
+    if (may_judge && std::exchange(was_blind_, false)) silence_.restart_timeouts(reactor_.now());
     was_blind_ = !may_judge;
     if (may_judge)
         judged = silence_.judge(
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -1,13 +1,13 @@
 // The model servers as this control node knows them. Parts of the state are cut by a hash of the service's
-// name; each part has an owner among the control nodes that are alive (service_parts.hpp), who alone judges
-// silence (silence_watch.hpp). What a server says of its leaving is acknowledged once enough of the control
-// nodes hold it on their disks.
+// name; each part has an owner among the control nodes that are alive (service_partitions.hpp), who alone
+// judges silence (failure_detector.hpp). What a server says of its leaving is acknowledged once enough of the
+// control nodes hold it on their disks.
 #pragma once
 #include "base/result.hpp"
-#include "control/copy_collection.hpp"
+#include "control/failure_detector.hpp"
 #include "control/heartbeat_call.hpp"
-#include "control/service_parts.hpp"
-#include "control/silence_watch.hpp"
+#include "control/service_partitions.hpp"
+#include "control/sync_tracker.hpp"
 #include "feed/feed_log.hpp"
 #include "feed/instance_table.hpp"
 #include "feed/messages.hpp"
@@ -30,14 +30,14 @@
         std::string self;              // this node's address among its peers
         std::uint64_t incarnation = 0; // of this process
         Tenths heartbeat = 0;          // that servers keep
-        std::size_t most_at_owner = 0; // servers whose heartbeats one owner takes; 0: all of its own
+        std::size_t max_per_owner = 0; // servers whose heartbeats one owner takes; 0: all of its own
     };
     struct Callbacks {
         std::function<void(const feed::Message&)> send_to_peers;
         std::function<bool(const std::string& peer, const feed::Message&)> send; // false: no link stands
         // Whether a record on the disks of these members (and of this node, where it is among them) outlasts
         // what may be lost at once.
-        std::function<bool(const std::set<std::uint64_t>& members)> copies_last;
+        std::function<bool(const std::set<std::uint64_t>& members)> survives_losses;
         std::function<std::uint64_t()> self; // the identity of this node's disk
         // Tells whether all that is known here now is on this node's disk.
         std::function<void(std::function<void(bool)>)> make_durable;
@@ -50,8 +50,8 @@
     InstanceRegistry(transport::Reactor& reactor, feed::FeedLog& log, Options options, Callbacks callbacks);
     ~InstanceRegistry();
 
-    transport::Async<Result<RegisterReply>> carry_out(RegisterCall call);
-    transport::Async<Result<LeaveReply>> carry_out(LeaveCall call);
+    transport::Async<Result<RegisterReply>> handle(RegisterCall call);
+    transport::Async<Result<DeregisterReply>> handle(DeregisterCall call);
 
     void set_nodes(std::vector<std::string> alive); // with this node
     void replicate(const model::ControlNode& peer, const feed::Replicate& message);
@@ -59,16 +59,16 @@
     void compare(const model::ControlNode& peer, const feed::PeerStatus& status);
     void send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted);
     // A process that starts asks each peer for all its records once: digests don't tell of what is gone.
-    void ask_for_copy(const model::ControlNode& peer);
-    void take_copy(const model::ControlNode& peer, const feed::Instances& records);
+    void request_sync(const model::ControlNode& peer);
+    void receive_records(const model::ControlNode& peer, const feed::Instances& records);
     // Members whose whole records were merged into this process's.
-    const std::set<std::uint64_t>& copied_from() const { return copies_.copied_from(); }
+    const std::set<std::uint64_t>& synced_members() const { return copies_.synced_members(); }
     // This node was cut off: others may have acknowledged what it does not know, so each is asked anew.
-    void forget_copies() { copies_.forget(); }
-    const RefusedCopies& refused() const { return copies_.refused(); }
-    void heard_elsewhere(const feed::Heard& message);              // a peer has heard them
-    void merge_known(const std::vector<model::Instance>& records); // that an agent knows
-    void take_loads(const std::vector<model::Load>& loads, bool first_hand);
+    void reset_sync() { copies_.reset(); }
+    const DroppedSyncReplies& dropped_replies() const { return copies_.dropped_replies(); }
+    void record_remote_heartbeats(const feed::Heard& message);             // a peer has heard them
+    void merge_agent_records(const std::vector<model::Instance>& records); // that an agent knows
+    void update_loads(const std::vector<model::Load>& loads, bool first_hand);
     const std::map<std::string, model::Load>& loads() const { return loads_; }
     feed::Digests digests() const { return table_.digests(); }
     const feed::InstanceTable& table() const { return table_; }
@@ -95,9 +95,9 @@
     Options options_;
     Callbacks callbacks_;
     feed::InstanceTable table_;
-    ServiceParts parts_;
-    SilenceWatch silence_;
-    CopyCollection copies_;
+    ServicePartitions parts_;
+    FailureDetector silence_;
+    SyncTracker copies_;
     std::map<std::string, model::Load> loads_;                      // by instance
     std::map<std::string, std::set<std::string>> heard_for_others_; // by the node to be told
     std::set<std::string> secured_;
--- a/src/control/known_state.cpp
+++ b/src/control/node_snapshot.cpp
@@ -1,4 +1,4 @@
-#include "control/known_state.hpp"
+#include "control/node_snapshot.hpp"
 
 #include "base/log.hpp"
 #include "wire/cbor.hpp"
@@ -17,15 +17,14 @@
 
 } // namespace
 
-Result<std::unique_ptr<KnownStateKeeper>> KnownStateKeeper::open(transport::Reactor& reactor,
-                                                                 std::unique_ptr<StateFile> file,
-                                                                 std::function<KnownState()> collect) {
-    std::unique_ptr<KnownStateKeeper> keeper(
-        new KnownStateKeeper(reactor, std::move(file), std::move(collect)));
+Result<std::unique_ptr<SnapshotStore>> SnapshotStore::open(transport::Reactor& reactor,
+                                                           std::unique_ptr<StateFile> file,
+                                                           std::function<NodeSnapshot()> collect) {
+    std::unique_ptr<SnapshotStore> keeper(new SnapshotStore(reactor, std::move(file), std::move(collect)));
     BOOST_OUTCOME_TRY(found, keeper->disk_->load());
-    keeper->spoilt_ = found.newest_is_spoilt;
+    keeper->corrupt_ = found.newest_is_corrupt;
     if (!found.bytes) return keeper;
-    auto read = wire::from_bytes<KnownState>(*found.bytes);
+    auto read = wire::from_bytes<NodeSnapshot>(*found.bytes);
     if (read.has_value())
         keeper->loaded_ = std::move(read.value());
     else
@@ -33,25 +32,25 @@
     return keeper;
 }
 
-KnownStateKeeper::KnownStateKeeper(transport::Reactor& reactor, std::unique_ptr<StateFile> file,
-                                   std::function<KnownState()> collect)
+SnapshotStore::SnapshotStore(transport::Reactor& reactor, std::unique_ptr<StateFile> file,
+                             std::function<NodeSnapshot()> collect)
     : reactor_(reactor), collect_(std::move(collect)), disk_(std::move(file)) {}
 
-KnownStateKeeper::~KnownStateKeeper() { reactor_.cancel(timer_); }
+SnapshotStore::~SnapshotStore() { reactor_.cancel(timer_); }
 
-void KnownStateKeeper::changed() {
+void SnapshotStore::changed() {
     ++change_;
     write_after(kGather);
 }
 
-void KnownStateKeeper::make_durable(std::function<void(bool)> done) {
+void SnapshotStore::make_durable(std::function<void(bool)> done) {
     if (durable_change_ == change_) return done(true);
     waiting_.push_back({change_, std::move(done)});
     write_after(kUrgentGather);
 }
 
 // No later than what is planned already.
-void KnownStateKeeper::write_after(Tenths pause) {
+void SnapshotStore::write_after(Tenths pause) {
     const Tenths at = reactor_.now() + pause;
     if (writing_ || (planned_ && planned_at_ <= at)) return;
     reactor_.cancel(timer_);
@@ -59,13 +58,13 @@
     timer_ = reactor_.call_at(at, [this] { write(); });
 }
 
-void KnownStateKeeper::write() {
+void SnapshotStore::write() {
     planned_ = false, writing_ = true;
     disk_->save(wire::to_bytes(collect_()),
                 [this, change = change_](const Result<void>& result) { written(result, change); });
 }
 
-void KnownStateKeeper::written(const Result<void>& result, std::uint64_t change) {
+void SnapshotStore::written(const Result<void>& result, std::uint64_t change) {
     writing_ = false;
     if (result.has_error())
         log_line("known_state_not_stored", {{"cause", result.error().message}});
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -108,18 +108,18 @@
     co_return outcome.value_or(Outcome::kTooLate);
 }
 
-void OperatorCalls::answered(const model::ControlNode& peer, feed::ForwardedAnswer answer) {
+void OperatorCalls::handle_forwarded_answer(const model::ControlNode& peer, feed::ForwardedAnswer answer) {
     if (answer.id.incarnation != incarnation_ && !planted(PlantedFault::kAnswerOfFormerProcess)) {
-        ++refused_.other_process;
+        ++dropped_replies_.other_process;
         return;
     }
     const auto asked = waiting_.find(answer.id.number);
     if (asked == waiting_.end() || asked->second.outcome->resolved()) {
-        ++refused_.unasked;
+        ++dropped_replies_.unasked;
         return;
     }
     if (asked->second.member != peer.member) {
-        ++refused_.other_peer;
+        ++dropped_replies_.other_peer;
         return;
     }
     Waiting& waiting = asked->second;
@@ -128,7 +128,7 @@
     waiting.outcome->resolve(Outcome::kAnswered);
 }
 
-void OperatorCalls::forwarded(const model::ControlNode& peer, feed::ForwardedCall call) {
+void OperatorCalls::handle_forwarded_call(const model::ControlNode& peer, feed::ForwardedCall call) {
     reactor_.spawn(answer_forwarded(peer.address, std::move(call)));
 }
 
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -30,18 +30,18 @@
     transport::Async<Result<std::string>> read();
     transport::Async<Result<void>> replace(std::int64_t if_match, std::string body);
 
-    void forwarded(const model::ControlNode& peer, feed::ForwardedCall call);
-    void answered(const model::ControlNode& peer, feed::ForwardedAnswer answer);
+    void handle_forwarded_call(const model::ControlNode& peer, feed::ForwardedCall call);
+    void handle_forwarded_answer(const model::ControlNode& peer, feed::ForwardedAnswer answer);
     // Another leader is known, or a peer is gone: what waits for it is sent anew.
     void leader_changed();
     void peer_lost(std::uint64_t member);
 
-    struct Refused { // answers that were passed over, by cause; none is taken for an answer
+    struct DroppedReplies { // answers that were passed over, by cause; none is taken for an answer
         std::uint64_t other_process = 0; // to a question of a process that was here before
         std::uint64_t unasked = 0;       // to no question that waits: late, or a second one
         std::uint64_t other_peer = 0;    // from a peer that was not asked
     };
-    const Refused& refused() const { return refused_; }
+    const DroppedReplies& dropped_replies() const { return dropped_replies_; }
 
   private:
     enum class Outcome : std::uint8_t { kAnswered, kSendAnew, kTooLate };
@@ -63,7 +63,7 @@
     std::uint64_t incarnation_, count_ = 0;
     Callbacks callbacks_;
     std::map<std::uint64_t, Waiting> waiting_; // by number
-    Refused refused_;
+    DroppedReplies dropped_replies_;
 };
 
 // The version in an `If-Match` field.
--- a/src/control/peer_mesh.cpp
+++ b/src/control/peer_mesh.cpp
@@ -46,12 +46,12 @@
     return place->second;
 }
 
-void PeerMesh::know(const model::ControlNode& node) {
+void PeerMesh::add_peer(const model::ControlNode& node) {
     if (node.address != options_.self.address && !node.address.empty()) peer(node.address);
 }
 
-void PeerMesh::learn(const std::vector<model::ControlNode>& nodes) {
-    for (const model::ControlNode& node : nodes) know(node);
+void PeerMesh::add_peers(const std::vector<model::ControlNode>& nodes) {
+    for (const model::ControlNode& node : nodes) add_peer(node);
 }
 
 void PeerMesh::connect(Peer& peer) {
@@ -65,7 +65,7 @@
         if (here.out) here.out->send(own_hello());
         // Whoever has just started learns at once that this node is about to end, or may vote.
         if (here.out) here.out->send(own_status());
-        if (callbacks_.linked) callbacks_.linked(address);
+        if (callbacks_.link_up) callbacks_.link_up(address);
         refresh();
     };
     callbacks.received = [this, address](feed::Message) {
@@ -110,12 +110,13 @@
     return nodes;
 }
 
-void PeerMesh::take(const feed::AcceptedLink& connection) {
+void PeerMesh::accept(const feed::AcceptedLink& connection) {
     const std::uint64_t id = ++count_;
     feed::Link::Callbacks callbacks;
     callbacks.received = [this, id](feed::Message message) { received(id, std::move(message)); };
     callbacks.unreadable = [this](const Error& error) {
-        ++(error.kind == ErrorKind::kOtherVersion ? refused_.other_version : refused_.unreadable);
+        ++(error.kind == ErrorKind::kOtherVersion ? rejected_messages_.other_version
+                                                  : rejected_messages_.unreadable);
     };
     callbacks.ended = [this, id](const std::string&) {
         const auto found = incoming_.find(id);
@@ -134,12 +135,12 @@
     Incoming& incoming = found->second;
     if (const auto* said = std::get_if<feed::PeerHello>(&message)) return hello(incoming, *said);
     if (incoming.address.empty()) {
-        ++refused_.before_hello;
+        ++rejected_messages_.before_hello;
         return incoming.link->end("spoke before its hello");
     }
     Peer& here = peer(incoming.address);
     if (here.incarnation != incoming.incarnation) {
-        ++refused_.former_process;
+        ++rejected_messages_.former_process;
         return incoming.link->end("its process was followed by another one");
     }
     here.last_heard = reactor_.now();
@@ -154,7 +155,7 @@
     // Links are taken in the order in which they were opened: a hello that was on its way for longer than the
     // one of the next process is an old one.
     if (here.incarnation != message.incarnation && incoming.id < here.hello_link) {
-        ++refused_.former_process;
+        ++rejected_messages_.former_process;
         return incoming.link->end("its process was followed by another one");
     }
     incoming.address = message.node.address, incoming.incarnation = message.incarnation;
@@ -172,10 +173,10 @@
     here.node = message.node, here.incarnation = message.incarnation;
     here.last_heard = reactor_.now(), here.next_try = std::min(here.next_try, reactor_.now());
     here.pause = kFirstPause;
-    learn(message.known);
+    add_peers(message.known);
     connect_to_caller(here);
     refresh();
-    if (callbacks_.met) callbacks_.met(here.node, message.term);
+    if (callbacks_.peer_hello) callbacks_.peer_hello(here.node, message.term);
 }
 
 void PeerMesh::status(Peer& peer, const feed::PeerStatus& message) {
@@ -184,7 +185,7 @@
         peer.ending = message.ending, peer.ready = message.ready;
         if (callbacks_.peers_changed) callbacks_.peers_changed();
     }
-    learn(message.known);
+    add_peers(message.known);
 }
 
 void PeerMesh::refresh() {
@@ -232,7 +233,7 @@
 
 void PeerMesh::send_status() { send_to_all(own_status()); }
 
-void PeerMesh::set_ending() {
+void PeerMesh::announce_shutdown() {
     ending_ = true;
     send_status();
 }
@@ -269,8 +270,8 @@
     return nodes;
 }
 
-std::vector<consensus::Candidate> PeerMesh::candidates() const {
-    std::vector<consensus::Candidate> candidates;
+std::vector<consensus::MemberStatus> PeerMesh::member_statuses() const {
+    std::vector<consensus::MemberStatus> candidates;
     const model::ControlNode& self = options_.self;
     candidates.push_back({{{self.member}, self.address, self.zone}, true, ready_, ending_, 0});
     for (const auto& [address, peer] : peers_) {
--- a/src/control/peer_mesh.hpp
+++ b/src/control/peer_mesh.hpp
@@ -30,34 +30,35 @@
         std::function<void()> peers_changed;                // one is alive that was not, or the reverse
         std::function<void(feed::PeerStatus&)> fill_status; // what this node tells its peers
         std::function<std::uint64_t()> term;                // told with each hello
-        std::function<void(const model::ControlNode&, std::uint64_t term)> met; // a peer has said hello
+        std::function<void(const model::ControlNode&, std::uint64_t term)>
+            peer_hello; // a peer has said hello
         // This node's link to the peer is up: what went over a former one may be lost.
-        std::function<void(const std::string& address)> linked;
+        std::function<void(const std::string& address)> link_up;
     };
     PeerMesh(transport::Reactor& reactor, feed::LinkNetwork& network, Options options, Callbacks callbacks);
     ~PeerMesh();
 
     void start();
-    void take(const feed::AcceptedLink& connection); // that a peer has opened
-    void set_member(std::uint64_t member);           // this node's disk is another one: told to all anew
+    void accept(const feed::AcceptedLink& connection); // that a peer has opened
+    void set_member(std::uint64_t member);             // this node's disk is another one: told to all anew
     bool send(const std::string& address, const feed::Message& message); // false where no link stands
     bool send_to_member(std::uint64_t member, const feed::Message& message);
     void send_to_all(const feed::Message& message);
-    void know(const model::ControlNode& node); // from elsewhere, e.g. the list of voters
-    void set_ending();                         // told with the next status, which goes at once
-    void set_ready(bool ready);                // likewise: whether it may become a voter
+    void add_peer(const model::ControlNode& node); // from elsewhere, e.g. the list of voters
+    void announce_shutdown();                      // told with the next status, which goes at once
+    void set_ready(bool ready);                    // likewise: whether it may become a voter
 
-    std::vector<model::ControlNode> alive() const;        // without this node
-    std::vector<consensus::Candidate> candidates() const; // with this node
-    std::vector<model::EdgeNode> sessions() const;        // of peers that are alive, as they told
+    std::vector<model::ControlNode> alive() const;                // without this node
+    std::vector<consensus::MemberStatus> member_statuses() const; // with this node
+    std::vector<model::EdgeNode> sessions() const;                // of peers that are alive, as they told
     std::optional<std::string> address_of(std::uint64_t member) const;
-    struct Refused {                     // messages that ended the link they came over, by cause
+    struct RejectedMessages {            // messages that ended the link they came over, by cause
         std::uint64_t unreadable = 0;    // no frame, or no message
         std::uint64_t other_version = 0; // of the protocol
         std::uint64_t before_hello = 0;
         std::uint64_t former_process = 0; // of a process that another one has followed at its address
     };
-    const Refused& refused() const { return refused_; }
+    const RejectedMessages& rejected_messages() const { return rejected_messages_; }
 
   private:
     struct Peer {
@@ -83,7 +84,7 @@
     void received(std::uint64_t id, feed::Message message);
     void hello(Incoming& incoming, const feed::PeerHello& message);
     void status(Peer& peer, const feed::PeerStatus& message);
-    void learn(const std::vector<model::ControlNode>& nodes);
+    void add_peers(const std::vector<model::ControlNode>& nodes);
     void tick();
     void send_status();
     void refresh();
@@ -99,7 +100,7 @@
     std::map<std::uint64_t, Incoming> incoming_;
     std::map<std::uint64_t, Tenths> replaced_; // disks whose address another disk holds now
     std::uint64_t count_ = 0;
-    Refused refused_;
+    RejectedMessages rejected_messages_;
     bool ending_ = false, ready_ = false;
     transport::Reactor::TimerId timer_{};
 };
--- a/src/control/replicated_group.cpp
+++ b/src/control/replicated_group.cpp
@@ -18,8 +18,8 @@
     reactor_.cancel(timer_);
 }
 
-void ReplicatedGroup::found(std::vector<consensus::Member> founders, std::string payload) {
-    replica_.found(std::move(founders), std::move(payload), reactor_.now());
+void ReplicatedGroup::bootstrap(std::vector<consensus::Member> initial_voters, std::string payload) {
+    replica_.bootstrap(std::move(initial_voters), std::move(payload), reactor_.now());
     step();
 }
 
@@ -28,9 +28,9 @@
     step();
 }
 
-void ReplicatedGroup::set_candidates(std::vector<consensus::Candidate> candidates, std::size_t least,
-                                     std::size_t most) {
-    replica_.set_candidates(std::move(candidates), least, most, reactor_.now());
+void ReplicatedGroup::set_member_statuses(std::vector<consensus::MemberStatus> candidates, std::size_t least,
+                                          std::size_t most) {
+    replica_.set_member_statuses(std::move(candidates), least, most, reactor_.now());
     step();
 }
 
@@ -48,12 +48,12 @@
                                                                             reactor_.now() + patience);
 }
 
-void ReplicatedGroup::propose_unawaited(consensus::Replica::MakePayload make) {
+void ReplicatedGroup::propose_without_waiting(consensus::Replica::MakePayload make) {
     replica_.propose(std::move(make), reactor_.now());
     step();
 }
 
-transport::Async<bool> ReplicatedGroup::confirmed(Tenths patience) {
+transport::Async<bool> ReplicatedGroup::confirm_leadership(Tenths patience) {
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
     reads_[replica_.confirm_leadership(reactor_.now())] = pending;
     step();
@@ -64,7 +64,7 @@
 void ReplicatedGroup::step() {
     if (std::exchange(stepping_, true)) return;
     for (auto effects = replica_.take_effects(); !effects.empty(); effects = replica_.take_effects())
-        for (consensus::Effect& effect : effects) carry_out(std::move(effect));
+        for (consensus::Effect& effect : effects) execute(std::move(effect));
     stepping_ = false;
     if (callbacks_.stepped) callbacks_.stepped();
     reactor_.cancel(timer_);
@@ -74,7 +74,7 @@
     });
 }
 
-void ReplicatedGroup::carry_out(consensus::Effect effect) {
+void ReplicatedGroup::execute(consensus::Effect effect) {
     if (auto* sent = std::get_if<consensus::Send>(&effect)) {
         callbacks_.send(*sent);
     } else if (auto* stored = std::get_if<consensus::Store>(&effect)) {
@@ -97,7 +97,7 @@
 }
 
 void ReplicatedGroup::store(const consensus::Store& store) {
-    disk_.save(wire::to_bytes(MemberState{self_, store.state}),
+    disk_.save(wire::to_bytes(StoredReplicaState{self_, store.state}),
                [this, is_there = is_there_, ticket = store.ticket](const Result<void>& done) {
                    if (!*is_there) return;
                    if (done.has_error()) {
--- a/src/control/replicated_group.hpp
+++ b/src/control/replicated_group.hpp
@@ -18,7 +18,7 @@
 namespace ivyrill::control {
 
 // What lies in one file: the state, and whose it is.
-struct MemberState {
+struct StoredReplicaState {
     consensus::Member self;
     consensus::DurableState state;
     template <class Self> static auto tie(Self& s) { return std::tie(s.self, s.state); }
@@ -41,20 +41,21 @@
 
     const consensus::Replica& replica() const { return replica_; }
 
-    void found(std::vector<consensus::Member> founders, std::string payload);
+    void bootstrap(std::vector<consensus::Member> initial_voters, std::string payload);
     void receive(const consensus::Message& message);
-    void set_candidates(std::vector<consensus::Candidate> candidates, std::size_t least, std::size_t most);
+    void set_member_statuses(std::vector<consensus::MemberStatus> candidates, std::size_t least,
+                             std::size_t most);
     void resign();
     // What became of it, or nothing by then.
     transport::Async<std::optional<consensus::ProposalOutcome>> propose(consensus::Replica::MakePayload make,
                                                                         Tenths patience);
-    void propose_unawaited(consensus::Replica::MakePayload make);
+    void propose_without_waiting(consensus::Replica::MakePayload make);
     // Whether a majority has confirmed within that time that this member still leads.
-    transport::Async<bool> confirmed(Tenths patience);
+    transport::Async<bool> confirm_leadership(Tenths patience);
     void step(); // carries out effects, sets the timer
 
   private:
-    void carry_out(consensus::Effect effect);
+    void execute(consensus::Effect effect);
     void store(const consensus::Store& store);
 
     transport::Reactor& reactor_;
--- a/src/control/service_parts.cpp
+++ b/src/control/service_partitions.cpp
@@ -1,4 +1,4 @@
-#include "control/service_parts.hpp"
+#include "control/service_partitions.hpp"
 
 #include "base/hash.hpp"
 
@@ -24,7 +24,7 @@
     return best;
 }
 
-std::uint64_t part_key(const std::string& service) { return hash_text(service) % kParts; }
+std::uint64_t part_key(const std::string& service) { return hash_text(service) % kPartitions; }
 
 double unit_of(const std::string& text) { // in [0, 1)
     return static_cast<double>(hash_text(text) >> 11U) / 9007199254740992.0;
@@ -36,24 +36,24 @@
     return heaviest(nodes, part_key(service), "");
 }
 
-void ServiceParts::set_nodes(std::vector<std::string> alive) {
+void ServicePartitions::set_nodes(std::vector<std::string> alive) {
     nodes_ = std::move(alive);
     owners_.clear();
 }
 
-void ServiceParts::count_servers(const feed::InstanceTable& table) {
+void ServicePartitions::count_servers(const feed::InstanceTable& table) {
     servers_.clear();
     for (const auto& [id, record] : table.records())
         if (record.state != model::InstanceState::kGone) ++servers_[owner(record.service)];
 }
 
-const std::string& ServiceParts::owner(const std::string& service) {
+const std::string& ServicePartitions::owner(const std::string& service) {
     const auto [place, fresh] = owners_.try_emplace(service);
     if (fresh) place->second = owner_of(service, nodes_);
     return place->second;
 }
 
-std::vector<std::string> ServiceParts::watchers(const std::string& service) const {
+std::vector<std::string> ServicePartitions::watchers(const std::string& service) const {
     std::vector<std::string> nodes = nodes_;
     const std::uint64_t key = part_key(service);
     const auto wanted = std::min(kWatchers, nodes.size());
@@ -64,12 +64,12 @@
     return nodes;
 }
 
-std::string ServiceParts::heartbeat_target(const std::string& service, const std::string& instance) {
+std::string ServicePartitions::heartbeat_target(const std::string& service, const std::string& instance) {
     const std::string& owner = this->owner(service);
     const auto counted = servers_.find(owner);
     const std::size_t servers = counted == servers_.end() ? 0 : counted->second;
-    if (most_at_owner_ == 0 || servers <= most_at_owner_ || nodes_.size() < 2) return owner;
-    const double share = static_cast<double>(most_at_owner_) / static_cast<double>(servers);
+    if (max_per_owner_ == 0 || servers <= max_per_owner_ || nodes_.size() < 2) return owner;
+    const double share = static_cast<double>(max_per_owner_) / static_cast<double>(servers);
     if (unit_of(instance) < share) return owner;
     return heaviest(nodes_, hash_text(instance), owner);
 }
--- a/src/control/service_parts.hpp
+++ b/src/control/service_partitions.hpp
@@ -12,15 +12,15 @@
 
 namespace ivyrill::control {
 
-inline constexpr std::uint64_t kParts = 256; // that services are hashed to
+inline constexpr std::uint64_t kPartitions = 256; // that services are hashed to
 
 // The owner of a service's part among `nodes` (addresses): the highest rendezvous hash; empty for no nodes.
 std::string owner_of(const std::string& service, const std::vector<std::string>& nodes);
 
-class ServiceParts {
+class ServicePartitions {
   public:
-    // `most_at_owner`: servers that may keep a connection to one node; 0: any number.
-    explicit ServiceParts(std::size_t most_at_owner) : most_at_owner_(most_at_owner) {}
+    // `max_per_owner`: servers that may keep a connection to one node; 0: any number.
+    explicit ServicePartitions(std::size_t max_per_owner) : max_per_owner_(max_per_owner) {}
 
     void set_nodes(std::vector<std::string> alive); // with this node
     const std::vector<std::string>& nodes() const { return nodes_; }
@@ -35,7 +35,7 @@
     std::string heartbeat_target(const std::string& service, const std::string& instance);
 
   private:
-    std::size_t most_at_owner_;
+    std::size_t max_per_owner_;
     std::vector<std::string> nodes_;
     std::map<std::string, std::string> owners_;  // by service
     std::map<std::string, std::size_t> servers_; // by owner, at the last count
--- a/src/control/state_file.hpp
+++ b/src/control/state_file.hpp
@@ -14,7 +14,7 @@
     struct Loaded {
         std::optional<std::string> bytes; // of the newest version that is whole; none on an empty disk
         // What was once durable here can't be read any more: the disk has lost what this member promised.
-        bool newest_is_spoilt = false;
+        bool newest_is_corrupt = false;
     };
     StateFile() = default;
     virtual ~StateFile() = default;
--- a/src/control/copy_collection.cpp
+++ b/src/control/sync_tracker.cpp
@@ -1,18 +1,18 @@
-#include "control/copy_collection.hpp"
+#include "control/sync_tracker.hpp"
 
 #include <utility>
 #include <vector>
 
 namespace ivyrill::control {
 
-bool CopyCollection::asked_by_this_process(const feed::CallId& id) {
+bool SyncTracker::is_own_request(const feed::CallId& id) {
     if (id.incarnation == incarnation_ || planted(PlantedFault::kAnswerOfFormerProcess)) return true;
-    ++refused_.other_process;
+    ++dropped_replies_.other_process;
     return false;
 }
 
-std::optional<feed::WantRanges> CopyCollection::question(std::uint64_t member, Tenths now) {
-    if (member == 0 || copied_from_.contains(member)) return std::nullopt;
+std::optional<feed::WantRanges> SyncTracker::request(std::uint64_t member, Tenths now) {
+    if (member == 0 || synced_members_.contains(member)) return std::nullopt;
     Question& question = questions_[member];
     if (question.number != 0 && now - question.asked_at < kPatience) return std::nullopt;
     const feed::CallId id = next_id();
@@ -22,17 +22,17 @@
     return feed::WantRanges{std::move(ranges), id};
 }
 
-void CopyCollection::answered(std::uint64_t member, const feed::CallId& answers) {
-    if (answers.number == 0 || !asked_by_this_process(answers)) return;
+void SyncTracker::reply_received(std::uint64_t member, const feed::CallId& answers) {
+    if (answers.number == 0 || !is_own_request(answers)) return;
     const auto question = questions_.find(member);
-    if (question == questions_.end() || question->second.number != answers.number) return pass_over_unasked();
+    if (question == questions_.end() || question->second.number != answers.number) return count_unsolicited();
     questions_.erase(question);
-    copied_from_.insert(member);
+    synced_members_.insert(member);
 }
 
-void CopyCollection::forget() {
+void SyncTracker::reset() {
     if (planted(PlantedFault::kCopiesKept)) return;
-    copied_from_.clear();
+    synced_members_.clear();
     questions_.clear();
 }
 
--- a/src/control/copy_collection.hpp
+++ b/src/control/sync_tracker.hpp
@@ -13,26 +13,26 @@
 namespace ivyrill::control {
 
 // Answers that were passed over, by cause; they change nothing.
-struct RefusedCopies {
+struct DroppedSyncReplies {
     std::uint64_t other_process = 0; // to a question of a process that was here before
     std::uint64_t unasked = 0;       // no question waits for it: it came late, or twice
 };
 
-class CopyCollection {
+class SyncTracker {
   public:
-    explicit CopyCollection(std::uint64_t incarnation) : incarnation_(incarnation) {} // of this process
+    explicit SyncTracker(std::uint64_t incarnation) : incarnation_(incarnation) {} // of this process
 
     feed::CallId next_id() { return {incarnation_, ++count_}; } // for any question of this process
-    bool asked_by_this_process(const feed::CallId& id);
-    void pass_over_unasked() { ++refused_.unasked; }
+    bool is_own_request(const feed::CallId& id);
+    void count_unsolicited() { ++dropped_replies_.unasked; }
 
     // The question for the member, where one is due; then whether it went out.
-    std::optional<feed::WantRanges> question(std::uint64_t member, Tenths now);
-    void not_asked(std::uint64_t member) { questions_.erase(member); }
-    void answered(std::uint64_t member, const feed::CallId& answers);
-    void forget(); // this node was cut off: others may have acknowledged what it does not know
-    const std::set<std::uint64_t>& copied_from() const { return copied_from_; }
-    const RefusedCopies& refused() const { return refused_; }
+    std::optional<feed::WantRanges> request(std::uint64_t member, Tenths now);
+    void request_failed(std::uint64_t member) { questions_.erase(member); }
+    void reply_received(std::uint64_t member, const feed::CallId& answers);
+    void reset(); // this node was cut off: others may have acknowledged what it does not know
+    const std::set<std::uint64_t>& synced_members() const { return synced_members_; }
+    const DroppedSyncReplies& dropped_replies() const { return dropped_replies_; }
 
   private:
     struct Question {
@@ -43,8 +43,8 @@
 
     std::uint64_t incarnation_, count_ = 0;
     std::map<std::uint64_t, Question> questions_; // by member
-    std::set<std::uint64_t> copied_from_;
-    RefusedCopies refused_;
+    std::set<std::uint64_t> synced_members_;
+    DroppedSyncReplies dropped_replies_;
 };
 
 } // namespace ivyrill::control
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -66,7 +66,7 @@
         auto opened = control::ControlProgram::open(reactor, settings.value());
         if (opened.has_error()) return report(opened.error());
         control = std::move(opened.value());
-        end = [&] { control->begin_end(); };
+        end = [&] { control->begin_shutdown(); };
     } else if (role == "agent") {
         agent = std::make_unique<agent::Agent>(reactor, settings.value());
         end = [&] { agent->begin_end(); };
--- a/src/storage/version_store.hpp
+++ b/src/storage/version_store.hpp
@@ -27,7 +27,7 @@
     Result<void> save(std::uint64_t number, const std::string& bytes);
     // Files newer than the one that `load` returned, which can't be read. Each was whole and synced before it
     // got its name, so a loss of power leaves none: the disk has spoilt what was once durable.
-    std::size_t torn_files() const { return torn_; }
+    std::size_t corrupt_files() const { return torn_; }
     std::uint64_t highest_number() const { return highest_; } // that a file was named by
 
   private:
--- a/tests/configuration_state_tests.cpp
+++ b/tests/configuration_state_tests.cpp
@@ -33,8 +33,8 @@
 BOOST_AUTO_TEST_CASE(the_first_configuration_builds_on_version_0) {
     const ConfigurationState empty;
     check_refused(empty, call(1, 2), Verdict::kConflict);
-    check_refused(empty, call(0, 0), Verdict::kOldVersion);
-    check_refused(empty, call(0, -3), Verdict::kOldVersion);
+    check_refused(empty, call(0, 0), Verdict::kStaleVersion);
+    check_refused(empty, call(0, -3), Verdict::kStaleVersion);
     const ConfigurationState state = taken(empty, call(0, 4));
     BOOST_TEST(state.version == 4);
     BOOST_TEST(state.body == call(0, 4).body);
@@ -50,16 +50,16 @@
 BOOST_AUTO_TEST_CASE(a_change_must_bring_a_higher_version) {
     const ConfigurationState state = taken({}, call(0, 4));
     for (const std::int64_t version : {-1, 0, 3})
-        check_refused(state, call(4, version), Verdict::kOldVersion);
-    check_refused(state, call(4, 4, ",\"other\":1"), Verdict::kOldVersion);
+        check_refused(state, call(4, version), Verdict::kStaleVersion);
+    check_refused(state, call(4, 4, ",\"other\":1"), Verdict::kStaleVersion);
     BOOST_TEST(taken(state, call(4, 5)).version == 5);
 }
 
 BOOST_AUTO_TEST_CASE(the_same_call_sent_again_was_taken) {
     const ConfigurationState state = taken({}, call(0, 4));
-    check_refused(state, call(0, 4), Verdict::kAlreadyTaken);
+    check_refused(state, call(0, 4), Verdict::kAlreadyAccepted);
     const ConfigurationState later = taken(state, call(4, 9));
-    check_refused(later, call(4, 9), Verdict::kAlreadyTaken);
+    check_refused(later, call(4, 9), Verdict::kAlreadyAccepted);
 }
 
 BOOST_AUTO_TEST_CASE(the_same_call_is_known_after_hundreds_of_later_changes) {
@@ -67,10 +67,10 @@
     constexpr std::int64_t kLater = 400;
     for (std::int64_t version = 2; version <= kLater; ++version) {
         state = taken(state, call(version - 1, version));
-        check_refused(state, call(0, 1), Verdict::kAlreadyTaken);
+        check_refused(state, call(0, 1), Verdict::kAlreadyAccepted);
     }
     for (std::int64_t version = 2; version <= kLater; ++version)
-        check_refused(state, call(version - 1, version), Verdict::kAlreadyTaken);
+        check_refused(state, call(version - 1, version), Verdict::kAlreadyAccepted);
     BOOST_TEST(state.version == kLater);
 }
 
@@ -79,7 +79,7 @@
     for (std::int64_t version = 1; version <= 3000; ++version)
         state = taken(state, call(version - 1, version));
     BOOST_TEST(state.taken.size() <= 1000U);
-    check_refused(state, call(2999, 3000), Verdict::kAlreadyTaken);
+    check_refused(state, call(2999, 3000), Verdict::kAlreadyAccepted);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_differs_in_anything_is_another_call) {
@@ -94,7 +94,7 @@
     check_refused(state, {0, 4, ""}, Verdict::kConflict);
     check_refused(state, {0, 5, first.body}, Verdict::kConflict);
     check_refused(state, {1, 4, first.body}, Verdict::kConflict);
-    check_refused(state, {4, 4, first.body}, Verdict::kOldVersion);
+    check_refused(state, {4, 4, first.body}, Verdict::kStaleVersion);
 }
 
 BOOST_AUTO_TEST_CASE(of_two_operators_with_one_number_one_wins_and_stays_the_winner) {
@@ -102,9 +102,9 @@
     const ReplaceCall one = call(4, 9, ",\"by\":1"), other = call(4, 9, ",\"by\":2");
     const ConfigurationState state = taken(base, one);
     check_refused(state, other, Verdict::kConflict);
-    check_refused(state, one, Verdict::kAlreadyTaken);
+    check_refused(state, one, Verdict::kAlreadyAccepted);
     const ConfigurationState later = taken(state, call(9, 12));
-    check_refused(later, one, Verdict::kAlreadyTaken);
+    check_refused(later, one, Verdict::kAlreadyAccepted);
     check_refused(later, other, Verdict::kConflict);
     BOOST_TEST(state.body == one.body);
 }
@@ -113,8 +113,8 @@
     const ConfigurationState state = taken(taken({}, call(0, 4)), call(4, 9));
     const auto read = wire::from_bytes<ConfigurationState>(wire::to_bytes(state));
     BOOST_REQUIRE(read.has_value());
-    check_refused(read.value(), call(0, 4), Verdict::kAlreadyTaken);
-    check_refused(read.value(), call(4, 9), Verdict::kAlreadyTaken);
+    check_refused(read.value(), call(0, 4), Verdict::kAlreadyAccepted);
+    check_refused(read.value(), call(4, 9), Verdict::kAlreadyAccepted);
     check_refused(read.value(), call(4, 10), Verdict::kConflict);
     BOOST_TEST(taken(read.value(), call(9, 10)).version == 10);
 }
--- a/tests/consensus_guard_tests.cpp
+++ b/tests/consensus_guard_tests.cpp
@@ -24,7 +24,7 @@
     std::vector<ProposalDone> proposals;
 
     explicit Guarded(bool founds = true) {
-        if (founds) replica.found({self, second, third}, "value", now);
+        if (founds) replica.bootstrap({self, second, third}, "value", now);
         settle();
         see(true);
         sent.clear();
@@ -35,8 +35,8 @@
         return made;
     }
     void see(bool others_are_alive) {
-        replica.set_candidates({{self, true}, {second, others_are_alive}, {third, others_are_alive}}, 3, 3,
-                               now);
+        replica.set_member_statuses({{self, true}, {second, others_are_alive}, {third, others_are_alive}}, 3,
+                                    3, now);
         settle();
     }
     void settle() {
@@ -227,7 +227,8 @@
 
 BOOST_AUTO_TEST_CASE(a_small_group_takes_no_proposal_while_it_may_still_grow) {
     Guarded here;
-    here.replica.set_candidates({{here.self, true}, {here.second, true}, {here.third, true}}, 5, 9, here.now);
+    here.replica.set_member_statuses({{here.self, true}, {here.second, true}, {here.third, true}}, 5, 9,
+                                     here.now);
     here.lead();
     here.replica.propose([](const std::string&) { return std::optional<std::string>("next"); }, here.now);
     here.settle();
@@ -254,5 +255,5 @@
     here.hear(here.second, VoteReply{here.replica.term(), true, false});
     here.hear(here.second, AppendReply{here.replica.term() - 1, 1, here.newest(), {5, here.now}});
     BOOST_TEST(!here.replica.leads());
-    BOOST_TEST(here.replica.message_counts().older_term == 1U);
+    BOOST_TEST(here.replica.dropped_messages().older_term == 1U);
 }
--- a/tests/consensus_tests.cpp
+++ b/tests/consensus_tests.cpp
@@ -304,12 +304,12 @@
     ConsensusWorld world(with_spare);
     const int leader = settle(world);
     world.run_for(kS);
-    std::vector<Candidate> candidates;
+    std::vector<MemberStatus> candidates;
     candidates.reserve(4);
     for (int i = 0; i < 4; ++i)
         candidates.push_back(
             {{world.id(i), "10.0.0." + std::to_string(i) + ":7000", "zone"}, true, true, i == leader, 0});
-    world.replica(leader).set_candidates(candidates, 2, 3, world.now());
+    world.replica(leader).set_member_statuses(candidates, 2, 3, world.now());
     BOOST_TEST(!world.replica(leader).newest()->former_voters.empty());
     world.run_for(kS / 10);
     BOOST_TEST(!world.replica(leader).is_voter());
@@ -488,7 +488,7 @@
         replica.receive({other.id, self.id, VoteReply{request->term, true, request->pre_vote}}, now);
     }
     void see(bool other_is_alive) {
-        replica.set_candidates({{self, true}, {other, other_is_alive}}, 2, 2, now);
+        replica.set_member_statuses({{self, true}, {other, other_is_alive}}, 2, 2, now);
         settle();
     }
 };
@@ -499,7 +499,7 @@
 // the newest entry 0.3 s late, and served its feed as late.
 BOOST_AUTO_TEST_CASE(an_entry_that_was_lost_before_a_link_stood_is_sent_as_soon_as_it_stands) {
     Alone here;
-    here.replica.found({here.self, here.other}, "value", here.now);
+    here.replica.bootstrap({here.self, here.other}, "value", here.now);
     here.settle();
     here.see(false);
     while (here.sent.empty()) {
--- a/tests/control_history_tests.cpp
+++ b/tests/control_history_tests.cpp
@@ -114,7 +114,7 @@
     world.wipe(0, 100);
     world.run_for(200);
     BOOST_REQUIRE(world.node(0) != nullptr);
-    BOOST_TEST(world.run_until([&] { return !world.node(0)->group().is_founding(); }, 30'000));
+    BOOST_TEST(world.run_until([&] { return !world.node(0)->group().is_bootstrapping(); }, 30'000));
     BOOST_TEST((world.node(0)->group().self() != lost));
     BOOST_TEST(world.settle(4 * ivyrill::kTenthsPerSecond));
 }
--- a/tests/control_parts_tests.cpp
+++ b/tests/control_parts_tests.cpp
@@ -4,7 +4,7 @@
 #include "base/hash.hpp"
 #include "control/duty_parts.hpp"
 #include "control/feed_gate.hpp"
-#include "control/known_state.hpp"
+#include "control/node_snapshot.hpp"
 #include "control/operator_calls.hpp"
 #include "control/peer_mesh.hpp"
 #include "wire/cbor.hpp"
@@ -25,7 +25,7 @@
   public:
     struct Disk {
         std::optional<std::string> bytes;
-        bool newest_is_spoilt = false;
+        bool newest_is_corrupt = false;
         std::vector<std::string> writes;
         std::vector<std::function<void(Result<void>)>> done;
         void answer(bool succeeds) {
@@ -36,7 +36,7 @@
         }
     };
     explicit ToldFile(Disk& disk) : disk_(disk) {}
-    Result<Loaded> load() override { return Loaded{disk_.bytes, disk_.newest_is_spoilt}; }
+    Result<Loaded> load() override { return Loaded{disk_.bytes, disk_.newest_is_corrupt}; }
     void save(std::string bytes, std::function<void(Result<void>)> done) override {
         disk_.writes.push_back(std::move(bytes));
         disk_.done.push_back(std::move(done));
@@ -51,7 +51,7 @@
     explicit Group(bool first_start = true) { open(first_start); }
     void open(bool first_start) {
         ConfigurationGroup::Options options;
-        options.address = kSelf, options.founders = {kSelf, kLeader, kThird};
+        options.address = kSelf, options.initial_voters = {kSelf, kLeader, kThird};
         options.first_start = first_start;
         options.draw = [this] { return 2 * ++drawn + 1; };
         ConfigurationGroup::Callbacks callbacks;
@@ -72,8 +72,8 @@
     }
     static consensus::MemberId founder(const std::string& address) { return {hash_text(address) | 1U}; }
     void found() {
-        group->met(kLeader, 0);
-        group->met(kThird, 0);
+        group->handle_peer_hello(kLeader, 0);
+        group->handle_peer_hello(kThird, 0);
         pass(2 * kS);
     }
     void hear(const std::string& leader, std::uint64_t term) {
@@ -175,7 +175,7 @@
         return nullptr;
     }
     ToldLink::Side& accept(PeerMesh& mesh) {
-        mesh.take([this](Tenths, feed::Link::Callbacks callbacks) { return made(std::move(callbacks)); });
+        mesh.accept([this](Tenths, feed::Link::Callbacks callbacks) { return made(std::move(callbacks)); });
         return *sides.back();
     }
 
@@ -200,20 +200,20 @@
     BOOST_TEST(node.asked[0].member == Group::founder(kLeader).value);
     const feed::CallId id = node.asked[0].call.id;
     BOOST_TEST(id.incarnation == kIncarnation);
-    node.calls.answered(Asking::peer(kLeader), {{id.incarnation + 1, id.number}, 200, ""});
-    node.calls.answered(Asking::peer(kLeader), {{id.incarnation, id.number + 1}, 200, ""});
-    node.calls.answered(Asking::peer(kThird), {id, 200, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {{id.incarnation + 1, id.number}, 200, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {{id.incarnation, id.number + 1}, 200, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kThird), {id, 200, ""});
     node.group.pass(100);
     BOOST_TEST(node.status == 0);
-    BOOST_TEST(node.calls.refused().other_process == 1U);
-    BOOST_TEST(node.calls.refused().unasked == 1U);
-    BOOST_TEST(node.calls.refused().other_peer == 1U);
-    node.calls.answered(Asking::peer(kLeader), {id, 412, ""});
-    node.calls.answered(Asking::peer(kLeader), {id, 200, ""}); // a second one
+    BOOST_TEST(node.calls.dropped_replies().other_process == 1U);
+    BOOST_TEST(node.calls.dropped_replies().unasked == 1U);
+    BOOST_TEST(node.calls.dropped_replies().other_peer == 1U);
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 412, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 200, ""}); // a second one
     node.group.pass(100);
     BOOST_TEST(node.status == 412);
-    node.calls.answered(Asking::peer(kLeader), {id, 200, ""});
-    BOOST_TEST(node.calls.refused().unasked == 3U);
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 200, ""});
+    BOOST_TEST(node.calls.dropped_replies().unasked == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_whose_leader_is_lost_goes_to_the_next_one_under_a_new_number) {
@@ -225,10 +225,10 @@
     BOOST_TEST(node.asked[1].member == Group::founder(kThird).value);
     BOOST_TEST((node.asked[1].call.id != node.asked[0].call.id));
     // What the former leader still says is passed over: the call may have been decided anew.
-    node.calls.answered(Asking::peer(kLeader), {node.asked[0].call.id, 412, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kLeader), {node.asked[0].call.id, 412, ""});
     node.group.pass(100);
     BOOST_TEST(node.status == 0);
-    node.calls.answered(Asking::peer(kThird), {node.asked[1].call.id, 200, ""});
+    node.calls.handle_forwarded_answer(Asking::peer(kThird), {node.asked[1].call.id, 200, ""});
     node.group.pass(100);
     BOOST_TEST(node.status == 200);
 }
@@ -245,22 +245,22 @@
 BOOST_AUTO_TEST_CASE(a_founder_waits_for_word_whether_the_group_exists) {
     Group group;
     group.pass(kS); // a member of a group that exists would have been in touch by then
-    BOOST_TEST(group.group->is_founding());
+    BOOST_TEST(group.group->is_bootstrapping());
     group.hear(kLeader, 4); // it takes part in nothing before
     BOOST_TEST(group.group->term() == 0U);
-    group.group->met(kLeader, 1);
-    group.group->met(kThird, 0);
+    group.group->handle_peer_hello(kLeader, 1);
+    group.group->handle_peer_hello(kThird, 0);
     group.pass(kS);
-    BOOST_TEST(!group.group->is_founding());
+    BOOST_TEST(!group.group->is_bootstrapping());
     BOOST_TEST((group.group->self() == Group::founder(kSelf)));
     BOOST_TEST(group.group->voters().size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(a_founder_that_meets_a_group_joins_it_as_a_new_disk) {
     Group group;
-    group.group->met(kThird, 1);
-    group.group->met("10.0.0.9:7300", 5); // no founder, but it knows of an election
-    BOOST_TEST(!group.group->is_founding());
+    group.group->handle_peer_hello(kThird, 1);
+    group.group->handle_peer_hello("10.0.0.9:7300", 5); // no founder, but it knows of an election
+    BOOST_TEST(!group.group->is_bootstrapping());
     BOOST_TEST((group.group->self() != Group::founder(kSelf)));
     BOOST_TEST(group.identities == 1);
     group.pass(5 * kS);
@@ -270,19 +270,19 @@
 BOOST_AUTO_TEST_CASE(a_founder_that_can_not_be_asked_is_not_waited_for_forever) {
     Group group;
     group.pass(3 * kS);
-    BOOST_TEST(group.group->is_founding()); // alone it is no majority
-    group.group->met(kLeader, 0);
+    BOOST_TEST(group.group->is_bootstrapping()); // alone it is no majority
+    group.group->handle_peer_hello(kLeader, 0);
     group.pass(kS);
-    BOOST_TEST(!group.group->is_founding());
+    BOOST_TEST(!group.group->is_bootstrapping());
     BOOST_TEST(group.group->voters().size() == 3U);
 }
 
 // A member that is no voter hears its leader in the list of candidates.
 static void list_peers(Group& group) {
-    std::vector<consensus::Candidate> candidates;
+    std::vector<consensus::MemberStatus> candidates;
     for (const std::string& address : {kLeader, kThird})
         candidates.push_back({{Group::founder(address), address, ""}, true, true, false, 0});
-    group.group->set_candidates(std::move(candidates));
+    group.group->set_member_statuses(std::move(candidates));
 }
 
 BOOST_AUTO_TEST_CASE(contact_is_by_appends_that_are_accepted_and_were_sent_lately) {
@@ -298,7 +298,7 @@
     const auto held_up = group.newest_token();
     group.hear(kThird, 4); // of a leader that was replaced
     BOOST_TEST(!group.group->in_contact());
-    BOOST_TEST(group.group->message_counts().older_term == 1U);
+    BOOST_TEST(group.group->dropped_messages().older_term == 1U);
     consensus::Append late; // of the present one, but a cut has held it up
     late.term = 5, late.round = ++group.round, late.newest = {5, 1}, late.echo = held_up;
     group.group->receive({Group::founder(kLeader), group.group->self(), late});
@@ -361,7 +361,7 @@
     group.disk.writes.clear(), group.disk.done.clear();
     group.open(false);
     BOOST_TEST((group.group->self() == before));
-    group.disk.newest_is_spoilt = true; // what it holds is the version before
+    group.disk.newest_is_corrupt = true; // what it holds is the version before
     group.open(false);
     BOOST_TEST((group.group->self() != before));
     BOOST_TEST(group.group->voters().empty());
@@ -370,8 +370,8 @@
 BOOST_AUTO_TEST_CASE(what_waits_for_the_disk_is_told_after_a_write_that_holds_it) {
     transport::Reactor reactor(kS);
     ToldFile::Disk disk;
-    auto keeper = std::move(KnownStateKeeper::open(reactor, std::make_unique<ToldFile>(disk), [] {
-                                return KnownState{};
+    auto keeper = std::move(SnapshotStore::open(reactor, std::make_unique<ToldFile>(disk), [] {
+                                return NodeSnapshot{};
                             }).value());
     std::vector<std::string> told;
     const auto tell = [&](const std::string& name) {
@@ -429,7 +429,7 @@
     callbacks.fill_status = [](feed::PeerStatus&) {};
     PeerMesh mesh(reactor, network, options, std::move(callbacks));
     mesh.start();
-    mesh.set_ending();
+    mesh.announce_shutdown();
     ToldLink::Side& out = network.newest();
     out.sent.clear();
     out.callbacks.up();
@@ -458,29 +458,29 @@
     fresh.callbacks.received(feed::PeerHello{{kLeader, "a", 22}, 8, 3, {}});
     former.callbacks.received(feed::PeerHello{{kLeader, "a", 21}, 7, 3, {}});
     BOOST_TEST(former.ended);
-    BOOST_TEST(mesh.refused().former_process == 1U);
+    BOOST_TEST(mesh.rejected_messages().former_process == 1U);
     fresh.callbacks.received(feed::Heartbeat{1});
     BOOST_TEST((spoke == std::vector<std::uint64_t>{22}));
-    for (const consensus::Candidate& listed : mesh.candidates())
+    for (const consensus::MemberStatus& listed : mesh.member_statuses())
         BOOST_TEST(!(listed.member.id.value == 22 && listed.removed));
     // The other way round: what the former one still sends is passed over once the next has said hello.
     ToldLink::Side& third = network.accept(mesh);
     third.callbacks.received(feed::PeerHello{{kLeader, "a", 22}, 9, 3, {}});
     fresh.callbacks.received(feed::Heartbeat{2});
     BOOST_TEST(fresh.ended);
-    BOOST_TEST(mesh.refused().former_process == 2U);
+    BOOST_TEST(mesh.rejected_messages().former_process == 2U);
     ToldLink::Side& silent = network.accept(mesh);
     silent.callbacks.received(feed::Heartbeat{3});
     BOOST_TEST(silent.ended);
-    BOOST_TEST(mesh.refused().before_hello == 1U);
+    BOOST_TEST(mesh.rejected_messages().before_hello == 1U);
     BOOST_TEST((spoke == std::vector<std::uint64_t>{22}));
     // What can't be read ends its link, and is counted apart from what a peer of another version sends.
     ToldLink::Side& spoilt = network.accept(mesh);
     spoilt.callbacks.unreadable(error(ErrorKind::kProtocol, "no message"));
     for (int i = 0; i < 2; ++i)
         network.accept(mesh).callbacks.unreadable(error(ErrorKind::kOtherVersion, "another version"));
-    BOOST_TEST(mesh.refused().unreadable == 1U);
-    BOOST_TEST(mesh.refused().other_version == 2U);
+    BOOST_TEST(mesh.rejected_messages().unreadable == 1U);
+    BOOST_TEST(mesh.rejected_messages().other_version == 2U);
 }
 
 // ---- the duties' parts on disks of a former version
@@ -507,7 +507,7 @@
     constexpr std::uint64_t kFormerTerm = 7;
     const consensus::Member self{{5}, kSelf, "a"};
     const std::string former_payload{"\x81\x00", 2}; // an array of one: no term released
-    MemberState stored{
+    StoredReplicaState stored{
         self, {kFormerTerm, self.id, consensus::Entry{{kFormerTerm, 3}, {self}, {}, former_payload}}};
     transport::Reactor reactor{kS};
     DutyParts::Options options;
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -51,7 +51,7 @@
             sent.push_back({peer, message});
             return true;
         };
-        made.copies_last = [this](const std::set<std::uint64_t>& members) {
+        made.survives_losses = [this](const std::set<std::uint64_t>& members) {
             return members.contains(kSelfMember) && members.size() > wanted;
         };
         made.self = [] { return kSelfMember; };
@@ -70,10 +70,10 @@
     }
     // What the call came to: the heartbeat's advice, or the error.
     transport::Async<Result<RegisterReply>> beat(Instance instance) {
-        return registry.carry_out(RegisterCall{std::move(instance)});
+        return registry.handle(RegisterCall{std::move(instance)});
     }
-    transport::Async<Result<LeaveReply>> leave(std::string id) {
-        return registry.carry_out(LeaveCall{std::move(id)});
+    transport::Async<Result<DeregisterReply>> leave(std::string id) {
+        return registry.handle(DeregisterCall{std::move(id)});
     }
     InstanceState state(const std::string& id) const {
         const Instance* known = registry.table().find(id);
@@ -119,8 +119,8 @@
 
 // The peer has answered with nothing that is new.
 void copy_is_taken(Node& node, const model::ControlNode& peer) {
-    node.registry.ask_for_copy(peer);
-    node.registry.take_copy(peer, {{}, true, copy_question(node)});
+    node.registry.request_sync(peer);
+    node.registry.receive_records(peer, {{}, true, copy_question(node)});
     node.sent.clear();
 }
 
@@ -133,7 +133,7 @@
         for (std::uint64_t sequence = 1; sequence <= 5; ++sequence) {
             const auto reply = co_await node.beat(server("i-1", sequence));
             BOOST_REQUIRE(reply.has_value());
-            BOOST_TEST(reply.value().beat_address.empty()); // this node owns its part
+            BOOST_TEST(reply.value().heartbeat_address.empty()); // this node owns its part
         }
         BOOST_TEST(node.told("i-1") == 1U);
         BOOST_TEST(node.changes == 1);
@@ -287,7 +287,7 @@
         theirs.service = service_owned_by(kPeer, {kSelf, kPeer});
         const auto reply = co_await node.beat(theirs);
         BOOST_REQUIRE(reply.has_value());
-        BOOST_TEST(reply.value().beat_address == "call " + kPeer);
+        BOOST_TEST(reply.value().heartbeat_address == "call " + kPeer);
         // What was heard for the owner is told to it, once.
         const auto times_told = [&] {
             return std::ranges::count_if(node.sent, [](const Sent& one) {
@@ -352,7 +352,7 @@
         co_await node.beat(server("i-1"));
         const int checks = node.asked + 3;
         const bool holds = co_await script.until([&] {
-            node.registry.heard_elsewhere(feed::Heard{{"i-1"}});
+            node.registry.record_remote_heartbeats(feed::Heard{{"i-1"}});
             return node.asked >= checks;
         });
         BOOST_TEST(holds);
@@ -382,7 +382,7 @@
             next.revision = 2;
             return next;
         }());
-        BOOST_TEST(reply.value().beat_address.empty());
+        BOOST_TEST(reply.value().heartbeat_address.empty());
         co_return Done{};
     });
 }
@@ -393,11 +393,11 @@
     script.run([&]() -> ReactorScript::Step {
         co_await node.beat(server("i-1", 5));
         node.sent.clear(), node.changes = 0;
-        node.registry.merge_known({server("i-1", 4), server("i-2", 4)});
+        node.registry.merge_agent_records({server("i-1", 4), server("i-2", 4)});
         BOOST_TEST(node.told("i-1") == 0U);
         BOOST_TEST(node.told("i-2") == 1U);
         BOOST_TEST(node.changes == 1);
-        node.registry.merge_known({server("i-1", 4), server("i-2", 4)});
+        node.registry.merge_agent_records({server("i-1", 4), server("i-2", 4)});
         BOOST_TEST(node.told("i-2") == 1U);
         BOOST_TEST(node.changes == 1);
         BOOST_TEST((node.state("i-2") == InstanceState::kServing));
@@ -442,9 +442,9 @@
             made.instance = id;
             return made;
         };
-        node.registry.take_loads({load("i-2"), load("i-9")}, true);
+        node.registry.update_loads({load("i-2"), load("i-9")}, true);
         BOOST_TEST((node.sent.empty() && node.changes == 0));
-        node.registry.take_loads({load("i-2"), load("i-1")}, true);
+        node.registry.update_loads({load("i-2"), load("i-1")}, true);
         BOOST_REQUIRE(node.sent.size() == 1U);
         BOOST_TEST(std::get<Replicate>(node.sent[0].message).loads.size() == 1U);
         node.registry.replicate(kPeerNode, {{}, {}, {load("i-1")}}); // from a peer: told to nobody else
@@ -484,7 +484,7 @@
         script.reactor.spawn(drain());
         const feed::CallId id = std::get<Replicate>(node.sent.back().message).id;
         node.registry.replicated(kPeerNode, {{id.incarnation + 1, id.number}});
-        BOOST_TEST(node.registry.refused().other_process == 1U);
+        BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
         int looks = 0;
         co_await script.until([&] { return ++looks > 5; });
         BOOST_TEST(!done);
@@ -492,7 +492,7 @@
         const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
         BOOST_TEST(holds);
         node.registry.replicated(kPeerNode, {id}); // a second one finds nobody who waits
-        BOOST_TEST(node.registry.refused().unasked == 1U);
+        BOOST_TEST(node.registry.dropped_replies().unasked == 1U);
         co_return Done{};
     });
 }
@@ -571,22 +571,22 @@
 BOOST_AUTO_TEST_CASE(each_peer_is_asked_once_for_all_its_records_and_its_answer_is_known) {
     ReactorScript script;
     Node node(script);
-    node.registry.ask_for_copy(kPeerNode);
+    node.registry.request_sync(kPeerNode);
     const feed::CallId question = copy_question(node);
-    node.registry.ask_for_copy(kPeerNode); // it was asked just now
+    node.registry.request_sync(kPeerNode); // it was asked just now
     BOOST_TEST(node.sent.size() == 1U);
     Instance left = server("i-1", 4, InstanceState::kGone);
-    node.registry.take_copy(kPeerNode, {{left}, true, {question.incarnation + 1, question.number}});
-    node.registry.take_copy(kPeerNode, {{left}, true, {question.incarnation, question.number + 1}});
-    node.registry.take_copy(kThirdNode, {{left}, true, question}); // it was not asked
-    BOOST_TEST(node.registry.copied_from().empty());
-    BOOST_TEST(node.registry.refused().other_process == 1U);
-    BOOST_TEST(node.registry.refused().unasked == 2U);
-    node.registry.take_copy(kPeerNode, {{left}, true, question});
-    BOOST_TEST((node.registry.copied_from() == std::set<std::uint64_t>{kPeerNode.member}));
+    node.registry.receive_records(kPeerNode, {{left}, true, {question.incarnation + 1, question.number}});
+    node.registry.receive_records(kPeerNode, {{left}, true, {question.incarnation, question.number + 1}});
+    node.registry.receive_records(kThirdNode, {{left}, true, question}); // it was not asked
+    BOOST_TEST(node.registry.synced_members().empty());
+    BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
+    BOOST_TEST(node.registry.dropped_replies().unasked == 2U);
+    node.registry.receive_records(kPeerNode, {{left}, true, question});
+    BOOST_TEST((node.registry.synced_members() == std::set<std::uint64_t>{kPeerNode.member}));
     BOOST_TEST((node.state("i-1") == InstanceState::kGone));
     BOOST_TEST(node.registry.table().find("i-1") != nullptr); // what is gone travels too
-    node.registry.ask_for_copy(kPeerNode);
+    node.registry.request_sync(kPeerNode);
     BOOST_TEST(node.sent.size() == 1U);
 }
 
@@ -596,11 +596,11 @@
     ReactorScript script;
     Node node(script);
     node.unreachable = kPeer;
-    node.registry.ask_for_copy(kPeerNode);
+    node.registry.request_sync(kPeerNode);
     BOOST_TEST(node.sent.empty());
     node.unreachable.clear();
-    node.registry.ask_for_copy(kPeerNode);
+    node.registry.request_sync(kPeerNode);
     BOOST_TEST(node.sent.size() == 1U);
-    node.registry.ask_for_copy(kPeerNode); // it is on its way
+    node.registry.request_sync(kPeerNode); // it is on its way
     BOOST_TEST(node.sent.size() == 1U);
 }
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -161,7 +161,7 @@
     options.seed = random_.next();
     m.replica.emplace(options, m.disk.state, now_);
     const bool is_founder = std::ranges::any_of(founders_, [&](const Member& f) { return f.id == m.id; });
-    if (!m.disk.state.entry && is_founder) m.replica->found(founders_, bytes_of(Value{}), now_);
+    if (!m.disk.state.entry && is_founder) m.replica->bootstrap(founders_, bytes_of(Value{}), now_);
     after(machine);
     look_around(machine);
 }
@@ -399,7 +399,7 @@
 
 void ConsensusWorld::look_around(int machine) {
     Machine& m = at(machine);
-    std::vector<Candidate> found;
+    std::vector<MemberStatus> found;
     for (int other = 0; other < size(); ++other) {
         const Machine& o = machines_[index(other)];
         const bool is_there =
@@ -412,7 +412,7 @@
             if (voter.address == o.address && voter.id != o.id)
                 found.push_back({voter, false, false, true, now_});
     }
-    m.replica->set_candidates(std::move(found), plan_.least, index(plan_.members), now_);
+    m.replica->set_member_statuses(std::move(found), plan_.least, index(plan_.members), now_);
     after(machine);
     schedule_on(machine, now_ + kLookInterval, [this, machine](Replica&) { look_around(machine); });
 }
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -76,7 +76,7 @@
     bool is_replaced = false, is_missing = false;
     for (const consensus::Member& voter : voters) {
         const MachineNumber machine = machine_of(voter);
-        const bool stands = is_live(machine) && !node(machine)->group().is_founding();
+        const bool stands = is_live(machine) && !node(machine)->group().is_bootstrapping();
         const bool is_same = stands && node(machine)->group().self() == voter.id;
         there += is_same ? 1 : 0;
         is_replaced = is_replaced || (stands && !is_same);
@@ -140,7 +140,7 @@
 
 void ControlWorld::watch_identity(MachineNumber machine) {
     const control::ControlNode* process = node(machine);
-    if (process == nullptr || process->group().is_founding()) return;
+    if (process == nullptr || process->group().is_bootstrapping()) return;
     if (lost_identities_.contains(process->group().self().value))
         promise_broken("machine " + std::to_string(machine) + " bears the identity of a lost disk");
 }
@@ -205,7 +205,7 @@
         if (!votes) continue;
         const auto known = network_.disk(machine).values.find("known");
         if (known == network_.disk(machine).values.end() || !known->second.durable) continue;
-        const auto state = wire::from_bytes<control::KnownState>(*known->second.durable);
+        const auto state = wire::from_bytes<control::NodeSnapshot>(*known->second.durable);
         const auto record = std::ranges::find(state.value().instances, server, &model::Instance::id);
         const bool holds = record != state.value().instances.end() && !record->may_be_sent_to();
         copies += holds ? 1 : 0;
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -336,8 +336,8 @@
     }
     clients_act_ = true;
     for (const MachineNumber machine : control_)
-        if (network_.is_up(machine) && node(machine)->refused_answers() > 0)
-            counts_.late_answers_passed_over += node(machine)->refused_answers();
+        if (network_.is_up(machine) && node(machine)->dropped_replies() > 0)
+            counts_.late_answers_passed_over += node(machine)->dropped_replies();
     counts_.five[4] = counts_.late_answers_passed_over > 0;
     for (std::size_t i = 0; i < operators_.size(); ++i) {
         operators_[i].known = history_.newest_acknowledged();
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -324,7 +324,7 @@
     if (!is_live(machine)) return;
     tell("SIGTERM " + std::to_string(machine));
     nodes_.at(machine).leaving_since = network_.now();
-    network_.run_on(machine, [this, machine] { nodes_.at(machine).process->begin_end(); });
+    network_.run_on(machine, [this, machine] { nodes_.at(machine).process->begin_shutdown(); });
 }
 
 void ControlWorld::promise_broken(std::string what) {
--- a/tests/service_parts_tests.cpp
+++ b/tests/service_partitions_tests.cpp
@@ -1,9 +1,9 @@
 // How heartbeats are spread over the control nodes, and what each judges of the servers' silence.
-#define BOOST_TEST_MODULE service_parts
-#include "control/copy_collection.hpp"
+#define BOOST_TEST_MODULE service_partitions
 #include "control/edge_node_list.hpp"
-#include "control/service_parts.hpp"
-#include "control/silence_watch.hpp"
+#include "control/failure_detector.hpp"
+#include "control/service_partitions.hpp"
+#include "control/sync_tracker.hpp"
 
 #include <boost/test/included/unit_test.hpp>
 #include <map>
@@ -28,7 +28,7 @@
     return made;
 }
 
-std::map<std::string, int> targets(ServiceParts& parts, int servers) {
+std::map<std::string, int> targets(ServicePartitions& parts, int servers) {
     std::map<std::string, int> counts;
     for (int i = 0; i < servers; ++i) ++counts[parts.heartbeat_target("model", server(i).id)];
     return counts;
@@ -43,7 +43,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(an_owner_takes_the_heartbeats_of_all_its_servers_while_it_has_room) {
-    ServiceParts parts(100);
+    ServicePartitions parts(100);
     parts.set_nodes(nodes(5));
     parts.count_servers(table_of(100));
     const auto counts = targets(parts, 100);
@@ -52,7 +52,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(what_is_beyond_the_owners_room_is_spread_over_the_others) {
-    ServiceParts parts(200);
+    ServicePartitions parts(200);
     parts.set_nodes(nodes(5));
     parts.count_servers(table_of(1000));
     const auto counts = targets(parts, 1000);
@@ -61,7 +61,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(every_node_finds_the_same_targets_and_few_move_when_one_goes) {
-    ServiceParts some(200), others(200);
+    ServicePartitions some(200), others(200);
     some.set_nodes(nodes(6));
     others.set_nodes(nodes(6));
     some.count_servers(table_of(1000)), others.count_servers(table_of(1000));
@@ -85,7 +85,7 @@
 
 // A node that knows of the owner's end, and one that does not yet, tell at least one that watches.
 BOOST_AUTO_TEST_CASE(the_watchers_are_the_owner_and_whoever_follows_it) {
-    ServiceParts parts(0);
+    ServicePartitions parts(0);
     for (int service = 0; service < 20; ++service) {
         const std::string name = "s" + std::to_string(service);
         std::vector<std::string> alive = nodes(5);
@@ -105,7 +105,7 @@
     feed::InstanceTable table;
     table.merge(server(1), kStart);
     table.merge(server(2, "other"), kStart);
-    SilenceWatch watch(kBeat);
+    FailureDetector watch(kBeat);
     const auto owned = [](const std::string& service) { return service == "model"; };
     BOOST_TEST(watch.judge(table, owned, kStart).empty());
     BOOST_TEST(watch.judge(table, owned, kStart + 2 * kBeat).empty());
@@ -113,9 +113,9 @@
     BOOST_REQUIRE(silent.size() == 1U);
     BOOST_TEST(silent.front().id == "i-1");
     BOOST_TEST((silent.front().state == model::InstanceState::kSilent));
-    watch.slept(2 * kBeat); // this process stood still itself
+    watch.discount_pause(2 * kBeat); // this process stood still itself
     BOOST_TEST(watch.judge(table, owned, kStart + 4 * kBeat).empty());
-    watch.give_whole_time(kStart + 20 * kBeat);
+    watch.restart_timeouts(kStart + 20 * kBeat);
     BOOST_TEST(watch.judge(table, owned, kStart + 22 * kBeat).empty());
     const auto gone = watch.judge(table, owned, kStart + 45 * kBeat);
     BOOST_REQUIRE(gone.size() == 1U);
@@ -123,22 +123,22 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_copy_counts_only_where_it_answers_this_processs_question) {
-    CopyCollection copies(77);
-    const auto question = copies.question(5, kStart);
+    SyncTracker copies(77);
+    const auto question = copies.request(5, kStart);
     BOOST_REQUIRE(question.has_value());
-    BOOST_TEST(!copies.question(5, kStart + 100).has_value()); // it is asked already
-    BOOST_TEST(copies.question(5, kStart + 6000).has_value()); // no answer came
-    copies.answered(5, {78, question->id.number});
-    copies.answered(5, question->id); // of the question before
-    BOOST_TEST(copies.copied_from().empty());
-    BOOST_TEST(copies.refused().other_process == 1U);
-    BOOST_TEST(copies.refused().unasked == 1U);
-    copies.forget();
-    const auto anew = copies.question(5, kStart + 7000);
+    BOOST_TEST(!copies.request(5, kStart + 100).has_value()); // it is asked already
+    BOOST_TEST(copies.request(5, kStart + 6000).has_value()); // no answer came
+    copies.reply_received(5, {78, question->id.number});
+    copies.reply_received(5, question->id); // of the question before
+    BOOST_TEST(copies.synced_members().empty());
+    BOOST_TEST(copies.dropped_replies().other_process == 1U);
+    BOOST_TEST(copies.dropped_replies().unasked == 1U);
+    copies.reset();
+    const auto anew = copies.request(5, kStart + 7000);
     BOOST_REQUIRE(anew.has_value());
-    copies.answered(5, anew->id);
-    BOOST_TEST(copies.copied_from().contains(5));
-    BOOST_TEST(!copies.question(5, kStart + 90'000).has_value());
+    copies.reply_received(5, anew->id);
+    BOOST_TEST(copies.synced_members().contains(5));
+    BOOST_TEST(!copies.request(5, kStart + 90'000).has_value());
 }
 
 // Of five hundred nodes that join within a second the list is told a few times, not five hundred.
--- a/tests/storage_tests.cpp
+++ b/tests/storage_tests.cpp
@@ -60,7 +60,7 @@
     BOOST_REQUIRE(loaded.value().has_value());
     BOOST_TEST(loaded.value()->number == number);
     BOOST_TEST(loaded.value()->bytes == bytes);
-    BOOST_TEST(store.torn_files() == torn);
+    BOOST_TEST(store.corrupt_files() == torn);
 }
 
 // Two versions, 1 and 2.
