--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -1,4 +1,4 @@
-// Elections of a Replica: pre-vote, vote, and the order to stand at once.
+// Elections of a Replica: pre-vote, vote, and the leader's request to start an election at once.
 #include "consensus/replica.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kFirstElectionSpread = 500; // 50 ms, so that seldom two stand at once
+constexpr double kFirstElectionSpread = 500; // 50 ms; makes simultaneous candidates unlikely
 
 } // namespace
 
@@ -16,29 +16,29 @@
     election_at_ = now + options_.election_timeout + share;
 }
 
-// After a start of the whole group nobody leads, and to wait for a whole timeout would only keep all others
-// waiting. Where somebody leads, those who hear it deny the pre-vote.
-void Replica::hasten_first_election(Tenths now) {
-    if (knew_leader_ || role_ != Role::kFollower || !may_stand()) return;
-    const MemberPredicate is_there = [this](MemberId id) {
-        const MemberStatus* listed = candidate(id);
+// After a start of the whole group there is no leader, and waiting for a full election timeout would only
+// delay service. If there is a leader, the members that hear it deny the pre-vote.
+void Replica::shorten_first_election_timeout(Tenths now) {
+    if (has_known_leader_ || role_ != Role::kFollower || !may_campaign()) return;
+    const MemberPredicate is_reachable = [this](MemberId id) {
+        const MemberStatus* listed = status_of(id);
         return id == options_.self.id || (listed && listed->alive);
     };
-    if (!is_majority(is_there)) return;
+    if (!is_majority(is_reachable)) return;
     const auto soon = static_cast<Tenths>(random_.unit() * kFirstElectionSpread);
     election_at_ = std::min(election_at_, now + soon);
 }
 
-bool Replica::may_stand() const { return has_durable_entry() && is_voter() && !resigning_; }
+bool Replica::may_campaign() const { return has_durable_entry() && is_voter() && !resigning_; }
 
-bool Replica::hears_leader(Tenths now) const {
-    return heard_at_ && now - *heard_at_ <= options_.election_timeout;
+bool Replica::has_live_leader(Tenths now) const {
+    return leader_heard_at_ && now - *leader_heard_at_ <= options_.election_timeout;
 }
 
 void Replica::start_pre_vote(Tenths now) {
     postpone_election(now);
     leader_.reset();
-    if (!may_stand()) return;
+    if (!may_campaign()) return;
     role_ = Role::kPreCandidate;
     campaigning_ = false;
     votes_ = {options_.self.id};
@@ -46,14 +46,14 @@
     count_votes(now);
 }
 
-// The others are asked only once the own vote is durable (after_store): a candidate that forgot its term
-// could else be elected twice in it.
+// The other voters are asked only once the own vote is durable (after_store): a candidate that lost its
+// term in a crash could otherwise be elected twice in the same term.
 void Replica::start_election(Tenths now) {
     role_ = Role::kCandidate;
     leader_.reset();
     ++term_;
     voted_for_ = options_.self.id;
-    owed_vote_.reset();
+    pending_vote_.reset();
     campaigning_ = false;
     votes_.clear();
     postpone_election(now);
@@ -76,13 +76,13 @@
         become_leader(now);
 }
 
-// Changes nothing here, so that a member that was cut off can't disturb those who hear their leader.
+// A pre-vote changes no state, so that a member that was partitioned can't disturb a group with a leader.
 void Replica::on_pre_vote(MemberId from, const VoteRequest& request, Tenths now) {
     const bool up_to_date =
         request.newest >= newest_stamp() || planted(PlantedFault::kOlderCandidateAccepted);
     const bool may_vote = has_durable_entry() || planted(PlantedFault::kNewDiskVotes);
     const bool granted =
-        may_vote && role_ != Role::kLeader && !hears_leader(now) && request.term > term_ && up_to_date;
+        may_vote && role_ != Role::kLeader && !has_live_leader(now) && request.term > term_ && up_to_date;
     reply(from, VoteReply{granted ? request.term : term_, granted, true});
 }
 
@@ -100,7 +100,7 @@
     const bool is_durable = durable_.term == term_ && durable_.voted_for == voted_for_;
     if (is_durable || planted(PlantedFault::kVoteBeforeStored) || planted(PlantedFault::kNewDiskVotes))
         return reply(from, VoteReply{term_, true, false});
-    owed_vote_ = from;
+    pending_vote_ = from;
 }
 
 void Replica::on(MemberId from, const VoteReply& answer, Tenths now) {
@@ -116,7 +116,7 @@
 }
 
 void Replica::on(MemberId from, const TimeoutNow& order, Tenths now) {
-    if (order.term != term_ || leader_ != from || role_ != Role::kFollower || !may_stand()) return;
+    if (order.term != term_ || leader_ != from || role_ != Role::kFollower || !may_campaign()) return;
     start_election(now);
 }
 
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -6,81 +6,81 @@
 
 namespace {
 
-constexpr Tenths kStoreRetryDelay = 2000; // 200 ms after a disk has refused
-constexpr std::uint64_t kFoundingTerm = 1, kFoundingIndex = 1;
+constexpr Tenths kStoreRetryDelay = 2000; // 200 ms after a failed write
+constexpr std::uint64_t kBootstrapTerm = 1, kBootstrapIndex = 1;
 
 } // namespace
 
 Replica::Replica(Options options, DurableState durable, Tenths now)
     : options_(std::move(options)), random_(options_.seed), term_(durable.term),
       voted_for_(durable.voted_for), newest_(std::move(durable.entry)) {
-    durable_ = wanted();
+    durable_ = current_summary();
     postpone_election(now);
 }
 
 void Replica::bootstrap(std::vector<Member> initial_voters, std::string payload, Tenths now) {
     if (newest_) return;
-    term_ = std::max(term_, kFoundingTerm);
-    newest_ = Entry{{kFoundingTerm, kFoundingIndex}, std::move(initial_voters), {}, std::move(payload)};
-    settle(now);
+    term_ = std::max(term_, kBootstrapTerm);
+    newest_ = Entry{{kBootstrapTerm, kBootstrapIndex}, std::move(initial_voters), {}, std::move(payload)};
+    after_event(now);
 }
 
 void Replica::receive(const Message& message, Tenths now) {
     if (message.to != options_.self.id) {
         ++dropped_messages_.other_member;
-        if (planted(PlantedFault::kNewDiskVotes)) vote_as_former_disk(message, now);
+        if (planted(PlantedFault::kNewDiskVotes)) vote_for_former_disk(message, now);
         return;
     }
     std::visit([&](const auto& body) { on(message.from, body, now); }, message.body);
-    settle(now);
+    after_event(now);
 }
 
-// A planted fault only: otherwise what was sent to the disk that was here before reaches nobody.
-void Replica::vote_as_former_disk(const Message& message, Tenths now) {
+// Only for a planted fault; otherwise messages to a replaced disk are dropped.
+void Replica::vote_for_former_disk(const Message& message, Tenths now) {
     if (has_durable_entry() || !std::holds_alternative<VoteRequest>(message.body)) return;
     const MemberId own = std::exchange(options_.self.id, message.to);
     on(message.from, std::get<VoteRequest>(message.body), now);
     options_.self.id = own;
-    settle(now);
+    after_event(now);
 }
 
 void Replica::stored(StoreTicket ticket, Tenths now) {
-    if (!storing_ || storing_->ticket != ticket) return;
-    durable_ = storing_->state;
-    storing_.reset();
+    if (!pending_store_ || pending_store_->ticket != ticket) return;
+    durable_ = pending_store_->state;
+    pending_store_.reset();
     after_store(now);
-    settle(now);
+    after_event(now);
 }
 
 void Replica::store_failed(StoreTicket ticket, Tenths now) {
-    if (!storing_ || storing_->ticket != ticket) return;
-    storing_.reset();
-    store_again_at_ = now + kStoreRetryDelay;
-    settle(now);
+    if (!pending_store_ || pending_store_->ticket != ticket) return;
+    pending_store_.reset();
+    store_retry_at_ = now + kStoreRetryDelay;
+    after_event(now);
 }
 
 void Replica::tick(Tenths now) {
-    if (store_again_at_ && now >= *store_again_at_) store_again_at_.reset();
+    if (store_retry_at_ && now >= *store_retry_at_) store_retry_at_.reset();
     if (role_ == Role::kLeader) {
         if (now - quorum_at_ > options_.election_timeout) {
             become_follower(term_, std::nullopt);
             postpone_election(now);
-        } else if (hand_over_at_ && now >= *hand_over_at_) {
-            hand_over(now);
+        } else if (transfer_at_ && now >= *transfer_at_) {
+            transfer_leadership(now);
         } else if (now >= heartbeat_at_) {
             broadcast(now);
         }
     } else if (now >= election_at_) {
         start_pre_vote(now);
     }
-    settle(now);
+    after_event(now);
 }
 
 Tenths Replica::next_tick() const {
     Tenths next = role_ == Role::kLeader ? std::min(heartbeat_at_, quorum_at_ + options_.election_timeout + 1)
                                          : election_at_;
-    if (hand_over_at_) next = std::min(next, *hand_over_at_);
-    if (store_again_at_) next = std::min(next, *store_again_at_);
+    if (transfer_at_) next = std::min(next, *transfer_at_);
+    if (store_retry_at_) next = std::min(next, *store_retry_at_);
     return next;
 }
 
@@ -88,7 +88,7 @@
 std::optional<MemberId> Replica::leader() const { return leader_; }
 const std::optional<Entry>& Replica::newest() const { return newest_; }
 const std::optional<Entry>& Replica::committed() const { return committed_; }
-bool Replica::proposal_under_way() const { return under_way_.has_value(); }
+bool Replica::proposal_under_way() const { return active_proposal_.has_value(); }
 
 bool Replica::is_voter() const {
     if (!newest_) return false;
@@ -108,29 +108,29 @@
 
 std::vector<Effect> Replica::take_effects() { return std::exchange(effects_, {}); }
 
-// What follows from the event that was just taken in, whichever it was.
-void Replica::settle(Tenths now) {
+// Runs after every event: stores changed state and lets a leader proceed.
+void Replica::after_event(Tenths now) {
     persist(now);
     advance(now);
 }
 
-Replica::Summary Replica::wanted() const { return {term_, voted_for_, newest_stamp()}; }
+Replica::Summary Replica::current_summary() const { return {term_, voted_for_, newest_stamp()}; }
 
 void Replica::persist(Tenths now) {
-    if (storing_ || (store_again_at_ && now < *store_again_at_)) return;
-    store_again_at_.reset();
-    const Summary state = wanted();
+    if (pending_store_ || (store_retry_at_ && now < *store_retry_at_)) return;
+    store_retry_at_.reset();
+    const Summary state = current_summary();
     if (state == durable_) return;
-    storing_ = StoreUnderWay{StoreTicket{++last_ticket_}, state};
-    emit(Store{storing_->ticket, DurableState{term_, voted_for_, newest_}});
+    pending_store_ = PendingStore{StoreTicket{++last_ticket_}, state};
+    emit(Store{pending_store_->ticket, DurableState{term_, voted_for_, newest_}});
 }
 
-// Says what may be said now that `durable_` has changed.
+// Sends the replies that waited for `durable_`.
 void Replica::after_store(Tenths now) {
     const bool vote_is_durable = durable_.term == term_ && durable_.voted_for == voted_for_;
-    if (vote_is_durable && owed_vote_) {
-        reply(*owed_vote_, VoteReply{term_, true, false});
-        owed_vote_.reset();
+    if (vote_is_durable && pending_vote_) {
+        reply(*pending_vote_, VoteReply{term_, true, false});
+        pending_vote_.reset();
     }
     if (vote_is_durable && role_ == Role::kCandidate && !campaigning_) {
         campaigning_ = true;
@@ -146,8 +146,8 @@
     if (term > term_) {
         term_ = term;
         voted_for_.reset();
-        owed_vote_.reset();
-        leader_committed_ = {}; // not within one term: what is heard late there may be older
+        pending_vote_.reset();
+        leader_committed_ = {}; // kept within a term: a delayed append may report an older commit
     }
     if (role_ == Role::kLeader) lose_leadership();
     if (planted(PlantedFault::kLeaderCommitForgotten)) leader_committed_ = {};
@@ -165,7 +165,8 @@
         leads_ = true;
         emit(RoleChanged{true, term_});
     }
-    if (under_way_) emit(ProposalDone{*std::exchange(under_way_, std::nullopt), ProposalOutcome::kCommitted});
+    if (active_proposal_)
+        emit(ProposalDone{*std::exchange(active_proposal_, std::nullopt), ProposalOutcome::kCommitted});
     broadcast(now);
 }
 
@@ -178,7 +179,7 @@
 }
 
 std::optional<std::string> Replica::address_of(MemberId id) const {
-    if (const MemberStatus* listed = candidate(id)) return listed->member.address;
+    if (const MemberStatus* listed = status_of(id)) return listed->member.address;
     if (!newest_) return std::nullopt;
     for (const auto* voters : {&newest_->voters, &newest_->former_voters})
         for (const Member& voter : *voters)
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -1,4 +1,5 @@
-// What a leader does, and what its followers answer.
+// Replication of a Replica: the leader's entries, heartbeats, proposals and reads, and the followers'
+// replies.
 #include "consensus/replica.hpp"
 
 #include <algorithm>
@@ -7,38 +8,38 @@
 
 namespace {
 
-constexpr Tenths kEntryResendInterval = 3000; // 300 ms: an entry is whole, and may be long
-constexpr std::size_t kMostQueuedProposals = 1024, kMostWaitingReads = 16384;
-constexpr Tenths kGrowthPatience = 3 * kTenthsPerSecond;
-constexpr int kHandOverHeartbeats = 2; // how long a leader that resigns waits for what is under way
+constexpr Tenths kEntryResendInterval = 3000; // 300 ms; an entry is the whole value and may be large
+constexpr std::size_t kMaxQueuedProposals = 1024, kMaxPendingReads = 16384;
+constexpr Tenths kGrowthTimeout = 3 * kTenthsPerSecond;
+constexpr int kTransferDelayHeartbeats = 2; // a resigning leader first waits for the active proposal
 
 } // namespace
 
 void Replica::become_leader(Tenths now) {
     role_ = Role::kLeader;
-    knew_leader_ = true;
+    has_known_leader_ = true;
     leader_ = options_.self.id;
     votes_.clear();
     campaigning_ = false;
     quorum_at_ = leading_since_ = now;
-    agreed_ = {};
+    majority_stamp_ = {};
     quorum_round_ = read_round_ = round_;
     rounds_.clear();
     if (planted(PlantedFault::kOldTermCommitted)) {
         refresh_peers();
         return broadcast(now);
     }
-    // Only an entry of the own term may be committed by counting its holders (Raft, 5.4.2).
-    put_entry(newest_->voters, newest_->former_voters, newest_->payload, now);
+    // Only an entry of the leader's own term may be committed by counting replicas (Raft, 5.4.2).
+    append_entry(newest_->voters, newest_->former_voters, newest_->payload, now);
 }
 
 void Replica::lose_leadership() {
-    if (under_way_) {
+    if (active_proposal_) {
         const auto outcome = planted(PlantedFault::kUnknownReportedRejected) ? ProposalOutcome::kRejected
                                                                              : ProposalOutcome::kUnknown;
-        emit(ProposalDone{*std::exchange(under_way_, std::nullopt), outcome});
+        emit(ProposalDone{*std::exchange(active_proposal_, std::nullopt), outcome});
     }
-    for (const Proposal& waiting : std::exchange(queue_, {})) {
+    for (const Proposal& waiting : std::exchange(queued_proposals_, {})) {
         const auto outcome = planted(PlantedFault::kQueuedReportedCommitted) ? ProposalOutcome::kCommitted
                                                                              : ProposalOutcome::kRejected;
         emit(ProposalDone{waiting.id, outcome});
@@ -46,18 +47,18 @@
     for (const Read& read : std::exchange(reads_, {})) emit(ReadDone{read.id, false});
     if (leads_) emit(RoleChanged{false, term_});
     leads_ = false;
-    hand_over_at_.reset();
+    transfer_at_.reset();
     peers_.clear();
     rounds_.clear();
-    heard_at_.reset();
+    leader_heard_at_.reset();
     contact_at_.reset();
 }
 
-void Replica::put_entry(std::vector<Member> voters, std::vector<Member> former, std::string payload,
-                        Tenths now) {
-    before_newest_ = newest_stamp();
+void Replica::append_entry(std::vector<Member> voters, std::vector<Member> former, std::string payload,
+                           Tenths now) {
+    previous_stamp_ = newest_stamp();
     newest_ =
-        Entry{{term_, before_newest_.index + 1}, std::move(voters), std::move(former), std::move(payload)};
+        Entry{{term_, previous_stamp_.index + 1}, std::move(voters), std::move(former), std::move(payload)};
     refresh_peers();
     persist(now);
     broadcast(now);
@@ -83,8 +84,8 @@
     send(to, progress.address, std::move(append));
 }
 
-// After that moment of the member's own clock this leader was in touch with a majority: the token came later,
-// and since then the clocks have gone on alike.
+// Returns a time of the member's own clock after which this leader had contact with a majority: the token's
+// time, moved back by the time since the last contact. Assumes that both clocks run at the same rate.
 std::optional<ContactToken> Replica::echo(const Progress& progress, Tenths now) const {
     if (!progress.token || planted(PlantedFault::kContactWithoutMajority)) return progress.token;
     return ContactToken{progress.token->process, progress.token->at - (now - quorum_at_)};
@@ -99,12 +100,12 @@
     const bool is_newer = append.term > term_ || leader_ != from;
     if (is_newer || role_ != Role::kFollower) {
         become_follower(append.term, from);
-        heard_round_ = 0;
+        leader_round_ = 0;
     }
-    heard_round_ = std::max(heard_round_, append.round);
-    heard_at_ = now;
-    knew_leader_ = true;
-    take_echo(append, now);
+    leader_round_ = std::max(leader_round_, append.round);
+    leader_heard_at_ = now;
+    has_known_leader_ = true;
+    process_echo(append, now);
     postpone_election(now);
     leader_committed_ = std::max(leader_committed_, append.committed);
     const auto is_committed = [&] {
@@ -120,8 +121,8 @@
     reply_to_leader(now);
 }
 
-// What a cut has held up comes as if it were new; an echo tells after which moment it was sent.
-void Replica::take_echo(const Append& append, Tenths now) {
+// An append that a network partition has delayed looks new on arrival; the echo bounds when it was sent.
+void Replica::process_echo(const Append& append, Tenths now) {
     if (planted(PlantedFault::kContactByAnyAppend)) contact_at_ = now;
     if (!append.echo || append.echo->process != options_.seed || append.echo->at > now) return;
     contact_at_ = std::max(contact_at_.value_or(append.echo->at), append.echo->at);
@@ -130,7 +131,7 @@
 void Replica::reply_to_leader(Tenths now) {
     const bool reply_early = planted(PlantedFault::kReplyBeforeStored);
     reply(*leader_,
-          AppendReply{term_, heard_round_, reply_early ? newest_stamp() : durable_.newest, token(now)});
+          AppendReply{term_, leader_round_, reply_early ? newest_stamp() : durable_.newest, token(now)});
 }
 
 void Replica::on(MemberId from, const AppendReply& answer, Tenths now) {
@@ -150,10 +151,10 @@
     peer->second.answered_at = now;
     const bool is_new_process = !peer->second.token || peer->second.token->process != answer.token.process;
     if (is_new_process || peer->second.token->at < answer.token.at) peer->second.token = answer.token;
-    if (is_new_process) send_append(from, peer->second, now); // it waits for the echo
+    if (is_new_process) send_append(from, peer->second, now); // the new process waits for the echo
 }
 
-bool Replica::settled() const { return newest_ && agreed_ == newest_->stamp; }
+bool Replica::newest_has_majority() const { return newest_ && majority_stamp_ == newest_->stamp; }
 bool Replica::is_committed() const { return committed_ && newest_ && committed_->stamp == newest_->stamp; }
 
 bool Replica::has_stored(MemberId id) const {
@@ -163,10 +164,10 @@
     return peer != peers_.end() && peer->second.stored == newest_->stamp;
 }
 
-// Said that it ends, or its disk is gone.
-bool Replica::leaves(const Member& voter) const {
+// Whether the voter announced its shutdown or its disk was replaced.
+bool Replica::is_leaving(const Member& voter) const {
     if (planted(PlantedFault::kLeavingVoterCounted)) return false;
-    const MemberStatus* listed = candidate(voter.id);
+    const MemberStatus* listed = status_of(voter.id);
     return (listed && listed->removed) || disk_was_replaced(voter);
 }
 
@@ -181,8 +182,8 @@
     return newest_->former_voters.empty() || majority(newest_->former_voters, holds);
 }
 
-std::size_t Replica::copies_that_stay(const MemberPredicate& holds) const {
-    const auto stays = [&](const Member& voter) { return holds(voter.id) && !leaves(voter); };
+std::size_t Replica::lasting_copies(const MemberPredicate& holds) const {
+    const auto stays = [&](const Member& voter) { return holds(voter.id) && !is_leaving(voter); };
     return static_cast<std::size_t>(std::ranges::count_if(newest_->voters, stays));
 }
 
@@ -190,46 +191,47 @@
     if (!is_majority(holds)) return false;
     const std::size_t size = newest_->voters.size();
     const std::size_t wanted = group_may_be_small ? std::min(options_.min_copies, size) : options_.min_copies;
-    return copies_that_stay(holds) >= wanted || planted(PlantedFault::kMajorityIsEnough);
+    return lasting_copies(holds) >= wanted || planted(PlantedFault::kMajorityIsEnough);
 }
 
-// A leader's next steps, whatever has happened.
+// Takes a leader's next possible steps; called after every event.
 void Replica::advance(Tenths now) {
     if (role_ != Role::kLeader) return;
     update_quorum();
     const MemberPredicate stored = [this](MemberId id) { return has_stored(id); };
-    if (!settled() && is_majority(stored)) agreed_ = newest_->stamp;
-    if (settled() && !is_committed() && survives_losses(stored, true)) commit(now);
+    if (!newest_has_majority() && is_majority(stored)) majority_stamp_ = newest_->stamp;
+    if (newest_has_majority() && !is_committed() && survives_losses(stored, true)) commit(now);
     answer_reads(now);
-    if (settled()) next_entry(now);
+    if (newest_has_majority()) next_entry(now);
 }
 
 void Replica::next_entry(Tenths now) {
-    if (!newest_->former_voters.empty()) return put_entry(newest_->voters, {}, newest_->payload, now);
-    if (!is_voter() || resigning_) return hand_over(now);
-    if (auto voters = wanted_voters(now)) {
+    if (!newest_->former_voters.empty()) return append_entry(newest_->voters, {}, newest_->payload, now);
+    if (!is_voter() || resigning_) return transfer_leadership(now);
+    if (auto voters = target_voters(now)) {
         const bool joint = !planted(PlantedFault::kChangeWithoutJointEntry);
-        return put_entry(std::move(*voters), joint ? newest_->voters : std::vector<Member>{},
-                         newest_->payload, now);
+        return append_entry(std::move(*voters), joint ? newest_->voters : std::vector<Member>{},
+                            newest_->payload, now);
     }
     if (is_committed() && may_propose(now)) next_proposal(now);
 }
 
-// A group that has yet to grow to its size would hold a value on fewer disks than it should: it grows first,
-// where there is anybody to grow by.
+// A group below its minimum size would hold a value on too few disks: it grows first, but waits for further
+// members for a limited time only.
 bool Replica::may_propose(Tenths now) const {
-    const bool whole = newest_->voters.size() >= least_;
-    return whole || now - leading_since_ >= kGrowthPatience || planted(PlantedFault::kMajorityIsEnough);
+    const bool has_min_voters = newest_->voters.size() >= min_voters_;
+    return has_min_voters || now - leading_since_ >= kGrowthTimeout ||
+           planted(PlantedFault::kMajorityIsEnough);
 }
 
 void Replica::next_proposal(Tenths now) {
-    while (!queue_.empty()) {
-        const Proposal next = std::move(queue_.front());
-        queue_.pop_front();
+    while (!queued_proposals_.empty()) {
+        const Proposal next = std::move(queued_proposals_.front());
+        queued_proposals_.pop_front();
         auto payload = next.make(newest_->payload);
         if (payload) {
-            under_way_ = next.id;
-            return put_entry(newest_->voters, {}, std::move(*payload), now);
+            active_proposal_ = next.id;
+            return append_entry(newest_->voters, {}, std::move(*payload), now);
         }
         emit(ProposalDone{next.id, ProposalOutcome::kRejected});
     }
@@ -237,12 +239,12 @@
 
 ProposalId Replica::propose(MakePayload make, Tenths now) {
     const ProposalId id{++last_proposal_};
-    if (role_ != Role::kLeader || resigning_ || queue_.size() >= kMostQueuedProposals) {
+    if (role_ != Role::kLeader || resigning_ || queued_proposals_.size() >= kMaxQueuedProposals) {
         emit(ProposalDone{id, ProposalOutcome::kRejected});
         return id;
     }
-    queue_.push_back({id, std::move(make)});
-    settle(now);
+    queued_proposals_.push_back({id, std::move(make)});
+    after_event(now);
     return id;
 }
 
@@ -268,16 +270,16 @@
 
 ReadId Replica::confirm_leadership(Tenths now) {
     const ReadId id{++last_read_};
-    if (role_ != Role::kLeader || reads_.size() >= kMostWaitingReads) {
+    if (role_ != Role::kLeader || reads_.size() >= kMaxPendingReads) {
         emit(ReadDone{id, false});
         return id;
     }
     reads_.push_back({id, planted(PlantedFault::kReadWithoutRound) ? 0 : round_ + 1});
-    settle(now);
+    after_event(now);
     return id;
 }
 
-// One round for reads is under way at a time; reads that come meanwhile share the next one.
+// At most one heartbeat round for reads is in progress; reads that arrive meanwhile share the next round.
 void Replica::answer_reads(Tenths now) {
     if (!reads_.empty() && reads_.back().round > round_ && quorum_round_ >= read_round_) {
         broadcast(now);
@@ -292,20 +294,21 @@
 void Replica::resign(Tenths now) {
     resigning_ = true;
     if (role_ == Role::kLeader) {
-        for (const Proposal& waiting : std::exchange(queue_, {}))
+        for (const Proposal& waiting : std::exchange(queued_proposals_, {}))
             emit(ProposalDone{waiting.id, ProposalOutcome::kRejected});
-        hand_over_at_ = now + kHandOverHeartbeats * options_.heartbeat_interval;
+        transfer_at_ = now + kTransferDelayHeartbeats * options_.heartbeat_interval;
     }
-    settle(now);
+    after_event(now);
 }
 
-// To the voter that holds most and answered last. It gets the newest commitment first.
-void Replica::hand_over(Tenths now) {
+// Transfers leadership to the live voter with the newest entry and the latest reply, after sending it the
+// newest commit position.
+void Replica::transfer_leadership(Tenths now) {
     broadcast(now);
     const Member* best = nullptr;
     const auto rank = [&](const Member& voter) {
         const Progress& progress = peers_.at(voter.id);
-        return std::tuple(alive(voter), progress.stored, progress.round);
+        return std::tuple(is_alive(voter), progress.stored, progress.round);
     };
     for (const Member& voter : newest_->voters)
         if (peers_.contains(voter.id) && (!best || rank(voter) > rank(*best))) best = &voter;
--- a/src/consensus/types.hpp
+++ b/src/consensus/types.hpp
@@ -1,8 +1,7 @@
-// What the members of one group agree on, and what they say to each other. A group replicates one value that
-// is always whole (Raft's log with everything before its last entry compacted away): a new entry replaces the
-// one before it, so a member that is behind needs the newest entry and nothing else. Terms, votes and
-// commitment are Raft's (Ongaro and Ousterhout, USENIX ATC 2014), the change of members its joint consensus,
-// with a pre-vote.
+// Entries, durable state and messages of a consensus group. A group replicates a single value, always in full
+// (Raft's log compacted to its last entry): each new entry replaces the previous one, so a member that is
+// behind needs only the newest entry. Terms, votes and commitment follow Raft (Ongaro and Ousterhout, USENIX
+// ATC 2014), membership changes its joint consensus, elections its pre-vote.
 #pragma once
 #include "base/ids.hpp"
 #include "base/time.hpp"
@@ -17,19 +16,20 @@
 
 namespace ivyrill::consensus {
 
-// A disk, not a machine: drawn anew when a member starts on an empty disk, so that one that was wiped can't
-// vote with the rights of what it has forgotten.
+// Identifies a disk, not a machine: drawn at random when a member starts on an empty disk, so that a wiped
+// member can't vote under its former identity after losing the votes it has already cast.
 using MemberId = Id<struct ConsensusMemberTag, std::uint64_t>;
 
 struct Member {
     MemberId id;
-    std::string address; // where its peers reach it
+    std::string address; // for connections from its peers
     std::string zone;
     template <class Self> static auto tie(Self& s) { return std::tie(s.id, s.address, s.zone); }
     friend bool operator==(const Member&, const Member&) = default;
 };
 
-struct Stamp { // orders entries: the later term wins, within it the higher index
+// Orders entries: by term, then by index.
+struct Stamp {
     std::uint64_t term = 0, index = 0;
     template <class Self> static auto tie(Self& s) { return std::tie(s.term, s.index); }
     friend auto operator<=>(const Stamp&, const Stamp&) = default;
@@ -38,16 +38,15 @@
 struct Entry {
     Stamp stamp;
     std::vector<Member> voters;
-    std::vector<Member>
-        former_voters;   // not empty while a change of members is under way: both majorities are needed
-    std::string payload; // the whole replicated value; opaque here
+    std::vector<Member> former_voters; // not empty during a membership change: both majorities are needed
+    std::string payload;               // the whole replicated value; opaque to the group
     template <class Self> static auto tie(Self& s) {
         return std::tie(s.stamp, s.voters, s.former_voters, s.payload);
     }
     friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-// What a member must find again after any end of its process or loss of power.
+// What a member must preserve across a crash or a power failure.
 struct DurableState {
     std::uint64_t term = 0;
     std::optional<MemberId> voted_for; // in that term
@@ -58,7 +57,7 @@
 struct VoteRequest {
     std::uint64_t term = 0;
     Stamp newest;          // of the candidate's entry
-    bool pre_vote = false; // asks whether a vote would be given; changes nothing
+    bool pre_vote = false; // asks whether a vote would be granted; changes no state
     template <class Self> static auto tie(Self& s) { return std::tie(s.term, s.newest, s.pre_vote); }
 };
 
@@ -68,8 +67,8 @@
     template <class Self> static auto tie(Self& s) { return std::tie(s.term, s.granted, s.pre_vote); }
 };
 
-// Of one process of a member: when it said something, by its own clock. Echoed, it proves that what echoes it
-// was sent later, however long that was on its way.
+// When a process of a member sent a message, by that process's own clock. A message that echoes the token was
+// sent after that time, however long it was in transit.
 struct ContactToken {
     std::uint64_t process = 0;
     std::int64_t at = 0;
@@ -77,13 +76,13 @@
     friend bool operator==(const ContactToken&, const ContactToken&) = default;
 };
 
-struct Append { // heartbeat, and an entry where the receiver lacks it
+// A heartbeat, with the newest entry where the receiver lacks it.
+struct Append {
     std::uint64_t term = 0;
-    std::uint64_t round =
-        0; // counts the leader's heartbeats; replies name it, which proves leadership since then
+    std::uint64_t round = 0; // number of the leader's heartbeat; a reply to it proves leadership since then
     Stamp newest, committed;
     std::optional<Entry> entry;
-    std::optional<ContactToken> echo; // the newest that the receiver has sent
+    std::optional<ContactToken> echo; // derived from the newest token that the receiver has sent
     template <class Self> static auto tie(Self& s) {
         return std::tie(s.term, s.round, s.newest, s.committed, s.entry, s.echo);
     }
@@ -92,12 +91,13 @@
 struct AppendReply {
     std::uint64_t term = 0;
     std::uint64_t round = 0;
-    Stamp stored; // the newest entry that is durable here
+    Stamp stored; // the newest entry that is durable at the sender
     ContactToken token;
     template <class Self> static auto tie(Self& s) { return std::tie(s.term, s.round, s.stored, s.token); }
 };
 
-struct TimeoutNow { // a leader that ends asks a member that is up to date to stand for election at once
+// Sent by a resigning leader to an up-to-date voter, which then starts an election at once.
+struct TimeoutNow {
     std::uint64_t term = 0;
     template <class Self> static auto tie(Self& s) { return std::tie(s.term); }
 };
@@ -105,7 +105,7 @@
 using Body = std::variant<VoteRequest, VoteReply, Append, AppendReply, TimeoutNow>;
 
 struct Message {
-    MemberId from, to; // ids, so that what was meant for a disk that is gone does not reach its successor
+    MemberId from, to; // ids: a message to a disk that was replaced must not reach its successor
     Body body;
     template <class Self> static auto tie(Self& s) { return std::tie(s.from, s.to, s.body); }
 };
--- a/src/storage/version_store.hpp
+++ b/src/storage/version_store.hpp
@@ -1,6 +1,6 @@
-// One value on disk, one file for each version: written aside with a checksum, synced, renamed, folder
-// synced; older versions are removed after that. Reading takes the newest file that is whole. Blocking: it
-// runs on a thread of its own.
+// Durable storage of one value, with a file for each version: a version is written to a temporary file with a
+// checksum, synced and renamed, then the folder is synced and older versions are removed. Loading returns the
+// newest valid file. All calls block on the disk.
 #pragma once
 #include "base/result.hpp"
 
@@ -18,26 +18,25 @@
 
 class VersionStore {
   public:
-    // `kind` begins the names of the files, e.g. `state-00000000000000000012`. The folder must exist.
+    // `kind` is the prefix of the file names, e.g. `state-00000000000000000012`. The folder must exist.
     VersionStore(std::string folder, std::string kind);
-    // The newest whole version, or none; files that are torn are passed over and named in the log by the
-    // caller.
+    // Returns the newest valid version, if any. Corrupt files are skipped; see corrupt_files().
     Result<std::optional<StoredVersion>> load();
-    // Returns once the bytes survive a loss of power. The number must be higher than any before.
+    // Returns once the bytes survive a power failure. The number must be higher than any used before.
     Result<void> save(std::uint64_t number, const std::string& bytes);
-    // Files newer than the one that `load` returned, which can't be read. Each was whole and synced before it
-    // got its name, so a loss of power leaves none: the disk has spoilt what was once durable.
-    std::size_t corrupt_files() const { return torn_; }
-    std::uint64_t highest_number() const { return highest_; } // that a file was named by
+    // The number of corrupt files newer than the version that `load` returned. A file is complete and synced
+    // before it gets its name, so a power failure leaves none: the disk has lost data that was durable.
+    std::size_t corrupt_files() const { return corrupt_files_; }
+    std::uint64_t highest_number() const { return highest_; } // of any version on disk, corrupt or not
 
   private:
     std::string path_of(std::uint64_t number) const;
-    Result<std::vector<std::uint64_t>> numbers() const; // of all files there, the highest first
+    Result<std::vector<std::uint64_t>> version_numbers() const; // of all files, the highest first
     Result<void> remove_older();
 
     std::string folder_, kind_;
-    std::size_t torn_ = 0;
-    std::uint64_t highest_ = 0; // that a file was named by
+    std::size_t corrupt_files_ = 0;
+    std::uint64_t highest_ = 0;
 };
 
 } // namespace ivyrill::storage
--- a/tests/consensus_history_tests.cpp
+++ b/tests/consensus_history_tests.cpp
@@ -1,4 +1,4 @@
-// Histories drawn from seeds. One that fails is played alone, with its story, by
+// Randomized simulations of a consensus group. To replay a failing seed with a log of its events, run
 // `IVYRILL_SEED=N consensus_history_tests --run_test=history_of_one_seed --log_level=message`.
 #define BOOST_TEST_MODULE consensus_history
 #include "lab/consensus_world.hpp"
@@ -10,10 +10,10 @@
 
 using namespace ivyrill::lab;
 
-constexpr std::uint64_t kSeedsOfCase = 80;
+constexpr std::uint64_t kSeedsPerCase = 80;
 
-void play_seeds(std::uint64_t part) {
-    for (std::uint64_t seed = part * kSeedsOfCase + 1; seed <= (part + 1) * kSeedsOfCase; ++seed) {
+void play_seeds(std::uint64_t group) {
+    for (std::uint64_t seed = group * kSeedsPerCase + 1; seed <= (group + 1) * kSeedsPerCase; ++seed) {
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
         for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
@@ -58,8 +58,8 @@
     for (const std::string& what : world.broken()) BOOST_ERROR(what);
 }
 
-// A history in which hardly anything happens would find hardly anything.
-BOOST_AUTO_TEST_CASE(histories_hold_faults_writes_and_changes) {
+// The generated histories must contain enough faults, writes and membership changes to find errors.
+BOOST_AUTO_TEST_CASE(histories_contain_faults_writes_and_changes) {
     ConsensusCounts sum;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         ConsensusWorld world(plan_of_seed(seed));
@@ -84,7 +84,7 @@
     BOOST_TEST(sum.changes_of_voters > 50U);
 }
 
-BOOST_AUTO_TEST_CASE(a_history_is_the_same_each_time) {
+BOOST_AUTO_TEST_CASE(a_seed_reproduces_the_same_history) {
     std::vector<std::string> stories[2];
     for (auto& story : stories) {
         ConsensusPlan plan = plan_of_seed(17);
--- a/tests/consensus_planted_tests.cpp
+++ b/tests/consensus_planted_tests.cpp
@@ -1,4 +1,4 @@
-// The histories are asked whether they would find a wrong line: each planted fault must break a promise.
+// Mutation tests of the simulated histories: each planted fault must violate an invariant in one of them.
 #define BOOST_TEST_MODULE consensus_planted
 #include "lab/consensus_world.hpp"
 #include "lab/planted_search.hpp"
@@ -20,7 +20,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(without_a_fault_nothing_is_found) {
+BOOST_AUTO_TEST_CASE(no_violations_without_a_fault) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
--- a/tests/storage_tests.cpp
+++ b/tests/storage_tests.cpp
@@ -1,4 +1,4 @@
-// One value on disk in whole versions: what survives of it whatever the files look like.
+// VersionStore: saving and loading versions, and recovery from truncated, corrupt and foreign files.
 #define BOOST_TEST_MODULE storage
 #include "storage/version_store.hpp"
 
@@ -16,7 +16,8 @@
 using namespace ivyrill::storage;
 namespace fs = std::filesystem;
 
-class Folder { // a new one, removed at the end
+// A temporary folder, removed by the destructor.
+class Folder {
   public:
     Folder() {
         std::string name = (fs::temp_directory_path() / "ivyrill-storage-XXXXXX").string();
@@ -53,17 +54,18 @@
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
-void check_loads(const Folder& folder, std::uint64_t number, const std::string& bytes, std::size_t torn) {
+void check_loads(const Folder& folder, std::uint64_t number, const std::string& bytes,
+                 std::size_t corrupt_files) {
     VersionStore store(folder.path(), "state");
     const auto loaded = store.load();
     BOOST_REQUIRE(loaded.has_value());
     BOOST_REQUIRE(loaded.value().has_value());
     BOOST_TEST(loaded.value()->number == number);
     BOOST_TEST(loaded.value()->bytes == bytes);
-    BOOST_TEST(store.corrupt_files() == torn);
+    BOOST_TEST(store.corrupt_files() == corrupt_files);
 }
 
-// Two versions, 1 and 2.
+// Saves versions 1 and 2.
 void fill(const Folder& folder) {
     VersionStore store(folder.path(), "state");
     BOOST_REQUIRE(store.save(1, "one").has_value());
@@ -98,7 +100,7 @@
     check_loads(folder, 10, "", 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_file_cut_at_any_byte_is_passed_over) {
+BOOST_AUTO_TEST_CASE(a_truncated_file_is_skipped) {
     const Folder folder;
     fill(folder);
     const std::string whole = read(folder.file(name_of(2)));
@@ -110,26 +112,26 @@
     check_loads(folder, 1, "one", 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_file_with_any_byte_flipped_is_passed_over) {
+BOOST_AUTO_TEST_CASE(a_file_with_a_corrupt_byte_is_skipped) {
     const Folder folder;
     fill(folder);
     const std::string whole = read(folder.file(name_of(2)));
     for (std::size_t at = 0; at < whole.size(); ++at) {
-        std::string spoilt = whole;
-        spoilt[at] = static_cast<char>(spoilt[at] ^ 0x10);
-        write(folder.file(name_of(2)), spoilt);
+        std::string corrupt = whole;
+        corrupt[at] = static_cast<char>(corrupt[at] ^ 0x10);
+        write(folder.file(name_of(2)), corrupt);
         check_loads(folder, 1, "one", 1);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_file_under_the_name_of_another_version_is_passed_over) {
+BOOST_AUTO_TEST_CASE(a_file_with_the_name_of_another_version_is_skipped) {
     const Folder folder;
     fill(folder);
     fs::copy_file(folder.file(name_of(1)), folder.file(name_of(7)));
     check_loads(folder, 2, std::string("two\0and more", 12), 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_number_is_never_used_again_even_by_a_torn_file) {
+BOOST_AUTO_TEST_CASE(the_number_of_a_corrupt_file_is_not_reused) {
     const Folder folder;
     fill(folder);
     write(folder.file(name_of(3)), "torn");
@@ -142,7 +144,7 @@
     check_loads(folder, 4, "four", 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_unfinished_file_is_removed_and_never_read) {
+BOOST_AUTO_TEST_CASE(a_temporary_file_is_removed_and_never_loaded) {
     const Folder folder;
     fill(folder);
     fs::copy_file(folder.file(name_of(2)), folder.file(name_of(3) + ".tmp"));
@@ -150,7 +152,7 @@
     BOOST_TEST((folder.names() == std::set{name_of(1), name_of(2)}));
 }
 
-BOOST_AUTO_TEST_CASE(files_of_another_kind_are_left_alone) {
+BOOST_AUTO_TEST_CASE(files_of_another_kind_are_not_touched) {
     const Folder folder;
     fill(folder);
     write(folder.file("other-00000000000000000009"), "x");
@@ -159,7 +161,7 @@
     BOOST_TEST(folder.names().size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_folder_is_an_error_that_names_it) {
+BOOST_AUTO_TEST_CASE(the_error_for_a_missing_folder_names_it) {
     const Folder folder;
     VersionStore store(folder.file("missing"), "state");
     const auto loaded = store.load();
@@ -174,7 +176,7 @@
 BOOST_AUTO_TEST_CASE(a_file_of_a_newer_format_is_refused_with_a_remedy) {
     const Folder folder;
     fill(folder);
-    // Format 2 with the checksum that belongs to it (FNV-1a, 64 bits, over the numbers and the bytes).
+    // Format 2 with a valid checksum (FNV-1a, 64 bits, over the numbers and the payload).
     std::string file = read(folder.file(name_of(2)));
     file[8] = 2;
     std::uint64_t sum = 14695981039346656037ULL;
@@ -189,7 +191,7 @@
     BOOST_TEST(loaded.error().message.find("newer program") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_that_fails_leaves_the_older_version_and_no_unfinished_file) {
+BOOST_AUTO_TEST_CASE(a_failed_write_leaves_the_older_versions_and_no_temporary_file) {
     const Folder folder;
     fill(folder);
     VersionStore store(folder.path(), "state");
@@ -198,7 +200,7 @@
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
     const rlimit small{1000, before.rlim_max};
-    setrlimit(RLIMIT_FSIZE, &small); // what a full disk does: a short write, then an error
+    setrlimit(RLIMIT_FSIZE, &small); // acts like a full disk: a short write, then an error
     const auto saved = store.save(3, std::string(5000, 'x'));
     setrlimit(RLIMIT_FSIZE, &before);
     BOOST_REQUIRE(!saved.has_value());
@@ -212,7 +214,7 @@
     if (!fs::exists("/dev/full")) return;
     const Folder folder;
     fill(folder);
-    fs::create_symlink("/dev/full", folder.file(name_of(3) + ".tmp")); // every write there ends with ENOSPC
+    fs::create_symlink("/dev/full", folder.file(name_of(3) + ".tmp")); // every write to it fails with ENOSPC
     VersionStore store(folder.path(), "state");
     const auto saved = store.save(3, "three");
     BOOST_REQUIRE(!saved.has_value());
