--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -2,7 +2,7 @@
 // machines in virtual time, side by side. The last line is one JSON object; the exit status is 1 where a
 // promise is broken. `--long` plays ten times as much.
 #include "lab/rig.hpp"
-#include "rota/plan.hpp"
+#include "maintenance/plan.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -69,26 +69,28 @@
         WorldPlan plan;
         plan.seed = static_cast<std::uint64_t>(i) + 1;
         plan.servers = 9, plan.shards = 6, plan.replicas = 3, plan.zones = 3, plan.work = 60 * kS;
-        plan.spans.work = plan.spans.drain = plan.spans.warm = 200 * kS;
+        plan.spans.work = plan.spans.drain = plan.spans.warm_up = 200 * kS;
         plan.limits.fleet_share = 0.4, plan.heartbeat = kS / 2;
         EveningWorld world(plan);
         world.until([&] { return world.leader() >= 0 && !world.evening().fleet().empty(); }, 60 * kS);
         std::vector<std::string> ordered;
         for (int s = 0; s < 7; ++s) ordered.push_back("s" + std::to_string(s));
         world.order(0, ordered, "one");
-        world.until([&] { return world.evening().turn("s6") != nullptr; }, 20 * kS);
-        const rota::Evening start = world.evening();
-        std::vector<rota::Task> tasks;
+        world.until([&] { return world.evening().job("s6") != nullptr; }, 20 * kS);
+        const maintenance::MaintenanceSchedule start = world.evening();
+        std::vector<maintenance::PlannedJob> tasks;
         for (const std::string& name : ordered)
-            tasks.push_back({name, start.fleet().at(name).work, false, 0});
-        const rota::Room room(start.limits(), start.fleet(), start.voters());
-        const auto best = rota::plan_best(room, tasks, {}, 7);
+            tasks.push_back({name, start.fleet().at(name).duration, false, 0});
+        const maintenance::Constraints room(start.limits(), start.fleet(), start.voters());
+        const auto best = maintenance::plan_exhaustive(room, tasks, {}, 7);
         world.until([&] { return world.all_over(); }, 3000 * kS);
-        if (!best || best->length == 0 || !world.all_over()) continue;
-        const auto length = static_cast<double>(best->length);
+        if (!best || best->duration == 0 || !world.all_over()) continue;
+        const auto length = static_cast<double>(best->duration);
         ours = std::max(ours, static_cast<double>(world.ended - world.began) / length);
-        first_come =
-            std::max(first_come, static_cast<double>(rota::plan_first_come(room, tasks, {}).length) / length);
+        first_come = std::max(
+            first_come,
+            static_cast<double>(maintenance::plan_first_come_first_served(room, tasks, {}).duration) /
+                length);
     }
     return {{"evening_over_best", ours}, {"evening_first_come", first_come}};
 }
@@ -137,8 +139,8 @@
     EveningWorld world(plan);
     world.pass(30 * kS);
     std::uint64_t failed = 0;
-    world.on_line = [&](int, const rota::Line& line) {
-        if (line.what == "member" && line.fields[1].second == "failed") ++failed;
+    world.on_line = [&](int, const maintenance::LogLine& line) {
+        if (line.event == "member" && line.fields[1].second == "failed") ++failed;
     };
     world.pass(600 * kS);
     return static_cast<double>(failed) * 6;
--- a/src/rota/chart.cpp
+++ b/src/maintenance/chart.cpp
@@ -1,4 +1,4 @@
-#include "rota/chart.hpp"
+#include "maintenance/chart.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <vector>
 
-namespace ivyrill::rota {
+namespace ivyrill::maintenance {
 
 namespace {
 
@@ -50,7 +50,7 @@
 
 } // namespace
 
-std::string chart_of(std::istream& log) {
+std::string render_chart(std::istream& log) {
     std::map<std::string, std::vector<Change>> machines;
     std::int64_t first = INT64_MAX, last = 0;
     for (std::string line; std::getline(log, line);) {
@@ -98,4 +98,4 @@
     return out.str();
 }
 
-} // namespace ivyrill::rota
+} // namespace ivyrill::maintenance
--- /dev/null
+++ b/src/maintenance/executor.cpp
@@ -0,0 +1,308 @@
+#include "maintenance/executor.hpp"
+
+#include <algorithm>
+#include <array>
+#include <utility>
+
+namespace ivyrill::maintenance {
+
+namespace {
+
+constexpr int kRenewalsPerLease = 3; // in one grant's span
+constexpr int kQueriesPerAction = 8; // at a machine, in one act's span
+constexpr int kMaxUnanswered = 4;
+constexpr int kMaxLeaseExpiries = 2; // times that a turn passes from holder to holder in one state
+constexpr std::size_t kMaxConfirmationTimes = 16;
+
+constexpr std::array<const char*, 4> kActionNames{"state", "drain", "out", "back"};
+constexpr std::array<const char*, 9> kStatusNames{"serving",  "draining", "drained", "working", "worked",
+                                                  "starting", "broken",   "refused", "unknown"};
+
+} // namespace
+
+const char* to_string(MachineAction act) { return kActionNames[static_cast<std::size_t>(act)]; }
+const char* to_string(MachineStatus status) { return kStatusNames[static_cast<std::size_t>(status)]; }
+std::optional<MachineStatus> machine_status_from(std::string_view word) {
+    for (std::size_t i = 0; i < kStatusNames.size(); ++i)
+        if (word == kStatusNames[i]) return static_cast<MachineStatus>(i);
+    return {};
+}
+
+bool Executor::holds_lease(const std::string& machine, Tenths now) const {
+    return now < lease_until(machine);
+}
+
+Tenths Executor::lease_until(const std::string& machine) const {
+    const auto found = executions_.find(machine);
+    return found == executions_.end() ? 0 : found->second.lease_until;
+}
+
+Tenths Executor::next(Tenths now) const {
+    Tenths first = now + settings_.timing.lease;
+    for (const auto& [machine, execution] : executions_) {
+        first = std::min(first, execution.confirm_at);
+        if (execution.pending)
+            first = std::min(first, execution.reply_due);
+        else if (execution.next_action_at > now) // else it waits for what others agree on
+            first = std::min(first, execution.next_action_at);
+    }
+    return std::max(first, now + 1);
+}
+
+std::vector<MachineCommand>
+Executor::recover_without_leader(Tenths now, const MaintenanceSchedule& uncommitted_schedule) {
+    ExecutorOutput output;
+    for (const auto& [machine, job] : uncommitted_schedule.jobs()) {
+        if (!is_out(job.state)) continue;
+        JobExecution& execution = recoveries_[machine];
+        if (execution.fence != job.fence) execution = {}, execution.fence = job.fence;
+        if (execution.pending && now >= execution.reply_due)
+            execution.pending.reset(), execution.status = MachineStatus::kUnknown;
+        if (execution.fenced_off) continue;
+        const bool can_come_back = execution.status == MachineStatus::kWorkDone ||
+                                   execution.status == MachineStatus::kDrained ||
+                                   execution.status == MachineStatus::kDraining;
+        if (!execution.pending && now >= execution.next_action_at) ++counts_.leaderless_actions;
+        send_action(now, machine, execution,
+                    can_come_back ? MachineAction::kBringBack : MachineAction::kQueryState, output);
+    }
+    return std::move(output.actions);
+}
+
+ExecutorOutput Executor::run(Tenths now, const MaintenanceSchedule& schedule,
+                             const FleetObservation& observed) {
+    ExecutorOutput output;
+    std::erase_if(executions_, [&](auto& entry) {
+        const MaintenanceJob* job = schedule.job(entry.first);
+        return job == nullptr || job->holder != settings_.self || job->fence != entry.second.fence ||
+               is_finished(job->state);
+    });
+    for (const auto& [machine, job] : schedule.jobs()) {
+        if (job.holder != settings_.self || is_finished(job.state)) continue;
+        auto [entry, is_new] = executions_.try_emplace(machine);
+        JobExecution& execution = entry->second;
+        if (is_new) execution.fence = job.fence;
+        if (is_new || execution.state != job.state)
+            execution.state = job.state, execution.state_since = now, execution.notified = false;
+        if (execution.released) { // said again until it is agreed on
+            if (now < execution.confirm_at) continue;
+            execution.confirm_at = now + settings_.timing.action;
+            output.commands.emplace_back(ExpireLease{machine, job.fence});
+            continue;
+        }
+        // Only a word of this life counts, and from the moment that we gave it.
+        if (job.lease_confirmed && execution.confirmation_times.contains(job.holder_time))
+            execution.lease_until = std::max(execution.lease_until,
+                                             static_cast<Tenths>(job.holder_time) + settings_.timing.lease);
+        if (now >= execution.confirm_at) {
+            execution.confirm_at = now + settings_.timing.lease / kRenewalsPerLease / 2;
+            if (now + settings_.timing.lease - settings_.timing.lease / kRenewalsPerLease >=
+                execution.lease_until) {
+                const auto holder_time = static_cast<std::uint64_t>(now);
+                execution.confirmation_times.insert(holder_time);
+                if (execution.confirmation_times.size() > kMaxConfirmationTimes)
+                    execution.confirmation_times.erase(execution.confirmation_times.begin());
+                output.commands.emplace_back(ConfirmLease{machine, settings_.self, job.fence, holder_time});
+            }
+        }
+        if (execution.pending && now >= execution.reply_due) {
+            ++counts_.timed_out, ++execution.unanswered;
+            execution.pending.reset();
+            execution.status = MachineStatus::kUnknown;
+        }
+        if (execution.pending || now < execution.next_action_at || execution.fenced_off) continue;
+        if (!holds_lease(machine, now)) {
+            if (execution.lease_until != 0) ++counts_.expired_leases;
+            continue;
+        }
+        advance(now, job, execution, schedule, observed, output);
+    }
+    return output;
+}
+
+// One step of one turn: what the machine is like now, against what it should come to.
+void Executor::advance(Tenths now, const MaintenanceJob& job, JobExecution& execution,
+                       const MaintenanceSchedule& schedule, const FleetObservation& observed,
+                       ExecutorOutput& output) {
+    const bool cancel = job.withdrawn || job.recalled;
+    const Tenths elapsed = now - execution.state_since;
+    // Whatever our forerunner has left under way: its keeper hears our number before we rely on anything.
+    if (!execution.fence_registered || execution.status == MachineStatus::kUnknown) {
+        // Its keeper may be silent to us alone: others try before anything is made of it.
+        if (execution.unanswered >= kMaxUnanswered && job.lease_expiries < kMaxLeaseExpiries) {
+            // From here on it is not ours, whatever the grant says: another may have it before we hear so.
+            execution.released = true, execution.lease_until = 0;
+            execution.confirm_at = now + settings_.timing.action;
+            output.commands.emplace_back(ExpireLease{job.machine, job.fence});
+            return;
+        }
+        if (execution.unanswered >= kMaxUnanswered && !execution.notified && job.state != JobState::kGranted)
+            apply_policy(now, settings_.failure_policy.broken, job, execution, "its keeper does not answer",
+                         schedule, output);
+        // Somebody may have told it to drain, and the answer was lost: it has to be brought back for sure.
+        if (execution.unanswered >= kMaxUnanswered && job.state == JobState::kGranted)
+            return propose_state(now, job, execution, JobState::kReturning, "its keeper does not answer",
+                                 output);
+        return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
+    }
+    const MachineStatus status = execution.status;
+    switch (job.state) {
+    case JobState::kGranted:
+        if (status == MachineStatus::kBroken) // it was broken before: the operator's, not ours
+            return propose_state(now, job, execution, JobState::kProposed, "it is broken", output);
+        if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
+        if (status == MachineStatus::kServing || status == MachineStatus::kStarting)
+            return send_action(now, job.machine, execution, MachineAction::kDrain, output);
+        return propose_state(now, job, execution, JobState::kDraining, "",
+                             output); // it drains, or further than that
+    case JobState::kDraining:
+        if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
+        if (status == MachineStatus::kWorking || status == MachineStatus::kWorkDone)
+            return propose_state(now, job, execution, JobState::kOut, "", output);
+        if (status == MachineStatus::kDrained)
+            return send_action(now, job.machine, execution, MachineAction::kTakeOut, output);
+        if (status == MachineStatus::kServing)
+            return send_action(now, job.machine, execution, MachineAction::kDrain, output); // it forgot
+        if (elapsed > settings_.timing.drain)
+            return apply_policy(now, settings_.failure_policy.drain_late, job, execution, "it does not drain",
+                                schedule, output);
+        return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
+    case JobState::kOut:
+        if (cancel || status == MachineStatus::kWorkDone)
+            return propose_state(now, job, execution, JobState::kReturning,
+                                 cancel ? job.reason : "its work is done", output);
+        if (status == MachineStatus::kServing ||
+            status == MachineStatus::kStarting) // somebody brought it back
+            return propose_state(now, job, execution, JobState::kReturning, "it came back by itself", output);
+        if (status == MachineStatus::kBroken)
+            return apply_policy(now, settings_.failure_policy.broken, job, execution,
+                                "it broke during its work", schedule, output);
+        if (elapsed > settings_.timing.work)
+            return apply_policy(now, settings_.failure_policy.work_late, job, execution,
+                                "its work does not end", schedule, output);
+        return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
+    case JobState::kReturning: {
+        if (status == MachineStatus::kBroken)
+            return apply_policy(now, settings_.failure_policy.broken, job, execution, "it came back broken",
+                                schedule, output);
+        if (status != MachineStatus::kServing && status != MachineStatus::kStarting) {
+            if (elapsed > settings_.timing.bring_back)
+                apply_policy(now, settings_.failure_policy.back_late, job, execution, "it does not come back",
+                             schedule, output);
+            return send_action(now, job.machine, execution, MachineAction::kBringBack, output);
+        }
+        const auto listed = observed.machines.find(job.machine);
+        const bool warm = listed != observed.machines.end() && listed->second.health == MachineHealth::kWarm;
+        if (status == MachineStatus::kServing && warm) {
+            if (cancel) return propose_state(now, job, execution, JobState::kProposed, job.reason, output);
+            return propose_state(now, job, execution, JobState::kWarm, "", output);
+        }
+        const bool not_listed =
+            listed == observed.machines.end() || listed->second.health == MachineHealth::kGone;
+        if (elapsed > settings_.timing.bring_back + settings_.timing.warm_up &&
+            status == MachineStatus::kServing && not_listed) {
+            // Neither cold nor broken by any word of its own: whoever can look at it is told.
+            if (!std::exchange(execution.notified, true))
+                output.notifications.push_back(job.machine +
+                                               ": its keeper says that it serves, and nobody sees it");
+        } else if (elapsed > settings_.timing.bring_back + settings_.timing.warm_up)
+            apply_policy(now,
+                         status == MachineStatus::kServing ? settings_.failure_policy.cold_late
+                                                           : settings_.failure_policy.back_late,
+                         job, execution,
+                         status == MachineStatus::kServing ? "it stays cold" : "it does not come back",
+                         schedule, output);
+        return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
+    }
+    case JobState::kWarm:
+        return propose_state(now, job, execution, JobState::kDone, "", output);
+    case JobState::kProposed:
+    case JobState::kDone:
+    case JobState::kGivenUp:
+        return;
+    }
+}
+
+void Executor::apply_policy(Tenths now, FailureAction action, const MaintenanceJob& job,
+                            JobExecution& execution, const std::string& reason,
+                            const MaintenanceSchedule& schedule, ExecutorOutput& output) {
+    const std::string text = job.machine + ": " + reason;
+    const bool already_notified = std::exchange(execution.notified, true);
+    switch (action) {
+    case FailureAction::kWait:
+        break;
+    case FailureAction::kSkip:
+        if (job.state == JobState::kReturning)
+            return propose_state(now, job, execution, JobState::kGivenUp, reason, output);
+        [[fallthrough]];
+    case FailureAction::kRollBack:
+        if (job.state != JobState::kReturning)
+            return propose_state(now, job, execution, JobState::kReturning, reason, output);
+        break;
+    case FailureAction::kNotifyOperator:
+        if (!already_notified) output.notifications.push_back(text);
+        [[fallthrough]];
+    case FailureAction::kHoldSchedule:
+        if (!schedule.held() && !already_notified) output.commands.emplace_back(HoldSchedule{{}, text});
+        break;
+    }
+    // It may still come to that; one that is to come back is told so again instead.
+    if (job.state != JobState::kReturning || execution.status == MachineStatus::kUnknown ||
+        execution.status == MachineStatus::kBroken)
+        send_action(now, job.machine, execution, MachineAction::kQueryState, output);
+}
+
+void Executor::send_action(Tenths now, const std::string& machine, JobExecution& execution,
+                           MachineAction action, ExecutorOutput& output) {
+    if (execution.pending || now < execution.next_action_at) return;
+    ++counts_.actions;
+    execution.pending = MachineCommand{++serial_, machine, action, execution.fence};
+    execution.reply_due = now + settings_.timing.action;
+    output.actions.push_back(*execution.pending);
+}
+
+void Executor::propose_state(Tenths now, const MaintenanceJob& job, JobExecution& execution, JobState to,
+                             std::string reason, ExecutorOutput& output) {
+    if (now < execution.next_proposal_at) return;
+    execution.next_proposal_at = execution.next_action_at =
+        now + settings_.timing.action / kQueriesPerAction; // said again until it is agreed on
+    const bool incomplete = to == JobState::kReturning && execution.status != MachineStatus::kWorkDone;
+    output.commands.emplace_back(AdvanceJob{job.machine, job.fence, to, std::move(reason), incomplete});
+}
+
+void Executor::on_status(Tenths now, std::uint64_t serial, const std::string& machine, MachineStatus status) {
+    JobExecution* match = nullptr;
+    for (auto* executions : {&executions_, &recoveries_})
+        if (const auto found = executions->find(machine);
+            found != executions->end() && found->second.pending && found->second.pending->serial == serial)
+            match = &found->second;
+    if (match == nullptr) return void(++counts_.unmatched_replies); // twice, late, or of another machine
+    JobExecution& execution = *match;
+    ++counts_.replies;
+    const MachineAction action = execution.pending->action;
+    execution.pending.reset();
+    if (status == MachineStatus::kRefused) {
+        // Somebody holds a later grant: we have slept. Nothing more is done until we hear what holds.
+        ++counts_.fenced_off, execution.fenced_off = true, execution.lease_until = 0;
+        return;
+    }
+    execution.unanswered = status == MachineStatus::kUnknown ? execution.unanswered + 1 : 0;
+    execution.fence_registered = execution.fence_registered || status != MachineStatus::kUnknown;
+    execution.status = status;
+    // After an act the machine is looked at soon, while nothing happens by and by.
+    execution.next_action_at =
+        now + (action == MachineAction::kQueryState ? settings_.timing.action / kQueriesPerAction : 1);
+}
+
+std::vector<Command> Executor::release_leases(const MaintenanceSchedule& schedule) {
+    std::vector<Command> commands;
+    for (auto& [machine, execution] : executions_) {
+        execution.released = true, execution.lease_until = 0;
+        const MaintenanceJob* job = schedule.job(machine);
+        if (job != nullptr && job->holder == settings_.self && !is_finished(job->state))
+            commands.emplace_back(ExpireLease{machine, job->fence});
+    }
+    return commands;
+}
+
+} // namespace ivyrill::maintenance
--- /dev/null
+++ b/src/maintenance/fragment_transport.hpp
@@ -0,0 +1,91 @@
+// What is too large for one datagram goes in pieces: each sealed by itself, put together again in bounded
+// room, and what got lost is asked for by number. Free of I/O. Whole parcels may come twice, late or not at
+// all; those who send them know that.
+#pragma once
+#include "base/time.hpp"
+#include "membership/datagrams.hpp"
+
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace ivyrill::maintenance {
+
+enum class MessageKind {
+    kConsensus,
+    kProposal,
+    kProposalResult,
+    kScheduleRequest,
+    kSchedule,
+    kOperatorRequest,
+    kOperatorReply,
+    kResendRequest
+};
+
+struct PeerMessage {
+    MessageKind kind = MessageKind::kConsensus;
+    std::string from, address; // of the sender: its name, and where it can be answered
+    std::string bytes;
+};
+
+struct OutboundDatagram {
+    std::string address, bytes;
+};
+
+struct FragmentCounts {
+    std::uint64_t sent = 0, fragments = 0, resend_requests = 0, reassembled = 0, dropped = 0;
+};
+
+class FragmentTransport {
+  public:
+    static constexpr std::size_t kFragmentBytes = 1'100; // bytes of a parcel in a datagram
+    static constexpr std::size_t kMaxFragments = 400, kMaxIncomplete = 64, kMaxRetained = 32;
+    static constexpr Tenths kRetention = 5 * kTenthsPerSecond;
+    static constexpr Tenths kResendAfter = kTenthsPerSecond / 20;
+
+    FragmentTransport(std::string name, std::string address, membership::Seal& seal,
+                      std::uint64_t first_serial)
+        : name_(std::move(name)), address_(std::move(address)), seal_(seal), serial_(first_serial) {}
+
+    // False where it is too large.
+    bool send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes);
+    static bool is_fragment(std::string_view bytes); // by its first byte, beside the roster's datagrams
+    std::optional<PeerMessage> receive(Tenths now, std::string_view bytes);
+    void step(Tenths now); // asks again for what is missing, forgets what is old
+    std::optional<Tenths> next() const;
+    std::vector<OutboundDatagram> take_datagrams() { return std::exchange(outgoing_, {}); }
+    const FragmentCounts& counts() const { return counts_; }
+    std::size_t incomplete() const { return incomplete_.size(); }
+
+  private:
+    struct Incomplete {
+        PeerMessage message;
+        std::vector<std::string> fragments;
+        std::vector<bool> received;
+        std::size_t received_count = 0;
+        Tenths started_at = 0, resend_at = 0;
+        int resend_attempts = 0;
+    };
+    struct Retained {
+        std::uint64_t serial;
+        std::string to;
+        MessageKind kind;
+        std::string bytes;
+        Tenths until;
+    };
+    void send_fragment(const std::string& to, MessageKind kind, std::uint64_t serial,
+                       std::size_t fragment_index, std::size_t fragment_count, std::string_view bytes);
+
+    std::string name_, address_;
+    membership::Seal& seal_;
+    std::uint64_t serial_;
+    std::map<std::pair<std::string, std::uint64_t>, Incomplete>
+        incomplete_;                // by sender's address and its serial
+    std::deque<Retained> retained_; // of several pieces, should some be asked for
+    std::vector<OutboundDatagram> outgoing_;
+    FragmentCounts counts_;
+};
+
+} // namespace ivyrill::maintenance
--- /dev/null
+++ b/src/maintenance/maintenance_node.cpp
@@ -0,0 +1,654 @@
+#include "maintenance/maintenance_node.hpp"
+
+#include "maintenance/codec.hpp"
+
+#include <algorithm>
+
+namespace ivyrill::maintenance {
+
+namespace {
+
+using codec::Json;
+using membership::Standing;
+
+constexpr std::size_t kMaxPeerBuckets = 2'000, kMaxPendingRequests = 200;
+constexpr double kBurstSeconds = 0.5;          // seconds of a rate that may come at once
+constexpr int kScheduleRequestHeartbeats = 10; // heartbeats between two askings for the view
+constexpr int kProposalRetryHeartbeats = 6;    // ... until a proposal that nobody confirmed is made again
+constexpr int kMaxForwards = 2;                // of a proposal on its way to the leader
+constexpr Tenths kMaxRequestAge = 300 * kTenthsPerSecond; // an operator's word that is older is not taken
+constexpr Tenths kRequestTimeout = 10 * kTenthsPerSecond;
+constexpr int kLeaderlessLeases =
+    3; // grants' spans without a leader until what is out is brought back by anyone
+constexpr double kLostZoneShare = 0.6; // of a zone's machines gone by themselves: it is lost
+
+membership::RosterTerms roster_settings(const MaintenanceSettings& settings) {
+    membership::RosterTerms result;
+    result.name = settings.name, result.address = settings.address, result.peers = settings.peers;
+    for (const Candidate& candidate : settings.candidates)
+        if (std::ranges::find(result.peers, candidate.address) == result.peers.end())
+            result.peers.push_back(candidate.address);
+    result.incarnation = settings.incarnation, result.seed = settings.seed ^ 0x5eedULL;
+    result.probe_gap = settings.probe_gap, result.answer_span = settings.probe_gap / 5;
+    return result;
+}
+
+ConsensusSettings consensus_settings(const MaintenanceSettings& settings) {
+    ConsensusSettings result;
+    result.name = settings.name, result.voter_count = settings.voter_count,
+    result.heartbeat = settings.heartbeat;
+    for (const Candidate& candidate : settings.candidates) result.candidates.push_back(candidate.name);
+    result.seed = settings.seed ^ 0xc0ffeeULL;
+    return result;
+}
+
+bool may_vote(const MaintenanceSettings& settings, const RaftStore* store) {
+    return store != nullptr && std::ranges::find(settings.candidates, settings.name, &Candidate::name) !=
+                                   settings.candidates.end();
+}
+
+std::string milliseconds_text(Tenths time) { return std::to_string(time * 1000 / kTenthsPerSecond); }
+
+Json job_json(const MaintenanceJob& job) {
+    return {{"machine", job.machine},     {"state", to_string(job.state)}, {"holder", job.holder},
+            {"fence", job.fence.value},   {"order", job.order.value},      {"hurried", job.prioritized},
+            {"withdrawn", job.withdrawn}, {"recalled", job.recalled},      {"setbacks", job.setbacks},
+            {"why", job.reason}};
+}
+
+} // namespace
+
+MaintenanceNode::MaintenanceNode(MaintenanceSettings settings, RaftStore* store, Tenths now, Tenths wall_time)
+    : settings_(std::move(settings)), now_(now), started_at_(now), wall_time_(wall_time),
+      seal_(settings_.secret), roster_(roster_settings(settings_), now),
+      transport_(settings_.name, settings_.address, seal_,
+                 // A later life of ours numbers its parcels elsewhere.
+                 (settings_.seed ^ static_cast<std::uint64_t>(wall_time) * 0x9e3779b97f4a7c15ULL) >> 16U),
+      scheduler_({settings_.limits, settings_.timing, settings_.failure_policy, settings_.seed}),
+      executor_({settings_.name, settings_.timing, settings_.failure_policy}),
+      random_(settings_.seed ^ 0xace5ULL) {
+    if (may_vote(settings_, store)) {
+        consensus_ = std::make_unique<ConsensusNode>(consensus_settings(settings_), *store, now);
+        consensus_->on_applied = [this](const Command& command, const CommandResult& outcome) {
+            on_command_applied(command, outcome);
+        };
+    }
+    executor_at_ = now;
+}
+
+// A candidate without a seat is told, as everybody else is.
+bool MaintenanceNode::is_voter() const { return consensus_ && consensus_->is_voter(); }
+
+const MaintenanceSchedule& MaintenanceNode::schedule() const {
+    return is_voter() ? consensus_->schedule() : remote_schedule_;
+}
+
+Tenths MaintenanceNode::schedule_age(Tenths now) const {
+    const Tenths at = is_voter() ? consensus_->last_leader_contact() : remote_schedule_at_;
+    return at == 0 ? now : now - at;
+}
+
+// Nobody has led for so long that no grant can still be running.
+bool MaintenanceNode::leaderless() const {
+    const Tenths since = std::max(started_at_, consensus_->last_leader_contact());
+    return now_ > since + kLeaderlessLeases * settings_.timing.lease;
+}
+
+std::string MaintenanceNode::leader() const { return is_voter() ? consensus_->leader() : remote_leader_; }
+
+const std::string* MaintenanceNode::address_of(const std::string& name) const {
+    if (const std::string* known = roster_.address_of(name)) return known;
+    const auto found = std::ranges::find(settings_.candidates, name, &Candidate::name);
+    return found == settings_.candidates.end() ? nullptr : &found->address;
+}
+
+void MaintenanceNode::log_event(std::string event, std::vector<std::pair<std::string, std::string>> fields,
+                                bool is_error) {
+    effects_.emplace_back(LogLine{is_error, std::move(event), std::move(fields)});
+}
+
+// ---- what comes in
+
+bool MaintenanceNode::take_token(Tenths now, TokenBucket& bucket, double rate) const {
+    const double most = rate * kBurstSeconds;
+    if (bucket.refilled_at == 0) bucket.tokens = most;
+    bucket.tokens = std::min(most, bucket.tokens + rate * static_cast<double>(now - bucket.refilled_at) /
+                                                       static_cast<double>(kTenthsPerSecond));
+    bucket.refilled_at = now;
+    return bucket.tokens >= 1 ? (bucket.tokens -= 1, true) : false;
+}
+
+void MaintenanceNode::receive(Tenths now, const std::string& from, std::string_view bytes) {
+    now_ = std::max(now_, now);
+    ++counts_.datagrams;
+    if (peer_buckets_.size() >= kMaxPeerBuckets) peer_buckets_.clear();
+    if (!take_token(now_, total_bucket_, settings_.max_datagrams_per_second) ||
+        !take_token(now_, peer_buckets_[from], settings_.max_datagrams_per_peer))
+        return void(++counts_.rate_limited);
+    if (!FragmentTransport::is_fragment(bytes)) {
+        if (const auto datagram = seal_.open(bytes)) handle_roster_effects(roster_.hear(now_, *datagram));
+        return;
+    }
+    if (const auto message = transport_.receive(now_, bytes)) dispatch(*message);
+    for (auto& sealed : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+}
+
+void MaintenanceNode::dispatch(const PeerMessage& message) {
+    switch (message.kind) {
+    case MessageKind::kConsensus:
+        if (consensus_) consensus_->receive(now_, message.from, message.bytes), send_consensus_messages();
+        return;
+    case MessageKind::kProposal:
+        return handle_proposal(message);
+    case MessageKind::kProposalResult:
+        return handle_proposal_result(message);
+    case MessageKind::kScheduleRequest:
+        if (is_voter()) send_schedule(message.address);
+        return;
+    case MessageKind::kSchedule:
+        return handle_schedule(message);
+    case MessageKind::kOperatorRequest:
+        return handle_operator_request(message);
+    case MessageKind::kOperatorReply:
+    case MessageKind::kResendRequest:
+        return;
+    }
+}
+
+void MaintenanceNode::handle_roster_effects(std::vector<membership::Effect> effects) {
+    for (auto& effect : effects) {
+        if (const auto* sent = std::get_if<membership::Send>(&effect)) {
+            if (auto bytes = seal_.close(sent->datagram))
+                effects_.emplace_back(SendDatagram{sent->address, std::move(*bytes)});
+            continue;
+        }
+        const auto& changed = std::get<membership::Changed>(effect);
+        static constexpr const char* kStandings[] = {"alive", "suspect", "failed", "left"};
+        log_event("member", {{"name", changed.name},
+                             {"standing", kStandings[static_cast<int>(changed.standing)]},
+                             {"incarnation", std::to_string(changed.incarnation)}});
+    }
+    if (const std::size_t present = roster_.present(); present != present_members_) {
+        present_members_ = present;
+        effects_.emplace_back(MemberCount{present});
+    }
+}
+
+void MaintenanceNode::update_servers(const std::map<std::string, ObservedMachine>& servers,
+                                     double rejected_share) {
+    servers_ = servers, rejected_share_ = rejected_share;
+}
+
+void MaintenanceNode::on_machine_status(Tenths now, std::uint64_t serial, const std::string& machine,
+                                        MachineStatus status) {
+    now_ = std::max(now_, now);
+    executor_.on_status(now_, serial, machine, status);
+    executor_at_ = now_;
+}
+
+// ---- what goes out
+
+void MaintenanceNode::send(const std::string& name, MessageKind kind, const std::string& bytes) {
+    if (const std::string* address = address_of(name)) send_to(*address, kind, bytes);
+}
+
+void MaintenanceNode::send_to(const std::string& address, MessageKind kind, const std::string& bytes) {
+    transport_.send(now_, address, kind, bytes);
+    for (auto& sealed : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+}
+
+void MaintenanceNode::send_consensus_messages() {
+    for (const ConsensusMessage& message : consensus_->take_messages())
+        send(message.to, MessageKind::kConsensus, message.bytes);
+}
+
+void MaintenanceNode::propose(const Command& command, const std::string& requested_by, int forwards) {
+    ++counts_.proposals;
+    const std::string request = request_id_of(command);
+    if (consensus_ && consensus_->is_leader()) {
+        if (!request.empty() && !requested_by.empty()) requesters_[request] = requested_by;
+        consensus_->propose(command);
+        return send_consensus_messages();
+    }
+    std::string to = leader();
+    if (to == settings_.name || forwards >= kMaxForwards) return;
+    if (to.empty()) { // a voter may know
+        std::vector<std::string> voters(remote_voters_.begin(), remote_voters_.end());
+        if (is_voter()) return;
+        if (voters.empty()) {
+            for (const Candidate& candidate : settings_.candidates) voters.push_back(candidate.name);
+        }
+        if (voters.empty()) return;
+        to = voters[static_cast<std::size_t>(random_.unit() * static_cast<double>(voters.size()))];
+    }
+    ++counts_.forwarded;
+    send(to, MessageKind::kProposal,
+         codec::pack_cbor(Json::array({forwards + 1, requested_by.empty() ? settings_.address : requested_by,
+                                       Json::binary(std::vector<std::uint8_t>([&] {
+                                           const std::string bytes = encode(command);
+                                           return std::vector<std::uint8_t>(bytes.begin(), bytes.end());
+                                       }()))})));
+}
+
+void MaintenanceNode::handle_proposal(const PeerMessage& message) {
+    if (!consensus_) return;
+    try {
+        const Json row = Json::from_cbor(message.bytes.begin(), message.bytes.end());
+        const auto forwards = codec::decode_count(row.at(0));
+        const std::string requested_by = codec::decode_text(row.at(1));
+        const auto& bytes = row.at(2).get_binary();
+        const auto command = decode(std::string(bytes.begin(), bytes.end()));
+        // What only the leader may want is not taken from others.
+        if (!command || std::holds_alternative<UpdateFleet>(*command) ||
+            std::holds_alternative<GrantLease>(*command) || std::holds_alternative<RecallJob>(*command))
+            return;
+        if (forwards <= kMaxForwards) propose(*command, requested_by, static_cast<int>(forwards));
+    } catch (const std::exception&) { return; }
+}
+
+// Each command as it is agreed on, here as everywhere.
+void MaintenanceNode::on_command_applied(const Command& command, const CommandResult& outcome) {
+    if (on_committed) on_committed(command, outcome);
+    scheduler_at_ = executor_at_ = now_; // what holds has changed
+    if (!outcome.accepted) ++counts_.refused;
+    const std::string request = request_id_of(command);
+    if (const auto waiting = requesters_.find(request); !request.empty() && waiting != requesters_.end()) {
+        send_to(waiting->second, MessageKind::kProposalResult,
+                codec::pack_cbor(Json::array({request, outcome.accepted, outcome.reason})));
+        requesters_.erase(waiting);
+    }
+    if (!outcome.accepted || std::holds_alternative<ConfirmLease>(command)) return;
+    const std::string machine = std::visit(
+        [](const auto& what) -> std::string {
+            if constexpr (requires { what.machine; })
+                return what.machine;
+            else
+                return {};
+        },
+        command);
+    if (machine.empty()) return log_event("rota", {{"agreed", describe(command)}});
+    const MaintenanceJob* job = schedule().job(machine);
+    if (job == nullptr) return;
+    log_event("turn", {{"machine", machine},
+                       {"state", to_string(job->state)},
+                       {"holder", job->holder.empty() ? "-" : job->holder},
+                       {"fence", std::to_string(job->fence.value)},
+                       {"at_ms", milliseconds_text(wall_time_)},
+                       {"why", job->reason}});
+}
+
+// ---- time passes
+
+void MaintenanceNode::step(Tenths now, Tenths wall_time) {
+    now_ = std::max(now_, now), wall_time_ = wall_time;
+    if (now_ >= roster_.next()) handle_roster_effects(roster_.step(now_));
+    transport_.step(now_);
+    if (consensus_) {
+        if (now_ >= consensus_->next()) consensus_->step(now_);
+        run_scheduler();
+        send_consensus_messages();
+    }
+    if (!settings_.candidates.empty() && !is_voter() && now_ >= request_schedule_at_) request_schedule();
+    if (!settings_.candidates.empty() && now_ >= executor_at_) {
+        ExecutorOutput output = executor_.run(now_, schedule(), observe_fleet());
+        if (is_voter() && leaderless()) {
+            if (now_ >= uncommitted_refresh_at_)
+                uncommitted_schedule_ = consensus_->uncommitted_schedule(),
+                uncommitted_refresh_at_ = now_ + settings_.timing.lease;
+            auto actions = executor_.recover_without_leader(now_, uncommitted_schedule_);
+            output.actions.insert(output.actions.end(), actions.begin(), actions.end());
+        } else {
+            executor_.leader_available();
+        }
+        for (const Command& command : output.commands) propose(command);
+        for (MachineCommand& command : output.actions) {
+            log_event("act", {{"machine", command.machine},
+                              {"act", to_string(command.action)},
+                              {"fence", std::to_string(command.fence.value)}});
+            effects_.emplace_back(std::move(command));
+        }
+        for (const std::string& notification : output.notifications)
+            log_event("call", {{"why", notification}}, true);
+        executor_at_ = executor_.next(now_);
+        if (is_voter() && leaderless()) executor_at_ = std::min(executor_at_, now_ + settings_.timing.action);
+    }
+    for (auto next = pending_requests_.begin(); next != pending_requests_.end();) {
+        auto& [request, pending] = *next;
+        if (now_ >= pending.deadline) {
+            send_to(pending.address, MessageKind::kOperatorReply,
+                    codec::pack_cbor(Json::array(
+                        {request, false, "not agreed on in time: no majority is heard of; ask again"})));
+            next = pending_requests_.erase(next);
+            continue;
+        }
+        if (now_ >= pending.retry_at) {
+            pending.retry_at = now_ + kProposalRetryHeartbeats * settings_.heartbeat;
+            propose(pending.command, settings_.address);
+        }
+        ++next;
+    }
+    for (auto& sealed : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+}
+
+Tenths MaintenanceNode::next() const {
+    Tenths first = std::min(roster_.next(), transport_.next().value_or(now_ + kTenthsPerSecond));
+    if (!settings_.candidates.empty()) first = std::min(first, executor_at_);
+    if (consensus_) first = std::min(first, consensus_->next());
+    if (consensus_ && consensus_->is_leader() && pending_proposals_ == 0)
+        first = std::min(first, scheduler_at_);
+    if (!is_voter() && !settings_.candidates.empty()) first = std::min(first, request_schedule_at_);
+    for (const auto& [request, pending] : pending_requests_) first = std::min(first, pending.retry_at);
+    return std::max(first, now_ + 1);
+}
+
+FleetObservation MaintenanceNode::observe_fleet() const {
+    FleetObservation observed;
+    observed.self = settings_.name, observed.wall_time = wall_time_,
+    observed.rejected_share = rejected_share_;
+    observed.machines = servers_;
+    observed.voters = is_voter() ? consensus_->voters() : remote_voters_;
+    const auto front = [&](const std::string& name, bool there) {
+        ObservedMachine machine;
+        machine.facts.name = name, machine.facts.front_node = true;
+        machine.facts.duration = settings_.front_node_duration;
+        machine.health = there ? MachineHealth::kWarm : MachineHealth::kGone;
+        observed.machines[name] = std::move(machine);
+        if (!there) observed.unreachable.insert(name);
+    };
+    front(settings_.name, true);
+    for (const auto& member : roster_.seen()) {
+        if (member.standing == Standing::kLeft && !schedule().fleet().contains(member.name)) continue;
+        front(member.name, member.standing == Standing::kAlive || member.standing == Standing::kSuspect);
+        if (member.standing != Standing::kAlive) observed.unreachable.insert(member.name);
+    }
+    for (const std::string& voter : observed.voters) {
+        if (voter == settings_.name) continue;
+        if (roster_.address_of(voter) == nullptr) observed.unreachable.insert(voter);
+        // One that has lost its ledger is there, and no vote can be had of it.
+        const auto incarnation = consensus_ ? consensus_->known_incarnations().find(voter)
+                                            : std::map<std::string, VoterIncarnation>::const_iterator{};
+        if (consensus_ && consensus_->is_leader() && incarnation != consensus_->known_incarnations().end() &&
+            !consensus_->votes_as(voter, incarnation->second) && observed.machines.contains(voter))
+            observed.lost_store.insert(voter);
+    }
+    observed.voters_settled =
+        consensus_ && !consensus_->membership_changing() && observed.voters == schedule().voters() &&
+        observed.voters.size() >= std::min(settings_.voter_count, settings_.candidates.size());
+    std::map<std::string, std::pair<int, int>> zones; // gone, all
+    for (const auto& [name, machine] : servers_) {
+        const MaintenanceJob* job = schedule().job(name);
+        auto& [gone, all] = zones[machine.facts.zone];
+        ++all;
+        gone += machine.health == MachineHealth::kGone && (job == nullptr || !is_out(job->state)) ? 1 : 0;
+    }
+    for (const auto& [zone, count] : zones)
+        if (count.second > 1 && count.first >= kLostZoneShare * count.second) observed.lost_zone = zone;
+    return observed;
+}
+
+void MaintenanceNode::run_scheduler() {
+    const bool leads = consensus_->is_leader();
+    if (leads && !std::exchange(was_leader_, true)) {
+        ++leadership_count_, pending_proposals_ = 0, scheduler_at_ = now_;
+        scheduler_.reset(), voter_gone_since_.clear();
+        log_event("rota", {{"leader", settings_.name}, {"term", std::to_string(consensus_->term())}});
+    }
+    if (!leads) {
+        was_leader_ = false, requesters_.clear();
+        return;
+    }
+    if (!consensus_->is_up_to_date() || pending_proposals_ > 0 || now_ < scheduler_at_)
+        return; // what was proposed last is still on its way
+    scheduler_at_ = now_ + settings_.heartbeat / 2;
+    const FleetObservation observed = observe_fleet();
+    const SchedulerDecision decision =
+        scheduler_.decide(now_, consensus_->leader_since(), schedule(), observed);
+    wait_reason_ = decision.reason;
+    for (const Command& command : decision.commands) {
+        const std::uint64_t leading = leadership_count_;
+        ++pending_proposals_;
+        const bool sent = consensus_->propose(command, [this, leading](bool) {
+            if (leading == leadership_count_ && pending_proposals_ > 0) --pending_proposals_;
+        });
+        if (!sent && pending_proposals_ > 0) --pending_proposals_;
+    }
+    if (decision.transfer_leadership) transfer_leadership(observed);
+    if (decision.commands.empty()) manage_voters(observed);
+}
+
+void MaintenanceNode::transfer_leadership(const FleetObservation& observed) {
+    std::set<std::string> fit;
+    for (const std::string& voter : observed.voters) {
+        const MaintenanceJob* job = schedule().job(voter);
+        if (!observed.unreachable.contains(voter) && !observed.lost_store.contains(voter) &&
+            (job == nullptr || !is_out(job->state)))
+            fit.insert(voter);
+    }
+    consensus_->transfer_leadership(fit);
+}
+
+// A voter that is gone for long, or has lost its ledger, gives its seat up; a candidate that is there takes
+// one.
+void MaintenanceNode::manage_voters(const FleetObservation& observed) {
+    if (consensus_->membership_changing()) return;
+    const std::set<std::string> voters = consensus_->voters();
+    const auto there = [&](const std::string& name) { return !observed.unreachable.contains(name); };
+    const auto is_out_by_schedule = [&](const std::string& name) {
+        const MaintenanceJob* job = schedule().job(name);
+        return job != nullptr && is_out(job->state);
+    };
+    // While a voter is out by its turn the seats stay as they are: its coming back is what was counted on.
+    if (std::ranges::any_of(voters, is_out_by_schedule)) return;
+    for (const std::string& voter : voters) {
+        if (voter == settings_.name) continue;
+        if (observed.lost_store.contains(voter)) {
+            const bool started = consensus_->remove_voter(voter);
+            return log_event("seat", {{"lost", voter},
+                                      {"why", "its ledger is another one"},
+                                      {"trouble", started ? "" : consensus_->last_error()}});
+        }
+        if (there(voter)) {
+            voter_gone_since_.erase(voter);
+            continue;
+        }
+        const Tenths since = voter_gone_since_.try_emplace(voter, now_).first->second;
+        const bool spare = std::ranges::any_of(settings_.candidates, [&](const Candidate& other) {
+            return !voters.contains(other.name) && there(other.name) &&
+                   consensus_->known_incarnations().contains(other.name);
+        });
+        if (now_ < since + settings_.replace_voter_after || !spare) continue;
+        const bool started = consensus_->remove_voter(voter);
+        return log_event(
+            "seat",
+            {{"lost", voter}, {"why", "it is gone"}, {"trouble", started ? "" : consensus_->last_error()}});
+    }
+    if (voters.size() >= settings_.voter_count) return;
+    for (const Candidate& candidate : settings_.candidates) {
+        const auto incarnation = consensus_->known_incarnations().find(candidate.name);
+        if (voters.contains(candidate.name) || !there(candidate.name) || is_out_by_schedule(candidate.name) ||
+            incarnation == consensus_->known_incarnations().end())
+            continue;
+        if (consensus_->add_voter(candidate.name, incarnation->second))
+            log_event("seat",
+                      {{"taken", candidate.name}, {"seat", std::to_string(incarnation->second.identity)}});
+        return;
+    }
+}
+
+// We go on purpose: the others are told, and our turns go to others without waiting for grants to run out.
+void MaintenanceNode::leave(Tenths now) {
+    now_ = std::max(now_, now);
+    if (!settings_.candidates.empty())
+        for (const Command& command : executor_.release_leases(schedule())) propose(command);
+    if (consensus_ && consensus_->is_leader())
+        transfer_leadership(observe_fleet()), send_consensus_messages();
+    handle_roster_effects(roster_.leave(now_));
+}
+
+// ---- those who do not vote are told
+
+void MaintenanceNode::request_schedule() {
+    request_schedule_at_ = now_ + kScheduleRequestHeartbeats * settings_.heartbeat;
+    std::vector<std::string> voters(remote_voters_.begin(), remote_voters_.end());
+    if (voters.empty())
+        for (const Candidate& candidate : settings_.candidates) voters.push_back(candidate.name);
+    std::erase(voters, settings_.name);
+    if (voters.empty()) return;
+    ++counts_.schedule_requests;
+    send(voters[static_cast<std::size_t>(random_.unit() * static_cast<double>(voters.size()))],
+         MessageKind::kScheduleRequest, {});
+}
+
+void MaintenanceNode::send_schedule(const std::string& address) {
+    const std::string state = schedule().encode();
+    send_to(address, MessageKind::kSchedule,
+            codec::pack_cbor(Json::array(
+                {leader(), consensus_->voters(), schedule_age(now_), schedule().applied_commands(),
+                 Json::binary(std::vector<std::uint8_t>(state.begin(), state.end()))})));
+}
+
+void MaintenanceNode::handle_schedule(const PeerMessage& message) {
+    if (is_voter()) return;
+    try {
+        const Json row = Json::from_cbor(message.bytes.begin(), message.bytes.end());
+        const auto& bytes = row.at(4).get_binary();
+        const auto age = static_cast<Tenths>(codec::decode_count(row.at(2)));
+        if (now_ - age < remote_schedule_at_ ||
+            codec::decode_count(row.at(3)) < remote_schedule_.applied_commands())
+            return; // an older one
+        auto state = MaintenanceSchedule::decode(std::string(bytes.begin(), bytes.end()));
+        if (!state) return;
+        ++counts_.schedules_received;
+        remote_schedule_ = std::move(*state), remote_leader_ = codec::decode_text(row.at(0));
+        remote_voters_ = codec::decode_texts<std::set<std::string>>(row.at(1));
+        remote_schedule_at_ = now_ - age;
+    } catch (const std::exception&) { return; }
+}
+
+// ---- operators
+
+void MaintenanceNode::handle_operator_request(const PeerMessage& message) {
+    ++counts_.operator_requests;
+    const auto reply = [&](const std::string& request, bool done, const std::string& text) {
+        send_to(message.address, MessageKind::kOperatorReply,
+                codec::pack_cbor(Json::array({request, done, text})));
+    };
+    Json query;
+    try {
+        query = Json::from_cbor(message.bytes.begin(), message.bytes.end());
+        const std::string request = codec::decode_text(query.at("request")),
+                          verb = codec::decode_text(query.at("verb"));
+        const auto at = static_cast<Tenths>(codec::decode_count(query.at("wall")));
+        if (std::abs(at - wall_time_) > kMaxRequestAge) { // heard again long after, or two clocks far apart
+            ++counts_.stale_operator_requests;
+            return reply(request, false, "this request is of another time: look at the clocks");
+        }
+        if (verb == "show" || verb == "plan" || verb == "explain")
+            return reply(request, true, answer_query(query).dump());
+        if (settings_.candidates.empty())
+            return reply(request, false, "there is no rota here: no candidates");
+        const auto text = [&](const char* name) { return codec::decode_text(query.value(name, Json(""))); };
+        std::optional<Command> command;
+        if (verb == "add")
+            command = AddJobs{request,
+                              text("by"),
+                              text("note"),
+                              codec::decode_texts<std::vector<std::string>>(query.at("machines")),
+                              static_cast<Tenths>(codec::decode_count(query.value("earliest", Json(0U)))),
+                              static_cast<Tenths>(codec::decode_count(query.value("latest", Json(0U))))};
+        if (verb == "withdraw") command = WithdrawJob{request, text("machine"), "withdrawn by " + text("by")};
+        if (verb == "hold")
+            command = HoldSchedule{request, text("why").empty() ? "held by " + text("by") : text("why")};
+        if (verb == "resume") command = ResumeSchedule{request};
+        if (verb == "hurry") command = PrioritizeJob{request, text("machine")};
+        if (!command) return reply(request, false, "no such request: " + verb);
+        if (pending_requests_.size() >= kMaxPendingRequests && !pending_requests_.contains(request))
+            return reply(request, false, "too many requests are waiting");
+        pending_requests_[request] = {message.address, now_ + kRequestTimeout,
+                                      now_ + kProposalRetryHeartbeats * settings_.heartbeat, *command};
+        log_event("asked", {{"by", message.from}, {"what", describe(*command)}});
+        propose(*command, settings_.address);
+    } catch (const std::exception&) { return reply("", false, "the request cannot be read"); }
+}
+
+void MaintenanceNode::handle_proposal_result(const PeerMessage& message) {
+    try {
+        const Json row = Json::from_cbor(message.bytes.begin(), message.bytes.end());
+        const auto found = pending_requests_.find(codec::decode_text(row.at(0)));
+        if (found == pending_requests_.end()) return;
+        send_to(found->second.address, MessageKind::kOperatorReply, message.bytes);
+        pending_requests_.erase(found);
+        request_schedule_at_ = now_;
+    } catch (const std::exception&) { return; }
+}
+
+Json MaintenanceNode::answer_query(const Json& query) {
+    const std::string verb = query.value("verb", "show");
+    const MaintenanceSchedule& state = schedule();
+    const FleetObservation observed = observe_fleet();
+    const std::set<std::string> down = Scheduler::down(state, observed);
+    Json result{{"node", settings_.name},
+                {"age_ms", schedule_age(now_) * 1000 / kTenthsPerSecond},
+                {"leader", leader()},
+                {"voters", observed.voters},
+                {"members", roster_.present()},
+                {"held", state.held()},
+                {"held_why", state.hold_reason()},
+                {"applied", state.applied_commands()}};
+    if (consensus_) {
+        static constexpr const char* kPhases[] = {"roll call", "takes part", "disowned", "unable"};
+        result["phase"] = kPhases[static_cast<int>(consensus_->phase())];
+        result["term"] = consensus_->term();
+        if (consensus_->is_leader()) result["waits_for"] = wait_reason_;
+    }
+    if (verb == "show") {
+        result["turns"] = Json::array();
+        for (const auto& [name, job] : state.jobs()) result["turns"].push_back(job_json(job));
+        result["machines"] = state.fleet().size(), result["down"] = down;
+        return result;
+    }
+    std::vector<PlannedJob> jobs_to_plan = pending_jobs(state, wall_time_);
+    if (query.contains("machines")) { // a plan for what is not ordered yet
+        jobs_to_plan.clear();
+        for (const std::string& name : codec::decode_texts<std::vector<std::string>>(query["machines"])) {
+            const auto facts = state.fleet().find(name);
+            jobs_to_plan.push_back(
+                {name, facts == state.fleet().end() ? 0 : facts->second.duration, false, 0});
+        }
+    }
+    const Constraints constraints(state.limits(), state.fleet(), state.voters());
+    if (verb == "plan") {
+        const auto size = static_cast<int>(std::max<std::size_t>(1, jobs_to_plan.size()));
+        const Plan plan =
+            plan_optimized(state, jobs_to_plan, down, settings_.seed, std::min(200, 40'000 / (size * size)));
+        result["length_ms"] = plan.duration * 1000 / kTenthsPerSecond;
+        result["first_come_ms"] =
+            plan_first_come_first_served(constraints, jobs_to_plan, down).duration * 1000 / kTenthsPerSecond;
+        result["least_ms"] = duration_lower_bound(state, jobs_to_plan) * 1000 / kTenthsPerSecond;
+        result["steps"] = Json::array();
+        for (const PlanStep& step : plan.steps)
+            result["steps"].push_back({{"machine", step.machine},
+                                       {"begins_ms", step.start * 1000 / kTenthsPerSecond},
+                                       {"ends_ms", step.end * 1000 / kTenthsPerSecond},
+                                       {"why", step.reason}});
+        result["never"] = plan.impossible;
+        return result;
+    }
+    const std::string machine = query.value("machine", "");
+    result["machine"] = machine;
+    if (const MaintenanceJob* job = state.job(machine)) result["turn"] = job_json(*job);
+    const auto health = observed.machines.find(machine);
+    static constexpr const char* kHealth[] = {"warm", "cold", "drains", "gone"};
+    result["health"] =
+        health == observed.machines.end() ? "unknown" : kHealth[static_cast<int>(health->second.health)];
+    std::set<std::string> unavailable = state.machines_out();
+    unavailable.insert(down.begin(), down.end());
+    const std::string violation = constraints.violation(machine, unavailable);
+    result["objection"] = violation.empty() ? "none: it may go" : violation;
+    return result;
+}
+
+} // namespace ivyrill::maintenance
--- /dev/null
+++ b/src/maintenance/maintenance_node.hpp
@@ -0,0 +1,154 @@
+// A front node's side of all this in one object, free of I/O: who is there, the council, the leader's part,
+// the holder's part, and the operators' questions. Datagrams, keepers' answers, the list and the time go in;
+// datagrams, keepers' acts and lines for the log come out. It runs alike on sockets and in virtual time.
+#pragma once
+#include "maintenance/consensus_node.hpp"
+#include "maintenance/executor.hpp"
+#include "maintenance/fragment_transport.hpp"
+#include "maintenance/scheduler.hpp"
+#include "membership/roster.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include <optional>
+#include <variant>
+
+namespace ivyrill::maintenance {
+
+struct Candidate {
+    std::string name, address;
+};
+
+struct MaintenanceSettings {
+    std::string name, address, secret;
+    std::vector<std::string> peers;    // addresses; the candidates' are among them in any case
+    std::vector<Candidate> candidates; // front nodes with a ledger; none: there is no rota, only members
+    std::size_t voter_count = 3;
+    Limits limits;
+    Timing timing;
+    FailurePolicy failure_policy;
+    Tenths probe_gap = kTenthsPerSecond;
+    Tenths heartbeat = kTenthsPerSecond / 10;
+    Tenths replace_voter_after = 60 * kTenthsPerSecond; // a voter gone for so long gives its seat to another
+    Tenths front_node_duration = 60 * kTenthsPerSecond; // of a front node, for the plan
+    std::uint64_t seed = 0;
+    std::uint64_t incarnation = 1;
+    double max_datagrams_per_second = 20'000; // a second; what comes beyond is dropped unread
+    double max_datagrams_per_peer = 4'000;
+};
+
+struct SendDatagram {
+    std::string address, bytes;
+};
+struct LogLine {           // for the log, with what belongs to it
+    bool is_error = false; // the operator is called
+    std::string event;
+    std::vector<std::pair<std::string, std::string>> fields;
+};
+struct MemberCount { // C3's n, as far as it is known
+    std::size_t present = 1;
+};
+using MaintenanceEffect = std::variant<SendDatagram, MachineCommand, LogLine, MemberCount>;
+
+struct MaintenanceCounts {
+    std::uint64_t datagrams = 0, rate_limited = 0, proposals = 0, forwarded = 0, refused = 0,
+                  schedules_received = 0, schedule_requests = 0, operator_requests = 0,
+                  stale_operator_requests = 0;
+};
+
+class MaintenanceNode {
+  public:
+    // `ledger` may be null: the node is a member, never a voter.
+    MaintenanceNode(MaintenanceSettings settings, RaftStore* store, Tenths now, Tenths wall_time);
+
+    void receive(Tenths now, const std::string& from, std::string_view bytes);
+    void update_servers(const std::map<std::string, ObservedMachine>& servers,
+                        double rejected_share); // index servers as listed
+    void on_machine_status(Tenths now, std::uint64_t serial, const std::string& machine,
+                           MachineStatus status);
+    void step(Tenths now, Tenths wall_time);
+    void leave(Tenths now);
+    Tenths next() const;
+    std::vector<MaintenanceEffect> take_effects() { return std::exchange(effects_, {}); }
+
+    // Each command as it is agreed on, for those who keep a history.
+    std::function<void(const Command&, const CommandResult&)> on_committed;
+
+    const membership::Roster& roster() const { return roster_; }
+    const ConsensusNode* consensus() const { return consensus_ ? consensus_.get() : nullptr; }
+    const MaintenanceSchedule& schedule() const;
+    Tenths schedule_age(Tenths now) const; // how long ago the evening was surely as we know it
+    const Executor& executor() const { return executor_; }
+    const Scheduler& scheduler() const { return scheduler_; }
+    const MaintenanceCounts& counts() const { return counts_; }
+    const FragmentCounts& fragment_counts() const { return transport_.counts(); }
+    const membership::SealCounts& seal_counts() const { return seal_.counts(); }
+    nlohmann::json answer_query(const nlohmann::json& query); // of an operator's that changes nothing
+    FleetObservation observe_fleet() const;
+
+  private:
+    struct TokenBucket {
+        double tokens = 0;
+        Tenths refilled_at = 0;
+    };
+    struct PendingRequest { // an operator's request, until it is agreed on
+        std::string address;
+        Tenths deadline = 0, retry_at = 0;
+        Command command;
+    };
+    bool take_token(Tenths now, TokenBucket& bucket, double rate) const;
+    void handle_roster_effects(std::vector<membership::Effect> effects);
+    void dispatch(const PeerMessage& message);
+    void send_consensus_messages();
+    void send(const std::string& name, MessageKind kind, const std::string& bytes);
+    void send_to(const std::string& address, MessageKind kind, const std::string& bytes);
+    void propose(const Command& command, const std::string& requested_by = {}, int forwards = 0);
+    void on_command_applied(const Command& command, const CommandResult& outcome);
+    void run_scheduler();
+    void transfer_leadership(const FleetObservation& observed);
+    void manage_voters(const FleetObservation& observed);
+    void handle_operator_request(const PeerMessage& message);
+    void handle_proposal(const PeerMessage& message);
+    void handle_proposal_result(const PeerMessage& message);
+    void handle_schedule(const PeerMessage& message);
+    void request_schedule();
+    void send_schedule(const std::string& address);
+    void log_event(std::string event, std::vector<std::pair<std::string, std::string>> fields,
+                   bool is_error = false);
+    const std::string* address_of(const std::string& name) const;
+    std::string leader() const;
+    bool is_voter() const;
+    bool leaderless() const;
+
+    MaintenanceSettings settings_;
+    Tenths now_, started_at_, wall_time_ = 0;
+    MaintenanceSchedule uncommitted_schedule_;
+    Tenths uncommitted_refresh_at_ = 0;
+    membership::Seal seal_;
+    membership::Roster roster_;
+    FragmentTransport transport_;
+    std::unique_ptr<ConsensusNode> consensus_;
+    Scheduler scheduler_;
+    Executor executor_;
+    MaintenanceSchedule remote_schedule_; // of a node that does not vote, as last told
+    std::string remote_leader_;
+    std::set<std::string> remote_voters_;
+    Tenths remote_schedule_at_ = 0, request_schedule_at_ = 0, executor_at_ = 0, scheduler_at_ = 0;
+    Pcg random_;
+    std::map<std::string, ObservedMachine> servers_;
+    double rejected_share_ = 0;
+    std::map<std::string, TokenBucket> peer_buckets_;
+    TokenBucket total_bucket_;
+    std::map<std::string, PendingRequest> pending_requests_; // by request
+    std::map<std::string, std::string> requesters_; // requests that we proposed for others: whom to tell
+    std::size_t pending_proposals_ = 0;             // of the steward's proposals
+    std::uint64_t leadership_count_ = 0;            // times that we led
+    bool was_leader_ = false;
+    std::string wait_reason_;
+    std::map<std::string, Tenths> voter_gone_since_; // voters
+    std::size_t present_members_ = 0;
+    std::vector<MaintenanceEffect> effects_;
+    MaintenanceCounts counts_;
+};
+
+} // namespace ivyrill::maintenance
--- a/src/operator/orders.cpp
+++ b/src/operator/orders.cpp
@@ -123,10 +123,11 @@
     return made;
 }
 
-rota::Answer read_answer(Fields& fields, const std::string& name, rota::Answer otherwise) {
+maintenance::FailureAction read_answer(Fields& fields, const std::string& name,
+                                       maintenance::FailureAction otherwise) {
     static const std::vector<std::string> kWords{"wait", "skip", "put_back", "stop", "call"};
     const std::string word = fields.one_of(name, kWords, kWords[static_cast<std::size_t>(otherwise)]);
-    return static_cast<rota::Answer>(std::ranges::find(kWords, word) - kWords.begin());
+    return static_cast<maintenance::FailureAction>(std::ranges::find(kWords, word) - kWords.begin());
 }
 
 RotaOrders read_rota(Fields fields, const Orders& orders) {
@@ -155,40 +156,41 @@
         return fields.object(name).value_or(Fields(none, fields.path() + "." + name));
     };
     Fields limits = group("limits");
-    made.limits.floor = static_cast<int>(limits.whole("replicas_stay", 1, 100, 1));
+    made.limits.min_replicas = static_cast<int>(limits.whole("replicas_stay", 1, 100, 1));
     made.limits.zone_share = limits.number("zone_share", 0.001, 1, 0.34);
     made.limits.shard_share = limits.number("shard_share", 0.001, 1, 0.5);
     made.limits.fleet_share = limits.number("fleet_share", 0.001, 1, 0.2);
     made.limits.front_share = limits.number("front_share", 0.001, 1, 0.2);
     limits.done();
     Fields spans = group("spans");
-    rota::Spans& s = made.spans;
-    s.grant = millis(spans.whole("grant_ms", 200, 600'000, 10'000));
+    maintenance::Timing& s = made.spans;
+    s.lease = millis(spans.whole("grant_ms", 200, 600'000, 10'000));
     s.drain = millis(spans.whole("drain_ms", 100, 86'400'000, 60'000));
     s.work = millis(spans.whole("work_ms", 100, 86'400'000, 1'800'000));
-    s.back = millis(spans.whole("back_ms", 100, 86'400'000, 120'000));
-    s.warm = millis(spans.whole("warm_ms", 100, 86'400'000, 120'000));
-    s.act = millis(spans.whole("act_ms", 20, 600'000, 2'000));
-    s.settle = millis(spans.whole("settle_ms", 0, 600'000, 3'000));
+    s.bring_back = millis(spans.whole("back_ms", 100, 86'400'000, 120'000));
+    s.warm_up = millis(spans.whole("warm_ms", 100, 86'400'000, 120'000));
+    s.action = millis(spans.whole("act_ms", 20, 600'000, 2'000));
+    s.fleet_settle = millis(spans.whole("settle_ms", 0, 600'000, 3'000));
     s.clock_error = spans.number("clock_error", 0, 0.2, 0.01);
-    s.most_setbacks = static_cast<int>(spans.whole("setbacks", 0, 100, 3));
-    s.most_strain = spans.number("strain", 0, 1, 0.05);
-    if (s.act >= s.grant)
+    s.max_setbacks = static_cast<int>(spans.whole("setbacks", 0, 100, 3));
+    s.max_rejected_share = spans.number("strain", 0, 1, 0.05);
+    if (s.action >= s.lease)
         spans.fail("act_ms", "expected less than grant_ms: a grant would end within one act");
     const Tenths election = 16 * made.heartbeat;
-    if (s.grant <= election)
+    if (s.lease <= election)
         spans.fail("grant_ms",
                    "expected more than 16 heartbeats: grants would end at each change of the leader");
     spans.done();
     Fields answers = group("answers");
-    rota::Answers& a = made.answers;
+    maintenance::FailurePolicy& a = made.answers;
     a.drain_late = read_answer(answers, "drain_late", a.drain_late);
     a.work_late = read_answer(answers, "work_late", a.work_late);
     a.back_late = read_answer(answers, "back_late", a.back_late);
     a.broken = read_answer(answers, "broken", a.broken);
     a.cold_late = read_answer(answers, "cold_late", a.cold_late);
     a.neighbour_down = read_answer(answers, "neighbour_down", a.neighbour_down);
-    if (a.broken == rota::Answer::kPutBack || a.back_late == rota::Answer::kPutBack)
+    if (a.broken == maintenance::FailureAction::kRollBack ||
+        a.back_late == maintenance::FailureAction::kRollBack)
         answers.fail("broken", "what does not come back cannot be put back: expected another answer");
     answers.done();
     fields.each_named("work_ms", [&](const std::string& kind, const auto& count, const std::string& path) {
--- a/src/operator/orders.hpp
+++ b/src/operator/orders.hpp
@@ -4,8 +4,8 @@
 #include "access/gate.hpp"
 #include "access/handshakes.hpp"
 #include "limits/connection_budget.hpp"
+#include "maintenance/fleet_observation.hpp"
 #include "operator/fields.hpp"
-#include "rota/outlook.hpp"
 #include "transport/tls.hpp"
 
 #include <nlohmann/json.hpp>
@@ -50,9 +50,9 @@
     std::size_t council = 3;
     std::string ledger, witness; // files
     Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
-    rota::Limits limits;
-    rota::Spans spans;
-    rota::Answers answers;
+    maintenance::Limits limits;
+    maintenance::Timing spans;
+    maintenance::FailurePolicy answers;
     std::vector<std::string> keeper_command; // one of the two
     std::string keeper_address;
     std::map<std::string, Tenths> work; // how long it takes by kind of machine; "" for all others
--- a/src/program/keepers.cpp
+++ b/src/program/keepers.cpp
@@ -19,8 +19,9 @@
 
 constexpr std::size_t kMostHeard = 1024, kMostErrands = 256;
 
-std::string words_of(const rota::KeeperAct& act) {
-    return std::string(rota::word_of(act.act)) + " " + act.machine + " " + std::to_string(act.fence.value);
+std::string words_of(const maintenance::MachineCommand& act) {
+    return std::string(maintenance::to_string(act.action)) + " " + act.machine + " " +
+           std::to_string(act.fence.value);
 }
 
 } // namespace
@@ -33,7 +34,7 @@
         if (errand.process > 0) kill(errand.process, SIGKILL), waitpid(errand.process, nullptr, 0);
 }
 
-void Keepers::act(Tenths now, const rota::KeeperAct& act) {
+void Keepers::act(Tenths now, const maintenance::MachineCommand& act) {
     if (errands_.size() >= kMostErrands) return; // nothing is said, which is an answer too
     Errand& errand = errands_.emplace_back();
     errand.act = act, errand.until = now + span_;
@@ -124,7 +125,8 @@
         words >> state;
     // For another machine, or of no use: the holder hears so, and asks again.
     if (!words && state.empty()) machine = errand.act.machine, serial = errand.act.serial;
-    said_.push_back({serial, machine, rota::kept_named(state).value_or(rota::Kept::kUnknown)});
+    said_.push_back({serial, machine,
+                     maintenance::machine_status_from(state).value_or(maintenance::MachineStatus::kUnknown)});
 }
 
 void Keepers::step(Tenths now) {
--- a/src/program/keepers.hpp
+++ b/src/program/keepers.hpp
@@ -3,7 +3,7 @@
 // where one line is asked and one answered (ACT MACHINE NUMBER SERIAL, then SERIAL MACHINE STATE). Nothing
 // here waits: what has not answered within an act's span is ended and says nothing.
 #pragma once
-#include "rota/hand.hpp"
+#include "maintenance/executor.hpp"
 #include "transport/stream.hpp"
 
 #include <list>
@@ -18,18 +18,18 @@
     struct Said {
         std::uint64_t serial = 0;
         std::string machine;
-        rota::Kept kept = rota::Kept::kUnknown;
+        maintenance::MachineStatus kept = maintenance::MachineStatus::kUnknown;
     };
     Keepers(transport::Loop& loop, std::vector<std::string> command, std::string address, Tenths span);
     ~Keepers();
-    void act(Tenths now, const rota::KeeperAct& act);
+    void act(Tenths now, const maintenance::MachineCommand& act);
     void step(Tenths now);
     Tenths next() const;
     std::vector<Said> take() { return std::exchange(said_, {}); }
 
   private:
     struct Errand {
-        rota::KeeperAct act;
+        maintenance::MachineCommand act;
         Tenths until = 0;
         std::unique_ptr<transport::Stream> stream; // to an address
         std::unique_ptr<transport::Source> pipe;   // from a process
--- a/src/program/rota_side.cpp
+++ b/src/program/rota_side.cpp
@@ -3,7 +3,7 @@
 #include "access/signature.hpp"
 #include "program/keepers.hpp"
 #include "program/log.hpp"
-#include "store/sqlite_ledger.hpp"
+#include "raft_storage/sqlite_raft_store.hpp"
 #include "transport/datagrams.hpp"
 #include "transport/stream.hpp"
 
@@ -37,7 +37,7 @@
         : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.members->bind)),
           stirred(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           told_out(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-        rota::WardenTerms made;
+        maintenance::MaintenanceSettings made;
         made.name = name, made.address = orders.members->address, made.secret = secret;
         made.peers = orders.members->peers, made.probe_gap = orders.members->probe_gap;
         made.seed = drawn(seed);
@@ -46,22 +46,23 @@
         if (orders.rota) {
             const operators::RotaOrders& rota = *orders.rota;
             work = rota.work;
-            if (const auto front = work.find("front"); front != work.end()) made.front_work = front->second;
+            if (const auto front = work.find("front"); front != work.end())
+                made.front_node_duration = front->second;
             for (const auto& [who, where] : rota.candidates) made.candidates.push_back({who, where});
-            made.council = rota.council, made.limits = rota.limits, made.spans = rota.spans;
-            made.answers = rota.answers, made.heartbeat = rota.heartbeat,
-            made.replace_after = rota.replace_after;
+            made.voter_count = rota.council, made.limits = rota.limits, made.timing = rota.spans;
+            made.failure_policy = rota.answers, made.heartbeat = rota.heartbeat,
+            made.replace_voter_after = rota.replace_after;
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
                 std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
-                ledger = std::make_unique<store::SqliteLedger>(rota.ledger, rota.witness);
-                made.incarnation = ledger->next_incarnation();
+                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.ledger, rota.witness);
+                made.incarnation = ledger->next_member_incarnation();
             }
             keepers =
-                std::make_unique<Keepers>(loop, rota.keeper_command, rota.keeper_address, rota.spans.act);
+                std::make_unique<Keepers>(loop, rota.keeper_command, rota.keeper_address, rota.spans.action);
         }
-        warden = std::make_unique<rota::Warden>(made, ledger.get(), loop.now(), Loop::wall());
+        warden = std::make_unique<maintenance::MaintenanceNode>(made, ledger.get(), loop.now(), Loop::wall());
         if (loop.now() == 0 || told_out < 0) throw std::runtime_error("no clock, or no descriptor");
     }
     ~Inside() { close(told_out); }
@@ -70,7 +71,7 @@
         transport::Slot& next = socket.readable;
         for (;;) {
             while (auto came = transport::receive_datagram(socket.descriptor()))
-                warden->hear(loop.now(), came->from, came->bytes), carry_out();
+                warden->receive(loop.now(), came->from, came->bytes), carry_out();
             co_await next;
         }
     }
@@ -89,7 +90,7 @@
             // What is cold grows warm without news, so the machines are looked at each time.
             if (loop.now() >= look_at || list_seen != list_now.version) {
                 look_at = loop.now() + kTenthsPerSecond / 10, list_seen = list_now.version;
-                warden->told(RotaSide::machines(list_now, terms, work, Loop::wall()), strain);
+                warden->update_servers(RotaSide::machines(list_now, terms, work, Loop::wall()), strain);
             }
             warden->step(loop.now(), Loop::wall());
             if (leaving && !left) left = true, warden->leave(loop.now());
@@ -97,7 +98,7 @@
             if (keepers) {
                 keepers->step(loop.now());
                 for (const Keepers::Said& said : keepers->take())
-                    warden->kept(loop.now(), said.serial, said.machine, said.kept);
+                    warden->on_machine_status(loop.now(), said.serial, said.machine, said.kept);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next(), look_at, counts_at});
@@ -108,20 +109,20 @@
     }
 
     void carry_out() {
-        for (rota::WardenEffect& effect : warden->take_effects()) {
-            if (const auto* sent = std::get_if<rota::SendBytes>(&effect)) {
+        for (maintenance::MaintenanceEffect& effect : warden->take_effects()) {
+            if (const auto* sent = std::get_if<maintenance::SendDatagram>(&effect)) {
                 transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
-            } else if (const auto* act = std::get_if<rota::KeeperAct>(&effect)) {
+            } else if (const auto* act = std::get_if<maintenance::MachineCommand>(&effect)) {
                 if (keepers) keepers->act(loop.now(), *act);
-            } else if (const auto* line = std::get_if<rota::Line>(&effect)) {
-                std::string words = line->what;
+            } else if (const auto* line = std::get_if<maintenance::LogLine>(&effect)) {
+                std::string words = line->event;
                 for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
-                if (line->loud)
+                if (line->is_error)
                     log().error("{}", words);
                 else
                     log().info("{}", words);
             } else {
-                present = std::get<rota::MembersSeen>(effect).present;
+                present = std::get<maintenance::MemberCount>(effect).present;
                 const std::uint64_t one = 1;
                 if (write(told_out, &one, sizeof one) < 0) continue; // it is told already
             }
@@ -130,17 +131,17 @@
 
     void tell_counts() const {
         const auto& roster = warden->roster().counts();
-        const auto& seals = warden->seals();
-        const auto& hand = warden->hand().counts();
+        const auto& seals = warden->seal_counts();
+        const auto& hand = warden->executor().counts();
         log().info(
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
             warden->roster().present(), roster.sent, roster.heard, roster.suspected, roster.refuted,
             roster.stalls, roster.twins, seals.strangers, seals.spoilt, seals.too_long,
-            warden->counts().crowded, warden->parcels().sent, warden->parcels().pieces,
-            warden->parcels().asked_again, hand.acts, hand.strange, hand.refused, hand.lapsed,
-            warden->counts().proposals);
+            warden->counts().rate_limited, warden->fragment_counts().sent,
+            warden->fragment_counts().fragments, warden->fragment_counts().resend_requests, hand.actions,
+            hand.unmatched_replies, hand.fenced_off, hand.expired_leases, warden->counts().proposals);
     }
 
     protocol::NodeTerms terms;
@@ -148,9 +149,9 @@
     Loop loop;
     transport::Source socket, stirred; // the latter: the front node has told us something
     int told_out;
-    std::unique_ptr<store::SqliteLedger> ledger;
+    std::unique_ptr<raft_storage::SqliteRaftStore> ledger;
     std::unique_ptr<Keepers> keepers;
-    std::unique_ptr<rota::Warden> warden;
+    std::unique_ptr<maintenance::MaintenanceNode> warden;
     Task receiving;
     protocol::ServerList list_now;
     std::int64_t list_seen = -1;
@@ -227,27 +228,26 @@
 int RotaSide::news() const { return inside_->told_out; }
 int RotaSide::port() const { return transport::port_of(inside_->socket.descriptor()); }
 
-std::map<std::string, rota::MachineSeen> RotaSide::machines(const protocol::ServerList& list,
-                                                            const protocol::NodeTerms& terms,
-                                                            const std::map<std::string, Tenths>& work,
-                                                            Tenths wall) {
-    std::map<std::string, rota::MachineSeen> made;
+std::map<std::string, maintenance::ObservedMachine>
+RotaSide::machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+                   const std::map<std::string, Tenths>& work, Tenths wall) {
+    std::map<std::string, maintenance::ObservedMachine> made;
     for (const protocol::ServerEntry& entry : list.servers) {
-        rota::MachineSeen machine;
+        maintenance::ObservedMachine machine;
         machine.facts.name = entry.id, machine.facts.zone = entry.zone;
-        machine.facts.power = entry.weight > 0 ? entry.weight : 1;
+        machine.facts.capacity = entry.weight > 0 ? entry.weight : 1;
         for (int shard = 0; shard < terms.shards; ++shard)
             if (terms.opening.holds(CellNo{entry.cell}, ShardNo{shard}))
                 machine.facts.shards.push_back(shard);
         auto known = work.find(entry.kind);
         if (known == work.end()) known = work.find("");
-        machine.facts.work = known == work.end() ? 600 * kTenthsPerSecond : known->second;
+        machine.facts.duration = known == work.end() ? 600 * kTenthsPerSecond : known->second;
         const Tenths born = entry.started_ms * (kTenthsPerSecond / 1000);
-        machine.health = entry.listed == Listed::kGone       ? rota::Health::kGone
-                         : entry.listed == Listed::kDraining ? rota::Health::kDrains
+        machine.health = entry.listed == Listed::kGone       ? maintenance::MachineHealth::kGone
+                         : entry.listed == Listed::kDraining ? maintenance::MachineHealth::kDraining
                          : entry.started_ms > 0 && wall < born + terms.opening.cold_span
-                             ? rota::Health::kCold
-                             : rota::Health::kWarm;
+                             ? maintenance::MachineHealth::kCold
+                             : maintenance::MachineHealth::kWarm;
         made[entry.id] = std::move(machine);
     }
     return made;
--- a/src/program/rota_side.hpp
+++ b/src/program/rota_side.hpp
@@ -2,10 +2,10 @@
 // to the disk before a word goes out, and no search waits for that. The front node tells it the list and
 // hears how many members there are; nothing else passes between the two.
 #pragma once
+#include "maintenance/maintenance_node.hpp"
 #include "operator/orders.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/terms.hpp"
-#include "rota/warden.hpp"
 
 #include <atomic>
 #include <map>
@@ -33,10 +33,9 @@
     int news() const;            // a descriptor that can be read when that number has changed
     int port() const;
     // Every machine's facts by the settings, and how it is by the list at that time.
-    static std::map<std::string, rota::MachineSeen> machines(const protocol::ServerList& list,
-                                                             const protocol::NodeTerms& terms,
-                                                             const std::map<std::string, Tenths>& work,
-                                                             Tenths wall);
+    static std::map<std::string, maintenance::ObservedMachine>
+    machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+             const std::map<std::string, Tenths>& work, Tenths wall);
 
   private:
     struct Inside;
--- a/src/program/work.cpp
+++ b/src/program/work.cpp
@@ -2,12 +2,12 @@
 
 #include "access/signature.hpp"
 #include "access/text.hpp"
+#include "maintenance/chart.hpp"
+#include "maintenance/codec.hpp"
+#include "maintenance/fragment_transport.hpp"
+#include "maintenance/maintenance_schedule.hpp"
 #include "program/operator_files.hpp"
-#include "rota/chart.hpp"
-#include "rota/evening.hpp"
-#include "rota/parcels.hpp"
-#include "rota/words.hpp"
-#include "store/sqlite_ledger.hpp"
+#include "raft_storage/sqlite_raft_store.hpp"
 #include "transport/datagrams.hpp"
 #include "transport/loop.hpp"
 #include "transport/stream.hpp"
@@ -25,7 +25,7 @@
 namespace {
 
 using nlohmann::json;
-using namespace rota;
+using namespace maintenance;
 
 struct Ask {
     std::string node, operator_file, secret, request, by, note, why, machine, file, ledger;
@@ -65,7 +65,7 @@
     membership::Seal seal(secret_of(ask));
     std::uint64_t serial = 0;
     std::memcpy(&serial, access::random_bytes(sizeof serial).data(), sizeof serial);
-    Parcels parcels("operator", address, seal, serial >> 8U);
+    FragmentTransport parcels("operator", address, seal, serial >> 8U);
     const std::string request =
         ask.request.empty() ? access::base64url(access::random_bytes(12)) : ask.request;
     question["request"] = request;
@@ -76,17 +76,17 @@
         if (clock.now() >= again) {
             again = clock.now() + 2 * kTenthsPerSecond;
             question["wall"] = static_cast<std::uint64_t>(transport::Loop::wall());
-            parcels.send(clock.now(), node, ParcelKind::kAsk, words::pack(question));
+            parcels.send(clock.now(), node, MessageKind::kOperatorRequest, codec::pack_cbor(question));
         }
         parcels.step(clock.now());
-        for (const Sealed& sealed : parcels.take_out())
+        for (const OutboundDatagram& sealed : parcels.take_datagrams())
             transport::send_datagram(descriptor, sealed.address, sealed.bytes);
         pollfd wait{descriptor, POLLIN, 0};
         poll(&wait, 1, 20);
         while (auto came = transport::receive_datagram(descriptor)) {
-            if (!Parcels::is_piece(came->bytes)) continue;
-            const auto parcel = parcels.hear(clock.now(), came->bytes);
-            if (!parcel || parcel->kind != ParcelKind::kAnswer) continue;
+            if (!FragmentTransport::is_fragment(came->bytes)) continue;
+            const auto parcel = parcels.receive(clock.now(), came->bytes);
+            if (!parcel || parcel->kind != MessageKind::kOperatorReply) continue;
             const json row = json::from_cbor(parcel->bytes.begin(), parcel->bytes.end());
             if (row.at(0) == request || row.at(0) == "")
                 return {row.at(1).get<bool>(), row.at(2).get<std::string>()};
@@ -153,11 +153,11 @@
 }
 
 int show_ledger(const Ask& ask) {
-    store::SqliteLedger ledger(ask.ledger);
-    const LedgerKept kept = ledger.load();
-    Evening evening;
+    raft_storage::SqliteRaftStore ledger(ask.ledger);
+    const StoredState kept = ledger.load();
+    MaintenanceSchedule evening;
     if (kept.snapshot)
-        if (auto read = Evening::decode(kept.snapshot->state)) evening = *read;
+        if (auto read = MaintenanceSchedule::decode(kept.snapshot->state)) evening = *read;
     json rows = json::array();
     std::uint64_t place = kept.first;
     for (const LogEntry& entry : kept.entries) {
@@ -165,12 +165,12 @@
         if (const auto command = behind && entry.kind == 1 ? decode(entry.bytes) : std::nullopt)
             evening.apply(*command);
     }
-    for (const auto& [name, turn] : evening.turns())
+    for (const auto& [name, turn] : evening.jobs())
         rows.push_back({{"machine", name},
-                        {"state", word_of(turn.state)},
+                        {"state", to_string(turn.state)},
                         {"holder", turn.holder},
                         {"fence", turn.fence.value},
-                        {"why", turn.why}});
+                        {"why", turn.reason}});
     std::cout << "as " << ask.ledger << " holds it, agreed on or not: term " << kept.term << ", entries "
               << kept.entries.size() << "\n";
     print_table(rows, {"machine", "state", "holder", "fence", "why"});
@@ -180,7 +180,7 @@
 int draw_chart(const Ask& ask) {
     std::ifstream log(ask.file);
     if (!log) throw std::runtime_error(ask.file + ": cannot be read");
-    std::cout << chart_of(log);
+    std::cout << render_chart(log);
     return 0;
 }
 
--- a/tests/lab/evening_world.cpp
+++ b/tests/lab/evening_world.cpp
@@ -1,12 +1,12 @@
 #include "lab/evening_world.hpp"
 
-#include "rota/words.hpp"
+#include "maintenance/codec.hpp"
 
 #include <algorithm>
 
 namespace ivyrill::lab {
 
-using namespace rota;
+using namespace maintenance;
 
 namespace {
 
@@ -18,37 +18,37 @@
 
 // ---- machines
 
-Kept HallMachine::act(Tenths now, Act what, Fence fence) {
+MachineStatus HallMachine::act(Tenths now, MachineAction what, FencingToken fence) {
     pass(now);
-    if (is == Is::kDead) return Kept::kUnknown;
-    if (checks_fence && fence < highest) return Kept::kRefused;
+    if (is == Is::kDead) return MachineStatus::kUnknown;
+    if (checks_fence && fence < highest) return MachineStatus::kRefused;
     highest = std::max(highest, fence);
-    if (what == Act::kDrain && is == Is::kServing) is = Is::kDraining, since = now;
-    if (what == Act::kOut && is == Is::kDrained) is = Is::kWorking, since = now;
-    if (what == Act::kBack) {
+    if (what == MachineAction::kDrain && is == Is::kServing) is = Is::kDraining, since = now;
+    if (what == MachineAction::kTakeOut && is == Is::kDrained) is = Is::kWorking, since = now;
+    if (what == MachineAction::kBringBack) {
         if (is == Is::kDraining || is == Is::kDrained) is = Is::kServing, since = now;
         if ((is == Is::kWorked || is == Is::kWorking) && !never_back) is = Is::kStarting, since = now;
     }
     pass(now);
     switch (is) {
     case Is::kServing:
-        return Kept::kServing;
+        return MachineStatus::kServing;
     case Is::kDraining:
-        return Kept::kDraining;
+        return MachineStatus::kDraining;
     case Is::kDrained:
-        return Kept::kDrained;
+        return MachineStatus::kDrained;
     case Is::kWorking:
-        return Kept::kWorking;
+        return MachineStatus::kWorking;
     case Is::kWorked:
-        return Kept::kWorked;
+        return MachineStatus::kWorkDone;
     case Is::kStarting:
-        return Kept::kStarting;
+        return MachineStatus::kStarting;
     case Is::kBroken:
-        return Kept::kBroken;
+        return MachineStatus::kBroken;
     case Is::kDead:
         break;
     }
-    return Kept::kUnknown;
+    return MachineStatus::kUnknown;
 }
 
 void HallMachine::pass(Tenths now) {
@@ -61,15 +61,15 @@
     }
 }
 
-Health HallMachine::health(Tenths now) const {
+MachineHealth HallMachine::health(Tenths now) const {
     switch (is) {
     case Is::kServing:
-        return now >= warm_at ? Health::kWarm : Health::kCold;
+        return now >= warm_at ? MachineHealth::kWarm : MachineHealth::kCold;
     case Is::kDraining:
     case Is::kDrained:
-        return Health::kDrains;
+        return MachineHealth::kDraining;
     default:
-        return Health::kGone;
+        return MachineHealth::kGone;
     }
 }
 
@@ -77,7 +77,7 @@
 
 EveningWorld::EveningWorld(const WorldPlan& plan, Planted planted)
     : plan_(plan), planted_(std::move(planted)), chance_(plan.seed), seal_(kSecret) {
-    operator_ = std::make_unique<Parcels>("operator", "operator", seal_, 1);
+    operator_ = std::make_unique<FragmentTransport>("operator", "operator", seal_, 1);
     for (int i = 0; i < plan.servers; ++i) {
         HallMachine made;
         const int cells = std::max(1, plan.servers / plan.replicas);
@@ -88,7 +88,7 @@
         const double stretch = plan.shuffled_work ? 0.5 + chance_.unit() : 1;
         made.works_for = static_cast<Tenths>(static_cast<double>(plan.work) * stretch);
         made.drains_for = plan.work / 8, made.starts_for = plan.work / 8, made.warms_for = plan.work / 4;
-        made.facts.work = made.works_for + made.drains_for + made.starts_for + made.warms_for;
+        made.facts.duration = made.works_for + made.drains_for + made.starts_for + made.warms_for;
         machines_[made.facts.name] = made;
     }
     for (int i = 0; i < plan.fronts; ++i) {
@@ -97,7 +97,7 @@
         front.rate = 1 + plan.clock_error * (2 * chance_.unit() - 1);
         front.offset = static_cast<Tenths>(chance_.unit() * 1000 * kTenthsPerSecond);
         if (i < plan.candidates)
-            front.ledger = planted_.ledger ? planted_.ledger() : std::make_shared<LedgerInMemory>();
+            front.ledger = planted_.ledger ? planted_.ledger() : std::make_shared<InMemoryRaftStore>();
         fronts_.push_back(std::move(front));
         HallMachine made; // front nodes are machines too
         made.facts.name = name_of(i), made.facts.front_node = true;
@@ -136,40 +136,43 @@
          (disk == Disk::kLost  ? " without its disk"
           : disk == Disk::kOld ? " with an old disk"
                                : ""));
-    if (front.ledger && disk == Disk::kLost) front.ledger->become({});
-    if (front.ledger && disk == Disk::kOld && copies_.contains(i)) front.ledger->become(copies_.at(i));
-    if (front.ledger && disk != Disk::kKept) front.ledger->witnessed = false;
-    WardenTerms terms;
+    if (front.ledger && disk == Disk::kLost) front.ledger->copy_from({});
+    if (front.ledger && disk == Disk::kOld && copies_.contains(i)) front.ledger->copy_from(copies_.at(i));
+    if (front.ledger && disk != Disk::kKept) front.ledger->verified = false;
+    MaintenanceSettings terms;
     terms.name = front.name, terms.address = front.address, terms.secret = kSecret;
     for (int c = 0; c < plan_.candidates; ++c) terms.candidates.push_back({name_of(c), fronts_[c].address});
     if (plan_.candidates == 0) terms.peers = {fronts_[0].address, fronts_[1].address};
-    terms.council = plan_.council, terms.limits = plan_.limits, terms.spans = plan_.spans;
-    terms.answers = plan_.answers, terms.heartbeat = plan_.heartbeat;
+    terms.voter_count = plan_.council, terms.limits = plan_.limits, terms.timing = plan_.spans;
+    terms.failure_policy = plan_.answers, terms.heartbeat = plan_.heartbeat;
     terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(i) + 100 * ++front.starts;
     terms.incarnation = ++front.incarnation;
-    terms.replace_after = 15 * kTenthsPerSecond, terms.front_work = plan_.work * 5 / 4;
+    terms.replace_voter_after = 15 * kTenthsPerSecond, terms.front_node_duration = plan_.work * 5 / 4;
     if (planted_.terms) planted_.terms(i, terms);
-    front.warden = std::make_unique<Warden>(terms, front.ledger.get(), clock_of(front), now_);
-    front.warden->on_agreed = [this, i](const Command& command, const Verdict& verdict) {
-        const Evening& state = fronts_[i].warden->council()->evening(); // seated or not, as it applies it
-        const std::string words = as_words(command) + (verdict.done ? "" : " (refused)");
-        const auto [place, fresh] = agreed_.emplace(state.applied(), words);
+    front.warden = std::make_unique<MaintenanceNode>(terms, front.ledger.get(), clock_of(front), now_);
+    front.warden->on_committed = [this, i](const Command& command, const CommandResult& verdict) {
+        const MaintenanceSchedule& state =
+            fronts_[i].warden->consensus()->schedule(); // seated or not, as it applies it
+        const std::string words = describe(command) + (verdict.accepted ? "" : " (refused)");
+        const auto [place, fresh] = agreed_.emplace(state.applied_commands(), words);
         if (!fresh && place->second != words)
-            fail("two orders: " + place->second + " and " + words + " at " + std::to_string(state.applied()));
-        if (!fresh || !verdict.done) return;
-        const auto* grant = std::get_if<Grant>(&command);
-        if (grant != nullptr && state.turn(grant->machine)->state == TurnState::kGranted &&
-            state.turn(grant->machine)->why == "granted") {
-            std::set<std::string> out = state.out();
-            const Room room(state.limits(), state.fleet(), state.voters());
+            fail("two orders: " + place->second + " and " + words + " at " +
+                 std::to_string(state.applied_commands()));
+        if (!fresh || !verdict.accepted) return;
+        const auto* grant = std::get_if<GrantLease>(&command);
+        if (grant != nullptr && state.job(grant->machine)->state == JobState::kGranted &&
+            state.job(grant->machine)->reason == "granted") {
+            std::set<std::string> out = state.machines_out();
+            const Constraints room(state.limits(), state.fleet(), state.voters());
             for (const std::string& machine : out) {
                 std::set<std::string> others = out;
                 others.erase(machine);
-                if (const std::string why = room.objection(machine, others); !why.empty())
+                if (const std::string why = room.violation(machine, others); !why.empty())
                     fail("out together: " + machine + ": " + why);
             }
         }
-        if (const auto* move = std::get_if<Move>(&command); move != nullptr && move->to == TurnState::kDone)
+        if (const auto* move = std::get_if<AdvanceJob>(&command);
+            move != nullptr && move->to == JobState::kDone)
             ++counts_.turns_done, ended = now_;
     };
     front.stalled_until = front.list_at = 0;
@@ -229,10 +232,10 @@
     Front& front = fronts_[i];
     if (!front.warden || now_ < front.list_at) return;
     front.list_at = now_ + kTenthsPerSecond / 10;
-    std::map<std::string, MachineSeen> servers;
+    std::map<std::string, ObservedMachine> servers;
     for (auto& [name, machine] : machines_) {
         if (machine.facts.front_node) continue;
-        Health health = machine.health(now_);
+        MachineHealth health = machine.health(now_);
         if (plan_.list_age > 0) { // as it was some time ago
             auto& past = healths_[name];
             const Tenths then =
@@ -242,13 +245,13 @@
         }
         servers[name] = {machine.facts, health};
     }
-    front.warden->told(servers, 0);
+    front.warden->update_servers(servers, 0);
 }
 
 void EveningWorld::carry(int i) {
     Front& front = fronts_[i];
-    for (WardenEffect& effect : front.warden->take_effects()) {
-        if (auto* sent = std::get_if<SendBytes>(&effect)) {
+    for (MaintenanceEffect& effect : front.warden->take_effects()) {
+        if (auto* sent = std::get_if<SendDatagram>(&effect)) {
             ++counts_.datagrams, counts_.bytes += sent->bytes.size() + 28;
             if (sent->bytes.size() > membership::kMostBytes) fail("a datagram is too long");
             const int to = front_at(sent->address);
@@ -268,12 +271,12 @@
                          static_cast<Tenths>(chance_.unit() *
                                              static_cast<double>(plan_.most_delay - plan_.least_delay)),
                      ++order_, to, i, front.address, sent->bytes});
-        } else if (const auto* line = std::get_if<Line>(&effect)) {
+        } else if (const auto* line = std::get_if<LogLine>(&effect)) {
             if (on_line) on_line(i, *line);
-        } else if (auto* act = std::get_if<KeeperAct>(&effect)) {
+        } else if (auto* act = std::get_if<MachineCommand>(&effect)) {
             ++counts_.acts;
-            if (act->act != Act::kLook && act->act != Act::kBack &&
-                !front.warden->hand().holds(act->machine, clock_of(front)))
+            if (act->action != MachineAction::kQueryState && act->action != MachineAction::kBringBack &&
+                !front.warden->executor().holds_lease(act->machine, clock_of(front)))
                 fail(front.name + " acts on " + act->machine + " without holding it");
             errands_.push({now_ + 10, ++order_, i, front.starts, *act});
         }
@@ -287,8 +290,8 @@
     std::map<std::string, std::string> holders;
     for (Front& front : fronts_) {
         if (!front.warden) continue;
-        for (const auto& [name, turn] : front.warden->evening().turns()) {
-            if (!front.warden->hand().holds(name, clock_of(front))) continue;
+        for (const auto& [name, turn] : front.warden->schedule().jobs()) {
+            if (!front.warden->executor().holds_lease(name, clock_of(front))) continue;
             const auto [place, fresh] = holders.emplace(name, front.name);
             if (!fresh) fail("two holders of " + name + ": " + place->second + " and " + front.name);
         }
@@ -306,7 +309,7 @@
         voters_out += planned && voters.contains(name) ? 1 : 0;
     }
     for (const auto& [shard, count] : sound) {
-        if (count >= plan_.limits.floor) continue;
+        if (count >= plan_.limits.min_replicas) continue;
         under_floor_ += now_ - checked_at_;
         fail("shard " + std::to_string(shard) + " has " + std::to_string(count) + " replicas left by plan");
     }
@@ -324,11 +327,11 @@
     std::uint64_t term = 0;
     for (std::size_t i = 0; i < fronts_.size(); ++i) {
         const Front& front = fronts_[i];
-        if (!front.warden || front.warden->council() == nullptr || !front.warden->council()->leads())
+        if (!front.warden || front.warden->consensus() == nullptr || !front.warden->consensus()->is_leader())
             continue;
         if (now_ < front.stalled_until) continue;
-        if (best < 0 || front.warden->council()->term() > term)
-            best = static_cast<int>(i), term = front.warden->council()->term();
+        if (best < 0 || front.warden->consensus()->term() > term)
+            best = static_cast<int>(i), term = front.warden->consensus()->term();
     }
     return best;
 }
@@ -356,20 +359,21 @@
                     errand.at = front.stalled_until, errands_.push(errand);
                     continue;
                 }
-                front.warden->kept(clock_of(front), errand.act.serial, errand.act.machine, errand.kept);
+                front.warden->on_machine_status(clock_of(front), errand.act.serial, errand.act.machine,
+                                                errand.kept);
                 dues_[errand.front] = now_;
                 continue;
             }
             HallMachine& machine = machines_.at(errand.act.machine);
-            const Fence before = machine.highest;
+            const FencingToken before = machine.highest;
             const HallMachine::Is was = machine.is;
-            errand.kept = machine.act(now_, errand.act.act, errand.act.fence);
-            if (errand.kept == Kept::kRefused)
+            errand.kept = machine.act(now_, errand.act.action, errand.act.fence);
+            if (errand.kept == MachineStatus::kRefused)
                 ++counts_.refused_acts;
             else
                 ++counts_.accepted;
             if (errand.act.fence < before && machine.is != was)
-                fail("a stale act was accepted: " + std::string(word_of(errand.act.act)) + " of " +
+                fail("a stale act was accepted: " + std::string(to_string(errand.act.action)) + " of " +
                      errand.act.machine);
             if (machine.facts.front_node) { // its process goes and comes with it
                 const int own = std::stoi(errand.act.machine.substr(1));
@@ -395,7 +399,7 @@
                 later.at = front.stalled_until, flights_.push(later);
                 continue;
             }
-            front.warden->hear(clock_of(front), flight.address, flight.bytes);
+            front.warden->receive(clock_of(front), flight.address, flight.bytes);
             carry(flight.to);
             continue;
         }
@@ -432,18 +436,19 @@
     return true;
 }
 
-const Evening& EveningWorld::evening() const {
-    const Evening* best = nullptr;
+const MaintenanceSchedule& EveningWorld::evening() const {
+    const MaintenanceSchedule* best = nullptr;
     for (const Front& front : fronts_)
-        if (front.warden && (best == nullptr || front.warden->evening().applied() > best->applied()))
-            best = &front.warden->evening();
-    static const Evening none;
+        if (front.warden &&
+            (best == nullptr || front.warden->schedule().applied_commands() > best->applied_commands()))
+            best = &front.warden->schedule();
+    static const MaintenanceSchedule none;
     return best == nullptr ? none : *best;
 }
 
-std::size_t EveningWorld::count(TurnState state) const {
+std::size_t EveningWorld::count(JobState state) const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(evening().turns(), [&](auto& held) { return held.second.state == state; }));
+        std::ranges::count_if(evening().jobs(), [&](auto& held) { return held.second.state == state; }));
 }
 
 std::set<std::string> EveningWorld::machines_out() const {
@@ -453,12 +458,12 @@
     return names;
 }
 
-bool EveningWorld::all_over() const { return !evening().turns().empty() && evening().open() == 0; }
+bool EveningWorld::all_over() const { return !evening().jobs().empty() && evening().open_jobs() == 0; }
 
 nlohmann::json EveningWorld::ask(int i, nlohmann::json what) {
     what["wall"] = static_cast<std::uint64_t>(now_), what["by"] = "the operator";
-    operator_->send(now_, fronts_[i].address, ParcelKind::kAsk, words::pack(what));
-    for (Sealed& sealed : operator_->take_out())
+    operator_->send(now_, fronts_[i].address, MessageKind::kOperatorRequest, codec::pack_cbor(what));
+    for (OutboundDatagram& sealed : operator_->take_datagrams())
         flights_.push({now_ + 1, ++order_, i, -1, "operator", std::move(sealed.bytes)});
     return what;
 }
@@ -472,8 +477,8 @@
 }
 
 void EveningWorld::operator_hears(const std::string& bytes) {
-    const auto parcel = operator_->hear(now_, bytes);
-    if (!parcel || parcel->kind != ParcelKind::kAnswer) return;
+    const auto parcel = operator_->receive(now_, bytes);
+    if (!parcel || parcel->kind != MessageKind::kOperatorReply) return;
     const auto row = nlohmann::json::from_cbor(parcel->bytes.begin(), parcel->bytes.end());
     answers[row[0].get<std::string>()] = {row[1].get<bool>(), row[2].get<std::string>()};
 }
@@ -636,7 +641,7 @@
             if (world.evening().held() && world.leader() >= 0)
                 world.ask(world.leader(),
                           {{"request", "resume" + std::to_string(++nth)}, {"verb", "resume"}});
-            if (world.evening().turns().empty() && world.leader() >= 0)
+            if (world.evening().jobs().empty() && world.leader() >= 0)
                 world.order(world.leader(), ordered, "first"); // it was lost: the operator asks again
             return world.all_over();
         },
@@ -646,15 +651,16 @@
     result.counts.faults = extra.faults;
     if (!over) {
         std::string words = "the evening does not end:";
-        for (const auto& [name, turn] : world.evening().turns())
-            if (!is_over(turn.state))
-                words += " " + name + " " + word_of(turn.state) + " (" + turn.why + ", holder " +
+        for (const auto& [name, turn] : world.evening().jobs())
+            if (!is_finished(turn.state))
+                words += " " + name + " " + to_string(turn.state) + " (" + turn.reason + ", holder " +
                          turn.holder + ")";
         if (world.leader() < 0)
             words += ", nobody leads";
         else
-            words += ", waits: " +
-                     world.front(world.leader()).warden->answer({{"verb", "show"}}).value("waits_for", "");
+            words +=
+                ", waits: " +
+                world.front(world.leader()).warden->answer_query({{"verb", "show"}}).value("waits_for", "");
         result.broken.push_back(words);
     }
     return result;
--- a/tests/lab/evening_world.hpp
+++ b/tests/lab/evening_world.hpp
@@ -3,7 +3,7 @@
 // happens is checked as it happens; a broken promise is kept in words. From one seed all is the same each
 // time.
 #pragma once
-#include "rota/warden.hpp"
+#include "maintenance/maintenance_node.hpp"
 
 #include <functional>
 #include <memory>
@@ -18,17 +18,18 @@
 // A machine and its keeper: drains, goes out, works, comes back cold and warms up, or misbehaves as told.
 struct HallMachine {
     enum class Is { kServing, kDraining, kDrained, kWorking, kWorked, kStarting, kBroken, kDead };
-    rota::Facts facts;
+    maintenance::MachineFacts facts;
     Is is = Is::kServing;
     Tenths since = 0, warm_at = 0;
-    rota::Fence highest; // that its keeper has heard
+    maintenance::FencingToken highest; // that its keeper has heard
     bool never_drains = false, never_back = false, back_broken = false, checks_fence = true;
     Tenths drains_for = 0, works_for = 0, starts_for = 0, warms_for = 0;
 
-    rota::Kept act(Tenths now, rota::Act what, rota::Fence fence); // what the keeper answers
-    void pass(Tenths now);                                         // what comes by itself
+    maintenance::MachineStatus act(Tenths now, maintenance::MachineAction what,
+                                   maintenance::FencingToken fence); // what the keeper answers
+    void pass(Tenths now);                                           // what comes by itself
     bool serves() const { return is == Is::kServing || is == Is::kDraining || is == Is::kDrained; }
-    rota::Health health(Tenths now) const;
+    maintenance::MachineHealth health(Tenths now) const;
 };
 
 struct WorldPlan {
@@ -36,18 +37,18 @@
     int fronts = 5, candidates = 5;
     std::size_t council = 3;
     int servers = 8, shards = 4, replicas = 3, zones = 2;
-    rota::Limits limits{2, 0.5, 0.5, 0.34, 0.34, 0};
-    rota::Spans spans{4 * kTenthsPerSecond,
-                      20 * kTenthsPerSecond,
-                      30 * kTenthsPerSecond,
-                      20 * kTenthsPerSecond,
-                      20 * kTenthsPerSecond,
-                      kTenthsPerSecond,
-                      kTenthsPerSecond,
-                      0.02,
-                      3,
-                      0.05};
-    rota::Answers answers;
+    maintenance::Limits limits{2, 0.5, 0.5, 0.34, 0.34, 0};
+    maintenance::Timing spans{4 * kTenthsPerSecond,
+                              20 * kTenthsPerSecond,
+                              30 * kTenthsPerSecond,
+                              20 * kTenthsPerSecond,
+                              20 * kTenthsPerSecond,
+                              kTenthsPerSecond,
+                              kTenthsPerSecond,
+                              0.02,
+                              3,
+                              0.05};
+    maintenance::FailurePolicy answers;
     Tenths heartbeat = kTenthsPerSecond / 4;
     Tenths work = 4 * kTenthsPerSecond; // of each machine, mean
     double loss = 0, doubled = 0;
@@ -64,8 +65,8 @@
 
 // What a front node is given in place of what it should: faults that are planted.
 struct Planted {
-    std::function<void(int, rota::WardenTerms&)> terms;
-    std::function<std::shared_ptr<rota::LedgerInMemory>()> ledger;
+    std::function<void(int, maintenance::MaintenanceSettings&)> terms;
+    std::function<std::shared_ptr<maintenance::InMemoryRaftStore>()> ledger;
     bool careless_keepers = false; // older numbers are taken
 };
 
@@ -73,8 +74,8 @@
   public:
     struct Front {
         std::string name, address;
-        std::unique_ptr<rota::Warden> warden;
-        std::shared_ptr<rota::LedgerInMemory> ledger;
+        std::unique_ptr<maintenance::MaintenanceNode> warden;
+        std::shared_ptr<maintenance::InMemoryRaftStore> ledger;
         double rate = 1;
         Tenths offset = 0, stalled_until = 0, list_at = 0;
         std::uint64_t starts = 0;
@@ -103,7 +104,7 @@
     // Of one keeper's answer: how often it comes, and how late; empty: once, at once.
     std::function<std::vector<Tenths>(const std::string& machine)> answers_as;
 
-    std::function<void(int, const rota::Line&)> on_line; // of a front node's log
+    std::function<void(int, const maintenance::LogLine&)> on_line; // of a front node's log
 
     // Operators
     void order(int front, const std::vector<std::string>& machines, const std::string& request);
@@ -111,10 +112,10 @@
     std::map<std::string, std::pair<bool, std::string>> answers;
 
     // What is
-    int leader() const;                   // -1: none that a majority follows
-    const rota::Evening& evening() const; // as the node knows it that has applied most
-    bool all_over() const;                // every turn, and every machine serves again
-    std::size_t count(rota::TurnState state) const;
+    int leader() const;                                      // -1: none that a majority follows
+    const maintenance::MaintenanceSchedule& evening() const; // as the node knows it that has applied most
+    bool all_over() const;                                   // every turn, and every machine serves again
+    std::size_t count(maintenance::JobState state) const;
     std::set<std::string> machines_out() const;
     Front& front(int i) { return fronts_[i]; }
     std::size_t fronts() const { return fronts_.size(); }
@@ -142,9 +143,9 @@
         std::uint64_t order;
         int front;
         std::uint64_t life;
-        rota::KeeperAct act;
+        maintenance::MachineCommand act;
         bool answer = false;
-        rota::Kept kept = rota::Kept::kUnknown;
+        maintenance::MachineStatus kept = maintenance::MachineStatus::kUnknown;
         bool operator>(const Errand& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
     };
     Tenths clock_of(const Front& front) const {
@@ -171,12 +172,12 @@
     std::set<std::pair<int, int>> cuts_;
     std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights_;
     std::priority_queue<Errand, std::vector<Errand>, std::greater<>> errands_;
-    std::map<int, rota::LedgerInMemory> copies_;
+    std::map<int, maintenance::InMemoryRaftStore> copies_;
     std::map<std::uint64_t, std::string> agreed_; // by position in the log
     std::map<std::string, Tenths> list_told_;
-    std::map<std::string, std::deque<std::pair<Tenths, rota::Health>>> healths_;
+    std::map<std::string, std::deque<std::pair<Tenths, maintenance::MachineHealth>>> healths_;
     membership::Seal seal_;
-    std::unique_ptr<rota::Parcels> operator_;
+    std::unique_ptr<maintenance::FragmentTransport> operator_;
     Tenths under_floor_ = 0, checked_at_ = 0, led_at_ = 0;
     bool leaderless_ = true;
     std::set<std::string> said_;
--- a/tests/lab/rig.cpp
+++ b/tests/lab/rig.cpp
@@ -21,7 +21,7 @@
 
 namespace ivyrill::lab {
 
-using rota::Kept;
+using maintenance::MachineStatus;
 using transport::Stream;
 using transport::Task;
 
@@ -454,19 +454,20 @@
     const auto words = protocol::split(std::string_view(peer.line).substr(0, peer.line.find('\n')), ' ');
     if (words.size() != 4) return void(peer.over = true);
     const std::string name(words[1]);
-    const rota::Fence fence{static_cast<std::uint64_t>(protocol::to_integer(words[2], "fence"))};
+    const maintenance::FencingToken fence{
+        static_cast<std::uint64_t>(protocol::to_integer(words[2], "fence"))};
     const std::lock_guard lock(mutex_);
     const auto found = machines_.find(name);
     if (found == machines_.end()) return void(peer.over = true);
     HallMachine& machine = found->second;
-    const rota::Act act = words[0] == "drain"  ? rota::Act::kDrain
-                          : words[0] == "out"  ? rota::Act::kOut
-                          : words[0] == "back" ? rota::Act::kBack
-                                               : rota::Act::kLook;
-    const rota::Fence before = machine.highest;
+    const maintenance::MachineAction act = words[0] == "drain"  ? maintenance::MachineAction::kDrain
+                                           : words[0] == "out"  ? maintenance::MachineAction::kTakeOut
+                                           : words[0] == "back" ? maintenance::MachineAction::kBringBack
+                                                                : maintenance::MachineAction::kQueryState;
+    const maintenance::FencingToken before = machine.highest;
     const HallMachine::Is was = machine.is;
-    const Kept kept = machine.act(loop_.now(), act, fence);
-    note({kept == Kept::kRefused ? RigEvent::What::kRefusedAct : RigEvent::What::kAct, loop_.now(),
+    const MachineStatus kept = machine.act(loop_.now(), act, fence);
+    note({kept == MachineStatus::kRefused ? RigEvent::What::kRefusedAct : RigEvent::What::kAct, loop_.now(),
           peer.front, name, std::string(words[0]), fence.value});
     if (fence < before && machine.is != was) broken_.push_back("a stale act was accepted at " + name);
     if (machine.facts.front_node && was == HallMachine::Is::kServing &&
@@ -475,7 +476,7 @@
         if (fronts_[own].process > 0) ::kill(fronts_[own].process, SIGTERM);
         fronts_[own].wanted = false, fronts_[own].ending = true, ++fronts_[own].epoch;
     }
-    peer.stream.send(std::string(words[3]) + " " + name + " " + rota::word_of(kept) + "\n");
+    peer.stream.send(std::string(words[3]) + " " + name + " " + maintenance::to_string(kept) + "\n");
     peer.stream.finish();
     peer.line.clear();
 }
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -214,7 +214,7 @@
 void an_order_of_work_is_read_and_what_contradicts_itself_refused() {
     const operators::Orders made = orders(kRota);
     assert(made.members && made.members->bind == "10.0.0.1:7946" && made.rota->council == 3);
-    assert(made.rota->limits.floor == 1 && made.rota->spans.grant == 10 * kTenthsPerSecond);
+    assert(made.rota->limits.min_replicas == 1 && made.rota->spans.lease == 10 * kTenthsPerSecond);
     const auto with = [](const std::string& more) { return refusal(kRota + more); };
     assert(refusal("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
     assert(with("rota['council'] = 4").find("rota.council: expected 1, 3, 5 or 7") == 0);
