--- a/fuzz/parcels.cpp
+++ b/fuzz/parcels.cpp
@@ -12,7 +12,7 @@
     static const std::string kSecret = "a secret of more than thirty-two bytes";
     if (size < 2) return 0;
     const std::string bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    membership::Seal seal(kSecret);
+    membership::DatagramCodec seal(kSecret);
     if (Parcels("x", "10.0.0.9:1", seal, 1).hear(1, bytes)) std::abort(); // nobody guesses the seal
     (void)decode(bytes);
     (void)Evening::decode(bytes);
@@ -26,7 +26,7 @@
     other.send(1, terms.address, static_cast<ParcelKind>(data[0] % 8), bytes);
     for (const Sealed& sealed : other.take_out())
         warden.hear(5 * kTenthsPerSecond, "10.0.0.9:1", sealed.bytes);
-    warden.hear(5 * kTenthsPerSecond, "10.0.0.9:1", seal.seal(bytes));
+    warden.hear(5 * kTenthsPerSecond, "10.0.0.9:1", seal.sign(bytes));
     for (Tenths now = 5 * kTenthsPerSecond; now < 6 * kTenthsPerSecond; now += kTenthsPerSecond / 10)
         warden.step(now, now);
     for (const WardenEffect& effect : warden.take_effects())
--- a/fuzz/script.cpp
+++ b/fuzz/script.cpp
@@ -1,7 +1,7 @@
 // Any text as an operators' script: it ends, within its bounds, the same way each time, and what it gives is
 // read or refused.
 #include "script/script.hpp"
-#include "operator/orders.hpp"
+#include "operator/operator_settings.hpp"
 
 #include <cstdint>
 #include <cstdlib>
@@ -18,8 +18,8 @@
             if (made.steps > bounds.steps || made.bytes > bounds.bytes) std::abort();
             *heard = made.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
             try {
-                operators::read_orders(made.result);
-            } catch (const operators::OrderError&) {}
+                operators::read_operator_settings(made.result);
+            } catch (const operators::SettingsError&) {}
         } catch (const script::ScriptError& error) {
             *heard = error.what();
             if (error.at.line < 1 || error.at.column < 1) std::abort();
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -8,7 +8,7 @@
 
 #include "base/pcg.hpp"
 #include "limits/cold_rule.hpp"
-#include "recovery/relief.hpp"
+#include "recovery/failover_policy.hpp"
 #include "replica_selection/c3.hpp"
 #include "state.hpp"
 
@@ -49,7 +49,7 @@
 constexpr double kHasty = 0.6, kAlike = 0.01;       // time left in haste; spread of first tries' time
 constexpr double kWeightSlack = 1e-6, kGulf = 1e12; // the latter lies between classes of standing
 
-using Stand = recovery::Relief::Stand;
+using Eligibility = recovery::FailoverPolicy::Eligibility;
 using replica_selection::kWindow;
 
 class ReplicaSelector : public Brain {
@@ -131,7 +131,7 @@
     }
 
     void hear(const FrontNodesSeen& event) { front_nodes_ = std::max(1, event.count); }
-    void hear(const ReliefTold& told) { relief_.hear(told); }
+    void hear(const ReliefTold& told) { relief_.update(told); }
     void hear(const ListNews& news) {
         if (news.kind == ListKind::kLost) {
             ask_wanted_ = terms_.list_mode == ListMode::kAsked;
@@ -495,20 +495,21 @@
             const bool open = is_open(*server), bad = in_trouble(*server);
             const auto used =
                 std::ranges::count_if(part.attempts, [&](auto& l) { return l.server == server->id; });
-            const auto stand = relief_.stand(server->entry.zone, once, chance_);
-            if (!may_serve(*server) || (!open && !may_try(*server)) || stand == Stand::kShut) continue;
+            const auto eligibility = relief_.eligibility(server->entry.zone, once, chance_);
+            if (!may_serve(*server) || (!open && !may_try(*server)) || eligibility == Eligibility::kExcluded)
+                continue;
             if (now_ < server->full_until) {
                 note(server->full_until);
                 continue;
             }
-            if (sound_only && (!open || used > 0 || bad || stand != Stand::kOpen)) continue;
+            if (sound_only && (!open || used > 0 || bad || eligibility != Eligibility::kEligible)) continue;
             limited = limited || !server->sending.has_room(now_);
             if (!server->sending.has_room(now_)) continue;
             double rank = score(*server), below = 0.5 * static_cast<double>(used);
             if (!open) below += server->unreachable ? 3 : 2;
             if (once && server->standing == Standing::kTrial) ++below;
             if (server->silent > 0) below += 0.25;
-            if (stand == Stand::kBehind) below += 1.2;
+            if (eligibility == Eligibility::kLastResort) below += 1.2;
             if (bad) {
                 double sound = 1;
                 for (const Group& group : server->groups()) sound *= 1 - trouble(group);
@@ -583,10 +584,10 @@
         search.fate = harmless ? Fate::kRejected : Fate::kFailed;
         const double wait = std::min(pace_ * kSilence, static_cast<double>(terms_.longest_come_back));
         const auto usual = static_cast<Tenths>(wait * (0.5 + (terms_.may_advise ? chance_.unit() : 0) / 2));
-        search.come_back = terms_.may_advise ? relief_.come_back(usual, chance_) : 0;
+        search.come_back = terms_.may_advise ? relief_.retry_after(usual, chance_) : 0;
     }
 
-    bool does_without(const Part& part) const { return part.left_out || relief_.gone(part.shard); }
+    bool does_without(const Part& part) const { return part.left_out || relief_.shard_lost(part.shard); }
 
     // Rule 2 and the attempt limit: whether a part without an answer may be attempted at all.
     bool may_go_again(const Part& part, const RequestClassView& request_class) const {
@@ -612,7 +613,8 @@
         while (!taken_.empty() && taken_.front() <= now_ - terms_.budget_span) taken_.pop_front();
         while (!further_.empty() && further_.front() <= now_ - terms_.budget_span - 1) further_.pop_front();
         const double share = terms_.further_ratio * (1 - full_);
-        return further_.size() + 1 <= (terms_.spare_attempts + share * taken_.size()) * relief_.further();
+        return further_.size() + 1 <=
+               (terms_.spare_attempts + share * taken_.size()) * relief_.attempt_budget_share();
     }
 
     // How long a part would take at the replica that promises most, the sound ones first.
@@ -620,7 +622,7 @@
         double sound = static_cast<double>(kNever), any = sound;
         const int ahead = backlog_[part.shard];
         for (IndexServer* server : replicas(part.shard)) {
-            if (!may_serve(*server) || relief_.shut(server->entry.zone)) continue;
+            if (!may_serve(*server) || relief_.excludes(server->entry.zone)) continue;
             if (is_open(*server) && !in_trouble(*server))
                 sound = std::min(sound, forecast_of(*server, ahead));
             if (may_try(*server)) any = std::min(any, forecast_of(*server, ahead));
@@ -686,7 +688,7 @@
         if (search.parts.empty() || search.barred) return;
         const bool begun =
             std::ranges::any_of(search.parts, [](auto& part) { return !part.attempts.empty(); });
-        if (!begun) relief_.leave_out(search, request_class.terms.floor, search.tenant);
+        if (!begun) relief_.omit_parts(search, request_class.terms.floor, search.tenant);
         if (!begun && (search.spared || !admit(search))) return give_up(search); // asked anew in the backlog
         if (search.breaker) return give_up(search);
         const bool singly = !search.proven && storm() >= kStorm;
@@ -828,7 +830,7 @@
     OpeningTerms terms_;
     Pcg chance_;
     limits::ColdRule cold_{terms_.cold_span, terms_.cold_share, terms_.fall_span, terms_.fall_multiple};
-    recovery::Relief relief_;                              // while sites are lost
+    recovery::FailoverPolicy relief_;                      // while sites are lost
     double front_nodes_ = terms_.front_nodes, pace_ = 1e9; // as seen; the shortest due span, a while here
     double full_ = 0;                                      // the pressure at the start of this decision
     Tenths now_ = 0, next_ = kNever, alarm_ = 0;
--- a/src/membership/datagrams.cpp
+++ b/src/membership/datagram_codec.cpp
@@ -1,4 +1,4 @@
-#include "membership/datagrams.hpp"
+#include "membership/datagram_codec.hpp"
 
 #include "access/text.hpp"
 #include "access/types.hpp"
@@ -19,10 +19,10 @@
     return access::SigningKey::from_jwk({{"kty", "oct"}, {"alg", "HS256"}, {"k", access::base64url(secret)}});
 }
 
-bool fits(const std::string& name) { return name.size() <= kMostName; }
+bool fits(const std::string& name) { return name.size() <= kMaxNameBytes; }
 
-json row_of(const Rumour& rumour) {
-    return json::array({rumour.name, rumour.address, rumour.incarnation, static_cast<int>(rumour.standing)});
+json row_of(const MemberUpdate& update) {
+    return json::array({update.name, update.address, update.incarnation, static_cast<int>(update.state)});
 }
 
 std::string name_in(const json& value) {
@@ -42,64 +42,65 @@
     return static_cast<Word>(number);
 }
 
-Rumour rumour_in(const json& row) {
+MemberUpdate rumour_in(const json& row) {
     if (!row.is_array() || row.size() != 4) throw std::out_of_range("no rumour");
-    Rumour rumour{name_in(row[0]), name_in(row[1]), number_in(row[2]), word_in(row[3], Standing::kLeft)};
+    MemberUpdate update{name_in(row[0]), name_in(row[1]), number_in(row[2]),
+                        word_in(row[3], MemberState::kLeft)};
     // A life past the middle of all numbers leaves no room to be outbid: nobody who starts honestly has it.
-    if (rumour.name.empty() || rumour.incarnation == 0 || rumour.incarnation >> 63U != 0)
+    if (update.name.empty() || update.incarnation == 0 || update.incarnation >> 63U != 0)
         throw std::out_of_range("no life");
-    return rumour;
+    return update;
 }
 
 } // namespace
 
-Seal::Seal(std::string_view secret) : key_(key_of(secret)) {}
+DatagramCodec::DatagramCodec(std::string_view secret) : key_(key_of(secret)) {}
 
-std::optional<std::string> Seal::close(const Datagram& datagram) const {
+std::optional<std::string> DatagramCodec::encode(const Datagram& datagram) const {
     if (!fits(datagram.from) || !fits(datagram.address) || !fits(datagram.target)) return {};
-    json rumours = json::array();
-    for (const Rumour& rumour : datagram.rumours)
-        if (fits(rumour.name) && fits(rumour.address)) rumours.push_back(row_of(rumour));
-    for (;; rumours.erase(rumours.size() - 1)) {
+    json updates = json::array();
+    for (const MemberUpdate& update : datagram.updates)
+        if (fits(update.name) && fits(update.address)) updates.push_back(row_of(update));
+    for (;; updates.erase(updates.size() - 1)) {
         const auto packed =
             json::to_cbor(json::array({kVersion, static_cast<int>(datagram.kind), datagram.from,
-                                       datagram.address, datagram.serial, datagram.target, rumours}));
+                                       datagram.address, datagram.serial, datagram.target, updates}));
         std::string bytes(packed.begin(), packed.end());
-        if (bytes.size() + kMac <= kMostBytes) return seal(std::move(bytes));
-        if (rumours.empty()) return {};
+        if (bytes.size() + kMacBytes <= kMaxDatagramBytes) return sign(std::move(bytes));
+        if (updates.empty()) return {};
     }
 }
 
-std::string Seal::seal(std::string bytes) const {
+std::string DatagramCodec::sign(std::string bytes) const {
     const std::string mac = key_.sign(bytes);
     return std::move(bytes) + mac;
 }
 
-std::optional<std::string_view> Seal::unseal(std::string_view bytes) {
-    if (bytes.size() > kMostBytes) return ++counts_.too_long, std::nullopt;
-    const std::size_t size = bytes.size() < kMac ? 0 : bytes.size() - kMac;
+std::optional<std::string_view> DatagramCodec::verify(std::string_view bytes) {
+    if (bytes.size() > kMaxDatagramBytes) return ++counts_.too_long, std::nullopt;
+    const std::size_t size = bytes.size() < kMacBytes ? 0 : bytes.size() - kMacBytes;
     if (size == 0 || !key_.verify(bytes.substr(0, size), bytes.substr(size)))
-        return ++counts_.strangers, std::nullopt;
+        return ++counts_.unauthenticated, std::nullopt;
     return bytes.substr(0, size);
 }
 
-std::optional<Datagram> Seal::open(std::string_view bytes) {
-    const auto told = unseal(bytes);
+std::optional<Datagram> DatagramCodec::decode(std::string_view bytes) {
+    const auto told = verify(bytes);
     if (!told) return {};
     try {
         const json packed = json::from_cbor(told->begin(), told->end());
         if (!packed.is_array() || packed.size() != 7 || packed[0] != kVersion || !packed[6].is_array())
             throw std::out_of_range("another version");
-        Datagram datagram{word_in(packed[1], Kind::kPingFor),
+        Datagram datagram{word_in(packed[1], DatagramKind::kPingRequest),
                           name_in(packed[2]),
                           name_in(packed[3]),
                           number_in(packed[4]),
                           name_in(packed[5]),
                           {}};
-        for (const json& row : packed[6]) datagram.rumours.push_back(rumour_in(row));
-        ++counts_.opened;
+        for (const json& row : packed[6]) datagram.updates.push_back(rumour_in(row));
+        ++counts_.accepted;
         return datagram;
-    } catch (const std::exception&) { return ++counts_.spoilt, std::nullopt; }
+    } catch (const std::exception&) { return ++counts_.malformed, std::nullopt; }
 }
 
 } // namespace ivyrill::membership
--- a/src/operator/orders.hpp
+++ b/src/operator/operator_settings.hpp
@@ -4,7 +4,7 @@
 #include "access/gate.hpp"
 #include "access/handshakes.hpp"
 #include "limits/connection_budget.hpp"
-#include "operator/fields.hpp"
+#include "operator/field_reader.hpp"
 #include "rota/outlook.hpp"
 #include "transport/tls.hpp"
 
@@ -17,37 +17,37 @@
 
 namespace ivyrill::operators {
 
-struct AccessOrders {
+struct AccessSettings {
     access::AccessTerms terms;
     std::string keys, revocations; // a folder, a file
     std::vector<std::string> authorities, crls;
-    bool plain_guarded = true; // the platform's plain port asks for a credential too
-    bool key_is_query = false; // what a search is about is its query's text, not the parameter `k`
+    bool platform_port_guarded = true; // the platform's plain port asks for a credential too
+    bool query_is_note_key = false;    // what a search is about is its query's text, not the parameter `k`
 };
 
-struct ListenerOrders {
+struct ListenerSettings {
     std::string name, address, certificate, key; // the latter two are files; empty: a plain listener
     std::vector<std::string> protocols;          // `h2`, `http/1.1`: of ALPN, or the one of a plain listener
-    transport::ClientCertificates clients = transport::ClientCertificates::kNone;
+    transport::ClientCertificates client_certificates = transport::ClientCertificates::kNone;
     bool guarded = true;
 };
 
-struct AuditOrders {
+struct AuditSettings {
     std::string file; // empty: the log
-    int lines_a_second = 20;
+    int max_lines_per_second = 20;
 };
 
-struct MemberOrders {    // front nodes that may talk to each other
-    std::string address; // where the others reach us
-    std::string bind;    // where we hear them, the same unless something stands between
+struct MembershipSettings { // front nodes that may talk to each other
+    std::string address;    // where the others reach us
+    std::string bind;       // where we hear them, the same unless something stands between
     std::vector<std::string> peers;
     std::string secret; // a file, 32 bytes or more, the same for all
-    Tenths probe_gap = kTenthsPerSecond;
+    Tenths probe_interval = kTenthsPerSecond;
 };
 
-struct RotaOrders { // machines taken out for work, in an order that the front nodes settle
+struct MaintenanceSettings { // machines taken out for work, in an order that the front nodes settle
     std::vector<std::pair<std::string, std::string>> candidates; // front nodes with a disk: name, address
-    std::size_t council = 3;
+    std::size_t voter_count = 3;
     std::string ledger, witness; // files
     Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
     rota::Limits limits;
@@ -58,17 +58,17 @@
     std::map<std::string, Tenths> work; // how long it takes by kind of machine; "" for all others
 };
 
-struct Orders {
-    std::optional<MemberOrders> members;
-    std::optional<RotaOrders> rota;
-    std::optional<AccessOrders> access;
-    std::vector<ListenerOrders> listeners;
+struct OperatorSettings {
+    std::optional<MembershipSettings> membership;
+    std::optional<MaintenanceSettings> maintenance;
+    std::optional<AccessSettings> access;
+    std::vector<ListenerSettings> listeners;
     access::HandshakeTerms handshakes;
     limits::ConnectionTerms connections;
     Tenths ticket_span = 0;
-    AuditOrders audit;
+    AuditSettings audit;
 };
 
-Orders read_orders(const nlohmann::ordered_json& evaluated); // throws OrderError
+OperatorSettings read_operator_settings(const nlohmann::ordered_json& evaluated); // throws SettingsError
 
 } // namespace ivyrill::operators
--- a/src/program/audit.cpp
+++ b/src/program/audit.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::ordered_json;
 
-AuditLog::AuditLog(const operators::AuditOrders& orders) : most_(orders.lines_a_second) {
+AuditLog::AuditLog(const operators::AuditSettings& orders) : most_(orders.max_lines_per_second) {
     if (orders.file.empty()) return;
     logger_ = std::make_shared<spdlog::logger>(
         "audit", std::make_shared<spdlog::sinks::basic_file_sink_st>(orders.file));
--- a/src/program/audit.hpp
+++ b/src/program/audit.hpp
@@ -2,7 +2,7 @@
 // operator's or among the log. No secret is in it. Bounded in rate: what is left out is counted and told.
 // Refusals, which any stranger can cause, have a bound of their own, so that they crowd out no change.
 #pragma once
-#include "operator/orders.hpp"
+#include "operator/operator_settings.hpp"
 #include "routing/events.hpp"
 
 #include <nlohmann/json.hpp>
@@ -14,7 +14,7 @@
 
 class AuditLog {
   public:
-    explicit AuditLog(const operators::AuditOrders& orders);
+    explicit AuditLog(const operators::AuditSettings& orders);
     void write(const routing::Audit& line, Tenths now);
     void write(nlohmann::ordered_json line, Tenths now); // `what` and the rest
 
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -34,9 +34,9 @@
 
 // With an operator's file, that is evaluated, checked together with all that it names, and printed as JSON.
 int check(const std::string& path, const std::string& operator_file) {
-    std::optional<OperatorSide> side;
+    std::optional<LoadedSettings> side;
     if (!operator_file.empty()) {
-        side = read_operator_side(operator_file, nullptr, transport::Loop::wall(), nullptr);
+        side = load_operator_files(operator_file, nullptr, transport::Loop::wall(), nullptr);
         std::cout << evaluate(operator_file).dump(2) << "\n";
         if (path.empty()) return 0;
     }
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -97,23 +97,23 @@
                                                 descriptors(orders_.sockets), loop_.now());
     if (operator_file_.empty()) return;
     tickets_.emplace(loop_, Tenths{0});
-    operator_side_ = read_operator_side(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
-    const operators::Orders& ordered = operator_side_->orders;
+    operator_side_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
+    const operators::OperatorSettings& ordered = operator_side_->orders;
     check_names(ordered, orders_.terms.request_classes, orders_.terms.tenants);
     tickets_.emplace(loop_, ordered.ticket_span);
     audit_.emplace(ordered.audit);
-    if (ordered.members) {
-        rota_ = std::make_unique<RotaSide>(ordered, operator_side_->secret, orders_.terms, orders_.name,
-                                           orders_.terms.opening.seed);
+    if (ordered.membership) {
+        rota_ = std::make_unique<CoordinationThread>(ordered, operator_side_->secret, orders_.terms,
+                                                     orders_.name, orders_.terms.opening.seed);
         members_.emplace(loop_, dup(rota_->news()));
         protocol::ServerList known = orders_.known;
         known.full = true;
         rota_->told(known);
     }
     if (operator_side_->policy)
-        router_->guard(operator_side_->policy, ordered.access->key_is_query, loop_.now(),
+        router_->guard(operator_side_->policy, ordered.access->query_is_note_key, loop_.now(),
                        transport::Loop::wall());
-    listeners_.front()->guarded = ordered.access && ordered.access->plain_guarded;
+    listeners_.front()->guarded = ordered.access && ordered.access->platform_port_guarded;
     connection_terms_ = ordered.connections;
     router_->bound_handshakes(ordered.handshakes, loop_.now());
     for (std::size_t i = 0; i < ordered.listeners.size(); ++i) {
@@ -228,8 +228,8 @@
 void Node::read_operator_file() {
     if (operator_file_.empty()) return;
     try {
-        OperatorSide fresh = read_operator_side(operator_file_, operator_side_->policy.get(),
-                                                transport::Loop::wall(), &*tickets_);
+        LoadedSettings fresh = load_operator_files(operator_file_, operator_side_->policy.get(),
+                                                   transport::Loop::wall(), &*tickets_);
         check_names(fresh.orders, orders_.terms.request_classes, orders_.terms.tenants);
         const auto same = [](auto& a, auto& b) { return a.name == b.name && a.address == b.address; };
         if (!std::ranges::equal(fresh.orders.listeners, operator_side_->orders.listeners, same) ||
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -148,9 +148,9 @@
     std::optional<transport::Source> signals_, changes_; // the latter: of the operator's files
     std::string operator_file_;
     std::optional<Tickets> tickets_;
-    std::optional<OperatorSide> operator_side_;
+    std::optional<LoadedSettings> operator_side_;
     std::optional<AuditLog> audit_;
-    std::unique_ptr<RotaSide> rota_; // where front nodes may talk to each other
+    std::unique_ptr<CoordinationThread> rota_; // where front nodes may talk to each other
     std::optional<transport::Source> members_;
     std::uint64_t strain_searches_ = 0, strain_pushed_ = 0;
     Tenths strain_at_ = 0;
--- a/src/program/operator_files.cpp
+++ b/src/program/operator_files.cpp
@@ -57,10 +57,10 @@
     return script::run_script(fs::path(path).filename().string(), read).result;
 }
 
-OperatorSide read_operator_side(const std::string& path, const access::Policy* before, Tenths wall,
-                                transport::TicketStore* tickets) {
-    OperatorSide made;
-    made.orders = operators::read_orders(evaluate(path));
+LoadedSettings load_operator_files(const std::string& path, const access::Policy* before, Tenths wall,
+                                   transport::TicketStore* tickets) {
+    LoadedSettings made;
+    made.orders = operators::read_operator_settings(evaluate(path));
     const fs::path folder = fs::path(path).parent_path();
     std::set<std::string> folders = {folder.empty() ? "." : folder.string()};
     const auto load = [&](const std::string& name) {
@@ -81,7 +81,7 @@
         for (const std::string& name : access->crls) files.crls.push_back(load(name));
         made.policy = access::read_policy(access->terms, files, before, wall);
     }
-    for (const operators::ListenerOrders& listener : made.orders.listeners) {
+    for (const operators::ListenerSettings& listener : made.orders.listeners) {
         if (listener.certificate.empty()) {
             made.tls.push_back(nullptr);
             continue;
@@ -89,15 +89,15 @@
         transport::TlsTerms terms;
         terms.protocols = listener.protocols;
         terms.certificate = load(listener.certificate).text, terms.key = load(listener.key).text;
-        terms.clients = listener.clients, terms.tickets = tickets;
+        terms.clients = listener.client_certificates, terms.tickets = tickets;
         try {
             made.tls.push_back(std::make_shared<const transport::TlsContext>(terms));
         } catch (const transport::TlsError& error) {
             throw std::runtime_error("listener '" + listener.name + "': " + error.what());
         }
     }
-    if (const auto& members = made.orders.members) made.secret = load(members->secret).text;
-    if (auto& rota = made.orders.rota) {
+    if (const auto& members = made.orders.membership) made.secret = load(members->secret).text;
+    if (auto& rota = made.orders.maintenance) {
         rota->ledger = beside(folder, rota->ledger);
         if (!rota->witness.empty()) rota->witness = beside(folder, rota->witness);
     }
@@ -105,7 +105,7 @@
     return made;
 }
 
-void check_names(const operators::Orders& orders, const std::vector<std::string>& request_classes,
+void check_names(const operators::OperatorSettings& orders, const std::vector<std::string>& request_classes,
                  const std::vector<std::string>& tenants) {
     if (!orders.access) return;
     const auto check = [](const std::string& name, const std::vector<std::string>& known, const char* what) {
--- a/src/program/rota_side.cpp
+++ b/src/program/rota_side.cpp
@@ -31,24 +31,24 @@
 
 } // namespace
 
-struct RotaSide::Inside {
-    Inside(const operators::Orders& orders, const std::string& secret, protocol::NodeTerms node_terms,
-           const std::string& name, std::uint64_t seed)
-        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.members->bind)),
+struct CoordinationThread::Inside {
+    Inside(const operators::OperatorSettings& orders, const std::string& secret,
+           protocol::NodeTerms node_terms, const std::string& name, std::uint64_t seed)
+        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.membership->bind)),
           stirred(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           told_out(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
         rota::WardenTerms made;
-        made.name = name, made.address = orders.members->address, made.secret = secret;
-        made.peers = orders.members->peers, made.probe_gap = orders.members->probe_gap;
+        made.name = name, made.address = orders.membership->address, made.secret = secret;
+        made.peers = orders.membership->peers, made.probe_gap = orders.membership->probe_interval;
         made.seed = drawn(seed);
         // Without a store the clock is the one thing that grows from start to start.
         made.incarnation = static_cast<std::uint64_t>(Loop::wall());
-        if (orders.rota) {
-            const operators::RotaOrders& rota = *orders.rota;
+        if (orders.maintenance) {
+            const operators::MaintenanceSettings& rota = *orders.maintenance;
             work = rota.work;
             if (const auto front = work.find("front"); front != work.end()) made.front_work = front->second;
             for (const auto& [who, where] : rota.candidates) made.candidates.push_back({who, where});
-            made.council = rota.council, made.limits = rota.limits, made.spans = rota.spans;
+            made.council = rota.voter_count, made.limits = rota.limits, made.spans = rota.spans;
             made.answers = rota.answers, made.heartbeat = rota.heartbeat,
             made.replace_after = rota.replace_after;
             const bool candidate =
@@ -89,7 +89,7 @@
             // What is cold grows warm without news, so the machines are looked at each time.
             if (loop.now() >= look_at || list_seen != list_now.version) {
                 look_at = loop.now() + kTenthsPerSecond / 10, list_seen = list_now.version;
-                warden->told(RotaSide::machines(list_now, terms, work, Loop::wall()), strain);
+                warden->told(CoordinationThread::machines(list_now, terms, work, Loop::wall()), strain);
             }
             warden->step(loop.now(), Loop::wall());
             if (leaving && !left) left = true, warden->leave(loop.now());
@@ -136,8 +136,8 @@
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
-            warden->roster().present(), roster.sent, roster.heard, roster.suspected, roster.refuted,
-            roster.stalls, roster.twins, seals.strangers, seals.spoilt, seals.too_long,
+            warden->roster().present_count(), roster.sent, roster.heard, roster.suspected, roster.refuted,
+            roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed, seals.too_long,
             warden->counts().crowded, warden->parcels().sent, warden->parcels().pieces,
             warden->parcels().asked_again, hand.acts, hand.strange, hand.refused, hand.lapsed,
             warden->counts().proposals);
@@ -171,18 +171,19 @@
     }
 };
 
-RotaSide::RotaSide(const operators::Orders& orders, const std::string& secret,
-                   const protocol::NodeTerms& terms, const std::string& name, std::uint64_t seed)
+CoordinationThread::CoordinationThread(const operators::OperatorSettings& orders, const std::string& secret,
+                                       const protocol::NodeTerms& terms, const std::string& name,
+                                       std::uint64_t seed)
     : inside_(std::make_unique<Inside>(orders, secret, terms, name, seed)) {}
 
-RotaSide::~RotaSide() {
+CoordinationThread::~CoordinationThread() {
     if (!inside_->thread.joinable()) return;
     inside_->stop = true;
     inside_->stir();
     inside_->thread.join();
 }
 
-void RotaSide::start() {
+void CoordinationThread::start() {
     inside_->thread = std::thread([inside = inside_.get()] {
         try {
             inside->run();
@@ -191,7 +192,7 @@
 }
 
 // Changes come as changes: what is known of the others stays.
-void RotaSide::told(const protocol::ServerList& fresh) {
+void CoordinationThread::told(const protocol::ServerList& fresh) {
     {
         const std::lock_guard lock(inside_->mutex);
         protocol::ServerList& list = inside_->list;
@@ -211,26 +212,25 @@
     inside_->stir();
 }
 
-void RotaSide::strained(double share) { inside_->strain = share; }
+void CoordinationThread::strained(double share) { inside_->strain = share; }
 
-void RotaSide::leave() {
+void CoordinationThread::leave() {
     inside_->leaving = true;
     inside_->stir();
 }
 
-std::size_t RotaSide::present() const {
+std::size_t CoordinationThread::present() const {
     std::uint64_t count = 0;
     if (read(inside_->told_out, &count, sizeof count) < 0) return inside_->present;
     return inside_->present;
 }
 
-int RotaSide::news() const { return inside_->told_out; }
-int RotaSide::port() const { return transport::port_of(inside_->socket.descriptor()); }
+int CoordinationThread::news() const { return inside_->told_out; }
+int CoordinationThread::port() const { return transport::port_of(inside_->socket.descriptor()); }
 
-std::map<std::string, rota::MachineSeen> RotaSide::machines(const protocol::ServerList& list,
-                                                            const protocol::NodeTerms& terms,
-                                                            const std::map<std::string, Tenths>& work,
-                                                            Tenths wall) {
+std::map<std::string, rota::MachineSeen>
+CoordinationThread::machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+                             const std::map<std::string, Tenths>& work, Tenths wall) {
     std::map<std::string, rota::MachineSeen> made;
     for (const protocol::ServerEntry& entry : list.servers) {
         rota::MachineSeen machine;
--- a/src/program/rota_side.hpp
+++ b/src/program/rota_side.hpp
@@ -2,7 +2,7 @@
 // to the disk before a word goes out, and no search waits for that. The front node tells it the list and
 // hears how many members there are; nothing else passes between the two.
 #pragma once
-#include "operator/orders.hpp"
+#include "operator/operator_settings.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/terms.hpp"
 #include "rota/warden.hpp"
@@ -15,14 +15,14 @@
 
 namespace ivyrill::program {
 
-class RotaSide {
+class CoordinationThread {
   public:
     // Binds and opens all that it needs, or throws; nothing runs before `start`.
-    RotaSide(const operators::Orders& orders, const std::string& secret, const protocol::NodeTerms& terms,
-             const std::string& name, std::uint64_t seed);
-    ~RotaSide();
-    RotaSide(const RotaSide&) = delete;
-    RotaSide& operator=(const RotaSide&) = delete;
+    CoordinationThread(const operators::OperatorSettings& orders, const std::string& secret,
+                       const protocol::NodeTerms& terms, const std::string& name, std::uint64_t seed);
+    ~CoordinationThread();
+    CoordinationThread(const CoordinationThread&) = delete;
+    CoordinationThread& operator=(const CoordinationThread&) = delete;
     void start();
 
     // From the front node's thread.
--- a/src/recovery/relief.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -14,35 +14,37 @@
 
 namespace ivyrill::recovery {
 
-class Relief {
+class FailoverPolicy {
   public:
-    void hear(const ReliefTold& told);
+    void update(const ReliefTold& policy_update);
 
-    enum class Stand { kOpen, kBehind, kShut }; // takes part; after all others; not at all
+    enum class Eligibility { kEligible, kLastResort, kExcluded }; // takes part; after all others; not at all
     // Drawn anew for each choice where its site comes back in steps. What may run once is never sent to a
     // site that is only tried.
-    Stand stand(ZoneNo zone, bool once, Pcg& chance) const;
-    bool shut(ZoneNo zone) const { return !sites_.empty() && share_of(zone) <= 0; }
-    bool gone(ShardNo shard) const { return gone_.contains(shard); } // nobody holds it any more
+    Eligibility eligibility(ZoneNo zone, bool once, Pcg& chance) const;
+    bool excludes(ZoneNo zone) const { return !site_shares_.empty() && site_share(zone) <= 0; }
+    bool shard_lost(ShardNo shard) const { return lost_shards_.contains(shard); } // nobody holds it any more
     // Whether a search is let in at all; drawn once a search.
     bool admits(RequestClassNo request_class, TenantNo tenant, Pcg& chance) const;
     // Marks the parts that a request class which may be answered in part does without: of the shards in most
     // need first, never below `floor` of the weight.
-    void leave_out(Search& search, double floor, TenantNo tenant) const;
-    double further() const { return further_; } // of the budget for further attempts
+    void omit_parts(Search& search, double floor, TenantNo tenant) const;
+    double attempt_budget_share() const {
+        return attempt_budget_share_;
+    } // of the budget for further attempts
     // When a client that is refused should come again: spread, so that they do not come together.
-    Tenths come_back(Tenths usual, Pcg& chance) const;
+    Tenths retry_after(Tenths usual, Pcg& chance) const;
 
   private:
-    double share_of(ZoneNo zone) const;
-    const ReliefTold::Row* row_of(RequestClassNo request_class, TenantNo tenant) const;
+    double site_share(ZoneNo zone) const;
+    const ReliefTold::Row* find_row(RequestClassNo request_class, TenantNo tenant) const;
 
-    std::map<ZoneNo, double> sites_;
-    std::set<ShardNo> gone_;
-    std::map<std::pair<RequestClassNo, TenantNo>, ReliefTold::Row> rows_;
-    std::map<ShardNo, double> tight_;
-    double further_ = 1;
-    Tenths come_back_ = 0;
+    std::map<ZoneNo, double> site_shares_;
+    std::set<ShardNo> lost_shards_;
+    std::map<std::pair<RequestClassNo, TenantNo>, ReliefTold::Row> admission_rows_;
+    std::map<ShardNo, double> capacity_share_;
+    double attempt_budget_share_ = 1;
+    Tenths longest_retry_after_ = 0;
 };
 
 } // namespace ivyrill::recovery
--- a/src/recovery/division.hpp
+++ b/src/recovery/load_assignment.hpp
@@ -7,35 +7,35 @@
 
 namespace ivyrill::recovery {
 
-struct DivisionServer {
+struct AssignmentServer {
     std::string name;
     SiteName site;
     std::vector<int> shards;
-    double room = 0; // parts a second
+    double capacity = 0; // parts a second
 };
 
-struct DivisionTerms {
-    std::vector<DivisionServer> servers;
+struct AssignmentInput {
+    std::vector<AssignmentServer> servers;
     std::map<int, double> shards;                          // parts a second that each asks for
     std::map<SiteName, double> origins;                    // share of the demand that comes up at each site
     std::map<std::pair<SiteName, SiteName>, double> costs; // of distance, 0 to 1; not named: 0
     std::map<std::pair<SiteName, SiteName>, double> links; // parts a second between two sites; not named: any
 };
 
-struct Division {
-    std::map<std::string, double> load;     // of each server, parts a second
-    std::map<std::string, double> fullness; // load over room
-    std::map<int, double> served;           // share of each shard's demand that finds room
+struct LoadAssignment {
+    std::map<std::string, double> load;        // of each server, parts a second
+    std::map<std::string, double> utilization; // load over room
+    std::map<int, double> served_share;        // share of each shard's demand that finds room
     std::map<std::pair<int, SiteName>, double>
         by_site; // of each shard's demand, share that goes to each site
     std::map<std::pair<SiteName, SiteName>, double> links; // parts a second
-    double fullest = 0;
+    double max_utilization = 0;
 };
 
-Division divide(const DivisionTerms& terms);
+LoadAssignment assign_load(const AssignmentInput& input);
 // For comparison: each shard over its replicas by their room, nobody looking at the others.
-Division divide_by_room(const DivisionTerms& terms);
+LoadAssignment assign_by_capacity(const AssignmentInput& input);
 // ... and by water filling, shard by shard in turn until nothing moves.
-Division divide_by_filling(const DivisionTerms& terms, int rounds = 50);
+LoadAssignment assign_by_water_filling(const AssignmentInput& input, int rounds = 50);
 
 } // namespace ivyrill::recovery
--- /dev/null
+++ b/src/recovery/load_shedding.cpp
@@ -0,0 +1,184 @@
+#include "recovery/load_shedding.hpp"
+
+#include <algorithm>
+#include <limits>
+
+namespace ivyrill::recovery {
+
+namespace {
+
+constexpr double kSlack = 1e-9, kSimilarUtility = 0.01;
+constexpr int kRounds = 16;
+constexpr double kSkippedShare =
+    0.25; // share of a class's searches that may touch shards which are fuller than the rest
+
+struct Candidate {
+    TrafficClass key;
+    const RequestClassInfo* facts = nullptr;
+    double searches = 0, parts = 1, utility = 0;
+    double admitted_share = 0, answer_weight = 1;
+    std::set<int> omitted_shards; // shards whose parts it leaves out
+    bool impossible = false;
+    double density() const { return utility / std::max(parts, kSlack); }
+};
+
+class SheddingPlanner {
+  public:
+    explicit SheddingPlanner(const SheddingInput& input)
+        : input_(input), remaining_capacity_(input.capacity) {
+        for (const auto& [shard, share] : input.demand.shards) total_share_ += share;
+        for (const auto& [key, row] : input.demand.rows) {
+            const auto facts = input.request_classes.find(key.first);
+            if (facts == input.request_classes.end() || row.searches <= 0) continue;
+            Candidate candidate{key, &facts->second, row.searches, row.parts, facts->second.utility, 0, 1,
+                                {},  false};
+            const bool partial = facts->second.floor < facts->second.need;
+            // What nobody holds is missing from every answer.
+            double lost_weight = 0;
+            for (const auto& [shard, share] : input.demand.shards)
+                if (!input.capacity.contains(shard))
+                    lost_weight += shard_share(shard), candidate.omitted_shards.insert(shard);
+            candidate.answer_weight = 1 - lost_weight;
+            candidate.impossible =
+                lost_weight > kSlack && (!partial || candidate.answer_weight + kSlack < facts->second.floor);
+            candidates_.push_back(std::move(candidate));
+        }
+        std::ranges::stable_sort(
+            candidates_, [](const Candidate& a, const Candidate& b) { return a.density() > b.density(); });
+    }
+
+    SheddingPlan compute() {
+        reserve_quotas();
+        admit_by_utility();
+        for (Candidate& candidate : candidates_) omit_shards(candidate);
+        return build_plan();
+    }
+
+  private:
+    double shard_share(int shard) const {
+        const auto found = input_.demand.shards.find(shard);
+        return found == input_.demand.shards.end() || total_share_ <= 0 ? 0 : found->second / total_share_;
+    }
+    double usage(const Candidate& candidate, int shard) const { // parts a second, were all of it let in
+        return candidate.omitted_shards.contains(shard)
+                   ? 0
+                   : candidate.searches * candidate.parts * shard_share(shard);
+    }
+    // Lets in more of it, up to that share of its searches, as far as its shards have room. Where a search
+    // touches few of many shards, the fullest few say nothing of most searches: who asks for those is the
+    // module's to refuse.
+    void admit(Candidate& candidate, double up_to) {
+        if (candidate.impossible || candidate.admitted_share >= up_to) return;
+        std::vector<std::pair<double, double>> ratios; // of room to use, and weight
+        for (const auto& [shard, room] : remaining_capacity_)
+            if (const double each = usage(candidate, shard); each > kSlack)
+                ratios.emplace_back(std::max(0.0, room) / each, shard_share(shard));
+        std::ranges::sort(ratios);
+        double more = up_to - candidate.admitted_share, skipped = 0;
+        const double skip = kSkippedShare / std::max(1.0, candidate.parts);
+        for (const auto& [ratio, weight] : ratios) {
+            skipped += weight;
+            if (skipped <= skip) continue;
+            more = std::min(more, ratio);
+            break;
+        }
+        for (auto& [shard, room] : remaining_capacity_) room -= more * usage(candidate, shard);
+        candidate.admitted_share += more;
+    }
+    // Each tenant with a share keeps it, in the measure of what is left, its best classes first. All grow
+    // together, lest the first one finds a shard empty and the last one full.
+    void reserve_quotas() {
+        double wanted = 0, room = 0;
+        for (const Candidate& candidate : candidates_) wanted += candidate.searches * candidate.parts;
+        for (const auto& [shard, rate] : input_.capacity) room += rate;
+        const double measure = wanted > 0 ? std::min(1.0, room / wanted) : 1;
+        for (int round = 1; round <= kRounds; ++round)
+            for (const auto& [tenant, quota] : input_.quotas) {
+                double asked = 0;
+                for (const Candidate& candidate : candidates_)
+                    if (candidate.key.second == tenant) asked += candidate.searches;
+                double own = std::min(asked, quota) * measure * round / kRounds;
+                for (Candidate& candidate : candidates_) {
+                    if (candidate.key.second != tenant || own <= 0) continue;
+                    admit(candidate, std::min(1.0, own / candidate.searches));
+                    own -= candidate.admitted_share * candidate.searches;
+                }
+            }
+    }
+    // The rest by utility for each part; those that pay alike grow together.
+    void admit_by_utility() {
+        for (auto first = candidates_.begin(); first != candidates_.end();) {
+            const auto last = std::find_if(first, candidates_.end(), [&](const Candidate& candidate) {
+                return candidate.density() < first->density() * (1 - kSimilarUtility);
+            });
+            for (int round = 1; round <= kRounds; ++round)
+                for (auto candidate = first; candidate != last; ++candidate)
+                    admit(*candidate, static_cast<double>(round) / kRounds);
+            first = last;
+        }
+    }
+    // What is left of a request class that may be answered in part goes without the shards in most need: all
+    // of its searches then, as an answer is the same whoever asks.
+    void omit_shards(Candidate& candidate) {
+        const double floor = candidate.facts->floor;
+        if (candidate.impossible || candidate.admitted_share >= 1 - kSlack || floor >= candidate.facts->need)
+            return;
+        std::vector<int> order;
+        for (const auto& [shard, room] : remaining_capacity_)
+            if (usage(candidate, shard) > kSlack) order.push_back(shard);
+        const auto need = [&](int shard) { return remaining_capacity_.at(shard) / usage(candidate, shard); };
+        std::ranges::stable_sort(order, [&](int a, int b) { return need(a) < need(b); });
+        Candidate trial = candidate;
+        for (const int shard : order) {
+            if (trial.answer_weight - shard_share(shard) + kSlack < floor) break;
+            if (need(shard) >= 1 - candidate.admitted_share) break; // there is room for it
+            trial.omitted_shards.insert(shard), trial.answer_weight -= shard_share(shard);
+        }
+        if (trial.omitted_shards.size() == candidate.omitted_shards.size()) return;
+        // What its searches had taken there is free again.
+        for (const int shard : trial.omitted_shards)
+            if (remaining_capacity_.contains(shard))
+                remaining_capacity_[shard] += candidate.admitted_share * usage(candidate, shard);
+        admit(trial, 1);
+        if (trial.admitted_share * trial.answer_weight <=
+            candidate.admitted_share * candidate.answer_weight + kSlack) { // it gained nothing by it
+            for (auto& [shard, room] : remaining_capacity_)
+                room += trial.admitted_share * usage(trial, shard) -
+                        candidate.admitted_share * usage(candidate, shard);
+            return;
+        }
+        candidate = std::move(trial);
+    }
+    SheddingPlan build_plan() const {
+        SheddingPlan result;
+        std::map<int, double> asked;
+        for (const Candidate& candidate : candidates_) {
+            result.admissions[candidate.key] = {
+                candidate.impossible ? 0 : std::clamp(candidate.admitted_share, 0.0, 1.0),
+                std::clamp(candidate.answer_weight, 0.0, 1.0), candidate.impossible};
+            result.most_utility += candidate.searches * candidate.utility;
+            result.utility += candidate.impossible ? 0
+                                                   : candidate.searches * candidate.utility *
+                                                         candidate.admitted_share * candidate.answer_weight;
+            for (const auto& [shard, share] : input_.demand.shards) {
+                result.served_share[shard] +=
+                    candidate.impossible ? 0 : candidate.admitted_share * usage(candidate, shard);
+                asked[shard] += candidate.searches * candidate.parts * shard_share(shard);
+            }
+        }
+        for (auto& [shard, rate] : result.served_share)
+            rate = asked[shard] > 0 ? std::min(1.0, rate / asked[shard]) : 1;
+        return result;
+    }
+
+    const SheddingInput& input_;
+    std::map<int, double> remaining_capacity_;
+    std::vector<Candidate> candidates_;
+    double total_share_ = 0;
+};
+
+} // namespace
+
+SheddingPlan plan_shedding(const SheddingInput& input) { return SheddingPlanner(input).compute(); }
+
+} // namespace ivyrill::recovery
--- a/src/recovery/triage.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -7,25 +7,25 @@
 
 namespace ivyrill::recovery {
 
-struct TriageTerms {
-    std::map<std::string, RequestClassFacts> request_classes;
+struct SheddingInput {
+    std::map<std::string, RequestClassInfo> request_classes;
     std::map<std::string, double> quotas; // searches a second of each tenant; not named: none is stated
     Demand demand;
-    std::map<int, double> room; // parts a second that find room, by shard; not named: nobody holds it
+    std::map<int, double> capacity; // parts a second that find room, by shard; not named: nobody holds it
 };
 
-struct Verdict {
-    double admitted = 1;     // share of its searches
-    double weight = 1;       // of an answer: 1 unless parts are left out
-    bool impossible = false; // shards are gone that it cannot do without
+struct Admission {
+    double admitted_share = 1; // share of its searches
+    double answer_weight = 1;  // of an answer: 1 unless parts are left out
+    bool impossible = false;   // shards are gone that it cannot do without
 };
 
-struct Triage {
-    std::map<ClassKey, Verdict> verdicts;
-    std::map<int, double> served;         // share of each shard's demand that is let in and finds room
+struct SheddingPlan {
+    std::map<TrafficClass, Admission> admissions;
+    std::map<int, double> served_share;   // share of each shard's demand that is let in and finds room
     double utility = 0, most_utility = 0; // a second
 };
 
-Triage triage(const TriageTerms& terms);
+SheddingPlan plan_shedding(const SheddingInput& input);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/plan.hpp
+++ b/src/recovery/plan.hpp
@@ -2,17 +2,17 @@
 // the loss of each site and of each pair; from capacity as learnt, replicas by shard, the demand by request
 // class and tenant, and the cost of distance. Pure; the same terms give the same plan.
 #pragma once
-#include "recovery/division.hpp"
-#include "recovery/triage.hpp"
+#include "recovery/load_assignment.hpp"
+#include "recovery/load_shedding.hpp"
 
 namespace ivyrill::recovery {
 
-struct PlanTerms {
-    std::map<std::string, ServerSeen> servers; // all that serve or may again
-    double of_one = 0;                         // parts a second of a warm server of power 1
+struct PlanInput {
+    std::map<std::string, ListedServer> servers; // all that serve or may again
+    double unit_capacity = 0;                    // parts a second of a warm server of power 1
     std::map<std::string, double>
-        presence; // share of a server's power that is there: cold, failing; not named: 1
-    std::map<std::string, RequestClassFacts> request_classes;
+        available_share; // share of a server's power that is there: cold, failing; not named: 1
+    std::map<std::string, RequestClassInfo> request_classes;
     std::map<std::string, double> quotas;
     Demand demand;
     std::map<SiteName, double> origins; // share of the searches that come up at each site
@@ -22,17 +22,17 @@
 
 struct Plan {
     std::set<SiteName> without;
-    Division division;
-    Triage triage;
-    std::set<int> gone;                     // shards
-    std::map<std::string, double> survives; // of each request class, share of its utility
-    double room = 0, demand = 0;            // parts a second
-    bool full() const;                      // it serves all that is asked for
+    LoadAssignment assignment;
+    SheddingPlan shedding;
+    std::set<int> lost_shards;                   // shards
+    std::map<std::string, double> utility_share; // of each request class, share of its utility
+    double capacity = 0, demand = 0;             // parts a second
+    bool serves_all() const;                     // it serves all that is asked for
 };
 
-Plan plan_without(const PlanTerms& terms, const std::set<SiteName>& without);
+Plan plan_without(const PlanInput& input, const std::set<SiteName>& without);
 // For each site, each pair, and none.
-std::vector<Plan> plan_ahead(const PlanTerms& terms);
-std::set<SiteName> sites_of(const PlanTerms& terms);
+std::vector<Plan> plan_each_loss(const PlanInput& input);
+std::set<SiteName> sites_of(const PlanInput& input);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/words.hpp
+++ b/src/recovery/site_report.hpp
@@ -9,34 +9,34 @@
 
 namespace ivyrill::recovery {
 
-struct OperatorOrder { // the latest by its stamp holds, for a site
+struct SiteOverride { // the latest by its stamp holds, for a site
     enum class Kind { kNone, kLost, kKeptOut };
     SiteName site;
     Kind kind = Kind::kNone; // kNone: released
     std::uint64_t stamp = 0; // wall time at which it was given, and its giver's chance behind it
     Tenths until = 0;        // wall time
     std::string by, why;
-    bool operator==(const OperatorOrder&) const = default;
+    bool operator==(const SiteOverride&) const = default;
 };
-const char* word_of(OperatorOrder::Kind kind);
+const char* name_of(SiteOverride::Kind kind);
 
-struct SiteWord {
+struct SiteReport {
     struct Row {
         SiteName site;
-        SiteState state = SiteState::kSound;
+        SiteState state = SiteState::kHealthy;
         bool answers = false, silent = false; // it answered us of late; it did not, and we tried
         double share = 1;                     // that we take of it
     };
     std::string from;
-    SiteName home;
+    SiteName home_site;
     std::uint64_t serial = 0;
     std::vector<Row> rows;
-    Demand demand;   // of this front node alone
-    double rate = 0; // parts a second that it had answered
-    std::vector<OperatorOrder> orders;
+    Demand demand;          // of this front node alone
+    double answer_rate = 0; // parts a second that it had answered
+    std::vector<SiteOverride> overrides;
 };
 
-std::string encode(const SiteWord& word);
-std::optional<SiteWord> decode_word(std::string_view bytes);
+std::string encode_site_report(const SiteReport& report);
+std::optional<SiteReport> decode_site_report(std::string_view bytes);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/types.cpp
+++ b/src/recovery/types.cpp
@@ -6,30 +6,32 @@
 namespace ivyrill::recovery {
 
 namespace {
-constexpr std::array<const char*, 6> kWords{"sound", "doubted", "severed", "lost", "returning", "warming"};
+constexpr std::array<const char*, 6> kNames{"sound", "doubted", "severed", "lost", "returning", "warming"};
 }
 
-const char* word_of(SiteState state) { return kWords[static_cast<std::size_t>(state)]; }
+const char* name_of(SiteState state) { return kNames[static_cast<std::size_t>(state)]; }
 
-std::optional<SiteState> state_named(const std::string& word) {
-    const auto found = std::ranges::find(kWords, word);
-    if (found == kWords.end()) return {};
-    return static_cast<SiteState>(found - kWords.begin());
+std::optional<SiteState> site_state_named(const std::string& word) {
+    const auto found = std::ranges::find(kNames, word);
+    if (found == kNames.end()) return {};
+    return static_cast<SiteState>(found - kNames.begin());
 }
 
-void Tally::add(const Tally& other) {
-    for (const auto& [name, more] : other.servers) {
-        ServerTally& mine = servers[name];
-        mine.answered += more.answered, mine.unheard += more.unheard, mine.good += more.good;
-        mine.took += more.took, mine.oldest_out = more.oldest_out;
-        mine.busy = std::max(mine.busy, more.busy);
-        mine.quiet += more.quiet, mine.quiet_took += more.quiet_took;
+void TrafficCounts::add(const TrafficCounts& other) {
+    for (const auto& [name, addition] : other.servers) {
+        ServerCounts& total = servers[name];
+        total.answered += addition.answered, total.unanswered += addition.unanswered,
+            total.good += addition.good;
+        total.response_time += addition.response_time, total.oldest_outstanding = addition.oldest_outstanding;
+        total.max_busy = std::max(total.max_busy, addition.max_busy);
+        total.idle_answers += addition.idle_answers, total.idle_response_time += addition.idle_response_time;
     }
-    for (const auto& [key, more] : other.classes) {
-        ClassTally& mine = classes[key];
-        mine.asked += more.asked, mine.delivered += more.delivered, mine.in_time += more.in_time;
-        mine.rejected += more.rejected, mine.failed += more.failed;
-        mine.parts += more.parts;
+    for (const auto& [key, addition] : other.classes) {
+        RequestClassCounts& total = classes[key];
+        total.asked += addition.asked, total.delivered += addition.delivered,
+            total.in_time += addition.in_time;
+        total.rejected += addition.rejected, total.failed += addition.failed;
+        total.parts += addition.parts;
     }
     for (const auto& [shard, count] : other.shards) shards[shard] += count;
     attempts += other.attempts, searches += other.searches;
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -17,20 +17,20 @@
 
 // Of a site, as one front node sees it.
 enum class SiteState {
-    kSound,
-    kDoubted,   // a good part of it fails; it is used with care
-    kSevered,   // we do not reach it and others do
-    kLost,      // nobody reaches it
-    kReturning, // it shows life; nothing but a trial goes there until the wait is over
-    kWarming    // it is given back its load, in steps
+    kHealthy,
+    kDegraded,    // a good part of it fails; it is used with care
+    kPartitioned, // we do not reach it and others do
+    kLost,        // nobody reaches it
+    kRecovering,  // it shows life; nothing but a trial goes there until the wait is over
+    kRampingUp    // it is given back its load, in steps
 };
-const char* word_of(SiteState state);
-std::optional<SiteState> state_named(const std::string& word);
-inline bool is_away(SiteState state) {
-    return state == SiteState::kSevered || state == SiteState::kLost || state == SiteState::kReturning;
+const char* name_of(SiteState state);
+std::optional<SiteState> site_state_named(const std::string& word);
+inline bool is_unavailable(SiteState state) {
+    return state == SiteState::kPartitioned || state == SiteState::kLost || state == SiteState::kRecovering;
 }
 
-struct ServerSeen { // by the list
+struct ListedServer { // by the list
     SiteName site;
     std::vector<int> shards;
     double power = 1; // weight
@@ -38,36 +38,36 @@
     Tenths born = 0;
 };
 
-using ClassKey = std::pair<std::string, std::string>; // request class, tenant (empty: none that is known)
+using TrafficClass = std::pair<std::string, std::string>; // request class, tenant (empty: none that is known)
 
-struct RequestClassFacts {
+struct RequestClassInfo {
     double utility = 1, floor = 1, need = 1, late_share = 0;
     Tenths due = 0;
     bool once = false; // at most
 };
 
 // What a front node counted since it last told: of index servers, and of searches.
-struct ServerTally {
-    std::uint32_t answered = 0; // attempts and probes, errors among them: it was reached
-    std::uint32_t unheard = 0;  // timed out, not connected, broken
+struct ServerCounts {
+    std::uint32_t answered = 0;   // attempts and probes, errors among them: it was reached
+    std::uint32_t unanswered = 0; // timed out, not connected, broken
     std::uint32_t good = 0;
-    Tenths took = 0;       // of the good ones, summed
-    Tenths oldest_out = 0; // since when the oldest attempt is out; 0: none
+    Tenths response_time = 0;      // of the good ones, summed
+    Tenths oldest_outstanding = 0; // since when the oldest attempt is out; 0: none
     // By its reports: the most parts worked on while others waited; answers while none did, and their time.
-    double busy = 0;
-    std::uint32_t quiet = 0;
-    Tenths quiet_took = 0;
+    double max_busy = 0;
+    std::uint32_t idle_answers = 0;
+    Tenths idle_response_time = 0;
 };
-struct ClassTally {
+struct RequestClassCounts {
     std::uint32_t asked = 0, delivered = 0, in_time = 0, rejected = 0, failed = 0;
     std::uint64_t parts = 0;
 };
-struct Tally {
-    std::map<std::string, ServerTally> servers;
-    std::map<ClassKey, ClassTally> classes;
+struct TrafficCounts {
+    std::map<std::string, ServerCounts> servers;
+    std::map<TrafficClass, RequestClassCounts> classes;
     std::uint64_t attempts = 0, searches = 0;
     std::map<int, std::uint64_t> shards; // parts asked for
-    void add(const Tally& other);
+    void add(const TrafficCounts& other);
 };
 
 struct Demand { // of all front nodes together, as far as it is known
@@ -75,7 +75,7 @@
         double searches = 0; // a second
         double parts = 1;    // a search
     };
-    std::map<ClassKey, Row> rows;
+    std::map<TrafficClass, Row> rows;
     std::map<int, double> shards; // share of all parts that each shard gets
     double parts() const {
         double sum = 0;
--- a/src/rota/parcels.cpp
+++ b/src/rota/parcels.cpp
@@ -22,7 +22,7 @@
 
 std::string name_in(const Json& value) {
     auto name = value.get<std::string>();
-    if (name.size() > membership::kMostName) throw std::out_of_range("a name too long");
+    if (name.size() > membership::kMaxNameBytes) throw std::out_of_range("a name too long");
     return name;
 }
 
@@ -37,12 +37,12 @@
     ++counts_.pieces;
     const Json row =
         Json::array({kVersion, static_cast<int>(kind), name_, address_, serial, piece, of, binary(bytes)});
-    out_.push_back({to, seal_.seal(words::pack(row))});
+    out_.push_back({to, seal_.sign(words::pack(row))});
 }
 
 bool Parcels::send(Tenths now, const std::string& to, ParcelKind kind, const std::string& bytes) {
     const std::size_t of = std::max<std::size_t>(1, (bytes.size() + kPiece - 1) / kPiece);
-    if (of > kMostPieces || name_.size() > membership::kMostName) return ++counts_.dropped, false;
+    if (of > kMostPieces || name_.size() > membership::kMaxNameBytes) return ++counts_.dropped, false;
     const std::uint64_t serial = ++serial_;
     for (std::size_t piece = 0; piece < of; ++piece)
         put(to, kind, serial, piece, of, std::string_view(bytes).substr(piece * kPiece, kPiece));
@@ -53,7 +53,7 @@
 }
 
 std::optional<Parcel> Parcels::hear(Tenths now, std::string_view sealed) {
-    const auto told = seal_.unseal(sealed);
+    const auto told = seal_.verify(sealed);
     if (!told) return {};
     try {
         const Json row = Json::from_cbor(told->begin(), told->end());
@@ -66,7 +66,7 @@
             piece >= of || chunk.size() > kPiece)
             throw std::out_of_range("no piece");
         Parcel parcel{static_cast<ParcelKind>(kind), name_in(row[2]), name_in(row[3]), {}};
-        seal_.count_opened();
+        seal_.count_accepted();
         const std::string bytes(chunk.begin(), chunk.end());
         if (parcel.kind == ParcelKind::kMissing) {
             const Json wanted = Json::from_cbor(chunk.begin(), chunk.end());
@@ -108,7 +108,7 @@
         for (const std::string& one : open.pieces) parcel.bytes += one;
         open_.erase(found);
         return ++counts_.whole, parcel;
-    } catch (const std::exception&) { return seal_.count_spoilt(), std::nullopt; }
+    } catch (const std::exception&) { return seal_.count_malformed(), std::nullopt; }
 }
 
 void Parcels::step(Tenths now) {
--- a/src/rota/parcels.hpp
+++ b/src/rota/parcels.hpp
@@ -3,7 +3,7 @@
 // all; those who send them know that.
 #pragma once
 #include "base/time.hpp"
-#include "membership/datagrams.hpp"
+#include "membership/datagram_codec.hpp"
 
 #include <deque>
 #include <map>
@@ -36,7 +36,8 @@
     static constexpr Tenths kKept = 5 * kTenthsPerSecond;
     static constexpr Tenths kMissingAfter = kTenthsPerSecond / 20;
 
-    Parcels(std::string name, std::string address, membership::Seal& seal, std::uint64_t first_serial)
+    Parcels(std::string name, std::string address, membership::DatagramCodec& seal,
+            std::uint64_t first_serial)
         : name_(std::move(name)), address_(std::move(address)), seal_(seal), serial_(first_serial) {}
 
     // False where it is too large.
@@ -69,7 +70,7 @@
              std::string_view bytes);
 
     std::string name_, address_;
-    membership::Seal& seal_;
+    membership::DatagramCodec& seal_;
     std::uint64_t serial_;
     std::map<std::pair<std::string, std::uint64_t>, Open> open_; // by sender's address and its serial
     std::deque<Kept> kept_; // of several pieces, should some be asked for
--- a/src/rota/warden.cpp
+++ b/src/rota/warden.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using membership::Standing;
+using membership::MemberState;
 using words::Json;
 
 constexpr std::size_t kMostBuckets = 2'000, kMostWaiting = 200;
@@ -21,14 +21,14 @@
 constexpr int kUnledGrants = 3; // grants' spans without a leader until what is out is brought back by anyone
 constexpr double kSiteShare = 0.6; // of a zone's machines gone by themselves: it is lost
 
-membership::RosterTerms roster_terms(const WardenTerms& terms) {
-    membership::RosterTerms made;
+membership::MemberListOptions roster_terms(const WardenTerms& terms) {
+    membership::MemberListOptions made;
     made.name = terms.name, made.address = terms.address, made.peers = terms.peers;
     for (const Candidate& candidate : terms.candidates)
         if (std::ranges::find(made.peers, candidate.address) == made.peers.end())
             made.peers.push_back(candidate.address);
     made.incarnation = terms.incarnation, made.seed = terms.seed ^ 0x5eedULL;
-    made.probe_gap = terms.probe_gap, made.answer_span = terms.probe_gap / 5;
+    made.probe_interval = terms.probe_gap, made.probe_timeout = terms.probe_gap / 5;
     return made;
 }
 
@@ -120,7 +120,7 @@
     if (!lets_in(now_, all_, terms_.most_datagrams) || !lets_in(now_, buckets_[from], terms_.most_from_one))
         return void(++counts_.crowded);
     if (!Parcels::is_piece(bytes)) {
-        if (const auto datagram = seal_.open(bytes)) take(roster_.hear(now_, *datagram));
+        if (const auto datagram = seal_.decode(bytes)) take(roster_.receive(now_, *datagram));
         return;
     }
     if (const auto parcel = parcels_.hear(now_, bytes)) post(*parcel);
@@ -152,18 +152,18 @@
 
 void Warden::take(std::vector<membership::Effect> effects) {
     for (auto& effect : effects) {
-        if (const auto* sent = std::get_if<membership::Send>(&effect)) {
-            if (auto bytes = seal_.close(sent->datagram))
+        if (const auto* sent = std::get_if<membership::SendDatagram>(&effect)) {
+            if (auto bytes = seal_.encode(sent->datagram))
                 effects_.emplace_back(SendBytes{sent->address, std::move(*bytes)});
             continue;
         }
-        const auto& changed = std::get<membership::Changed>(effect);
+        const auto& changed = std::get<membership::MemberChanged>(effect);
         static constexpr const char* kStandings[] = {"alive", "suspect", "failed", "left"};
         say("member", {{"name", changed.name},
-                       {"standing", kStandings[static_cast<int>(changed.standing)]},
+                       {"standing", kStandings[static_cast<int>(changed.state)]},
                        {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present = roster_.present(); present != present_) {
+    if (const std::size_t present = roster_.present_count(); present != present_) {
         present_ = present;
         effects_.emplace_back(MembersSeen{present});
     }
@@ -275,7 +275,7 @@
 
 void Warden::step(Tenths now, Tenths wall) {
     now_ = std::max(now_, now), wall_ = wall;
-    if (now_ >= roster_.next()) take(roster_.step(now_));
+    if (now_ >= roster_.next_step()) take(roster_.step(now_));
     parcels_.step(now_);
     if (council_) {
         if (now_ >= council_->next()) council_->step(now_);
@@ -323,7 +323,7 @@
 }
 
 Tenths Warden::next() const {
-    Tenths first = std::min(roster_.next(), parcels_.next().value_or(now_ + kTenthsPerSecond));
+    Tenths first = std::min(roster_.next_step(), parcels_.next().value_or(now_ + kTenthsPerSecond));
     if (!terms_.candidates.empty()) first = std::min(first, act_next_);
     if (council_) first = std::min(first, council_->next());
     if (council_ && council_->leads() && outstanding_ == 0) first = std::min(first, lead_at_);
@@ -346,10 +346,10 @@
         if (!there) seen.absent.insert(name);
     };
     front(terms_.name, true);
-    for (const auto& member : roster_.seen()) {
-        if (member.standing == Standing::kLeft && !evening().fleet().contains(member.name)) continue;
-        front(member.name, member.standing == Standing::kAlive || member.standing == Standing::kSuspect);
-        if (member.standing != Standing::kAlive) seen.absent.insert(member.name);
+    for (const auto& member : roster_.members()) {
+        if (member.state == MemberState::kLeft && !evening().fleet().contains(member.name)) continue;
+        front(member.name, member.state == MemberState::kAlive || member.state == MemberState::kSuspect);
+        if (member.state != MemberState::kAlive) seen.absent.insert(member.name);
     }
     for (const std::string& voter : seen.voters) {
         if (voter == terms_.name) continue;
@@ -566,10 +566,14 @@
     const Evening& state = evening();
     const Outlook seen = outlook();
     const std::set<std::string> down = Steward::down(state, seen);
-    Json made{{"node", terms_.name},          {"age_ms", view_age(now_) * 1000 / kTenthsPerSecond},
-              {"leader", leader()},           {"voters", seen.voters},
-              {"members", roster_.present()}, {"held", state.held()},
-              {"held_why", state.held_why()}, {"applied", state.applied()}};
+    Json made{{"node", terms_.name},
+              {"age_ms", view_age(now_) * 1000 / kTenthsPerSecond},
+              {"leader", leader()},
+              {"voters", seen.voters},
+              {"members", roster_.present_count()},
+              {"held", state.held()},
+              {"held_why", state.held_why()},
+              {"applied", state.applied()}};
     if (council_) {
         static constexpr const char* kPhases[] = {"roll call", "takes part", "disowned", "unable"};
         made["phase"] = kPhases[static_cast<int>(council_->phase())];
--- a/src/rota/warden.hpp
+++ b/src/rota/warden.hpp
@@ -2,7 +2,7 @@
 // the holder's part, and the operators' questions. Datagrams, keepers' answers, the list and the time go in;
 // datagrams, keepers' acts and lines for the log come out. It runs alike on sockets and in virtual time.
 #pragma once
-#include "membership/roster.hpp"
+#include "membership/member_list.hpp"
 #include "rota/council.hpp"
 #include "rota/hand.hpp"
 #include "rota/parcels.hpp"
@@ -71,7 +71,7 @@
     // Each command as it is agreed on, for those who keep a history.
     std::function<void(const Command&, const Verdict&)> on_agreed;
 
-    const membership::Roster& roster() const { return roster_; }
+    const membership::MemberList& roster() const { return roster_; }
     const Council* council() const { return council_ ? council_.get() : nullptr; }
     const Evening& evening() const;
     Tenths view_age(Tenths now) const; // how long ago the evening was surely as we know it
@@ -79,7 +79,7 @@
     const Steward& steward() const { return steward_; }
     const WardenCounts& counts() const { return counts_; }
     const ParcelCounts& parcels() const { return parcels_.counts(); }
-    const membership::SealCounts& seals() const { return seal_.counts(); }
+    const membership::CodecCounts& seals() const { return seal_.counts(); }
     nlohmann::json answer(const nlohmann::json& ask); // of an operator's that changes nothing
     Outlook outlook() const;
 
@@ -120,8 +120,8 @@
     Tenths now_, started_, wall_ = 0;
     Evening perhaps_;
     Tenths perhaps_at_ = 0;
-    membership::Seal seal_;
-    membership::Roster roster_;
+    membership::DatagramCodec seal_;
+    membership::MemberList roster_;
     Parcels parcels_;
     std::unique_ptr<Council> council_;
     Steward steward_;
--- /dev/null
+++ b/src/simulator/instance.cpp
@@ -0,0 +1,110 @@
+#include "simulator/instance.hpp"
+
+#include <limits>
+
+namespace ivyrill::simulator {
+
+namespace {
+
+constexpr std::int64_t kMaxId = std::numeric_limits<std::uint32_t>::max();
+constexpr std::int64_t kMaxIndex = std::numeric_limits<std::int32_t>::max();
+constexpr std::int64_t kMaxJob = std::numeric_limits<std::int64_t>::max();
+
+std::uint32_t request_id(const Message& message) {
+    return static_cast<std::uint32_t>(message.integer_within("Id", 0, kMaxId));
+}
+
+std::int32_t index(const Message& message, std::string_view field) {
+    return message.has(field) ? static_cast<std::int32_t>(message.integer_within(field, 0, kMaxIndex)) : 0;
+}
+
+std::string number(std::uint32_t value) { return std::to_string(value); }
+
+} // namespace
+
+ServerId Instance::server_of(std::string_view name) {
+    if (const auto found = ids_.find(name); found != ids_.end()) return found->second;
+    const ServerId fresh{static_cast<std::uint32_t>(names_.size())};
+    ids_.emplace(name, fresh);
+    names_.emplace_back(name);
+    return fresh;
+}
+
+void Instance::apply(Tenths now, const Message& message) {
+    if (message.name() == "ACCEPT") {
+        const JobNo job{static_cast<std::uint64_t>(message.integer_within("JobNo", 0, kMaxJob))};
+        const std::int64_t shard = message.integer_within("SegmentNo", -kMaxIndex, kMaxIndex);
+        if (shard < 0)
+            brain_->on(now,
+                       SearchTaken{SearchId{request_id(message)}, job, RequestClassNo{index(message, "Kind")},
+                                   TenantNo{index(message, "Realm")}, tenths_to_use(message.integer("TtlUs")),
+                                   message.flag("IsRetry")});
+        else
+            brain_->on(now,
+                       PartTaken{PartId{request_id(message)}, job, ShardNo{static_cast<std::int32_t>(shard)},
+                                 message.number("SizeOrWeight", 0)});
+    } else if (message.name() == "RETURNED") {
+        const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
+        const Tenths took = tenths_to_use(message.integer("DelaySeenUs", 0));
+        Outcome outcome = read_outcome(message.text("How"));
+        // The wire has one word for both: what took less than the time-out was refused.
+        if (outcome == Outcome::kNoConnection && took < connect_span_) outcome = Outcome::kRefused;
+        brain_->on(now,
+                   AttemptReturned{PartId{request_id(message)}, attempt, server_of(message.text("Server")),
+                                   outcome, took, read_report(message)});
+    } else if (message.name() == "CHECKED") {
+        brain_->on(now,
+                   ProbeReturned{server_of(message.text("Server")), message.text("How") == "pass",
+                                 tenths_to_use(message.integer("DelaySeenUs", 0)), read_report(message)});
+    } else if (message.name() == "LAPSED") {
+        brain_->on(now, SearchLapsed{SearchId{request_id(message)}});
+    }
+    // RING needs no more than the decision that every event brings; other messages are not for this module.
+}
+
+void Instance::apply_list(Tenths now, ListKind kind, const EndpointList& endpoints) {
+    ListNews news{kind, {}};
+    for (const ListedEndpoint& row : endpoints) {
+        news.entries.push_back(row.entry);
+        news.entries.back().server = server_of(row.server);
+    }
+    brain_->on(now, news);
+}
+
+std::string Instance::decide(Tenths now) {
+    actions_.clear();
+    brain_->decide(now, *this);
+    return std::move(actions_);
+}
+
+// The simulator sends at once.
+void Instance::attempt(PartId part, ServerId server, Tenths time_out, Tenths) {
+    actions_ += "ISSUE Id=" + number(part.value) + " TimeoutUs=" + std::to_string(to_micros(time_out)) +
+                " Server=" + names_.at(server.value) + "\n";
+}
+
+void Instance::recall(PartId part, AttemptNo attempt) {
+    actions_ += "REVOKE Id=" + number(part.value) + " Copy=" + number(attempt.value) + "\n";
+}
+
+void Instance::answer(SearchId search, bool whole) {
+    actions_ += "SETTLE_QUERY Id=" + number(search.value) + " On=" + (whole ? "1" : "0") + "\n";
+}
+
+void Instance::reject(SearchId search, Tenths come_back) {
+    actions_ += "REJECT Id=" + number(search.value);
+    if (come_back > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(come_back));
+    actions_ += "\n";
+}
+
+void Instance::fail(SearchId search) { actions_ += "END_FAILED Id=" + number(search.value) + "\n"; }
+
+void Instance::probe(ServerId server) { actions_ += "ASK_LOAD Server=" + names_.at(server.value) + "\n"; }
+
+void Instance::hang_up(ServerId server) { actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n"; }
+
+void Instance::wake(Tenths in) { actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n"; }
+
+void Instance::subscribe() { actions_ += "LISTEN On=1\n"; }
+
+} // namespace ivyrill::simulator
--- a/src/drill/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,27 +1,27 @@
 // One simulated front node: it gives the module's actions their wire form and knows servers by their names.
 #pragma once
 #include "brain.hpp"
-#include "drill/wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <map>
 #include <string>
 #include <vector>
 
-namespace ivyrill::drill {
+namespace ivyrill::simulator {
 
-struct SheetEntry {
+struct ListedEndpoint {
     std::string server;
     ListEntry entry; // its server id is filled in by each instance
 };
-using Sheet = std::vector<SheetEntry>;
+using EndpointList = std::vector<ListedEndpoint>;
 
 class Instance : public Host {
   public:
     explicit Instance(OpeningTerms terms)
         : connect_span_(terms.connect_span), brain_(open_brain(std::move(terms))) {}
 
-    void apply(Tenths now, const Line& line); // any event but OPEN_INSTANCE, KILLED and ENDPOINTS
-    void apply_list(Tenths now, ListKind kind, const Sheet& sheet);
+    void apply(Tenths now, const Message& message); // any event but OPEN_INSTANCE, KILLED and ENDPOINTS
+    void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
     std::string decide(Tenths now); // the actions, a line each
 
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
@@ -44,4 +44,4 @@
     std::string actions_;
 };
 
-} // namespace ivyrill::drill
+} // namespace ivyrill::simulator
--- /dev/null
+++ b/src/simulator/main.cpp
@@ -0,0 +1,134 @@
+// The adapter's loop: reads batches from standard input, deals the events to the instances, writes one reply
+// a batch. Malformed input ends the process with a message on standard error and a non-zero exit.
+#include "simulator/instance.hpp"
+#include "simulator/wire.hpp"
+
+#include <algorithm>
+#include <array>
+#include <iostream>
+#include <limits>
+#include <set>
+
+namespace ivyrill::simulator {
+
+namespace {
+
+constexpr std::size_t kEndpointLists = 16; // the wire numbers its lists 0 to 15
+constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
+
+class Adapter {
+  public:
+    // Returns the reply to the batch that `opening` begins.
+    std::string batch(const std::string& opening, std::istream& in) {
+        const Message begin(opening);
+        if (begin.name() != "BEGIN_BATCH") throw WireError("expected BEGIN_BATCH: " + opening.substr(0, 80));
+        now_ = tenths_to_use(begin.integer_within("TimeUs", 0, kMaxInteger));
+        addressed_nodes_.clear();
+        current_node_ = nullptr;
+        for (std::string text;;) {
+            if (!std::getline(in, text)) throw WireError("input ended inside a batch");
+            if (text.empty()) continue;
+            const Message message(text);
+            if (message.name() == "EOB") break;
+            apply(message, in);
+        }
+        std::string reply;
+        for (const std::string& node : addressed_nodes_) {
+            const auto found = instances_.find(node);
+            if (found == instances_.end()) continue;
+            const std::string actions = found->second.decide(now_);
+            if (!actions.empty()) reply.append("ON_BEHALF Node=").append(node).append("\n").append(actions);
+        }
+        return reply + "ACK round=" + std::string(begin.text("round")) + "\n";
+    }
+
+  private:
+    void apply(const Message& message, std::istream& in) {
+        if (message.name() == "LIST") return read_endpoint_list(message, in);
+        if (message.name() == "SWITCH_TO") {
+            current_node_ = &*names_.emplace(message.text("Node")).first;
+            return;
+        }
+        if (current_node_ == nullptr) return; // an unknown message for no instance
+        if (message.name() == "KILLED") {
+            instances_.erase(*current_node_);
+            return;
+        }
+        if (std::find(addressed_nodes_.begin(), addressed_nodes_.end(), *current_node_) ==
+            addressed_nodes_.end())
+            addressed_nodes_.push_back(*current_node_);
+        if (message.name() == "OPEN_INSTANCE") {
+            instances_.erase(*current_node_);
+            instances_.try_emplace(*current_node_, read_terms(message));
+            return;
+        }
+        const auto found = instances_.find(*current_node_);
+        if (found == instances_.end()) return; // nothing is owed for an instance that does not run
+        if (message.name() == "ENDPOINTS") {
+            const ListKind kind = read_list_kind(message.text("Scope"));
+            const bool listed = kind != ListKind::kLost;
+            found->second.apply_list(
+                now_, kind, listed ? endpoint_lists_.at(endpoint_list_index(message)) : EndpointList{});
+        } else {
+            found->second.apply(now_, message);
+        }
+    }
+
+    static std::size_t endpoint_list_index(const Message& message) {
+        return static_cast<std::size_t>(message.integer_within("Sheet", 0, kEndpointLists - 1));
+    }
+
+    void read_endpoint_list(const Message& message, std::istream& in) {
+        EndpointList endpoints;
+        for (std::int64_t left = message.integer_within("Rows", 0, kMaxInteger); left > 0; --left) {
+            std::string text;
+            if (!std::getline(in, text)) throw WireError("input ended inside a list");
+            const Message row(text);
+            if (row.name() != "ENTRY") throw WireError("expected ENTRY: " + text.substr(0, 80));
+            endpoints.push_back({std::string(row.text("Server")), read_entry(row)});
+        }
+        endpoint_lists_.at(endpoint_list_index(message)) = std::move(endpoints);
+    }
+
+    static ListEntry read_entry(const Message& row) {
+        constexpr std::int64_t kMaxIndex = std::numeric_limits<std::int32_t>::max();
+        const auto place = [&row](std::string_view field) {
+            return row.has(field) ? static_cast<std::int32_t>(row.integer_within(field, 0, kMaxIndex)) : 0;
+        };
+        ListEntry entry;
+        entry.zone = ZoneNo{place("Dc")};
+        entry.kind = KindNo{place("ClassOfHost")};
+        entry.cell = CellNo{place("SetNo")};
+        if (row.has("Availability")) entry.listed = read_listed(row.text("Availability"));
+        entry.weight = row.number("Weight", 1);
+        // A later start keeps a server cold for longer: the safe side.
+        entry.born = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
+        return entry;
+    }
+
+    Tenths now_ = 0;
+    std::map<std::string, Instance> instances_;
+    std::set<std::string, std::less<>> names_;
+    std::vector<std::string> addressed_nodes_; // in this batch, in order
+    const std::string* current_node_ = nullptr;
+    std::array<EndpointList, kEndpointLists> endpoint_lists_;
+};
+
+} // namespace
+
+} // namespace ivyrill::simulator
+
+int main() {
+    std::ios::sync_with_stdio(false);
+    ivyrill::simulator::Adapter adapter;
+    try {
+        for (std::string text; std::getline(std::cin, text);) {
+            if (text.empty()) continue;
+            std::cout << adapter.batch(text, std::cin) << std::flush;
+        }
+    } catch (const std::exception& error) {
+        std::cerr << "ivyrill_simulator_adapter: " << error.what() << "\n";
+        return 1;
+    }
+    return 0;
+}
--- a/src/drill/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,6 +1,6 @@
-#include "drill/wire.hpp"
+#include "simulator/wire.hpp"
 
-namespace ivyrill::drill {
+namespace ivyrill::simulator {
 
 using protocol::quoted;
 using protocol::split;
@@ -8,35 +8,36 @@
 using protocol::to_integer;
 using protocol::to_number;
 
-Line::Line(std::string_view text) {
+Message::Message(std::string_view text) {
     const auto pieces = split(text, ' ');
     if (pieces.empty()) throw WireError("empty line");
     name_ = pieces[0];
     for (std::size_t i = 1; i < pieces.size(); ++i) {
         const std::size_t at = pieces[i].find('=');
         if (at == std::string_view::npos) {
-            if (!pieces[i].empty()) stray_ = pieces[i];
+            if (!pieces[i].empty()) malformed_word_ = pieces[i];
             continue;
         }
         fields_[pieces[i].substr(0, at)] = pieces[i].substr(at + 1);
     }
 }
 
-bool Line::has(std::string_view field) const {
-    if (!stray_.empty()) throw WireError(std::string(name_) + ": no value: " + quoted(stray_));
+bool Message::has(std::string_view field) const {
+    if (!malformed_word_.empty())
+        throw WireError(std::string(name_) + ": no value: " + quoted(malformed_word_));
     return fields_.contains(field);
 }
 
-std::string_view Line::text(std::string_view field) const {
+std::string_view Message::text(std::string_view field) const {
     if (!has(field)) throw WireError(std::string(name_) + ": missing " + std::string(field));
     return fields_.find(field)->second;
 }
 
-std::int64_t Line::integer(std::string_view field, std::int64_t absent) const {
+std::int64_t Message::integer(std::string_view field, std::int64_t absent) const {
     return has(field) ? integer(field) : absent;
 }
 
-std::int64_t Line::integer_within(std::string_view field, std::int64_t least, std::int64_t most) const {
+std::int64_t Message::integer_within(std::string_view field, std::int64_t least, std::int64_t most) const {
     const std::int64_t value = integer(field);
     if (value < least || value > most)
         throw WireError(std::string(name_) + " " + std::string(field) +
@@ -44,21 +45,21 @@
     return value;
 }
 
-double Line::number(std::string_view field, double absent) const {
+double Message::number(std::string_view field, double absent) const {
     return has(field) ? to_number(text(field), field) : absent;
 }
 
-bool Line::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
+bool Message::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
 
-OpeningTerms read_terms(const Line& opening) {
+OpeningTerms read_terms(const Message& opening) {
     return protocol::read_terms(opening.fields(), static_cast<std::uint64_t>(opening.integer("Nonce64", 0)));
 }
 
-LoadReport read_report(const Line& line) {
+LoadReport read_report(const Message& message) {
     LoadReport report;
-    if (!line.has("Report")) return report;
+    if (!message.has("Report")) return report;
     // `-` or nothing: no report
-    protocol::for_each_pair(line.text("Report"), ':',
+    protocol::for_each_pair(message.text("Report"), ':',
                             [&report](std::string_view name, std::string_view value) {
                                 if (name == "busy_reqs") report.in_flight = to_number(value, name);
                                 if (name == "pending") report.queued = to_number(value, name);
@@ -93,4 +94,4 @@
     throw WireError("Scope: unknown: " + quoted(word));
 }
 
-} // namespace ivyrill::drill
+} // namespace ivyrill::simulator
--- a/src/drill/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -10,15 +10,15 @@
 #include <string>
 #include <string_view>
 
-namespace ivyrill::drill {
+namespace ivyrill::simulator {
 
 using WireError = protocol::ProtocolError;
 
 // One line: a message name, then name=value pairs in any order. A field that is absent has its stated
 // meaning.
-class Line {
+class Message {
   public:
-    explicit Line(std::string_view text);
+    explicit Message(std::string_view text);
     std::string_view name() const { return name_; }
     bool has(std::string_view field) const;
     std::string_view text(std::string_view field) const; // must be there
@@ -31,14 +31,14 @@
 
   private:
     std::string_view name_;
-    std::string_view stray_; // a word without a value: malformed, unless the message is none of ours
+    std::string_view malformed_word_; // a word without a value: malformed, unless the message is none of ours
     std::map<std::string_view, std::string_view> fields_;
 };
 
-OpeningTerms read_terms(const Line& opening);
-LoadReport read_report(const Line& line);
+OpeningTerms read_terms(const Message& opening);
+LoadReport read_report(const Message& message);
 Outcome read_outcome(std::string_view word);
 Listed read_listed(std::string_view word);
 ListKind read_list_kind(std::string_view word);
 
-} // namespace ivyrill::drill
+} // namespace ivyrill::simulator
--- a/tests/lab/evening_world.cpp
+++ b/tests/lab/evening_world.cpp
@@ -250,7 +250,7 @@
     for (WardenEffect& effect : front.warden->take_effects()) {
         if (auto* sent = std::get_if<SendBytes>(&effect)) {
             ++counts_.datagrams, counts_.bytes += sent->bytes.size() + 28;
-            if (sent->bytes.size() > membership::kMostBytes) fail("a datagram is too long");
+            if (sent->bytes.size() > membership::kMaxDatagramBytes) fail("a datagram is too long");
             const int to = front_at(sent->address);
             if (to < 0) {
                 if (sent->address == "operator") operator_hears(sent->bytes);
--- a/tests/lab/evening_world.hpp
+++ b/tests/lab/evening_world.hpp
@@ -175,7 +175,7 @@
     std::map<std::uint64_t, std::string> agreed_; // by position in the log
     std::map<std::string, Tenths> list_told_;
     std::map<std::string, std::deque<std::pair<Tenths, rota::Health>>> healths_;
-    membership::Seal seal_;
+    membership::DatagramCodec seal_;
     std::unique_ptr<rota::Parcels> operator_;
     Tenths under_floor_ = 0, checked_at_ = 0, led_at_ = 0;
     bool leaderless_ = true;
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -70,15 +70,15 @@
     std::uint64_t life = 1;
     Tenths stalled_until = 0, wake_at = 0;
     std::unique_ptr<Brain> brain;
-    std::unique_ptr<recovery::Pilot> pilot;
-    recovery::TallyBook book;
+    std::unique_ptr<recovery::FailoverController> pilot;
+    recovery::TrafficCounter book;
     std::uint32_t next_id = 1;
     std::uint64_t next_job = 1;
     std::map<SearchId, Open> searches;
     std::map<PartId, Held> parts;
     std::deque<std::function<void()>> slept; // what came while it was stalled
 
-    recovery::ClassKey key(const Open& open) const {
+    recovery::TrafficClass key(const Open& open) const {
         return {world->plan_.request_classes[open.request_class].name,
                 world->plan_.tenants[open.tenant].first};
     }
@@ -99,10 +99,10 @@
             w->returned(n, own, part, number_of, Outcome::kRecalled, false, {});
         });
     }
-    void end(SearchId id, recovery::TallyBook::End how) {
+    void end(SearchId id, recovery::TrafficCounter::SearchEnd how) {
         const auto found = searches.find(id);
         if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
-        book.ended(key(found->second), how);
+        book.count_end(key(found->second), how);
         for (const PartId part : found->second.parts) {
             auto& held = parts.at(part);
             if (std::ranges::all_of(held.outs, &Out::over)) parts.erase(part);
@@ -126,14 +126,15 @@
             totals.utility += paid;
         totals.request_classes[request_class.name].first += paid;
         totals.tenants[world->plan_.tenants[open.tenant].first].first += paid;
-        end(id, in_time ? recovery::TallyBook::End::kInTime : recovery::TallyBook::End::kDelivered);
+        end(id, in_time ? recovery::TrafficCounter::SearchEnd::kInTime
+                        : recovery::TrafficCounter::SearchEnd::kDelivered);
     }
     void reject(SearchId id, Tenths come_back) override {
         const auto found = searches.find(id);
         if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
         const Open open = found->second;
         ++world->totals_.rejected;
-        end(id, recovery::TallyBook::End::kRejected);
+        end(id, recovery::TrafficCounter::SearchEnd::kRejected);
         if (world->plan_.repeats > 0 && world->chance_.unit() < world->plan_.repeats)
             world->at(world->now_ + std::max<Tenths>(come_back, 10 * kMs), [w = world, n = number, open] {
                 int there = n; // whoever serves
@@ -144,7 +145,7 @@
     }
     void fail(SearchId id) override {
         ++world->totals_.failed;
-        end(id, recovery::TallyBook::End::kFailed);
+        end(id, recovery::TrafficCounter::SearchEnd::kFailed);
     }
     void probe(ServerId server) override {
         const int target = static_cast<int>(server.value);
@@ -154,7 +155,7 @@
         world->at(world->now_ + took, [w = world, n = number, own = life, server, good, took] {
             Front& front = *w->fronts_[n];
             if (!front.alive || front.life != own) return;
-            front.book.probed("s" + std::to_string(server.value), good);
+            front.book.count_probe("s" + std::to_string(server.value), good);
             front.brain->on(w->now_, ProbeReturned{server, good, took, {}});
             w->turn(front);
         });
@@ -264,15 +265,15 @@
     terms.may_recall = terms.may_advise = true, terms.may_probe = plan_.may_probe;
     terms.cells = plan_.servers / plan_.replicas, terms.span = 1;
     front.brain = open_brain(terms);
-    front.book = recovery::TallyBook(plan_.request_classes[0].terms.latency_target);
+    front.book = recovery::TrafficCounter(plan_.request_classes[0].terms.latency_target);
     front.pilot.reset();
     if (plan_.with_plan) {
-        recovery::PilotTerms own;
-        own.name = "n" + std::to_string(number), own.home = site_name(front.site), own.seed = terms.seed;
+        recovery::FailoverOptions own;
+        own.name = "n" + std::to_string(number), own.home_site = site_name(front.site), own.seed = terms.seed;
         Tenths due = plan_.request_classes[0].terms.latency_target;
         for (const auto& request_class : plan_.request_classes) {
             own.request_classes.push_back(request_class.name);
-            own.facts[request_class.name] = {
+            own.request_class_info[request_class.name] = {
                 request_class.terms.utility,        request_class.terms.floor,
                 request_class.terms.need,           request_class.terms.late_share,
                 request_class.terms.latency_target, request_class.terms.effect == Effect::kNonIdempotent};
@@ -281,10 +282,11 @@
         for (const auto& [name, share] : plan_.tenants)
             own.tenants.push_back(name), own.quotas[name] = rate_ * share * 2;
         for (int site = 0; site < plan_.sites; ++site) own.zones.push_back(site_name(site));
-        own.due = due, own.cold_span = plan_.cold_span, own.cold_share = plan_.cold_share;
-        own.longest_come_back = terms.longest_come_back, own.stated_nodes = nodes, own.shards = plan_.shards;
-        own.stated_capacity = plan_.stated_capacity;
-        front.pilot = std::make_unique<recovery::Pilot>(own, now_);
+        own.latency_target = due, own.cold_span = plan_.cold_span, own.cold_share = plan_.cold_share;
+        own.longest_retry_after = terms.longest_come_back, own.configured_nodes = nodes,
+        own.shards = plan_.shards;
+        own.configured_capacity = plan_.stated_capacity;
+        front.pilot = std::make_unique<recovery::FailoverController>(own, now_);
         const std::uint64_t life = front.life;
         at(now_ + static_cast<Tenths>(chance_.unit() * static_cast<double>(due) / 8), [this, number, life] {
             if (fronts_[number]->life == life) step_pilot(*fronts_[number]);
@@ -306,11 +308,11 @@
     if (now_ >= front.stalled_until) {
         for (const auto& [id, held] : front.parts)
             for (const auto& out : held.outs)
-                if (!out.over) front.book.out_since("s" + std::to_string(out.server.value), out.sent);
-        front.pilot->counted(now_, front.book.take());
+                if (!out.over) front.book.note_outstanding("s" + std::to_string(out.server.value), out.sent);
+        front.pilot->add_counts(now_, front.book.take());
         front.pilot->step(now_, now_);
         for (auto& effect : front.pilot->take_effects()) {
-            if (const auto* word = std::get_if<recovery::WordOut>(&effect)) {
+            if (const auto* word = std::get_if<recovery::OutgoingReport>(&effect)) {
                 const int to = std::stoi(word->to.substr(1));
                 if (!plan_.talks || chance_.unit() < plan_.word_loss ||
                     !linked(front.site, fronts_[to]->site) || deaf_.contains(to))
@@ -319,35 +321,35 @@
                     Front& other = *fronts_[to];
                     if (!other.alive) return;
                     if (now_ < other.stalled_until) return; // its socket is full soon enough
-                    other.pilot->hear(now_, bytes);
+                    other.pilot->receive_report(now_, bytes);
                 });
             } else if (const auto* relief = std::get_if<ReliefTold>(&effect)) {
                 front.brain->on(now_, *relief);
                 turn(front);
             } else if (on_line) {
-                on_line(number, std::get<recovery::SiteLine>(effect));
+                on_line(number, std::get<recovery::SiteLogLine>(effect));
             }
         }
     }
-    at(std::max(front.pilot->next(), now_ + 1), [this, number, life] {
+    at(std::max(front.pilot->next_step(), now_ + 1), [this, number, life] {
         if (fronts_[number]->alive && fronts_[number]->life == life) step_pilot(*fronts_[number]);
     });
 }
 
-const recovery::Pilot* SiteWorld::pilot(int front) const { return fronts_[front]->pilot.get(); }
+const recovery::FailoverController* SiteWorld::pilot(int front) const { return fronts_[front]->pilot.get(); }
 
 recovery::SiteState SiteWorld::state(int front, int site) const {
-    return fronts_[front]->pilot->watch().state(site_name(site));
+    return fronts_[front]->pilot->monitor().state(site_name(site));
 }
 
 std::size_t SiteWorld::seen_in(int site, recovery::SiteState wanted) const {
     return static_cast<std::size_t>(std::ranges::count_if(fronts_, [&](const auto& front) {
-        return front->alive && front->pilot && front->pilot->watch().state(site_name(site)) == wanted;
+        return front->alive && front->pilot && front->pilot->monitor().state(site_name(site)) == wanted;
     }));
 }
 
-void SiteWorld::order(int front, recovery::OperatorOrder order) {
-    fronts_[front]->pilot->order(std::move(order));
+void SiteWorld::order(int front, recovery::SiteOverride order) {
+    fronts_[front]->pilot->apply_override(std::move(order));
 }
 
 // ---- clients
@@ -389,7 +391,7 @@
     Front::Open& open = front.searches[id];
     open.request_class = class_no, open.tenant = tenant, open.begun = now_;
     const auto key = front.key(open);
-    front.book.asked(key);
+    front.book.count_search(key);
     std::vector<int> shards(static_cast<std::size_t>(plan_.shards));
     for (int i = 0; i < plan_.shards; ++i) shards[i] = i;
     for (int i = 0; i < request_class.parts && i < plan_.shards; ++i)
@@ -403,7 +405,7 @@
         open.parts.push_back(part);
         front.parts[part] = {
             id, shards[i], 1.0 / count, false, request_class.terms.effect == Effect::kNonIdempotent, {}};
-        front.book.part(key, shards[i]);
+        front.book.count_part(key, shards[i]);
         front.brain->on(now_, PartTaken{part, job, ShardNo{shards[i]}, 1.0 / count});
     }
     at(now_ + request_class.terms.deadline_span, [this, number, life = front.life, id] {
@@ -500,7 +502,7 @@
     const Tenths took = now_ - out.sent;
     if (outcome == Outcome::kAnswered) held.in = true;
     const ServerId server = out.server;
-    front.book.returned("s" + std::to_string(server.value), outcome, took, report);
+    front.book.count_attempt("s" + std::to_string(server.value), outcome, took, report);
     const SearchId search = held.search;
     if (!front.searches.contains(search) && std::ranges::all_of(held.outs, &Front::Out::over))
         front.parts.erase(found);
@@ -583,11 +585,11 @@
 void SiteWorld::start_front(int number) { start_front_now(number); }
 void SiteWorld::deafen(const std::set<int>& fronts) { deaf_ = fronts; }
 
-std::map<std::string, recovery::ServerSeen> SiteWorld::list_now() const {
-    std::map<std::string, recovery::ServerSeen> servers;
+std::map<std::string, recovery::ListedServer> SiteWorld::list_now() const {
+    std::map<std::string, recovery::ListedServer> servers;
     const int cells = plan_.servers / plan_.replicas;
     for (int i = 0; i < plan_.servers; ++i) {
-        recovery::ServerSeen seen;
+        recovery::ListedServer seen;
         seen.site = site_name(site_of(i)), seen.live = servers_[i]->alive, seen.born = servers_[i]->born;
         for (int shard = 0; shard < plan_.shards; ++shard)
             if (shard % cells == servers_[i]->cell) seen.shards.push_back(shard);
@@ -597,10 +599,10 @@
 }
 
 void SiteWorld::tell_list(Front& front, const ListNews& news,
-                          const std::map<std::string, recovery::ServerSeen>& servers) {
+                          const std::map<std::string, recovery::ListedServer>& servers) {
     if (!front.alive || !front.brain) return;
     front.brain->on(now_, news);
-    if (front.pilot) front.pilot->list(now_, servers);
+    if (front.pilot) front.pilot->update_servers(now_, servers);
     turn(front);
 }
 
@@ -621,17 +623,18 @@
             if (other->alive && other != front && linked(front->site, other->site) &&
                 linked(other->site, front->site))
                 others.insert("n" + std::to_string(other->number));
-        front->pilot->present(now_, others);
+        front->pilot->set_peers(now_, others);
     }
 }
 
 double SiteWorld::best_share() const {
-    recovery::PlanTerms terms;
-    terms.of_one = plan_.cores * static_cast<double>(kTenthsPerSecond) / static_cast<double>(plan_.service);
+    recovery::PlanInput terms;
+    terms.unit_capacity =
+        plan_.cores * static_cast<double>(kTenthsPerSecond) / static_cast<double>(plan_.service);
     terms.headroom = 1;
     terms.servers = list_now();
     for (int i = 0; i < plan_.servers; ++i)
-        terms.presence["s" + std::to_string(i)] = servers_[i]->share(now_, plan_);
+        terms.available_share["s" + std::to_string(i)] = servers_[i]->share(now_, plan_);
     double all = 0;
     for (const auto& request_class : plan_.request_classes) all += request_class.rate;
     for (const auto& request_class : plan_.request_classes) {
@@ -645,7 +648,7 @@
     }
     for (int shard = 0; shard < plan_.shards; ++shard) terms.demand.shards[shard] = 1.0 / plan_.shards;
     const recovery::Plan plan = recovery::plan_without(terms, {});
-    return plan.triage.most_utility > 0 ? plan.triage.utility / plan.triage.most_utility : 0;
+    return plan.shedding.most_utility > 0 ? plan.shedding.utility / plan.shedding.most_utility : 0;
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/site_world.hpp
+++ b/tests/lab/site_world.hpp
@@ -4,8 +4,8 @@
 // killed, cut off and brought back as a script says. What clients get is paid as the request classes say; the
 // rules are judged as it goes. From one seed all is the same each time.
 #pragma once
-#include "recovery/pilot.hpp"
-#include "recovery/tally_book.hpp"
+#include "recovery/failover_controller.hpp"
+#include "recovery/traffic_counter.hpp"
 
 #include <functional>
 #include <memory>
@@ -74,11 +74,11 @@
     void deafen(const std::set<int>& fronts); // they hear no word of any other
     void lag_lists(Tenths lag) { plan_.list_lag = lag; }
     void surge(double factor) { surge_ = factor; }
-    void order(int front, recovery::OperatorOrder order);
+    void order(int front, recovery::SiteOverride order);
 
     // What is
     Tenths now() const { return now_; }
-    const recovery::Pilot* pilot(int front) const;
+    const recovery::FailoverController* pilot(int front) const;
     recovery::SiteState state(int front, int site) const;
     std::size_t seen_in(int site, recovery::SiteState state) const; // front nodes that see it so
     static std::string site_name(int site) { return std::string(1, static_cast<char>('a' + site)); }
@@ -92,7 +92,7 @@
     std::uint64_t lost() const { return lost_; }
     std::uint64_t doubled() const { return doubled_; } // of what may run once
     const std::vector<std::string>& broken() const { return broken_; }
-    std::function<void(int, const recovery::SiteLine&)> on_line;
+    std::function<void(int, const recovery::SiteLogLine&)> on_line;
     std::size_t fronts() const { return static_cast<std::size_t>(plan_.fronts); }
     bool serves(int server) const;
     const SiteWorldPlan& plan() const { return plan_; }
@@ -120,9 +120,9 @@
     void returned(int front, std::uint64_t life, PartId part, AttemptNo number, Outcome outcome,
                   bool from_server, LoadReport report);
     void fall(int server);
-    std::map<std::string, recovery::ServerSeen> list_now() const;
+    std::map<std::string, recovery::ListedServer> list_now() const;
     void tell_list(Front& front, const ListNews& news,
-                   const std::map<std::string, recovery::ServerSeen>& servers);
+                   const std::map<std::string, recovery::ListedServer>& servers);
     void tell_lists();
     void tell_members();
     ListNews news_for(bool whole) const;
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -1,9 +1,9 @@
 // Tests of the parsers: every split of the bytes, and bytes that nobody should send.
 #include "base/pcg.hpp"
-#include "drill/wire.hpp"
 #include "fake_host.hpp"
 #include "protocol/frames.hpp"
 #include "protocol/messages.hpp"
+#include "simulator/wire.hpp"
 
 namespace ivyrill {
 
@@ -268,17 +268,18 @@
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
     const StartOrders read = read_start_orders(orders);
-    const OpeningTerms drilled = drill::read_terms(drill::Line(
+    const OpeningTerms simulated = simulator::read_terms(simulator::Message(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
     const OpeningTerms& terms = read.terms.opening;
-    assert(terms.seed == 255 && drilled.seed == 255 && terms.front_nodes == 2 && drilled.front_nodes == 2);
+    assert(terms.seed == 255 && simulated.seed == 255 && terms.front_nodes == 2 &&
+           simulated.front_nodes == 2);
     assert(terms.request_classes.size() == 1 &&
-           terms.request_classes[0].latency_target == drilled.request_classes[0].latency_target);
+           terms.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
     assert(terms.request_classes[0].effect == Effect::kNonIdempotent &&
            terms.request_classes[0].floor == 0.5);
-    assert(terms.cells == 4 && drilled.cells == 4 && terms.most_attempts == 3);
+    assert(terms.cells == 4 && simulated.cells == 4 && terms.most_attempts == 3);
     assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
     assert(read.terms.most_open == 203 && read.terms.idle_span == ms(15'000) && read.sockets == 1024);
 }
--- a/tests/rota_tests.cpp
+++ b/tests/rota_tests.cpp
@@ -743,7 +743,7 @@
 // ---- parcels
 
 void pieces_that_are_lost_are_asked_for() {
-    membership::Seal seal("the secret of a story, thirty-two bytes or more");
+    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     Parcels a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     std::string large(50'000, 'x');
     for (std::size_t i = 0; i < large.size(); ++i) large[i] = static_cast<char>(i * 7);
@@ -763,7 +763,7 @@
 }
 
 void room_for_pieces_has_a_bound() {
-    membership::Seal seal("the secret of a story, thirty-two bytes or more");
+    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     Parcels a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     for (int i = 0; i < 500; ++i) {
         a.send(kS, "10.0.0.2:1", ParcelKind::kLetter, std::string(3'000, 'x'));
@@ -772,7 +772,7 @@
     assert(b.open() <= Parcels::kMostOpen);
     b.step(10 * kS);
     assert(b.open() == 0);
-    assert(!b.hear(kS, "a stranger's bytes") && seal.counts().strangers == 1);
+    assert(!b.hear(kS, "a stranger's bytes") && seal.counts().unauthenticated == 1);
 }
 
 void a_flood_is_dropped_unread() {
@@ -781,7 +781,7 @@
     terms.secret = "the secret of a story, thirty-two bytes or more";
     Warden warden(terms, nullptr, kS, kS);
     for (int i = 0; i < 50'000; ++i) warden.hear(kS + i / 100, "10.0.0.9:1", "\x88nothing that is sealed");
-    assert(warden.counts().crowded > 40'000 && warden.seals().strangers < 10'000);
+    assert(warden.counts().crowded > 40'000 && warden.seals().unauthenticated < 10'000);
     assert(warden.take_effects().empty());
 }
 
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -1,6 +1,6 @@
 // Tests of the operators' script and of the typed reading of what it gives.
 #include "fake_host.hpp"
-#include "operator/orders.hpp"
+#include "operator/operator_settings.hpp"
 #include "script/script.hpp"
 
 namespace ivyrill::script {
@@ -154,12 +154,14 @@
 
 // ---- the operator's file
 
-operators::Orders orders(const std::string& text) { return operators::read_orders(result(text)); }
+operators::OperatorSettings settings(const std::string& text) {
+    return operators::read_operator_settings(result(text));
+}
 
 std::string refusal(const std::string& text) {
     try {
-        orders(text);
-    } catch (const operators::OrderError& error) { return error.what(); }
+        settings(text);
+    } catch (const operators::SettingsError& error) { return error.what(); }
     return "none";
 }
 
@@ -172,15 +174,16 @@
 )";
 
 void operators_file_is_read_by_type() {
-    const operators::Orders made = orders(kAccess + R"(
+    const operators::OperatorSettings made = settings(kAccess + R"(
 listeners = [{"name": "members", "address": "127.0.0.1:8443", "certificate": "a.pem", "key": "a.key"}]
 tls = {"open_handshakes": 10}
 )");
-    assert(made.access && made.access->plain_guarded && made.access->terms.skew == 5 * kTenthsPerSecond);
+    assert(made.access && made.access->platform_port_guarded &&
+           made.access->terms.skew == 5 * kTenthsPerSecond);
     assert(made.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
     assert(!made.access->terms.other_request_classes && made.listeners.size() == 1 &&
            made.listeners[0].guarded);
-    assert(made.handshakes.most_open == 10 && !orders("").access);
+    assert(made.handshakes.most_open == 10 && !settings("").access);
 }
 
 void what_nobody_knows_is_refused_with_the_nearest_name() {
@@ -212,9 +215,9 @@
 )";
 
 void an_order_of_work_is_read_and_what_contradicts_itself_refused() {
-    const operators::Orders made = orders(kRota);
-    assert(made.members && made.members->bind == "10.0.0.1:7946" && made.rota->council == 3);
-    assert(made.rota->limits.floor == 1 && made.rota->spans.grant == 10 * kTenthsPerSecond);
+    const operators::OperatorSettings made = settings(kRota);
+    assert(made.membership && made.membership->bind == "10.0.0.1:7946" && made.maintenance->voter_count == 3);
+    assert(made.maintenance->limits.floor == 1 && made.maintenance->spans.grant == 10 * kTenthsPerSecond);
     const auto with = [](const std::string& more) { return refusal(kRota + more); };
     assert(refusal("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
     assert(with("rota['council'] = 4").find("rota.council: expected 1, 3, 5 or 7") == 0);
