--- a/src/recovery/capacity_estimator.cpp
+++ b/src/recovery/capacity_estimator.cpp
@@ -12,19 +12,19 @@
     if (power > 0) observed_rate_ = std::max(observed_rate_, rate / power);
 }
 
-void CapacityEstimator::add_reports(const ServerCounts& tally, double power) {
+void CapacityEstimator::add_reports(const ServerCounts& counts, double power) {
     if (power <= 0) return;
-    if (tally.idle_answers > 0) {
+    if (counts.idle_answers > 0) {
         const double service_time =
-            static_cast<double>(tally.idle_response_time) / tally.idle_answers * power;
-        const double weight = 1 - std::pow(1 - kServiceTimeWeight, tally.idle_answers);
+            static_cast<double>(counts.idle_response_time) / counts.idle_answers * power;
+        const double weight = 1 - std::pow(1 - kServiceTimeWeight, counts.idle_answers);
         service_time_ =
             service_time_ <= 0 ? service_time : service_time_ + weight * (service_time - service_time_);
-        report_count_ += tally.idle_answers;
-        saturation_parallelism_ *= std::pow(
-            1 - kParallelismDecay, tally.idle_answers); // what was one moment's does not stand for ever
+        report_count_ += counts.idle_answers;
+        saturation_parallelism_ *=
+            std::pow(1 - kParallelismDecay, counts.idle_answers); // a single peak must not persist
     }
-    if (tally.max_busy > 0) saturation_parallelism_ = std::max(saturation_parallelism_, tally.max_busy);
+    if (counts.max_busy > 0) saturation_parallelism_ = std::max(saturation_parallelism_, counts.max_busy);
 }
 
 double CapacityEstimator::estimate_from_reports() const {
@@ -55,7 +55,7 @@
 
 double CapacityEstimator::unit_capacity() const {
     if (options_.configured > 0) return options_.configured * correction_;
-    // What was seen was done, whatever reports say.
+    // Servers can do at least what was observed, whatever the reports say.
     if (const double from_reports = estimate_from_reports(); from_reports > 0)
         return std::max(from_reports, observed_rate_) * correction_;
     return observed_rate_ * kIdleHeadroom * correction_;
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-void mix(double& mean, double fresh, double weight) { mean += weight * (fresh - mean); }
+void update_mean(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
 std::string percent(double share) {
     char text[16];
@@ -44,7 +44,7 @@
     return {options.name, options.home_site, options.report_interval, options.configured_nodes};
 }
 
-std::int32_t number_in(const std::vector<std::string>& names, const std::string& name) {
+std::int32_t index_of(const std::vector<std::string>& names, const std::string& name) {
     const auto found = std::ranges::find(names, name);
     return found == names.end() ? -1 : static_cast<std::int32_t>(found - names.begin());
 }
@@ -67,20 +67,20 @@
 }
 
 FailoverController::FailoverController(FailoverOptions options, Tenths now)
-    : options_(std::move(options)), now_(now), chance_(options_.seed ^ 0x51e5ULL),
+    : options_(std::move(options)), now_(now), rng_(options_.seed ^ 0x51e5ULL),
       monitor_(monitor_options(options_)), peer_reports_(peer_report_options(options_)),
       capacity_({options_.configured_capacity, options_.latency_target}), next_check_(now),
-      // Front nodes that start together do not tell together.
-      next_report_(now + static_cast<Tenths>(chance_.unit() * static_cast<double>(options_.report_interval))),
+      // A random offset, so that front nodes that start together don't send together.
+      next_report_(now + static_cast<Tenths>(rng_.unit() * static_cast<double>(options_.report_interval))),
       last_check_(now) {}
 
-void FailoverController::log_line(std::string what, std::vector<std::pair<std::string, std::string>> fields,
-                                  bool loud) {
+void FailoverController::log_line(std::string event, std::vector<std::pair<std::string, std::string>> fields,
+                                  bool is_error) {
     fields.emplace_back("at_ms", std::to_string(wall_ * 1000 / kTenthsPerSecond));
-    effects_.emplace_back(SiteLogLine{loud, std::move(what), std::move(fields)});
+    effects_.emplace_back(SiteLogLine{is_error, std::move(event), std::move(fields)});
 }
 
-// ---- what comes in
+// ---- inputs
 
 void FailoverController::update_servers(Tenths now, const std::map<std::string, ListedServer>& servers) {
     now_ = std::max(now_, now);
@@ -88,16 +88,16 @@
     monitor_.update_servers(now_, servers);
 }
 
-void FailoverController::add_counts(Tenths now, const TrafficCounts& tally) {
+void FailoverController::add_counts(Tenths now, const TrafficCounts& counts) {
     now_ = std::max(now_, now);
-    monitor_.add_counts(now_, tally);
-    since_check_.add(tally), since_line_.add(tally);
-    for (const auto& [name, news] : tally.servers) {
+    monitor_.add_counts(now_, counts);
+    since_check_.add(counts), since_line_.add(counts);
+    for (const auto& [name, server_counts] : counts.servers) {
         const auto server = servers_.find(name);
         if (server == servers_.end()) continue;
-        auto& [answered, unheard] = site_activity_[server->second.site];
-        if (news.answered > 0) answered = now_;
-        if (news.unanswered > 0) unheard = now_;
+        auto& [answered, unanswered] = site_activity_[server->second.site];
+        if (server_counts.answered > 0) answered = now_;
+        if (server_counts.unanswered > 0) unanswered = now_;
     }
 }
 
@@ -106,14 +106,14 @@
     auto report = decode_site_report(bytes);
     if (!report) return void(++counts_.malformed);
     ++counts_.reports_received;
-    for (const SiteOverride& site_override : report->overrides) this->apply_override(site_override);
+    for (const SiteOverride& site_override : report->overrides) apply_override(site_override);
     peer_reports_.receive_report(now_, std::move(*report));
 }
 
-void FailoverController::set_peers(Tenths now, const std::set<std::string>& others) {
+void FailoverController::set_peers(Tenths now, const std::set<std::string>& peers) {
     now_ = std::max(now_, now);
-    peers_ = others;
-    peer_reports_.set_peers(now_, others);
+    peers_ = peers;
+    peer_reports_.set_peers(now_, peers);
 }
 
 void FailoverController::set_planned_absences(const std::set<std::string>& servers) {
@@ -123,18 +123,19 @@
 std::string FailoverController::apply_override(const SiteOverride& site_override) {
     const bool known =
         monitor_.sites().contains(site_override.site) ||
-        std::ranges::any_of(servers_, [&](auto& held) { return held.second.site == site_override.site; });
+        std::ranges::any_of(servers_, [&](auto& entry) { return entry.second.site == site_override.site; });
     if (!known) return "no such site: " + site_override.site;
-    if (!peer_reports_.apply_override(wall_, site_override)) return "it is over, or a later order stands";
+    if (!peer_reports_.apply_override(wall_, site_override))
+        return "the override has expired or a later one is in force";
     log_line("site_order", {{"site", site_override.site},
                             {"kind", name_of(site_override.kind)},
                             {"by", site_override.by},
                             {"why", site_override.why}});
-    next_check_ = next_report_ = now_; // at once, here and elsewhere
+    next_check_ = next_report_ = now_; // apply and forward it at once
     return {};
 }
 
-// ---- time passes
+// ---- periodic work
 
 void FailoverController::step(Tenths now, Tenths wall) {
     now_ = std::max(now_, now), wall_ = wall;
@@ -143,16 +144,16 @@
             now_ + std::max<Tenths>(
                        1, static_cast<Tenths>(kCheckInterval * static_cast<double>(options_.latency_target)));
         update_estimates();
-        for (const SiteTransition& change : monitor_.evaluate(now_, peer_reports_.observations(now_))) {
+        for (const SiteTransition& transition : monitor_.evaluate(now_, peer_reports_.observations(now_))) {
             ++counts_.transitions;
             log_line("site",
-                     {{"name", change.site},
-                      {"from", name_of(change.from)},
-                      {"to", name_of(change.to)},
-                      {"evidence", change.evidence}},
-                     change.to == SiteState::kLost);
+                     {{"name", transition.site},
+                      {"from", name_of(transition.from)},
+                      {"to", name_of(transition.to)},
+                      {"evidence", transition.evidence}},
+                     transition.to == SiteState::kLost);
             next_report_ =
-                std::min(next_report_, now_ + options_.report_interval / 8); // the others hear of it soon
+                std::min(next_report_, now_ + options_.report_interval / 8); // report the transition early
         }
         refresh_plan();
     }
@@ -160,28 +161,28 @@
 }
 
 void FailoverController::update_estimates() {
-    const double passed = static_cast<double>(now_ - last_check_) / static_cast<double>(kTenthsPerSecond);
-    if (passed <= 0) return;
+    const double elapsed_s = static_cast<double>(now_ - last_check_) / static_cast<double>(kTenthsPerSecond);
+    if (elapsed_s <= 0) return;
     last_check_ = now_;
-    // The mean reaches back so many looks whatever the time between them.
+    // A fixed number of checks enters the average, whatever the time between them.
     const double weight = kRateWeight;
     double answered = 0, power = 0;
-    for (const auto& [name, tally] : since_check_.servers) answered += tally.good;
-    mix(own_answer_rate_, answered / passed, weight);
+    for (const auto& [name, counts] : since_check_.servers) answered += counts.good;
+    update_mean(own_answer_rate_, answered / elapsed_s, weight);
     for (auto& [key, row] : own_demand_.rows)
-        if (!since_check_.classes.contains(key)) mix(row.searches, 0, weight);
-    for (const auto& [key, tally] : since_check_.classes) {
+        if (!since_check_.classes.contains(key)) update_mean(row.searches, 0, weight);
+    for (const auto& [key, counts] : since_check_.classes) {
         Demand::Row& row = own_demand_.rows[key];
-        mix(row.searches, tally.asked / passed, weight);
-        if (tally.asked > 0) {
-            const double parts = static_cast<double>(tally.parts) / tally.asked;
+        update_mean(row.searches, counts.asked / elapsed_s, weight);
+        if (counts.asked > 0) {
+            const double parts = static_cast<double>(counts.parts) / counts.asked;
             row.parts = row.parts <= 1 && parts > 0 ? parts : row.parts + weight * (parts - row.parts);
         }
     }
     for (auto& [shard, rate] : own_shard_rates_)
-        if (!since_check_.shards.contains(shard)) mix(rate, 0, kShardRateWeight);
+        if (!since_check_.shards.contains(shard)) update_mean(rate, 0, kShardRateWeight);
     for (const auto& [shard, count] : since_check_.shards)
-        mix(own_shard_rates_[shard], static_cast<double>(count) / passed, kShardRateWeight);
+        update_mean(own_shard_rates_[shard], static_cast<double>(count) / elapsed_s, kShardRateWeight);
     own_demand_.shards.clear();
     double all = 0;
     for (const auto& [shard, rate] : own_shard_rates_) all += rate;
@@ -191,46 +192,47 @@
             !monitor_.is_silent(name, now_))
             power += server.power;
     capacity_.add_rate(now_, power, peer_reports_.answer_rate(now_, own_answer_rate_));
-    for (const auto& [name, tally] : since_check_.servers)
+    for (const auto& [name, counts] : since_check_.servers)
         if (const auto server = servers_.find(name);
             server != servers_.end() && available_share(name, server->second) >= 1)
-            capacity_.add_reports(tally, server->second.power);
+            capacity_.add_reports(counts, server->second.power);
     std::uint64_t in_time = 0, missed = 0;
-    for (const auto& [key, tally] : since_check_.classes) {
-        // What the plan refuses is no miss; what is refused beside it is one.
+    for (const auto& [key, counts] : since_check_.classes) {
+        // Rejections beyond those of the plan count as misses.
         const auto admission = plan_.shedding.admissions.find(key);
         const bool planned = active_ && admission != plan_.shedding.admissions.end();
-        const double refused = planned ? 1 - admission->second.admitted_share : 0;
-        const auto expected = static_cast<std::uint32_t>(std::ceil(refused * tally.asked));
-        const std::uint32_t beside = tally.rejected - std::min(tally.rejected, expected);
-        in_time += tally.in_time;
-        missed += tally.delivered - std::min(tally.delivered, tally.in_time) + tally.failed + beside;
+        const double rejected_share = planned ? 1 - admission->second.admitted_share : 0;
+        const auto expected = static_cast<std::uint32_t>(std::ceil(rejected_share * counts.asked));
+        const std::uint32_t unplanned = counts.rejected - std::min(counts.rejected, expected);
+        in_time += counts.in_time;
+        missed += counts.delivered - std::min(counts.delivered, counts.in_time) + counts.failed + unplanned;
     }
     capacity_.add_results(now_, in_time, missed, !active_);
     since_check_ = {};
 }
 
-// A few others, drawn anew each time: what one hears so is a fair sample of all.
+// Sends to a few randomly chosen peers, so the received reports are a fair sample of the fleet.
 void FailoverController::send_reports() {
     next_report_ = now_ + static_cast<Tenths>(static_cast<double>(options_.report_interval) *
-                                              (0.75 + 0.5 * chance_.unit()));
+                                              (0.75 + 0.5 * rng_.unit()));
     SiteReport report;
     report.from = options_.name, report.home_site = options_.home_site;
     report_serial_ = std::max(report_serial_ + 1, static_cast<std::uint64_t>(wall_));
     report.serial = report_serial_;
-    for (const auto& [site, view] : monitor_.sites()) {
-        const auto news = site_activity_.find(site);
-        const Tenths answered = news == site_activity_.end() ? 0 : news->second.first;
-        const Tenths unheard = news == site_activity_.end() ? 0 : news->second.second;
-        report.rows.push_back({site, view.state, answered > 0 && now_ <= answered + options_.report_interval,
-                               unheard > 0 && now_ <= unheard + options_.report_interval, site_share(site)});
+    for (const auto& [site, status] : monitor_.sites()) {
+        const auto activity = site_activity_.find(site);
+        const Tenths answered = activity == site_activity_.end() ? 0 : activity->second.first;
+        const Tenths unanswered = activity == site_activity_.end() ? 0 : activity->second.second;
+        report.rows.push_back(
+            {site, status.state, answered > 0 && now_ <= answered + options_.report_interval,
+             unanswered > 0 && now_ <= unanswered + options_.report_interval, site_share(site)});
     }
     report.demand = own_demand_, report.answer_rate = own_answer_rate_,
     report.overrides = peer_reports_.overrides(wall_);
     std::vector<std::string> names(peers_.begin(), peers_.end());
     const std::string bytes = encode_site_report(report);
     for (int i = 0; i < options_.report_fanout && !names.empty(); ++i) {
-        const auto at = static_cast<std::size_t>(chance_.unit() * static_cast<double>(names.size()));
+        const auto at = static_cast<std::size_t>(rng_.unit() * static_cast<double>(names.size()));
         effects_.emplace_back(OutgoingReport{names[at], bytes});
         names[at] = names.back(), names.pop_back();
         ++counts_.reports_sent;
@@ -239,7 +241,7 @@
 
 // ---- the plan
 
-// An operator's word goes before what is seen.
+// An operator's override takes precedence over the observed state.
 double FailoverController::site_share(const SiteName& site) const {
     if (const SiteOverride* site_override = peer_reports_.override_for(site, wall_)) {
         if (site_override->kind == SiteOverride::Kind::kLost) return 0;
@@ -251,12 +253,12 @@
 
 std::set<SiteName> FailoverController::unavailable_sites() const {
     std::set<SiteName> result;
-    for (const auto& [site, view] : monitor_.sites()) {
+    for (const auto& [site, status] : monitor_.sites()) {
         const SiteOverride* site_override = peer_reports_.override_for(site, wall_);
         const bool excluded_by_override =
             site_override != nullptr &&
-            (site_override->kind == SiteOverride::Kind::kLost || view.state == SiteState::kRampingUp);
-        if (is_unavailable(view.state) || excluded_by_override) result.insert(site);
+            (site_override->kind == SiteOverride::Kind::kLost || status.state == SiteState::kRampingUp);
+        if (is_unavailable(status.state) || excluded_by_override) result.insert(site);
     }
     return result;
 }
@@ -267,17 +269,17 @@
 }
 
 double FailoverController::available_share(const std::string& name, const ListedServer& server) const {
-    // One that is silent to us may have been asked twice in all: it counts for half.
+    // A silent server may merely have missed two attempts, so it counts for half.
     double result = server.draining ? 0 : monitor_.is_silent(name, now_) ? kSilentServerShare : 1;
     const SiteState state = monitor_.state(server.site);
-    // Born by wall time, as lists tell it.
+    // Start times in the list are wall time.
     if (server.born > 0 && wall_ < server.born + options_.cold_span && options_.cold_span > 0) {
         const double age =
             std::max(0.0, static_cast<double>(wall_ - server.born) / static_cast<double>(options_.cold_span));
         result *= options_.cold_share + (1 - options_.cold_share) * age;
     }
     if (state == SiteState::kRampingUp)
-        result = std::min(result, site_share(server.site)); // of its load, not of that
+        result = std::min(result, site_share(server.site)); // limits its load, does not scale its power
     return result;
 }
 
@@ -288,12 +290,12 @@
     for (const auto& [name, server] : servers_) result.available_share[name] = available_share(name, server);
     result.request_classes = options_.request_class_info, result.quotas = options_.quotas;
     result.demand = peer_reports_.demand(now_, own_demand_);
-    // What few searches have shown of the shards is mixed with an even share for each.
-    const double even = 1.0 / options_.shards, shown = result.demand.parts() * kShardSampleSeconds;
+    // Blends the measured shard shares with an even distribution.
+    const double even_share = 1.0 / options_.shards, samples = result.demand.parts() * kShardSampleSeconds;
     const double prior = kShardPriorParts * options_.shards;
     for (int shard = 0; shard < options_.shards; ++shard) {
-        const auto seen = result.demand.shards.try_emplace(shard, 0).first;
-        seen->second = (seen->second * shown + even * prior) / (shown + prior);
+        const auto share = result.demand.shards.try_emplace(shard, 0).first;
+        share->second = (share->second * samples + even_share * prior) / (samples + prior);
     }
     result.origins = peer_reports_.origins(now_);
     result.costs = options_.costs, result.links = options_.links, result.headroom = options_.headroom;
@@ -301,40 +303,43 @@
 }
 
 ReliefTold FailoverController::policy_for(const Plan& plan) const {
-    ReliefTold told;
-    for (const auto& [site, view] : monitor_.sites()) {
+    ReliefTold policy;
+    for (const auto& [site, status] : monitor_.sites()) {
         const double share = site_share(site);
-        const std::int32_t zone = number_in(options_.zones, site);
-        if (zone >= 0 && share < 1) told.sites.push_back({ZoneNo{zone}, share});
+        const std::int32_t zone = index_of(options_.zones, site);
+        if (zone >= 0 && share < 1) policy.sites.push_back({ZoneNo{zone}, share});
     }
-    for (const int shard : plan.lost_shards) told.gone.push_back(ShardNo{shard});
-    bool full = true;
+    for (const int shard : plan.lost_shards) policy.gone.push_back(ShardNo{shard});
+    bool admits_all = true;
     for (const auto& [key, admission] : plan.shedding.admissions) {
-        const std::int32_t request_class = number_in(options_.request_classes, key.first);
+        const std::int32_t request_class = index_of(options_.request_classes, key.first);
         if (request_class < 0) continue;
-        const std::int32_t tenant = number_in(options_.tenants, key.second);
+        const std::int32_t tenant = index_of(options_.tenants, key.second);
         const double admitted = admission.impossible ? 0 : admission.admitted_share;
-        // What merely lacks a shard that is gone is not trimmed besides.
+        // Answers that only lack a lost shard need no restriction.
         if (admitted >= 1 - kMinChange && admission.answer_weight >= 1 - kMinChange) continue;
-        full = full && admitted >= 1 - kMinChange;
-        told.rows.push_back({RequestClassNo{request_class}, TenantNo{tenant},
-                             admitted >= 1 - kMinChange ? 1 : admitted, admission.answer_weight});
+        admits_all = admits_all && admitted >= 1 - kMinChange;
+        policy.rows.push_back({RequestClassNo{request_class}, TenantNo{tenant},
+                               admitted >= 1 - kMinChange ? 1 : admitted, admission.answer_weight});
     }
     for (const auto& [shard, served] : plan.assignment.served_share)
-        if (served < 1 - kMinChange) told.tight.emplace_back(ShardNo{shard}, served);
-    const double fullest = plan.assignment.max_utilization;
-    told.further =
-        !full ? 0 : std::clamp(1 - (fullest - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
-    told.come_back = full ? 0 : options_.longest_retry_after;
-    return told;
+        if (served < 1 - kMinChange) policy.tight.emplace_back(ShardNo{shard}, served);
+    const double utilization = plan.assignment.max_utilization;
+    policy.further =
+        !admits_all
+            ? 0
+            : std::clamp(1 - (utilization - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
+    policy.come_back = admits_all ? 0 : options_.longest_retry_after;
+    return policy;
 }
 
 void FailoverController::refresh_plan() {
-    const bool all_sound = std::ranges::all_of(monitor_.sites(), [&](const auto& held) {
-        const SiteState state = held.second.state;
-        return (state == SiteState::kHealthy || state == SiteState::kDegraded) && site_share(held.first) >= 1;
+    const bool all_healthy = std::ranges::all_of(monitor_.sites(), [&](const auto& entry) {
+        const SiteState state = entry.second.state;
+        return (state == SiteState::kHealthy || state == SiteState::kDegraded) &&
+               site_share(entry.first) >= 1;
     });
-    if (all_sound) {
+    if (all_healthy) {
         if (!active_) return;
         active_ = false, policy_ = {};
         ++counts_.policy_updates;
@@ -343,44 +348,44 @@
         return;
     }
     if (!active_) capacity_.reset_correction();
-    // What changes by and by is planned anew now and then, another set of sites at once.
+    // A change of the site shares needs a new plan at once, gradual changes only every kReplanInterval.
     std::map<SiteName, double> shares;
-    for (const auto& [site, view] : monitor_.sites()) shares[site] = site_share(site);
+    for (const auto& [site, status] : monitor_.sites()) shares[site] = site_share(site);
     if (!active_ || shares != planned_shares_ || now_ >= next_plan_) {
         next_plan_ =
             now_ + static_cast<Tenths>(kReplanInterval * static_cast<double>(options_.latency_target) *
-                                       (0.75 + 0.5 * chance_.unit()));
+                                       (0.75 + 0.5 * rng_.unit()));
         planned_shares_ = std::move(shares);
         plan_ = plan_without(plan_input(), unavailable_sites());
         ++counts_.plans;
     }
-    ReliefTold told = policy_for(plan_);
-    if (!active_ || !nearly_equal(told, policy_, kMinChange)) {
-        active_ = true, policy_ = std::move(told);
+    ReliefTold policy = policy_for(plan_);
+    if (!active_ || !nearly_equal(policy, policy_, kMinChange)) {
+        active_ = true, policy_ = std::move(policy);
         ++counts_.policy_updates;
         effects_.emplace_back(policy_);
     }
     if (now_ < next_load_line_) return;
     next_load_line_ =
         now_ + static_cast<Tenths>(kLoadLineInterval * static_cast<double>(options_.latency_target));
-    std::uint64_t asked = 0, delivered = 0, refused = 0;
-    for (const auto& [key, tally] : since_line_.classes)
-        asked += tally.asked, delivered += tally.delivered, refused += tally.rejected;
-    std::string refusals;
+    std::uint64_t asked = 0, delivered = 0, rejected = 0;
+    for (const auto& [key, counts] : since_line_.classes)
+        asked += counts.asked, delivered += counts.delivered, rejected += counts.rejected;
+    std::string restrictions;
     for (const auto& [key, admission] : plan_.shedding.admissions)
         if (admission.admitted_share < 0.995 || admission.answer_weight < 0.995)
-            refusals += (refusals.empty() ? "" : " ") + key.first + "/" + key.second + ":" +
-                        percent(admission.admitted_share) +
-                        (admission.answer_weight < 0.995 ? "@" + percent(admission.answer_weight) : "");
+            restrictions += (restrictions.empty() ? "" : " ") + key.first + "/" + key.second + ":" +
+                            percent(admission.admitted_share) +
+                            (admission.answer_weight < 0.995 ? "@" + percent(admission.answer_weight) : "");
     log_line("site_load", {{"without", list_of(plan_.without)},
                            {"demand", number(plan_.demand)},
                            {"room", number(plan_.capacity)},
                            {"fullest", percent(plan_.assignment.max_utilization)},
                            {"gone", list_of(plan_.lost_shards)},
-                           {"let_in", refusals},
+                           {"let_in", restrictions},
                            {"asked", std::to_string(asked)},
                            {"delivered", std::to_string(delivered)},
-                           {"pushed_back", std::to_string(refused)},
+                           {"pushed_back", std::to_string(rejected)},
                            {"trust", number(capacity_.correction())}});
     since_line_ = {};
 }
@@ -414,30 +419,30 @@
             for (const auto& [key, admission] : plan.shedding.admissions)
                 row["let_in"].push_back(
                     {key.first, key.second, admission.admitted_share, admission.answer_weight});
-            std::map<SiteName, double> to;
+            std::map<SiteName, double> load_by_site;
             for (const auto& server : servers_)
                 if (const auto load = plan.assignment.load.find(server.first);
                     load != plan.assignment.load.end())
-                    to[server.second.site] += load->second;
-            row["load"] = to;
+                    load_by_site[server.second.site] += load->second;
+            row["load"] = load_by_site;
             result["plans"].push_back(std::move(row));
         }
         return result;
     }
     result["sites"] = Json::array();
     const std::string only = query.value("site", "");
-    for (const auto& [site, view] : monitor_.sites()) {
+    for (const auto& [site, status] : monitor_.sites()) {
         if (!only.empty() && site != only) continue;
         Json row{{"site", site},
-                 {"state", name_of(view.state)},
-                 {"for_ms", (now_ - view.state_since) * 1000 / kTenthsPerSecond},
-                 {"servers", view.servers},
-                 {"well", view.answering},
-                 {"silent", view.silent},
-                 {"gone", view.missing},
+                 {"state", name_of(status.state)},
+                 {"for_ms", (now_ - status.state_since) * 1000 / kTenthsPerSecond},
+                 {"servers", status.servers},
+                 {"well", status.answering},
+                 {"silent", status.silent},
+                 {"gone", status.missing},
                  {"share", site_share(site)},
-                 {"relapses", view.relapses},
-                 {"evidence", view.evidence}};
+                 {"relapses", status.relapses},
+                 {"evidence", status.evidence}};
         if (const SiteOverride* site_override = peer_reports_.override_for(site, wall_))
             row["order"] = {{"kind", name_of(site_override->kind)},
                             {"by", site_override->by},
@@ -445,8 +450,8 @@
                             {"left_ms", (site_override->until - wall_) * 1000 / kTenthsPerSecond}};
         Json others = Json::object();
         for (const auto& [name, other] : peer_reports_.latest())
-            for (const auto& seen : other.report.rows)
-                if (seen.site == site) others[name] = name_of(seen.state);
+            for (const auto& row_of_other : other.report.rows)
+                if (row_of_other.site == site) others[name] = name_of(row_of_other.state);
         row["others"] = std::move(others);
         result["sites"].push_back(std::move(row));
     }
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -1,9 +1,10 @@
-// A front node's side of the plan for lost sites, in one object, free of I/O: what it counted, the list, the
-// others' words, operators' orders and the time go in; words for others, relief for the decision module and
-// lines for the log come out. No search waits for it: it works beside them, by looks.
+// Failover between sites, as run by one front node; free of I/O. Inputs: the front node's traffic counts, the
+// server list, the reports of other front nodes, operators' overrides and the time. Outputs: reports to other
+// front nodes, policies for the decision module and log lines. It runs periodically beside the searches,
+// which never wait for it.
 //
-// Without anybody to talk to it goes by its own traffic and by the number of front nodes that it last knew.
-// Nothing that it hears can add an attempt anywhere: relief only takes away (relief.hpp).
+// Without peers it relies on its own traffic and on the last known number of front nodes. No input can add an
+// attempt anywhere, because policies only restrict (failover_policy.hpp).
 #pragma once
 #include "base/pcg.hpp"
 #include "brain.hpp"
@@ -21,28 +22,28 @@
     std::string name;
     SiteName home_site;
     std::uint64_t seed = 0;
-    std::vector<std::string> request_classes, tenants, zones; // as the module numbers them
+    std::vector<std::string> request_classes, tenants, zones; // in the decision module's order
     std::map<std::string, RequestClassInfo> request_class_info;
     std::map<std::string, double> quotas;
-    Tenths latency_target = 0; // the shortest due span
-    Tenths cold_span = 0;      // of a server that started anew
+    Tenths latency_target = 0; // the shortest of all request classes
+    Tenths cold_span = 0;      // after a server's start
     double cold_share = 1;
     Tenths longest_retry_after = 0;
     int configured_nodes = 1;
     int shards = 1;
-    Tenths report_interval = kTenthsPerSecond; // between two words
-    int report_fanout = 3;                     // others that each word goes to
-    double configured_capacity = 0;            // parts a second of a warm server of power 1; 0: as learnt
+    Tenths report_interval = kTenthsPerSecond; // between two reports
+    int report_fanout = 3;                     // peers that each report is sent to
+    double configured_capacity = 0;            // parts per second of a warm server of power 1; 0: estimated
     double headroom = 0.9;
     std::map<std::pair<SiteName, SiteName>, double> costs, links;
 };
 
 struct OutgoingReport {
-    std::string to, bytes; // a member's name
+    std::string to, bytes; // `to`: a member's name
 };
-struct SiteLogLine { // for the log
-    bool loud = false;
-    std::string what;
+struct SiteLogLine {
+    bool is_error = false;
+    std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 using FailoverEffect = std::variant<OutgoingReport, ReliefTold, SiteLogLine>;
@@ -57,23 +58,25 @@
     FailoverController(FailoverOptions options, Tenths now);
 
     void update_servers(Tenths now, const std::map<std::string, ListedServer>& servers);
-    void add_counts(Tenths now, const TrafficCounts& tally);
-    void receive_report(Tenths now, std::string_view bytes); // of one that is a member
-    void set_peers(Tenths now, const std::set<std::string>& others);
+    void add_counts(Tenths now, const TrafficCounts& counts);
+    void receive_report(Tenths now, std::string_view bytes); // the sender must be a member
+    void set_peers(Tenths now, const std::set<std::string>& peers);
     void set_planned_absences(const std::set<std::string>& servers);
-    // An operator's word; empty: taken, else why not.
+    // Returns why the override was refused, or an empty text.
     std::string apply_override(const SiteOverride& site_override);
     void step(Tenths now, Tenths wall);
     Tenths next_step() const { return std::min(next_check_, next_report_); }
     std::vector<FailoverEffect> take_effects() { return std::exchange(effects_, {}); }
 
-    nlohmann::json answer_query(const nlohmann::json& query); // an operator's question: show, plan, explain
+    // Answers an operator's query; `verb` is show, plan or explain.
+    nlohmann::json answer_query(const nlohmann::json& query);
     const SiteMonitor& monitor() const { return monitor_; }
     const PeerReports& peer_reports() const { return peer_reports_; }
     const CapacityEstimator& capacity() const { return capacity_; }
     const FailoverCounts& counts() const { return counts_; }
     const ReliefTold& policy() const { return policy_; }
-    SiteName lost_site() const; // one that is away, for whoever must not take machines out meanwhile
+    // An unavailable site or an empty name; maintenance must not take machines out of service meanwhile.
+    SiteName lost_site() const;
     PlanInput plan_input() const;
 
   private:
@@ -84,38 +87,40 @@
     double site_share(const SiteName& site) const;
     double available_share(const std::string& name, const ListedServer& server) const;
     std::set<SiteName> unavailable_sites() const;
-    void log_line(std::string what, std::vector<std::pair<std::string, std::string>> fields,
-                  bool loud = false);
+    void log_line(std::string event, std::vector<std::pair<std::string, std::string>> fields,
+                  bool is_error = false);
 
-    static constexpr double kCheckInterval = 1.0 / 8;    // of a due span
-    static constexpr double kRateWeight = 0.2;           // of a look in the means of rates
-    static constexpr double kBudgetCutUtilization = 0.8; // fullness from which further attempts become fewer
-    static constexpr double kReplanInterval = 2;         // due spans between two plans for the same sites
-    static constexpr double kSilentServerShare = 0.5,
-                            kShardRateWeight = 0.002; // the latter: of a look in shards' shares
-    static constexpr double kShardSampleSeconds = 10,
-                            kShardPriorParts = 10; // of demand that tells of shards; parts for each
-    static constexpr double kLoadLineInterval =
-        2; // due spans between two lines of the load, while not all is sound
-    static constexpr double kMinChange = 0.02; // what differs by less is not told anew
+    // Intervals are in latency targets.
+    static constexpr double kCheckInterval = 1.0 / 8;
+    static constexpr double kReplanInterval = 2; // for an unchanged set of sites
+    static constexpr double kLoadLineInterval = 2;
+    static constexpr double kRateWeight = 0.2; // of one check in the moving averages of rates
+    static constexpr double kShardRateWeight = 0.002;
+    static constexpr double kBudgetCutUtilization =
+        0.8; // from here on the budget of further attempts shrinks
+    static constexpr double kSilentServerShare = 0.5;
+    // The shard shares measured over kShardSampleSeconds of demand are blended with kShardPriorParts per
+    // shard.
+    static constexpr double kShardSampleSeconds = 10, kShardPriorParts = 10;
+    static constexpr double kMinChange = 0.02; // smaller changes don't update the policy
 
     FailoverOptions options_;
     Tenths now_, wall_ = 0;
-    Pcg chance_;
+    Pcg rng_;
     SiteMonitor monitor_;
     PeerReports peer_reports_;
     CapacityEstimator capacity_;
     std::map<std::string, ListedServer> servers_;
     TrafficCounts since_check_;
     Demand own_demand_;
-    std::map<int, double> own_shard_rates_;                       // parts a second
-    double own_answer_rate_ = 0;                                  // parts a second that were answered
-    std::map<SiteName, std::pair<Tenths, Tenths>> site_activity_; // last answered, last unheard
+    std::map<int, double> own_shard_rates_;                       // parts per second
+    double own_answer_rate_ = 0;                                  // answered parts per second
+    std::map<SiteName, std::pair<Tenths, Tenths>> site_activity_; // last answered, last unanswered
     std::set<std::string> peers_;
     Tenths next_check_, next_report_, last_check_, next_load_line_ = 0;
     std::uint64_t report_serial_ = 0;
     Plan plan_;
-    std::map<SiteName, double> planned_shares_; // shares then
+    std::map<SiteName, double> planned_shares_; // for which plan_ was made
     Tenths next_plan_ = 0;
     ReliefTold policy_;
     bool active_ = false;
@@ -124,6 +129,7 @@
     FailoverCounts counts_;
 };
 
+// Whether all values of two policies differ by less than `step`.
 bool nearly_equal(const ReliefTold& a, const ReliefTold& b, double step);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/failover_policy.cpp
+++ b/src/recovery/failover_policy.cpp
@@ -9,7 +9,7 @@
     for (const auto& site : policy_update.sites) site_shares_[site.zone] = std::clamp(site.share, 0.0, 1.0);
     lost_shards_.insert(policy_update.gone.begin(), policy_update.gone.end());
     for (const auto& row : policy_update.rows) admission_rows_[{row.request_class, row.tenant}] = row;
-    for (const auto& [shard, served] : policy_update.tight) capacity_share_[shard] = served;
+    for (const auto& [shard, share] : policy_update.tight) capacity_share_[shard] = share;
     attempt_budget_share_ = std::clamp(policy_update.further, 0.0, 1.0);
     longest_retry_after_ = std::max<Tenths>(0, policy_update.come_back);
 }
@@ -19,12 +19,12 @@
     return found == site_shares_.end() ? 1 : found->second;
 }
 
-FailoverPolicy::Eligibility FailoverPolicy::eligibility(ZoneNo zone, bool once, Pcg& chance) const {
+FailoverPolicy::Eligibility FailoverPolicy::eligibility(ZoneNo zone, bool at_most_once, Pcg& rng) const {
     if (site_shares_.empty()) return Eligibility::kEligible;
     const double share = site_share(zone);
     if (share >= 1) return Eligibility::kEligible;
     if (share <= 0) return Eligibility::kExcluded;
-    return once || chance.unit() >= share ? Eligibility::kLastResort : Eligibility::kEligible;
+    return at_most_once || rng.unit() >= share ? Eligibility::kLastResort : Eligibility::kEligible;
 }
 
 const ReliefTold::Row* FailoverPolicy::find_row(RequestClassNo request_class, TenantNo tenant) const {
@@ -33,10 +33,10 @@
     return found == admission_rows_.end() ? nullptr : &found->second;
 }
 
-bool FailoverPolicy::admits(RequestClassNo request_class, TenantNo tenant, Pcg& chance) const {
+bool FailoverPolicy::admits(RequestClassNo request_class, TenantNo tenant, Pcg& rng) const {
     if (admission_rows_.empty()) return true;
     const auto* row = find_row(request_class, tenant);
-    return row == nullptr || row->admitted >= 1 || chance.unit() < row->admitted;
+    return row == nullptr || row->admitted >= 1 || rng.unit() < row->admitted;
 }
 
 void FailoverPolicy::omit_parts(Search& search, double floor, TenantNo tenant) const {
@@ -44,24 +44,24 @@
     const auto* row = find_row(search.request_class, tenant);
     if (row == nullptr || row->weight >= 1) return;
     std::vector<Part*> parts;
-    double left = 0;
+    double remaining_weight = 0;
     for (Part& part : search.parts)
-        if (!shard_lost(part.shard)) left += part.weight, parts.push_back(&part);
-    const auto need = [&](const Part* part) {
+        if (!shard_lost(part.shard)) remaining_weight += part.weight, parts.push_back(&part);
+    const auto served_share = [&](const Part* part) {
         const auto found = capacity_share_.find(part->shard);
         return found == capacity_share_.end() ? 1.0 : found->second;
     };
-    std::ranges::stable_sort(parts, [&](auto* a, auto* b) { return need(a) < need(b); });
-    const double least = std::max(floor, row->weight);
+    std::ranges::stable_sort(parts, [&](auto* a, auto* b) { return served_share(a) < served_share(b); });
+    const double min_weight = std::max(floor, row->weight);
     for (Part* part : parts) {
-        if (need(part) >= 1 || left - part->weight < least) continue;
-        part->left_out = true, left -= part->weight;
+        if (served_share(part) >= 1 || remaining_weight - part->weight < min_weight) continue;
+        part->left_out = true, remaining_weight -= part->weight;
     }
 }
 
-Tenths FailoverPolicy::retry_after(Tenths usual, Pcg& chance) const {
+Tenths FailoverPolicy::retry_after(Tenths usual, Pcg& rng) const {
     if (longest_retry_after_ <= usual) return usual;
-    return usual + static_cast<Tenths>(chance.unit() * static_cast<double>(longest_retry_after_ - usual));
+    return usual + static_cast<Tenths>(rng.unit() * static_cast<double>(longest_retry_after_ - usual));
 }
 
 } // namespace ivyrill::recovery
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -1,10 +1,10 @@
-// What the decision module consults of a plan for lost sites: which sites take part in the choice, what is
-// refused first, which parts are left out. It is told by `ReliefTold` (brain.hpp) and forgets nothing by
-// itself: whoever plans says when all is as ever again. Nothing told: nothing differs.
+// The part of a failover plan that the decision module consults: which sites take part in replica selection,
+// which searches are rejected, which parts are left out. Set by `ReliefTold` (brain.hpp); it does not expire,
+// so the failover controller must withdraw it. Without one, nothing is restricted.
 //
-// Whatever it is told, however wrong, the rules hold: it only takes away. A site that is shut gets fewer
-// attempts, a search that is not admitted has had none, parts are left out only down to the request class's
-// floor and an answer without them is in part, further attempts become fewer and never more.
+// A policy only restricts, so a wrong one cannot break an invariant: an excluded site gets fewer attempts, a
+// search that is not admitted has had no attempt, parts are left out only down to the request class's floor
+// (and the answer is marked as partial), and the budget of further attempts is only reduced.
 #pragma once
 #include "base/pcg.hpp"
 #include "state.hpp"
@@ -18,22 +18,22 @@
   public:
     void update(const ReliefTold& policy_update);
 
-    enum class Eligibility { kEligible, kLastResort, kExcluded }; // takes part; after all others; not at all
-    // Drawn anew for each choice where its site comes back in steps. What may run once is never sent to a
-    // site that is only tried.
-    Eligibility eligibility(ZoneNo zone, bool once, Pcg& chance) const;
+    // kLastResort: only after all eligible servers.
+    enum class Eligibility { kEligible, kLastResort, kExcluded };
+    // Random per selection for a site that gets a share of the traffic. A search that must run at most once
+    // is not sent to such a site while others are eligible.
+    Eligibility eligibility(ZoneNo zone, bool at_most_once, Pcg& rng) const;
     bool excludes(ZoneNo zone) const { return !site_shares_.empty() && site_share(zone) <= 0; }
-    bool shard_lost(ShardNo shard) const { return lost_shards_.contains(shard); } // nobody holds it any more
-    // Whether a search is let in at all; drawn once a search.
-    bool admits(RequestClassNo request_class, TenantNo tenant, Pcg& chance) const;
-    // Marks the parts that a request class which may be answered in part does without: of the shards in most
-    // need first, never below `floor` of the weight.
+    bool shard_lost(ShardNo shard) const { return lost_shards_.contains(shard); } // no replica is left
+    // Whether to admit a search; random, to be called once per search.
+    bool admits(RequestClassNo request_class, TenantNo tenant, Pcg& rng) const;
+    // Marks the parts to leave out of a search that allows a partial answer: of the most overloaded shards
+    // first, never below `floor` of the weight.
     void omit_parts(Search& search, double floor, TenantNo tenant) const;
-    double attempt_budget_share() const {
-        return attempt_budget_share_;
-    } // of the budget for further attempts
-    // When a client that is refused should come again: spread, so that they do not come together.
-    Tenths retry_after(Tenths usual, Pcg& chance) const;
+    // Share of the budget for further attempts that may be used.
+    double attempt_budget_share() const { return attempt_budget_share_; }
+    // Delay to advise to a rejected client: random, so that clients don't return at the same time.
+    Tenths retry_after(Tenths usual, Pcg& rng) const;
 
   private:
     double site_share(ZoneNo zone) const;
--- a/src/recovery/load_assignment.cpp
+++ b/src/recovery/load_assignment.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr int kCapacityBands = 8;           // of a server's room
-constexpr double kFlowUnits = 1000;         // of flow a part and second: the library counts in whole numbers
-constexpr std::int64_t kBandCost = 1000;    // cost of one band over the one before
+constexpr int kCapacityBands = 8;           // of a server's capacity
+constexpr double kFlowUnits = 1000;         // per part and second: the library works on integers
+constexpr std::int64_t kBandCost = 1000;    // cost difference between neighbouring bands
 constexpr std::int64_t kDistanceCost = 500; // cost of distance 1
 constexpr std::int64_t kUnservedCost = 1'000'000;
 constexpr int kUnservedBands =
-    32; // of what finds no room: dearer the more of a shard it is, so that all lack alike
+    32; // of a shard's unassigned load, at rising cost, so that all shards lack similar shares
 
 std::int64_t units(double rate) { return static_cast<std::int64_t>(std::llround(rate * kFlowUnits)); }
 
@@ -26,7 +26,7 @@
     return static_cast<std::int64_t>(std::lround(cost * static_cast<double>(kDistanceCost)));
 }
 
-// Where distance costs nothing and no link is bounded, it is all one where a search comes up.
+// Without costs and link limits the origin of a search does not matter.
 std::map<SiteName, double> origins_of(const AssignmentInput& input) {
     if (!input.origins.empty() && (!input.costs.empty() || !input.links.empty())) return input.origins;
     return {{SiteName{}, 1.0}};
@@ -93,7 +93,7 @@
                     {arc(source, sink, wanted * (band + 1) / kUnservedBands - wanted * band / kUnservedBands,
                          kUnservedCost + band * kUnservedCost / kUnservedBands),
                      shard});
-            // A link that is bounded is divided among the shards by what each asks for.
+            // The capacity of a limited link is divided among the shards in proportion to their demand.
             std::map<SiteName, Graph::Node> link_nodes;
             for (std::size_t i = 0; i < input.servers.size(); ++i) {
                 const AssignmentServer& server = input.servers[i];
@@ -166,7 +166,7 @@
                     replicas.push_back(i), load[i] -= std::exchange(parts[{shard, i}], 0);
             }
             if (replicas.empty()) continue;
-            // The level to which all holders are filled, by halving.
+            // Bisects the utilization to which all replicas are filled.
             double low = 0, high = 1;
             const auto capacity_up_to = [&](double level) {
                 double sum = 0;
--- a/src/recovery/load_shedding.cpp
+++ b/src/recovery/load_shedding.cpp
@@ -10,14 +10,14 @@
 constexpr double kSlack = 1e-9, kSimilarUtility = 0.01;
 constexpr int kRounds = 16;
 constexpr double kSkippedShare =
-    0.25; // share of a class's searches that may touch shards which are fuller than the rest
+    0.25; // of a class's searches that may use shards which are fuller than the others
 
 struct Candidate {
     TrafficClass key;
-    const RequestClassInfo* facts = nullptr;
+    const RequestClassInfo* info = nullptr;
     double searches = 0, parts = 1, utility = 0;
     double admitted_share = 0, answer_weight = 1;
-    std::set<int> omitted_shards; // shards whose parts it leaves out
+    std::set<int> omitted_shards; // whose parts are left out
     bool impossible = false;
     double density() const { return utility / std::max(parts, kSlack); }
 };
@@ -28,19 +28,19 @@
         : input_(input), remaining_capacity_(input.capacity) {
         for (const auto& [shard, share] : input.demand.shards) total_share_ += share;
         for (const auto& [key, row] : input.demand.rows) {
-            const auto facts = input.request_classes.find(key.first);
-            if (facts == input.request_classes.end() || row.searches <= 0) continue;
-            Candidate candidate{key, &facts->second, row.searches, row.parts, facts->second.utility, 0, 1,
+            const auto info = input.request_classes.find(key.first);
+            if (info == input.request_classes.end() || row.searches <= 0) continue;
+            Candidate candidate{key, &info->second, row.searches, row.parts, info->second.utility, 0, 1,
                                 {},  false};
-            const bool partial = facts->second.floor < facts->second.need;
-            // What nobody holds is missing from every answer.
+            const bool partial = info->second.floor < info->second.need;
+            // Shards without a replica are missing from every answer.
             double lost_weight = 0;
             for (const auto& [shard, share] : input.demand.shards)
                 if (!input.capacity.contains(shard))
                     lost_weight += shard_share(shard), candidate.omitted_shards.insert(shard);
             candidate.answer_weight = 1 - lost_weight;
             candidate.impossible =
-                lost_weight > kSlack && (!partial || candidate.answer_weight + kSlack < facts->second.floor);
+                lost_weight > kSlack && (!partial || candidate.answer_weight + kSlack < info->second.floor);
             candidates_.push_back(std::move(candidate));
         }
         std::ranges::stable_sort(
@@ -59,20 +59,21 @@
         const auto found = input_.demand.shards.find(shard);
         return found == input_.demand.shards.end() || total_share_ <= 0 ? 0 : found->second / total_share_;
     }
-    double usage(const Candidate& candidate, int shard) const { // parts a second, were all of it let in
+    double usage(const Candidate& candidate,
+                 int shard) const { // parts per second if all its searches were admitted
         return candidate.omitted_shards.contains(shard)
                    ? 0
                    : candidate.searches * candidate.parts * shard_share(shard);
     }
-    // Lets in more of it, up to that share of its searches, as far as its shards have room. Where a search
-    // touches few of many shards, the fullest few say nothing of most searches: who asks for those is the
-    // module's to refuse.
+    // Raises the admitted share to `up_to`, as far as the capacity of its shards allows. Where a search uses
+    // few of many shards, the fullest shards don't limit most searches: they are skipped here, and the
+    // decision module rejects the searches that use them.
     void admit(Candidate& candidate, double up_to) {
         if (candidate.impossible || candidate.admitted_share >= up_to) return;
-        std::vector<std::pair<double, double>> ratios; // of room to use, and weight
-        for (const auto& [shard, room] : remaining_capacity_)
+        std::vector<std::pair<double, double>> ratios; // capacity / usage, and share of the shard
+        for (const auto& [shard, capacity] : remaining_capacity_)
             if (const double each = usage(candidate, shard); each > kSlack)
-                ratios.emplace_back(std::max(0.0, room) / each, shard_share(shard));
+                ratios.emplace_back(std::max(0.0, capacity) / each, shard_share(shard));
         std::ranges::sort(ratios);
         double more = up_to - candidate.admitted_share, skipped = 0;
         const double skip = kSkippedShare / std::max(1.0, candidate.parts);
@@ -82,30 +83,30 @@
             more = std::min(more, ratio);
             break;
         }
-        for (auto& [shard, room] : remaining_capacity_) room -= more * usage(candidate, shard);
+        for (auto& [shard, capacity] : remaining_capacity_) capacity -= more * usage(candidate, shard);
         candidate.admitted_share += more;
     }
-    // Each tenant with a share keeps it, in the measure of what is left, its best classes first. All grow
-    // together, lest the first one finds a shard empty and the last one full.
+    // Admits each tenant's quota, scaled to the remaining capacity, its classes of highest utility first.
+    // Goes in rounds over all tenants so that the first ones don't take all the capacity of a shard.
     void reserve_quotas() {
-        double wanted = 0, room = 0;
+        double wanted = 0, available = 0;
         for (const Candidate& candidate : candidates_) wanted += candidate.searches * candidate.parts;
-        for (const auto& [shard, rate] : input_.capacity) room += rate;
-        const double measure = wanted > 0 ? std::min(1.0, room / wanted) : 1;
+        for (const auto& [shard, rate] : input_.capacity) available += rate;
+        const double scale = wanted > 0 ? std::min(1.0, available / wanted) : 1;
         for (int round = 1; round <= kRounds; ++round)
             for (const auto& [tenant, quota] : input_.quotas) {
                 double asked = 0;
                 for (const Candidate& candidate : candidates_)
                     if (candidate.key.second == tenant) asked += candidate.searches;
-                double own = std::min(asked, quota) * measure * round / kRounds;
+                double quota_left = std::min(asked, quota) * scale * round / kRounds;
                 for (Candidate& candidate : candidates_) {
-                    if (candidate.key.second != tenant || own <= 0) continue;
-                    admit(candidate, std::min(1.0, own / candidate.searches));
-                    own -= candidate.admitted_share * candidate.searches;
+                    if (candidate.key.second != tenant || quota_left <= 0) continue;
+                    admit(candidate, std::min(1.0, quota_left / candidate.searches));
+                    quota_left -= candidate.admitted_share * candidate.searches;
                 }
             }
     }
-    // The rest by utility for each part; those that pay alike grow together.
+    // Admits the rest by utility per part; classes of similar utility are raised together in rounds.
     void admit_by_utility() {
         for (auto first = candidates_.begin(); first != candidates_.end();) {
             const auto last = std::find_if(first, candidates_.end(), [&](const Candidate& candidate) {
@@ -117,34 +118,37 @@
             first = last;
         }
     }
-    // What is left of a request class that may be answered in part goes without the shards in most need: all
-    // of its searches then, as an answer is the same whoever asks.
+    // Leaves out the most overloaded shards for a request class that allows partial answers, if this admits
+    // more of it. Applies to all its searches.
     void omit_shards(Candidate& candidate) {
-        const double floor = candidate.facts->floor;
-        if (candidate.impossible || candidate.admitted_share >= 1 - kSlack || floor >= candidate.facts->need)
+        const double floor = candidate.info->floor;
+        if (candidate.impossible || candidate.admitted_share >= 1 - kSlack || floor >= candidate.info->need)
             return;
-        std::vector<int> order;
-        for (const auto& [shard, room] : remaining_capacity_)
-            if (usage(candidate, shard) > kSlack) order.push_back(shard);
-        const auto need = [&](int shard) { return remaining_capacity_.at(shard) / usage(candidate, shard); };
-        std::ranges::stable_sort(order, [&](int a, int b) { return need(a) < need(b); });
+        std::vector<int> most_loaded_first;
+        for (const auto& [shard, capacity] : remaining_capacity_)
+            if (usage(candidate, shard) > kSlack) most_loaded_first.push_back(shard);
+        const auto remaining_share = [&](int shard) {
+            return remaining_capacity_.at(shard) / usage(candidate, shard);
+        };
+        std::ranges::stable_sort(most_loaded_first,
+                                 [&](int a, int b) { return remaining_share(a) < remaining_share(b); });
         Candidate trial = candidate;
-        for (const int shard : order) {
+        for (const int shard : most_loaded_first) {
             if (trial.answer_weight - shard_share(shard) + kSlack < floor) break;
-            if (need(shard) >= 1 - candidate.admitted_share) break; // there is room for it
+            if (remaining_share(shard) >= 1 - candidate.admitted_share) break; // its capacity suffices
             trial.omitted_shards.insert(shard), trial.answer_weight -= shard_share(shard);
         }
         if (trial.omitted_shards.size() == candidate.omitted_shards.size()) return;
-        // What its searches had taken there is free again.
+        // Returns the capacity used by the omitted parts.
         for (const int shard : trial.omitted_shards)
             if (remaining_capacity_.contains(shard))
                 remaining_capacity_[shard] += candidate.admitted_share * usage(candidate, shard);
         admit(trial, 1);
         if (trial.admitted_share * trial.answer_weight <=
-            candidate.admitted_share * candidate.answer_weight + kSlack) { // it gained nothing by it
-            for (auto& [shard, room] : remaining_capacity_)
-                room += trial.admitted_share * usage(trial, shard) -
-                        candidate.admitted_share * usage(candidate, shard);
+            candidate.admitted_share * candidate.answer_weight + kSlack) { // no gain
+            for (auto& [shard, capacity] : remaining_capacity_)
+                capacity += trial.admitted_share * usage(trial, shard) -
+                            candidate.admitted_share * usage(candidate, shard);
             return;
         }
         candidate = std::move(trial);
--- a/src/recovery/load_shedding.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -1,7 +1,6 @@
-// What is refused first when there is not room for all: by utility for each unit of work, request class by
-// request class and tenant by tenant. Each tenant keeps its share of what is left before anybody gets more;
-// parts are left out, down to the request class's floor, before whole searches of that request class are
-// refused. Pure.
+// Decides what to shed when demand exceeds capacity. Traffic classes are admitted by utility per unit of
+// work. Each tenant gets its quota, scaled to the remaining capacity, before any tenant gets more. Parts are
+// omitted, down to the request class's floor, before whole searches of that request class are rejected. Pure.
 #pragma once
 #include "recovery/types.hpp"
 
@@ -9,21 +8,21 @@
 
 struct SheddingInput {
     std::map<std::string, RequestClassInfo> request_classes;
-    std::map<std::string, double> quotas; // searches a second of each tenant; not named: none is stated
+    std::map<std::string, double> quotas; // searches per second of each tenant; absent: no quota
     Demand demand;
-    std::map<int, double> capacity; // parts a second that find room, by shard; not named: nobody holds it
+    std::map<int, double> capacity; // parts per second by shard; absent: no replica is left
 };
 
 struct Admission {
-    double admitted_share = 1; // share of its searches
-    double answer_weight = 1;  // of an answer: 1 unless parts are left out
-    bool impossible = false;   // shards are gone that it cannot do without
+    double admitted_share = 1; // of its searches
+    double answer_weight = 1;  // 1 unless parts are omitted
+    bool impossible = false;   // it needs shards of which no replica is left
 };
 
 struct SheddingPlan {
     std::map<TrafficClass, Admission> admissions;
-    std::map<int, double> served_share;   // share of each shard's demand that is let in and finds room
-    double utility = 0, most_utility = 0; // a second
+    std::map<int, double> served_share;   // share of each shard's demand that is admitted
+    double utility = 0, most_utility = 0; // per second; the latter if all were admitted
 };
 
 SheddingPlan plan_shedding(const SheddingInput& input);
--- a/src/recovery/peer_reports.cpp
+++ b/src/recovery/peer_reports.cpp
@@ -8,7 +8,7 @@
     if (report.from == options_.name || report.from.empty()) return;
     if (reports_.size() >= kMaxReports && !reports_.contains(report.from)) return;
     ReceivedReport& other = reports_[report.from];
-    // Doubled or late: an older word of the same life says nothing any more.
+    // Drops duplicates and reordered reports. After `kDemandLifetime` any serial is accepted.
     if (other.received_at != 0 && report.serial <= other.report.serial && fresh(other, now, kDemandLifetime))
         return;
     other = {std::move(report), now};
@@ -17,18 +17,18 @@
 void PeerReports::set_peers(Tenths now, const std::set<std::string>& names) {
     peers_ = names;
     if (!names.empty()) had_peers_ = true;
-    // One that hears nobody any more may be the one that is cut off: it keeps the number that it knew.
+    // Without any peer this node may itself be cut off: it keeps the last known number.
     if (!names.empty() || !had_peers_)
         node_count_ =
             had_peers_ ? static_cast<int>(names.size()) + 1 : std::max(1, options_.configured_nodes);
-    std::erase_if(reports_, [&](const auto& held) {
-        return !fresh(held.second, now, kDemandLifetime) || !names.contains(held.first);
+    std::erase_if(reports_, [&](const auto& entry) {
+        return !fresh(entry.second, now, kDemandLifetime) || !names.contains(entry.first);
     });
 }
 
 std::size_t PeerReports::fresh_reports(Tenths now) const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        reports_, [&](const auto& held) { return fresh(held.second, now, kObservationLifetime); }));
+        reports_, [&](const auto& entry) { return fresh(entry.second, now, kObservationLifetime); }));
 }
 
 std::map<SiteName, PeerObservations> PeerReports::observations(Tenths now) const {
@@ -36,7 +36,7 @@
     for (const auto& [name, other] : reports_) {
         if (!fresh(other, now, kObservationLifetime)) continue;
         for (const auto& row : other.report.rows) {
-            // A site says nothing against its own loss: its front nodes may be cut off along with it.
+            // Ignores what front nodes say of their own site: they may be cut off together with it.
             if (other.report.home_site == row.site) continue;
             PeerObservations& sum = result[row.site];
             if (row.answers) ++sum.reached;
--- a/src/recovery/plan.cpp
+++ b/src/recovery/plan.cpp
@@ -22,25 +22,25 @@
     result.demand = input.demand.parts();
     AssignmentInput assignment;
     assignment.costs = input.costs, assignment.links = input.links;
-    std::set<int> held;
+    std::set<int> served_shards;
     for (const auto& [name, server] : input.servers) {
         if (without.contains(server.site) || !server.live) continue;
         const auto share = input.available_share.find(name);
         const double power = server.power * (share == input.available_share.end() ? 1 : share->second);
         assignment.servers.push_back(
             {name, server.site, server.shards, power * input.unit_capacity * input.headroom});
-        held.insert(server.shards.begin(), server.shards.end());
+        served_shards.insert(server.shards.begin(), server.shards.end());
         result.capacity += assignment.servers.back().capacity;
     }
     double all = 0, left = 0;
     for (const auto& [shard, share] : input.demand.shards) all += share;
     for (const auto& [shard, share] : input.demand.shards) {
-        if (held.contains(shard))
+        if (served_shards.contains(shard))
             assignment.shards[shard] = all > 0 ? result.demand * share / all : 0;
         else
             result.lost_shards.insert(shard);
     }
-    // Who came to a site that is lost comes to the others.
+    // Clients of an unavailable site go to the other sites.
     for (const auto& [site, share] : input.origins)
         if (!without.contains(site)) assignment.origins[site] = share, left += share;
     for (auto& [site, share] : assignment.origins) share /= std::max(left, 1e-9);
--- a/src/recovery/site_monitor.cpp
+++ b/src/recovery/site_monitor.cpp
@@ -6,68 +6,68 @@
 
 namespace {
 
-std::string of(int part, int all) { return std::to_string(part) + " of " + std::to_string(all); }
+std::string ratio(int part, int all) { return std::to_string(part) + " of " + std::to_string(all); }
 
 } // namespace
 
-// ---- what comes in
+// ---- inputs
 
 void SiteMonitor::update_servers(Tenths now, const std::map<std::string, ListedServer>& servers) {
-    for (const auto& [name, seen] : servers) {
+    for (const auto& [name, listed] : servers) {
         Server& server = servers_[name];
-        const bool was_live = server.seen.live && server.listed_since != 0;
-        if (seen.live && !was_live) {
+        const bool was_live = server.listed.live && server.listed_since != 0;
+        if (listed.live && !was_live) {
             server.listed_since = now;
             if (!std::exchange(server.missing, false)) {
-                // One that is new stands for one that was lost: replaced, not gone.
+                // A new server replaces the one that has been missing for longest.
                 Server* oldest = nullptr;
-                for (auto& [other, activity] : servers_)
-                    if (activity.missing && activity.seen.site == seen.site &&
-                        (oldest == nullptr || activity.missing_since < oldest->missing_since))
-                        oldest = &activity;
+                for (auto& [other_name, other] : servers_)
+                    if (other.missing && other.listed.site == listed.site &&
+                        (oldest == nullptr || other.missing_since < oldest->missing_since))
+                        oldest = &other;
                 if (oldest != nullptr) oldest->missing = false;
             }
         }
-        if (!seen.live && !seen.draining && was_live && !server.seen.draining &&
+        if (!listed.live && !listed.draining && was_live && !server.listed.draining &&
             !planned_absences_.contains(name))
             server.missing = true, server.missing_since = now;
-        if (seen.live && seen.born > server.seen.born) server.listed_since = now, server.unanswered = 0;
-        server.seen = seen;
+        if (listed.live && listed.born > server.listed.born) server.listed_since = now, server.unanswered = 0;
+        server.listed = listed;
     }
-    // A whole list may leave names out: they are gone.
+    // Servers that a complete list no longer names.
     for (auto& [name, server] : servers_)
-        if (!servers.contains(name) && server.seen.live) {
-            server.missing = !server.seen.draining && !planned_absences_.contains(name);
-            server.seen.live = false, server.missing_since = now;
+        if (!servers.contains(name) && server.listed.live) {
+            server.missing = !server.listed.draining && !planned_absences_.contains(name);
+            server.listed.live = false, server.missing_since = now;
         }
-    std::erase_if(servers_, [&](auto& held) {
-        const Server& server = held.second;
-        return !server.seen.live && !server.seen.draining &&
-               (!server.missing || now > server.missing_since + fraction_of_target(kGoneMemory));
+    std::erase_if(servers_, [&](auto& entry) {
+        const Server& server = entry.second;
+        return !server.listed.live && !server.listed.draining &&
+               (!server.missing || now > server.missing_since + fraction_of_target(kMissingServerMemory));
     });
 }
 
-void SiteMonitor::add_counts(Tenths now, const TrafficCounts& tally) {
-    for (const auto& [name, news] : tally.servers) {
+void SiteMonitor::add_counts(Tenths now, const TrafficCounts& traffic) {
+    for (const auto& [name, counts] : traffic.servers) {
         const auto found = servers_.find(name);
         if (found == servers_.end()) continue;
         Server& server = found->second;
-        SiteActivity& site = activity_[server.seen.site];
-        if (news.answered > 0) {
+        SiteActivity& site = activity_[server.listed.site];
+        if (counts.answered > 0) {
             server.answered_at = now, server.unanswered = 0, server.last_counted_launch = 0;
             site.answered_at = now, site.consecutive_unanswered = 0, site.run_began_at = 0,
             site.run_servers.clear();
-            site.good += news.answered;
+            site.good += counts.answered;
         }
-        std::uint32_t unanswered = news.unanswered;
-        // An attempt that is out past the silence is one more, once.
-        if (news.oldest_outstanding > 0 && now > news.oldest_outstanding + silence_threshold() &&
-            server.answered_at < news.oldest_outstanding &&
-            server.last_counted_launch != news.oldest_outstanding)
-            ++unanswered, server.last_counted_launch = news.oldest_outstanding;
+        std::uint32_t unanswered = counts.unanswered;
+        // The oldest outstanding attempt counts as unanswered, once, after the silence threshold.
+        if (counts.oldest_outstanding > 0 && now > counts.oldest_outstanding + silence_threshold() &&
+            server.answered_at < counts.oldest_outstanding &&
+            server.last_counted_launch != counts.oldest_outstanding)
+            ++unanswered, server.last_counted_launch = counts.oldest_outstanding;
         if (unanswered == 0) continue;
         server.unanswered += unanswered, site.bad += unanswered;
-        if (news.answered > 0) continue;
+        if (counts.answered > 0) continue;
         if (site.consecutive_unanswered == 0) site.run_began_at = now;
         site.consecutive_unanswered += unanswered;
         site.run_servers.insert(name);
@@ -85,178 +85,192 @@
     return found == sites_.end() ? SiteState::kHealthy : found->second.state;
 }
 
-// ---- what follows
+// ---- states
 
 Tenths SiteMonitor::min_step_duration() const {
     return std::max(fraction_of_target(0.5),
-                    static_cast<Tenths>(static_cast<double>(options_.cold_span) * kStepOfCold));
+                    static_cast<Tenths>(static_cast<double>(options_.cold_span) * kStepShareOfColdSpan));
 }
 
 Tenths SiteMonitor::return_delay(int relapses) const {
-    return fraction_of_target(kWait) << std::min(relapses, kMostRelapses);
+    return fraction_of_target(kReturnDelay) << std::min(relapses, kMaxRelapses);
 }
 
 double SiteMonitor::traffic_share(const SiteName& name, Tenths now) const {
     const auto found = sites_.find(name);
     if (found == sites_.end()) return 1;
-    const SiteStatus& view = found->second;
-    switch (view.state) {
+    const SiteStatus& status = found->second;
+    switch (status.state) {
     case SiteState::kHealthy:
     case SiteState::kDegraded:
         return 1;
     case SiteState::kPartitioned:
     case SiteState::kLost: {
-        // Where nothing else would tell that it is back, a few attempts knock now and then.
-        const Tenths period = fraction_of_target(kKnock);
-        return (now - view.state_since) % period >= period - fraction_of_target(0.25) ? kTrial : 0;
+        // Periodic trial attempts, as a recovery might not be noticed otherwise.
+        const Tenths period = fraction_of_target(kTrialInterval);
+        return (now - status.state_since) % period >= period - fraction_of_target(0.25) ? kTrialShare : 0;
     }
     case SiteState::kRecovering:
-        return kTrial;
+        return kTrialShare;
     case SiteState::kRampingUp:
-        return 1.0 / (1 << (kReturnSteps - 1 - std::min(view.ramp_step, kReturnSteps - 1)));
+        return 1.0 / (1 << (kReturnSteps - 1 - std::min(status.ramp_step, kReturnSteps - 1)));
     }
     return 1;
 }
 
 void SiteMonitor::count_servers(Tenths now) {
-    for (auto& [name, view] : sites_) view.servers = view.answering = view.silent = view.missing = 0;
+    for (auto& [name, status] : sites_)
+        status.servers = status.answering = status.silent = status.missing = 0;
     for (const auto& [name, server] : servers_) {
-        if (planned_absences_.contains(name) || server.seen.draining) continue;
-        SiteStatus& view = sites_[server.seen.site];
-        ++view.servers;
+        if (planned_absences_.contains(name) || server.listed.draining) continue;
+        SiteStatus& status = sites_[server.listed.site];
+        ++status.servers;
         if (server.missing)
-            ++view.missing;
+            ++status.missing;
         else if (is_silent(name, now))
-            ++view.silent;
+            ++status.silent;
         else if (server.answered_at > 0 && now < server.answered_at + fraction_of_target(1))
-            ++view.answering;
+            ++status.answering;
     }
 }
 
 std::vector<SiteTransition> SiteMonitor::evaluate(Tenths now,
-                                                  const std::map<SiteName, PeerObservations>& others) {
+                                                  const std::map<SiteName, PeerObservations>& peers) {
     count_servers(now);
-    std::vector<SiteTransition> changes;
-    for (auto& [name, view] : sites_) {
-        if (view.state_since == 0) view.state_since = now;
-        const auto said = others.find(name);
-        update_state(now, name, view, said == others.end() ? PeerObservations{} : said->second, changes);
+    std::vector<SiteTransition> transitions;
+    for (auto& [name, status] : sites_) {
+        if (status.state_since == 0) status.state_since = now;
+        const auto reported = peers.find(name);
+        update_state(now, name, status, reported == peers.end() ? PeerObservations{} : reported->second,
+                     transitions);
     }
-    return changes;
+    return transitions;
 }
 
-bool SiteMonitor::shows_activity(const SiteName& name, const SiteStatus& view,
-                                 const PeerObservations& others) const {
+bool SiteMonitor::shows_activity(const SiteName& name, const SiteStatus& status,
+                                 const PeerObservations& peers) const {
     const auto activity = activity_.find(name);
-    if (activity != activity_.end() && activity->second.answered_at > view.state_since) return true;
-    if (others.ramping_up || (others.reached > 0 && others.reached > others.unreached)) return true;
-    return std::ranges::any_of(servers_, [&](const auto& held) {
-        const Server& server = held.second;
-        return server.seen.site == name && server.seen.live && server.listed_since > view.state_since;
+    if (activity != activity_.end() && activity->second.answered_at > status.state_since) return true;
+    if (peers.ramping_up || (peers.reached > 0 && peers.reached > peers.unreached)) return true;
+    return std::ranges::any_of(servers_, [&](const auto& entry) {
+        const Server& server = entry.second;
+        return server.listed.site == name && server.listed.live && server.listed_since > status.state_since;
     });
 }
 
-void SiteMonitor::update_state(Tenths now, const SiteName& name, SiteStatus& view,
-                               const PeerObservations& others, std::vector<SiteTransition>& changes) {
+void SiteMonitor::update_state(Tenths now, const SiteName& name, SiteStatus& status,
+                               const PeerObservations& peers, std::vector<SiteTransition>& transitions) {
     SiteActivity& activity = activity_[name];
-    const double servers = std::max(1, view.servers), failing = (view.silent + view.missing) / servers;
-    const bool hushed = now >= activity.answered_at + silence_threshold();
+    const double servers = std::max(1, status.servers), failing = (status.silent + status.missing) / servers;
+    const bool no_recent_answer = now >= activity.answered_at + silence_threshold();
     const bool long_run = activity.consecutive_unanswered >= kLostRun &&
                           now >= activity.run_began_at + silence_threshold() / 2 &&
-                          activity.run_servers.size() >= std::min<std::size_t>(kRunOver, view.servers);
-    const bool by_list = view.missing >= kLostShare * servers && view.servers > 1;
-    const bool all_silent = view.servers > 0 && hushed && (long_run || by_list || failing >= 1);
-    const std::string counted = of(view.silent, view.servers) + " silent, " + of(view.missing, view.servers) +
-                                " gone, " + std::to_string(activity.consecutive_unanswered) +
-                                " launches unheard in a row, " + std::to_string(others.reached) +
-                                " others reach it, " + std::to_string(others.unreached) + " do not";
-    switch (view.state) {
+                          activity.run_servers.size() >= std::min<std::size_t>(kRunServers, status.servers);
+    const bool by_list = status.missing >= kLostShare * servers && status.servers > 1;
+    const bool all_silent = status.servers > 0 && no_recent_answer && (long_run || by_list || failing >= 1);
+    const std::string evidence =
+        ratio(status.silent, status.servers) + " silent, " + ratio(status.missing, status.servers) +
+        " missing, " + std::to_string(activity.consecutive_unanswered) +
+        " consecutive attempts unanswered, reached by " + std::to_string(peers.reached) +
+        " other front nodes, not reached by " + std::to_string(peers.unreached);
+    switch (status.state) {
     case SiteState::kHealthy:
     case SiteState::kDegraded: {
-        // A moment's silence is none yet: both the run and the silence have to last.
-        if (all_silent && view.servers > 0) {
-            const SiteState to = others.reached > 0 ? SiteState::kPartitioned : SiteState::kLost;
-            return change_state(now, name, view, to, counted, changes);
+        // Both the run of unanswered attempts and the silence must have lasted, so a short pause is not
+        // enough.
+        if (all_silent && status.servers > 0) {
+            const SiteState to = peers.reached > 0 ? SiteState::kPartitioned : SiteState::kLost;
+            return change_state(now, name, status, to, evidence, transitions);
         }
-        const bool doubtful = view.servers > 0 && (failing >= kDoubtShare ||
-                                                   (activity.consecutive_unanswered >= kDoubtRun && hushed));
-        if (doubtful) {
-            activity.sound_since = 0;
-            if (view.state == SiteState::kHealthy)
-                change_state(now, name, view, SiteState::kDegraded, counted, changes);
+        const bool degraded =
+            status.servers > 0 && (failing >= kDegradedShare ||
+                                   (activity.consecutive_unanswered >= kDegradedRun && no_recent_answer));
+        if (degraded) {
+            activity.healthy_since = 0;
+            if (status.state == SiteState::kHealthy)
+                change_state(now, name, status, SiteState::kDegraded, evidence, transitions);
             return;
         }
-        if (activity.sound_since == 0) activity.sound_since = now;
-        if (view.state == SiteState::kDegraded && now >= activity.sound_since + fraction_of_target(kSettle))
-            change_state(now, name, view, SiteState::kHealthy, of(view.answering, view.servers) + " answer",
-                         changes);
-        if (view.relapses > 0 && now >= view.state_since + fraction_of_target(kForgive)) view.relapses = 0;
+        if (activity.healthy_since == 0) activity.healthy_since = now;
+        if (status.state == SiteState::kDegraded &&
+            now >= activity.healthy_since + fraction_of_target(kDegradedSettleTime))
+            change_state(now, name, status, SiteState::kHealthy,
+                         ratio(status.answering, status.servers) + " answer", transitions);
+        if (status.relapses > 0 && now >= status.state_since + fraction_of_target(kRelapseMemory))
+            status.relapses = 0;
         return;
     }
     case SiteState::kPartitioned:
     case SiteState::kLost: {
-        if (view.servers == 0)
-            return change_state(now, name, view, SiteState::kHealthy, "none of it is left", changes);
-        // Others that begin to reach it, or cease to, tell the one from the other.
-        const bool severed = others.reached > 0;
-        if (shows_activity(name, view, others) && activity.answered_at > view.state_since)
-            return change_state(now, name, view, SiteState::kRecovering, "it answers", changes);
-        if (!severed && shows_activity(name, view, others))
-            return change_state(now, name, view, SiteState::kRecovering,
-                                others.ramping_up ? "others send there again" : "it is listed anew", changes);
-        if (severed != (view.state == SiteState::kPartitioned)) {
-            const Tenths state_since = view.state_since;
-            change_state(now, name, view, severed ? SiteState::kPartitioned : SiteState::kLost, counted,
-                         changes);
-            view.state_since = state_since; // it is away as long as before
+        if (status.servers == 0)
+            return change_state(now, name, status, SiteState::kHealthy, "the site has no servers left",
+                                transitions);
+        // Whether other front nodes reach the site distinguishes the two states.
+        const bool reached_by_peers = peers.reached > 0;
+        if (shows_activity(name, status, peers) && activity.answered_at > status.state_since)
+            return change_state(now, name, status, SiteState::kRecovering, "the site answers", transitions);
+        if (!reached_by_peers && shows_activity(name, status, peers))
+            return change_state(now, name, status, SiteState::kRecovering,
+                                peers.ramping_up ? "other front nodes send to it again"
+                                                 : "its servers are listed again",
+                                transitions);
+        if (reached_by_peers != (status.state == SiteState::kPartitioned)) {
+            const Tenths state_since = status.state_since;
+            change_state(now, name, status, reached_by_peers ? SiteState::kPartitioned : SiteState::kLost,
+                         evidence, transitions);
+            status.state_since = state_since; // unavailable since the same time
         }
         return;
     }
     case SiteState::kRecovering:
-        if (activity.consecutive_unanswered >= kLostRun && hushed)
-            return change_state(now, name, view,
-                                others.reached > 0 ? SiteState::kPartitioned : SiteState::kLost,
-                                "it fell silent again: " + counted, changes);
-        if (now < view.ramp_allowed_at) return;
-        if (activity.answered_at >= view.state_since || now >= view.ramp_allowed_at + min_step_duration())
-            change_state(now, name, view, SiteState::kRampingUp, "the wait is over", changes);
+        if (activity.consecutive_unanswered >= kLostRun && no_recent_answer)
+            return change_state(now, name, status,
+                                peers.reached > 0 ? SiteState::kPartitioned : SiteState::kLost,
+                                "silent again: " + evidence, transitions);
+        if (now < status.ramp_allowed_at) return;
+        if (activity.answered_at >= status.state_since || now >= status.ramp_allowed_at + min_step_duration())
+            change_state(now, name, status, SiteState::kRampingUp, "the return delay has passed",
+                         transitions);
         return;
     case SiteState::kRampingUp: {
-        const std::uint32_t news = activity.good + activity.bad;
-        const double bad = news == 0 ? 0 : static_cast<double>(activity.bad) / news;
+        const std::uint32_t counts = activity.good + activity.bad;
+        const double bad = counts == 0 ? 0 : static_cast<double>(activity.bad) / counts;
         if (all_silent) {
-            view.relapses = std::min(view.relapses + 1, kMostRelapses);
-            return change_state(now, name, view,
-                                others.reached > 0 ? SiteState::kPartitioned : SiteState::kLost,
-                                "relapse " + std::to_string(view.relapses) + ": " + counted, changes);
+            status.relapses = std::min(status.relapses + 1, kMaxRelapses);
+            return change_state(now, name, status,
+                                peers.reached > 0 ? SiteState::kPartitioned : SiteState::kLost,
+                                "relapse " + std::to_string(status.relapses) + ": " + evidence, transitions);
         }
         const auto begin_step = [&](int ramp_step) {
-            view.ramp_step = std::clamp(ramp_step, 0, kReturnSteps - 1), view.ramp_step_since = now;
+            status.ramp_step = std::clamp(ramp_step, 0, kReturnSteps - 1), status.ramp_step_since = now;
             activity.good = activity.bad = 0;
         };
-        if (news >= kStepNews && bad > kWorseStep) return begin_step(view.ramp_step - 1);
-        const bool long_enough = now >= view.ramp_step_since + min_step_duration();
-        const bool shown =
-            activity.good >= kStepNews || now >= view.ramp_step_since + 3 * min_step_duration();
-        if (!long_enough || !shown || bad > kBadStep || others.unreached > others.reached) return;
-        if (view.ramp_step < kReturnSteps - 1) return begin_step(view.ramp_step + 1);
-        change_state(now, name, view, SiteState::kHealthy,
-                     of(view.answering, view.servers) + " answer, all of its load is back", changes);
+        if (counts >= kStepSamples && bad > kStepBackShare) return begin_step(status.ramp_step - 1);
+        const bool step_elapsed = now >= status.ramp_step_since + min_step_duration();
+        const bool enough_answers =
+            activity.good >= kStepSamples || now >= status.ramp_step_since + 3 * min_step_duration();
+        if (!step_elapsed || !enough_answers || bad > kHoldStepShare || peers.unreached > peers.reached)
+            return;
+        if (status.ramp_step < kReturnSteps - 1) return begin_step(status.ramp_step + 1);
+        change_state(now, name, status, SiteState::kHealthy,
+                     ratio(status.answering, status.servers) + " answer, full traffic share restored",
+                     transitions);
         return;
     }
     }
 }
 
-void SiteMonitor::change_state(Tenths now, const SiteName& name, SiteStatus& view, SiteState to,
-                               std::string why, std::vector<SiteTransition>& changes) {
+void SiteMonitor::change_state(Tenths now, const SiteName& name, SiteStatus& status, SiteState to,
+                               std::string evidence, std::vector<SiteTransition>& transitions) {
     SiteActivity& activity = activity_[name];
-    changes.push_back({name, view.state, to, why});
-    view.state = to, view.state_since = now, view.evidence = std::move(why);
-    activity.sound_since = 0, activity.good = activity.bad = 0;
+    transitions.push_back({name, status.state, to, evidence});
+    status.state = to, status.state_since = now, status.evidence = std::move(evidence);
+    activity.healthy_since = 0, activity.good = activity.bad = 0;
     if (to == SiteState::kRecovering)
-        view.ramp_allowed_at = now + return_delay(view.relapses), activity.consecutive_unanswered = 0;
-    // One that has failed us before begins lower.
-    if (to == SiteState::kRampingUp) view.ramp_step = view.relapses > 0 ? 0 : 1, view.ramp_step_since = now;
+        status.ramp_allowed_at = now + return_delay(status.relapses), activity.consecutive_unanswered = 0;
+    // A site with relapses starts at the lowest share.
+    if (to == SiteState::kRampingUp)
+        status.ramp_step = status.relapses > 0 ? 0 : 1, status.ramp_step_since = now;
 }
 
 } // namespace ivyrill::recovery
--- a/src/recovery/site_report.cpp
+++ b/src/recovery/site_report.cpp
@@ -15,18 +15,18 @@
 
 std::string read_text(const Json& value) {
     std::string text = value.get<std::string>();
-    if (text.size() > kMaxTextBytes) throw std::out_of_range("too long");
+    if (text.size() > kMaxTextBytes) throw std::out_of_range("text is too long");
     return text;
 }
 
 double read_rate(const Json& value) {
     const auto rate = value.get<double>();
-    if (!std::isfinite(rate) || rate < 0 || rate > kMaxRate) throw std::out_of_range("no rate");
+    if (!std::isfinite(rate) || rate < 0 || rate > kMaxRate) throw std::out_of_range("rate is out of range");
     return rate;
 }
 
 const Json& read_rows(const Json& value) {
-    if (!value.is_array() || value.size() > kMaxRows) throw std::out_of_range("no rows");
+    if (!value.is_array() || value.size() > kMaxRows) throw std::out_of_range("rows are missing or too many");
     return value;
 }
 
--- a/src/recovery/site_report.hpp
+++ b/src/recovery/site_report.hpp
@@ -1,7 +1,7 @@
-// What front nodes tell each other of sites, as CBOR (RFC 8949) by nlohmann's library, and back: what each
-// sees, what it takes of a site that comes back, what it is asked for, and operators' orders, which are
-// passed on. Whatever cannot be read is nothing. Each tells of itself alone, a few others a gap, so traffic
-// does not grow with the fleet.
+// Reports on sites that front nodes exchange, encoded as CBOR (RFC 8949): the state of each site, the share
+// of traffic sent to a site that ramps up, the front node's own demand, and the operators' overrides, which
+// are forwarded. A report that cannot be decoded is dropped. Each front node sends only its own observations,
+// to a few peers per interval, so the traffic per node does not grow with the fleet.
 #pragma once
 #include "recovery/types.hpp"
 
@@ -9,12 +9,14 @@
 
 namespace ivyrill::recovery {
 
-struct SiteOverride { // the latest by its stamp holds, for a site
+// An operator's override of a site's state. Of several for one site the one with the largest stamp is in
+// force.
+struct SiteOverride {
     enum class Kind { kNone, kLost, kKeptOut };
     SiteName site;
     Kind kind = Kind::kNone; // kNone: released
-    std::uint64_t stamp = 0; // wall time at which it was given, and its giver's chance behind it
-    Tenths until = 0;        // wall time
+    std::uint64_t stamp = 0; // wall time at which it was issued, with random low digits
+    Tenths until = 0;        // wall time of expiry
     std::string by, why;
     bool operator==(const SiteOverride&) const = default;
 };
@@ -24,19 +26,20 @@
     struct Row {
         SiteName site;
         SiteState state = SiteState::kHealthy;
-        bool answers = false, silent = false; // it answered us of late; it did not, and we tried
-        double share = 1;                     // that we take of it
+        bool answers = false, silent = false; // recent answers; recent attempts without an answer
+        double share = 1;                     // of replica selections that include the site
     };
     std::string from;
     SiteName home_site;
     std::uint64_t serial = 0;
     std::vector<Row> rows;
-    Demand demand;          // of this front node alone
-    double answer_rate = 0; // parts a second that it had answered
+    Demand demand;          // of the sender alone
+    double answer_rate = 0; // parts per second answered to the sender
     std::vector<SiteOverride> overrides;
 };
 
 std::string encode_site_report(const SiteReport& report);
+// Nothing where the bytes are malformed or exceed the bounds.
 std::optional<SiteReport> decode_site_report(std::string_view bytes);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/traffic_counter.hpp
+++ b/src/recovery/traffic_counter.hpp
@@ -1,5 +1,5 @@
-// Counts what a front node's searches and attempts come to, between two looks. Whoever carries attempts out
-// keeps one; nothing is decided here.
+// Counts the outcomes of a front node's searches, attempts and probes between two checks of the failover
+// controller. Owned by the component that sends the attempts; makes no decisions.
 #pragma once
 #include "brain.hpp"
 #include "recovery/types.hpp"
@@ -16,6 +16,7 @@
     void count_part(const TrafficClass& key, int shard) {
         ++counts_.classes[key].parts, ++counts_.shards[shard];
     }
+    // kDelivered: after the latency target.
     enum class SearchEnd { kDelivered, kInTime, kRejected, kFailed };
     void count_end(const TrafficClass& key, SearchEnd end) {
         RequestClassCounts& row = counts_.classes[key];
@@ -40,7 +41,7 @@
         case Outcome::kBroken:
             ++row.unanswered;
             break;
-        case Outcome::kRecalled: // called off: for its silence, or before it could say anything
+        case Outcome::kRecalled: // cancelled: counts only if the server had enough time to reply
             row.unanswered += took >= silence_threshold_ ? 1 : 0;
             break;
         case Outcome::kNeverSent:
@@ -56,14 +57,16 @@
         ServerCounts& row = counts_.servers[server];
         passed ? ++row.answered : ++row.unanswered;
     }
-    void note_outstanding(const std::string& server, Tenths at) {
+    // An attempt sent at `sent_at` has no reply yet.
+    void note_outstanding(const std::string& server, Tenths sent_at) {
         Tenths& oldest = counts_.servers[server].oldest_outstanding;
-        oldest = oldest == 0 ? at : std::min(oldest, at);
+        oldest = oldest == 0 ? sent_at : std::min(oldest, sent_at);
     }
+    // Returns the counts and resets them.
     TrafficCounts take() { return std::exchange(counts_, {}); }
 
   private:
-    static constexpr double kSilenceShare = 0.25; // of the shortest due span
+    static constexpr double kSilenceShare = 0.25; // of the latency target
     Tenths silence_threshold_;
     TrafficCounts counts_;
 };
--- a/src/recovery/types.cpp
+++ b/src/recovery/types.cpp
@@ -11,8 +11,8 @@
 
 const char* name_of(SiteState state) { return kNames[static_cast<std::size_t>(state)]; }
 
-std::optional<SiteState> site_state_named(const std::string& word) {
-    const auto found = std::ranges::find(kNames, word);
+std::optional<SiteState> site_state_named(const std::string& name) {
+    const auto found = std::ranges::find(kNames, name);
     if (found == kNames.end()) return {};
     return static_cast<SiteState>(found - kNames.begin());
 }
