--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -1,5 +1,6 @@
-// Any bytes as a member's datagram, sealed and not: dropped, or read and taken by a roster. Never a crash,
-// never more names than the bound, and what is read can be sent on.
+// Feeds arbitrary bytes to the datagram codec, with and without a valid MAC, and decoded datagrams to a
+// member list. Checks that nothing crashes, that the member table stays bounded and that replies can be
+// encoded.
 #include "membership/datagram_codec.hpp"
 
 #include <cstdint>
@@ -16,7 +17,7 @@
     static const auto key = access::SigningKey::from_jwk(
         {{"kty", "oct"}, {"alg", "HS256"}, {"k", "YSBzZWNyZXQgb2YgbW9yZSB0aGFuIHRoaXJ0eS10d28gYnl0ZXM"}});
     const std::string bytes(reinterpret_cast<const char*>(data), size);
-    if (codec.decode(bytes)) std::abort(); // nobody guesses the seal
+    if (codec.decode(bytes)) std::abort(); // arbitrary bytes cannot carry a valid MAC
     const auto datagram = codec.decode(bytes + key.sign(bytes));
     if (!datagram) return 0;
     MemberListOptions options;
--- a/src/membership/datagram_codec.hpp
+++ b/src/membership/datagram_codec.hpp
@@ -1,6 +1,6 @@
-// Datagrams between members as bytes: CBOR (RFC 8949) by nlohmann's library, behind it a MAC (HMAC-SHA256)
-// with the secret that all members share. Free of I/O. What is not sealed with the secret is never parsed. A
-// datagram heard twice or late does no harm: words carry incarnations, answers the serial of their probe.
+// Encodes datagrams between members as CBOR (RFC 8949) followed by a MAC (HMAC-SHA256) with the secret that
+// all members share. Free of I/O. Datagrams without a valid MAC are never parsed. Duplicated and delayed
+// datagrams are harmless: updates carry incarnations, acknowledgements the serial number of their probe.
 #pragma once
 #include "access/signature.hpp"
 #include "membership/member_list.hpp"
@@ -11,25 +11,26 @@
 
 namespace ivyrill::membership {
 
-inline constexpr std::size_t kMaxDatagramBytes = 1400; // of a datagram, so that no link takes it apart
-inline constexpr std::size_t kMaxNameBytes = 64;       // bytes of a name, or of an address
+inline constexpr std::size_t kMaxDatagramBytes = 1400; // avoids IP fragmentation
+inline constexpr std::size_t kMaxNameBytes = 64;       // of a name or an address
 
 struct CodecCounts {
     std::uint64_t accepted = 0, too_long = 0;
-    std::uint64_t unauthenticated = 0; // not sealed with our secret
-    std::uint64_t malformed = 0;       // sealed, and not to be read: another version, or a member gone wrong
+    std::uint64_t unauthenticated = 0; // no valid MAC
+    std::uint64_t malformed = 0;       // valid MAC but not decodable: another version or a faulty member
 };
 
 class DatagramCodec {
   public:
     explicit DatagramCodec(std::string_view secret); // at least 32 bytes; throws AccessError
-    // Nothing where a name is too long. Rumours that find no room are left out, the last ones first.
+    // Nothing where a name is too long. Updates beyond the size limit are left out, the last ones first.
     std::optional<std::string> encode(const Datagram& datagram) const;
     std::optional<Datagram> decode(std::string_view bytes);
-    // Any bytes, for what else goes between members; the MAC stands behind them.
+    // For other messages between members: any bytes followed by the MAC.
     static constexpr std::size_t kMacBytes = 32;
     std::string sign(std::string bytes) const;
-    std::optional<std::string_view> verify(std::string_view bytes); // what was sealed; counts what was not
+    // The bytes without the MAC, or nothing (which is counted) where it is not valid.
+    std::optional<std::string_view> verify(std::string_view bytes);
     void count_malformed() { ++counts_.malformed; }
     void count_accepted() { ++counts_.accepted; }
     const CodecCounts& counts() const { return counts_; }
--- a/src/membership/member_list.hpp
+++ b/src/membership/member_list.hpp
@@ -1,9 +1,9 @@
-// Who is there: SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style
-// Process Group Membership Protocol", DSN 2002), with what Lifeguard adds for members that are slow
-// themselves (A. Dadgar, J. Phillips, J. Currey, 2018). Free of I/O: a datagram heard or a time that has come
-// goes in, datagrams to send and changes come out. Each member probes one other a gap, whatever the number of
-// members, so its traffic does not grow with them; what it has heard travels on those probes. Times are
-// tenths of a millisecond.
+// Membership and failure detection by SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable Weakly-consistent
+// Infection-style Process Group Membership Protocol", DSN 2002), with Lifeguard's extensions for members that
+// are slow themselves (A. Dadgar, J. Phillips, J. Currey, 2018). Free of I/O: takes received datagrams and
+// the time, returns datagrams to send and state changes. Each member probes one other per interval, so its
+// traffic does not grow with the group; updates are piggybacked on the probes. Times are tenths of a
+// millisecond.
 #pragma once
 #include "base/pcg.hpp"
 #include "base/time.hpp"
@@ -17,22 +17,24 @@
 
 namespace ivyrill::membership {
 
-using Incarnation = std::uint64_t; // of a member: only it may raise it, at a start and to refute
+// Only the member itself raises its incarnation: at each start and to refute an update.
+using Incarnation = std::uint64_t;
 
 enum class MemberState { kAlive, kSuspect, kFailed, kLeft };
 
-struct MemberUpdate { // what somebody says of a member; of two, the one with the higher rank holds
+// State of a member as announced by any member; the higher incarnation wins, then the worse state.
+struct MemberUpdate {
     std::string name, address;
     Incarnation incarnation = 0;
     MemberState state = MemberState::kAlive;
 };
 
-enum class DatagramKind { kPing, kAck, kPingRequest }; // the last: ask that member in my place
+enum class DatagramKind { kPing, kAck, kPingRequest }; // kPingRequest: an indirect probe
 struct Datagram {
     DatagramKind kind = DatagramKind::kPing;
     std::string from, address; // of the sender
-    std::uint64_t serial = 0;  // of the probe; an answer brings it back
-    std::string target;        // kPingRequest: its name. kAck: who is alive by it
+    std::uint64_t serial = 0;  // of the probe; its acknowledgement repeats it
+    std::string target;        // kPingRequest: member to probe; kAck: member that is alive
     std::vector<MemberUpdate> updates;
 };
 
@@ -49,23 +51,23 @@
 
 struct MemberListOptions {
     std::string name, address;
-    std::vector<std::string> peers; // addresses from the operator's file, our own may be among them
-    Incarnation incarnation = 1;    // from the store, raised at each start; without one, from the clock
+    std::vector<std::string> peers; // addresses from the operator's file, may contain the own one
+    Incarnation incarnation = 1;    // larger at each start: from the store, else from the clock
     std::uint64_t seed = 0;
-    Tenths probe_interval = kTenthsPerSecond; // between our probes
+    Tenths probe_interval = kTenthsPerSecond; // between two probes
     Tenths probe_timeout = kTenthsPerSecond / 5;
-    int indirect_probes = 3; // asked to probe in our place
-    double suspicion_factor =
-        4; // times the probe gap and the logarithm of the number: until a suspect has failed
-    double dissemination_factor = 4; // times that logarithm: how often a rumour goes out
-    std::size_t max_updates = 8;     // rumours in a datagram
-    std::size_t max_members = 1000;  // members known, the gone among them
+    int indirect_probes = 3; // members asked to probe in place of this one
+    // Suspicion timeout in probe intervals, and sends of an update, each times log10 of the group size.
+    double suspicion_factor = 4;
+    double dissemination_factor = 4;
+    std::size_t max_updates = 8;    // per datagram
+    std::size_t max_members = 1000; // known members, including absent ones
 };
 
 struct MemberListCounts {
-    std::uint64_t sent = 0, heard = 0, probes = 0, indirect_probes = 0, suspected = 0, refuted = 0,
+    std::uint64_t sent = 0, received = 0, probes = 0, indirect_probes = 0, suspected = 0, refuted = 0,
                   stalls = 0, table_full = 0,
-                  name_conflicts = 0; // another one bears our name
+                  name_conflicts = 0; // another member uses this one's name
 };
 
 class MemberList {
@@ -73,24 +75,24 @@
     MemberList(MemberListOptions options, Tenths now);
 
     std::vector<Effect> receive(Tenths now, const Datagram& datagram);
-    std::vector<Effect> step(Tenths now);  // what is due by now
-    std::vector<Effect> leave(Tenths now); // tells some others; the roster is over afterwards
+    std::vector<Effect> step(Tenths now);  // does what is due
+    std::vector<Effect> leave(Tenths now); // announces the departure; no further use afterwards
     Tenths next_step() const;              // when to step again
 
-    // Those alive or only suspected, ourselves among them.
+    // Members alive or suspected, including this one.
     std::size_t present_count() const;
-    MemberState state_of(const std::string& name) const; // kFailed where it is not known
+    MemberState state_of(const std::string& name) const; // kFailed for an unknown name
     Incarnation incarnation() const { return incarnation_; }
     struct MemberInfo {
         std::string name, address;
         MemberState state = MemberState::kAlive;
         Tenths since = 0;
     };
-    std::vector<MemberInfo> members() const; // the others, by name
+    std::vector<MemberInfo> members() const; // all others, by name
     const std::string* address_of(const std::string& name) const;
-    int health_score() const {
-        return ill_;
-    } // 0: answers come; more: we are slow to hear, and patient with others
+    // Lifeguard's local health: 0 is healthy; higher while acknowledgements are missed, which extends
+    // timeouts.
+    int health_score() const { return health_score_; }
     const MemberListCounts& counts() const { return counts_; }
 
   private:
@@ -98,54 +100,54 @@
         std::string address;
         Incarnation incarnation = 0;
         MemberState state = MemberState::kAlive;
-        Tenths since = 0, fails_at = 0; // the latter while it is a suspect
+        Tenths since = 0, suspicion_ends_at = 0; // the latter while suspected
     };
-    struct Told {
+    struct QueuedUpdate {
         MemberUpdate update;
-        int times = 0;
+        int sends = 0;
     };
-    struct Probe { // ours, one at a time
+    struct Probe { // at most one at a time
         std::string target;
         std::uint64_t serial = 0;
-        Tenths answer_by = 0, ends = 0;
-        bool helped = false;
+        Tenths indirect_at = 0, expires_at = 0;
+        bool indirect_sent = false;
     };
-    struct RelayedProbe { // a probe made for somebody else
-        std::string asker, target;
+    struct RelayedProbe { // made for another member
+        std::string requester, target;
         std::uint64_t serial = 0;
-        Tenths ends = 0;
+        Tenths expires_at = 0;
     };
 
-    void take(const MemberUpdate& update);
+    void apply_update(const MemberUpdate& update);
     void refute(Incarnation above);
-    void spread(const MemberUpdate& update);
-    void set(const std::string& name, Member& member, MemberState state, Incarnation incarnation);
+    void queue_update(const MemberUpdate& update);
+    void set_state(const std::string& name, Member& member, MemberState state, Incarnation incarnation);
     void send(const std::string& address, Datagram datagram);
-    std::string draw(std::vector<std::string>& names);
-    void probe_next();
-    void seek_peers();
-    void forgive_stall(Tenths late);
-    void fall_ill(int by);
-    void forget_gone();
-    double logarithm() const;
-    Tenths suspicion_span() const;
-    MemberUpdate word_on_us() const {
+    std::string take_random(std::vector<std::string>& names);
+    void start_probe();
+    void contact_absent_member();
+    void recover_from_stall(Tenths delay);
+    void raise_health_score(int by);
+    void evict_absent_member();
+    double log_size() const;
+    Tenths suspicion_timeout() const;
+    MemberUpdate own_update() const {
         return {options_.name, options_.address, incarnation_, MemberState::kAlive};
     }
 
     MemberListOptions options_;
-    Pcg chance_;
-    Tenths now_ = 0, probe_at_ = 0, seek_at_ = 0;
+    Pcg rng_;
+    Tenths now_ = 0, next_probe_at_ = 0, next_contact_at_ = 0;
     Incarnation incarnation_;
-    std::map<std::string, Member> members_; // the others
-    std::map<std::string, Told> rumours_;   // by whom they are about
-    std::vector<std::string> round_;        // still to be probed in this round, the last one first
-    std::string told_last_;                 // of those told of in turn
-    std::map<std::uint64_t, RelayedProbe> favours_;
+    std::map<std::string, Member> members_;              // the others
+    std::map<std::string, QueuedUpdate> queued_updates_; // by the member they describe
+    std::vector<std::string> probe_order_;               // of the current round, from the back
+    std::string last_in_turn_;                           // member sent last to fill a datagram
+    std::map<std::uint64_t, RelayedProbe> relayed_probes_;
     Probe probe_;
     std::uint64_t next_serial_ = 1;
-    int ill_ = 0;
-    bool over_ = false;
+    int health_score_ = 0;
+    bool left_ = false;
     MemberListCounts counts_;
     std::vector<Effect> effects_;
 };
--- a/src/operator/field_reader.cpp
+++ b/src/operator/field_reader.cpp
@@ -35,26 +35,26 @@
     return find(name) == nullptr ? default_value : text(name);
 }
 
-std::string FieldReader::one_of(const std::string& name, const std::vector<std::string>& words,
+std::string FieldReader::one_of(const std::string& name, const std::vector<std::string>& values,
                                 const std::string& default_value) {
     const std::string value = text(name, default_value);
-    if (std::ranges::find(words, value) != words.end()) return value;
+    if (std::ranges::find(values, value) != values.end()) return value;
     std::string known;
-    for (const std::string& one : words) known += (known.empty() ? "" : ", ") + one;
-    const std::string near = script::nearest(value, words);
+    for (const std::string& one : values) known += (known.empty() ? "" : ", ") + one;
+    const std::string nearest = script::nearest(value, values);
     fail(name, "expected one of " + known + ", got '" + value + "'" +
-                   (near.empty() ? "" : "; did you mean '" + near + "'?"));
+                   (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
 }
 
 std::int64_t FieldReader::integer(const std::string& name, std::int64_t min, std::int64_t max,
                                   std::optional<std::int64_t> default_value) {
     const ordered_json* found = find(name);
     if (found == nullptr && default_value) return *default_value;
-    const std::string wanted = "expected an int from " + std::to_string(min) + " to " + std::to_string(max);
-    if (found == nullptr) fail(name, "is missing; " + wanted);
-    if (!found->is_number_integer()) fail(name, wanted);
+    const std::string expected = "expected an int from " + std::to_string(min) + " to " + std::to_string(max);
+    if (found == nullptr) fail(name, "is missing; " + expected);
+    if (!found->is_number_integer()) fail(name, expected);
     const auto value = found->get<std::int64_t>();
-    if (value < min || value > max) fail(name, wanted + ", got " + std::to_string(value));
+    if (value < min || value > max) fail(name, expected + ", got " + std::to_string(value));
     return value;
 }
 
@@ -62,11 +62,12 @@
                            std::optional<double> default_value) {
     const ordered_json* found = find(name);
     if (found == nullptr && default_value) return *default_value;
-    const auto wanted = [&] {
+    const auto expected = [&] {
         return "expected a number from " + ordered_json(min).dump() + " to " + ordered_json(max).dump();
     };
-    if (found == nullptr) fail(name, "is missing; " + wanted());
-    if (!found->is_number() || found->get<double>() < min || found->get<double>() > max) fail(name, wanted());
+    if (found == nullptr) fail(name, "is missing; " + expected());
+    if (!found->is_number() || found->get<double>() < min || found->get<double>() > max)
+        fail(name, expected());
     return found->get<double>();
 }
 
@@ -117,8 +118,8 @@
 void FieldReader::reject_unknown() const {
     for (const auto& [name, value] : object_->items()) {
         if (requested_.contains(name)) continue;
-        const std::string near = script::nearest(name, {requested_.begin(), requested_.end()});
-        fail(name, "is not known here" + (near.empty() ? "" : "; did you mean '" + near + "'?"));
+        const std::string nearest = script::nearest(name, {requested_.begin(), requested_.end()});
+        fail(name, "is not a known field" + (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
     }
 }
 
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -25,11 +25,10 @@
 access::NameRule read_rule(FieldReader fields, const access::AccessTerms& terms) {
     access::NameRule rule;
     rule.uri = fields.text("uri", ""), rule.dns = fields.text("dns", "");
-    if (rule.uri.empty() == rule.dns.empty())
-        fields.fail("uri", "expected a uri or a dns name, one of the two");
+    if (rule.uri.empty() == rule.dns.empty()) fields.fail("uri", "expected either a uri or a dns name");
     const std::string& pattern = rule.uri.empty() ? rule.dns : rule.uri;
     if (pattern == "*" || pattern.find('*') < pattern.size() - 1)
-        fields.fail(rule.uri.empty() ? "dns" : "uri", "expected '*' at the end only, after something");
+        fields.fail(rule.uri.empty() ? "dns" : "uri", "expected '*' at the end only, after a prefix");
     rule.club = fields.text("club"), rule.member = fields.text("member");
     if (!terms.clubs.contains(rule.club)) fields.fail("club", "no club is named '" + rule.club + "'");
     rule.rights = read_rights(fields), rule.owned = fields.text_list("own");
@@ -53,7 +52,7 @@
             throw SettingsError(path + ": expected 1 to 64 letters, digits, '-', '_' or '.'");
         terms.clubs[club] = tenant.template get<std::string>();
     });
-    if (terms.clubs.empty()) fields.fail("clubs", "expected one club at least");
+    if (terms.clubs.empty()) fields.fail("clubs", "expected at least one club");
     const auto right_of = [](const nlohmann::ordered_json& value,
                              const std::string& path) -> std::optional<Right> {
         if (value == "read") return Right::kRead;
@@ -70,15 +69,14 @@
     terms.other_request_classes =
         right_of(fields.text("other_products", "nobody"), fields.path() + ".other_products");
     if (terms.request_classes.empty() && !terms.other_request_classes)
-        fields.fail("products", "nobody may do anything");
+        fields.fail("products", "no request class is accessible");
     fields.for_each_object(
         "names", [&](FieldReader rule) { terms.names.push_back(read_rule(std::move(rule), terms)); });
     result.keys = fields.text("keys", ""), result.revocations = fields.text("revocations", "");
     result.authorities = fields.text_list("authorities"), result.crls = fields.text_list("crls");
     if (result.keys.empty() && result.authorities.empty())
         fields.fail("keys", "expected keys, authorities or both");
-    if (!result.crls.empty() && result.authorities.empty())
-        fields.fail("crls", "expected authorities beside them");
+    if (!result.crls.empty() && result.authorities.empty()) fields.fail("crls", "requires authorities");
     result.platform_port_guarded = fields.one_of("plain_port", {"guarded", "open"}, "guarded") == "guarded";
     result.query_is_note_key = fields.one_of("note_key", {"parameter", "query"}, "parameter") == "query";
     fields.reject_unknown();
@@ -97,7 +95,7 @@
         if (protocol != "h2" && protocol != "http/1.1")
             fields.fail("protocols", "expected \"h2\" or \"http/1.1\", got '" + protocol + "'");
     if (result.certificate.empty() && result.protocols.size() != 1)
-        fields.fail("protocols", "expected one: on a plain listener nobody can agree on another");
+        fields.fail("protocols", "expected one protocol: a plain listener cannot negotiate");
     const std::string clients =
         fields.one_of("client_certificates", {"none", "optional", "required"}, "none");
     result.client_certificates = clients == "none"       ? transport::ClientCertificates::kNone
@@ -106,7 +104,7 @@
     result.guarded = fields.flag("guarded", settings.access.has_value());
     if (result.guarded && !settings.access) fields.fail("guarded", "there is no section 'access'");
     if (clients != "none" && result.certificate.empty())
-        fields.fail("client_certificates", "expected a certificate of ours");
+        fields.fail("client_certificates", "requires a certificate of the listener");
     if (clients != "none" && (!settings.access || settings.access->authorities.empty()))
         fields.fail("client_certificates", "no authority is named in 'access'");
     fields.reject_unknown();
@@ -125,15 +123,14 @@
 }
 
 rota::Answer read_answer(FieldReader& fields, const std::string& name, rota::Answer default_value) {
-    static const std::vector<std::string> kWords{"wait", "skip", "put_back", "stop", "call"};
-    const std::string value = fields.one_of(name, kWords, kWords[static_cast<std::size_t>(default_value)]);
-    return static_cast<rota::Answer>(std::ranges::find(kWords, value) - kWords.begin());
+    static const std::vector<std::string> kNames{"wait", "skip", "put_back", "stop", "call"};
+    const std::string value = fields.one_of(name, kNames, kNames[static_cast<std::size_t>(default_value)]);
+    return static_cast<rota::Answer>(std::ranges::find(kNames, value) - kNames.begin());
 }
 
 MaintenanceSettings read_maintenance(FieldReader fields, const OperatorSettings& settings) {
     MaintenanceSettings result;
-    if (!settings.membership)
-        throw SettingsError("rota: there is no section 'members': nobody to settle anything with");
+    if (!settings.membership) throw SettingsError("rota: there is no section 'members', which it requires");
     fields.for_each_entry("candidates",
                           [&](const std::string& name, const auto& address, const std::string& path) {
                               if (!address.is_string()) throw SettingsError(path + ": expected an address");
@@ -141,9 +138,9 @@
                           });
     result.voter_count = static_cast<std::size_t>(fields.integer("council", 1, 7, 3));
     if (result.voter_count % 2 == 0)
-        fields.fail("council", "expected 1, 3, 5 or 7: an even one stands no more failures");
+        fields.fail("council", "expected 1, 3, 5 or 7: an even number tolerates no more failures");
     if (result.candidates.size() < result.voter_count)
-        fields.fail("candidates", "expected as many as the council has seats, or more");
+        fields.fail("candidates", "expected as many as the council has voters, or more");
     result.ledger = fields.text("ledger", "rota/ledger.db"), result.witness = fields.text("witness", "");
     if (result.ledger.find('/') == std::string::npos)
         fields.fail(
@@ -175,11 +172,11 @@
     timeouts.most_setbacks = static_cast<int>(spans.integer("setbacks", 0, 100, 3));
     timeouts.most_strain = spans.number("strain", 0, 1, 0.05);
     if (timeouts.act >= timeouts.grant)
-        spans.fail("act_ms", "expected less than grant_ms: a grant would end within one act");
+        spans.fail("act_ms", "expected less than grant_ms: a grant would expire during one act");
     const Tenths election = 16 * result.heartbeat;
     if (timeouts.grant <= election)
         spans.fail("grant_ms",
-                   "expected more than 16 heartbeats: grants would end at each change of the leader");
+                   "expected more than 16 heartbeats: grants would expire at each leader election");
     spans.reject_unknown();
     FieldReader answers = group("answers");
     rota::Answers& policy = result.answers;
@@ -201,7 +198,7 @@
     FieldReader keeper = fields.object("keeper").value_or(FieldReader(none, fields.path() + ".keeper"));
     result.keeper_command = keeper.text_list("command"), result.keeper_address = keeper.text("address", "");
     if (result.keeper_command.empty() == result.keeper_address.empty())
-        keeper.fail("command", "expected a command or an address, one of the two");
+        keeper.fail("command", "expected a command or an address, not both");
     keeper.reject_unknown();
     fields.reject_unknown();
     return result;
@@ -220,7 +217,7 @@
         result.listeners.push_back(read_listener(fields, result));
         for (const std::string& value : {result.listeners.back().name, result.listeners.back().address})
             if (!value.ends_with(":0") && !seen.insert(value).second)
-                throw SettingsError(fields.path() + ": '" + value + "' stands twice");
+                throw SettingsError(fields.path() + ": '" + value + "' is used twice");
     });
     nlohmann::ordered_json none = nlohmann::ordered_json::object();
     FieldReader tls = top.object("tls").value_or(FieldReader(none, "tls"));
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -1,5 +1,5 @@
-// What the operator's file orders, typed and checked: one member for each section. Pure; the files that it
-// names are read by the program. A program that is given no such file does none of this.
+// Settings of the operator's file, typed and validated: one member for each section. Pure; the files that it
+// names are read in program/operator_files.hpp. The operator's file is optional.
 #pragma once
 #include "access/gate.hpp"
 #include "access/handshakes.hpp"
@@ -19,21 +19,21 @@
 
 struct AccessSettings {
     access::AccessTerms terms;
-    std::string keys, revocations; // a folder, a file
+    std::string keys, revocations; // paths of a folder and of a file
     std::vector<std::string> authorities, crls;
-    bool platform_port_guarded = true; // the platform's plain port asks for a credential too
-    bool query_is_note_key = false;    // what a search is about is its query's text, not the parameter `k`
+    bool platform_port_guarded = true; // whether the platform's plain port requires credentials
+    bool query_is_note_key = false;    // the note key of a search is its query text, not the parameter `k`
 };
 
 struct ListenerSettings {
-    std::string name, address, certificate, key; // the latter two are files; empty: a plain listener
-    std::vector<std::string> protocols;          // `h2`, `http/1.1`: of ALPN, or the one of a plain listener
+    std::string name, address, certificate, key; // the latter two are paths; empty: a plain listener
+    std::vector<std::string> protocols;          // `h2`, `http/1.1`: for ALPN; a plain listener has one
     transport::ClientCertificates client_certificates = transport::ClientCertificates::kNone;
     bool guarded = true;
 };
 
 struct AuditSettings {
-    std::string file; // empty: the log
+    std::string file; // empty: write to the log
     int max_lines_per_second = 20;
 };
 
@@ -41,21 +41,23 @@
     std::string address;    // where the others reach us
     std::string bind;       // where we hear them, the same unless something stands between
     std::vector<std::string> peers;
-    std::string secret; // a file, 32 bytes or more, the same for all
+    std::string secret; // path of the shared secret, 32 bytes or more
     Tenths probe_interval = kTenthsPerSecond;
 };
 
-struct MaintenanceSettings { // machines taken out for work, in an order that the front nodes settle
-    std::vector<std::pair<std::string, std::string>> candidates; // front nodes with a disk: name, address
+// Coordinated maintenance: the front nodes agree on which machines are out of service.
+struct MaintenanceSettings {
+    std::vector<std::pair<std::string, std::string>>
+        candidates; // front nodes with a disk that may be voters: name, address
     std::size_t voter_count = 3;
-    std::string ledger, witness; // files
+    std::string ledger, witness; // paths
     Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
     rota::Limits limits;
     rota::Spans spans;
     rota::Answers answers;
-    std::vector<std::string> keeper_command; // one of the two
+    std::vector<std::string> keeper_command; // either this or the address
     std::string keeper_address;
-    std::map<std::string, Tenths> work; // how long it takes by kind of machine; "" for all others
+    std::map<std::string, Tenths> work; // duration by kind of machine; "" for all others
 };
 
 struct OperatorSettings {
--- a/src/program/rota_side.cpp
+++ b/src/program/rota_side.cpp
@@ -136,7 +136,7 @@
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
-            warden->roster().present_count(), roster.sent, roster.heard, roster.suspected, roster.refuted,
+            warden->roster().present_count(), roster.sent, roster.received, roster.suspected, roster.refuted,
             roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed, seals.too_long,
             warden->counts().crowded, warden->parcels().sent, warden->parcels().pieces,
             warden->parcels().asked_again, hand.acts, hand.strange, hand.refused, hand.lapsed,
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -47,7 +47,7 @@
         const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
         const Tenths took = tenths_to_use(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
-        // The wire has one word for both: what took less than the time-out was refused.
+        // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
         if (outcome == Outcome::kNoConnection && took < connect_span_) outcome = Outcome::kRefused;
         brain_->on(now,
                    AttemptReturned{PartId{request_id(message)}, attempt, server_of(message.text("Server")),
@@ -59,7 +59,7 @@
     } else if (message.name() == "LAPSED") {
         brain_->on(now, SearchLapsed{SearchId{request_id(message)}});
     }
-    // RING needs no more than the decision that every event brings; other messages are not for this module.
+    // RING only triggers the decision that follows every event. Other messages are ignored.
 }
 
 void Instance::apply_list(Tenths now, ListKind kind, const EndpointList& endpoints) {
@@ -77,7 +77,7 @@
     return std::move(actions_);
 }
 
-// The simulator sends at once.
+// The simulator sends at once, so there is no send deadline.
 void Instance::attempt(PartId part, ServerId server, Tenths time_out, Tenths) {
     actions_ += "ISSUE Id=" + number(part.value) + " TimeoutUs=" + std::to_string(to_micros(time_out)) +
                 " Server=" + names_.at(server.value) + "\n";
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,4 +1,5 @@
-// One simulated front node: it gives the module's actions their wire form and knows servers by their names.
+// One simulated front node: encodes the decision module's actions as wire messages and maps server names to
+// ids.
 #pragma once
 #include "brain.hpp"
 #include "simulator/wire.hpp"
@@ -11,7 +12,7 @@
 
 struct ListedEndpoint {
     std::string server;
-    ListEntry entry; // its server id is filled in by each instance
+    ListEntry entry; // its server id is assigned by each instance
 };
 using EndpointList = std::vector<ListedEndpoint>;
 
@@ -20,9 +21,9 @@
     explicit Instance(OpeningTerms terms)
         : connect_span_(terms.connect_span), brain_(open_brain(std::move(terms))) {}
 
-    void apply(Tenths now, const Message& message); // any event but OPEN_INSTANCE, KILLED and ENDPOINTS
+    void apply(Tenths now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
     void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
-    std::string decide(Tenths now); // the actions, a line each
+    std::string decide(Tenths now); // the actions, one line each
 
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
     void recall(PartId part, AttemptNo attempt) override;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
-// The adapter's loop: reads batches from standard input, deals the events to the instances, writes one reply
-// a batch. Malformed input ends the process with a message on standard error and a non-zero exit.
+// The simulator's adapter: runs the decision module of several simulated front nodes in one process. Reads
+// batches of events from standard input, passes them to the instances and writes one reply per batch.
+// Malformed input ends the process with a message on standard error and a non-zero status.
 #include "simulator/instance.hpp"
 #include "simulator/wire.hpp"
 
@@ -13,13 +14,13 @@
 
 namespace {
 
-constexpr std::size_t kEndpointLists = 16; // the wire numbers its lists 0 to 15
+constexpr std::size_t kEndpointLists = 16; // the protocol numbers them 0 to 15
 constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
 
 class Adapter {
   public:
     // Returns the reply to the batch that `opening` begins.
-    std::string batch(const std::string& opening, std::istream& in) {
+    std::string process_batch(const std::string& opening, std::istream& in) {
         const Message begin(opening);
         if (begin.name() != "BEGIN_BATCH") throw WireError("expected BEGIN_BATCH: " + opening.substr(0, 80));
         now_ = tenths_to_use(begin.integer_within("TimeUs", 0, kMaxInteger));
@@ -49,7 +50,7 @@
             current_node_ = &*names_.emplace(message.text("Node")).first;
             return;
         }
-        if (current_node_ == nullptr) return; // an unknown message for no instance
+        if (current_node_ == nullptr) return; // a message for no instance is ignored
         if (message.name() == "KILLED") {
             instances_.erase(*current_node_);
             return;
@@ -63,7 +64,7 @@
             return;
         }
         const auto found = instances_.find(*current_node_);
-        if (found == instances_.end()) return; // nothing is owed for an instance that does not run
+        if (found == instances_.end()) return; // the instance does not run: no reply is due
         if (message.name() == "ENDPOINTS") {
             const ListKind kind = read_list_kind(message.text("Scope"));
             const bool listed = kind != ListKind::kLost;
@@ -80,7 +81,8 @@
 
     void read_endpoint_list(const Message& message, std::istream& in) {
         EndpointList endpoints;
-        for (std::int64_t left = message.integer_within("Rows", 0, kMaxInteger); left > 0; --left) {
+        for (std::int64_t remaining = message.integer_within("Rows", 0, kMaxInteger); remaining > 0;
+             --remaining) {
             std::string text;
             if (!std::getline(in, text)) throw WireError("input ended inside a list");
             const Message row(text);
@@ -92,16 +94,16 @@
 
     static ListEntry read_entry(const Message& row) {
         constexpr std::int64_t kMaxIndex = std::numeric_limits<std::int32_t>::max();
-        const auto place = [&row](std::string_view field) {
+        const auto index_field = [&row](std::string_view field) {
             return row.has(field) ? static_cast<std::int32_t>(row.integer_within(field, 0, kMaxIndex)) : 0;
         };
         ListEntry entry;
-        entry.zone = ZoneNo{place("Dc")};
-        entry.kind = KindNo{place("ClassOfHost")};
-        entry.cell = CellNo{place("SetNo")};
+        entry.zone = ZoneNo{index_field("Dc")};
+        entry.kind = KindNo{index_field("ClassOfHost")};
+        entry.cell = CellNo{index_field("SetNo")};
         if (row.has("Availability")) entry.listed = read_listed(row.text("Availability"));
         entry.weight = row.number("Weight", 1);
-        // A later start keeps a server cold for longer: the safe side.
+        // Rounded up: a later start treats the server as cold for longer, which is safe.
         entry.born = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
         return entry;
     }
@@ -109,7 +111,7 @@
     Tenths now_ = 0;
     std::map<std::string, Instance> instances_;
     std::set<std::string, std::less<>> names_;
-    std::vector<std::string> addressed_nodes_; // in this batch, in order
+    std::vector<std::string> addressed_nodes_; // in this batch, in order of appearance
     const std::string* current_node_ = nullptr;
     std::array<EndpointList, kEndpointLists> endpoint_lists_;
 };
@@ -124,7 +126,7 @@
     try {
         for (std::string text; std::getline(std::cin, text);) {
             if (text.empty()) continue;
-            std::cout << adapter.batch(text, std::cin) << std::flush;
+            std::cout << adapter.process_batch(text, std::cin) << std::flush;
         }
     } catch (const std::exception& error) {
         std::cerr << "ivyrill_simulator_adapter: " << error.what() << "\n";
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -24,7 +24,7 @@
 
 bool Message::has(std::string_view field) const {
     if (!malformed_word_.empty())
-        throw WireError(std::string(name_) + ": no value: " + quoted(malformed_word_));
+        throw WireError(std::string(name_) + ": field without a value: " + quoted(malformed_word_));
     return fields_.contains(field);
 }
 
@@ -33,20 +33,20 @@
     return fields_.find(field)->second;
 }
 
-std::int64_t Message::integer(std::string_view field, std::int64_t absent) const {
-    return has(field) ? integer(field) : absent;
+std::int64_t Message::integer(std::string_view field, std::int64_t default_value) const {
+    return has(field) ? integer(field) : default_value;
 }
 
-std::int64_t Message::integer_within(std::string_view field, std::int64_t least, std::int64_t most) const {
+std::int64_t Message::integer_within(std::string_view field, std::int64_t min, std::int64_t max) const {
     const std::int64_t value = integer(field);
-    if (value < least || value > most)
+    if (value < min || value > max)
         throw WireError(std::string(name_) + " " + std::string(field) +
                         ": out of range: " + quoted(text(field)));
     return value;
 }
 
-double Message::number(std::string_view field, double absent) const {
-    return has(field) ? to_number(text(field), field) : absent;
+double Message::number(std::string_view field, double default_value) const {
+    return has(field) ? to_number(text(field), field) : default_value;
 }
 
 bool Message::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
@@ -67,31 +67,31 @@
     return report;
 }
 
-Outcome read_outcome(std::string_view word) {
-    if (word == "pass") return Outcome::kAnswered;
-    if (word == "fault") return Outcome::kError;
-    if (word == "no_room") return Outcome::kTurnedAway;
-    if (word == "too_slow") return Outcome::kTimedOut;
-    if (word == "no_route") return Outcome::kNoConnection;
-    if (word == "cut") return Outcome::kBroken;
-    if (word == "undone") return Outcome::kRecalled;
-    if (word == "stale_send") return Outcome::kNeverSent;
-    throw WireError("How: unknown: " + quoted(word));
+Outcome read_outcome(std::string_view value) {
+    if (value == "pass") return Outcome::kAnswered;
+    if (value == "fault") return Outcome::kError;
+    if (value == "no_room") return Outcome::kTurnedAway;
+    if (value == "too_slow") return Outcome::kTimedOut;
+    if (value == "no_route") return Outcome::kNoConnection;
+    if (value == "cut") return Outcome::kBroken;
+    if (value == "undone") return Outcome::kRecalled;
+    if (value == "stale_send") return Outcome::kNeverSent;
+    throw WireError("How: unknown value: " + quoted(value));
 }
 
-Listed read_listed(std::string_view word) {
-    if (word == "live") return Listed::kLive;
-    if (word == "quiescing") return Listed::kDraining;
-    if (word == "dead") return Listed::kGone;
-    throw WireError("Availability: unknown: " + quoted(word));
+Listed read_listed(std::string_view value) {
+    if (value == "live") return Listed::kLive;
+    if (value == "quiescing") return Listed::kDraining;
+    if (value == "dead") return Listed::kGone;
+    throw WireError("Availability: unknown value: " + quoted(value));
 }
 
-ListKind read_list_kind(std::string_view word) {
-    if (word == "incr") return ListKind::kChanges;
-    if (word == "total") return ListKind::kWhole;
-    if (word == "warm_copy") return ListKind::kSaved;
-    if (word == "lost") return ListKind::kLost;
-    throw WireError("Scope: unknown: " + quoted(word));
+ListKind read_list_kind(std::string_view value) {
+    if (value == "incr") return ListKind::kChanges;
+    if (value == "total") return ListKind::kWhole;
+    if (value == "warm_copy") return ListKind::kSaved;
+    if (value == "lost") return ListKind::kLost;
+    throw WireError("Scope: unknown value: " + quoted(value));
 }
 
 } // namespace ivyrill::simulator
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -1,5 +1,5 @@
-// The simulator's wire as text: lines, fields, and the values in them. Whatever is malformed is thrown as
-// WireError with a message that names the place.
+// Parsing of the simulator's text protocol: messages, fields and values. Malformed input throws WireError
+// with a message that names the place.
 #pragma once
 #include "brain.hpp"
 #include "protocol/terms.hpp"
@@ -14,31 +14,32 @@
 
 using WireError = protocol::ProtocolError;
 
-// One line: a message name, then name=value pairs in any order. A field that is absent has its stated
-// meaning.
+// A message is one line: its name, then name=value pairs in any order. Absent fields have documented
+// defaults.
 class Message {
   public:
     explicit Message(std::string_view text);
     std::string_view name() const { return name_; }
     bool has(std::string_view field) const;
-    std::string_view text(std::string_view field) const; // must be there
+    std::string_view text(std::string_view field) const; // required
     std::int64_t integer(std::string_view field) const { return protocol::to_integer(text(field), field); }
-    std::int64_t integer(std::string_view field, std::int64_t absent) const;
-    std::int64_t integer_within(std::string_view field, std::int64_t least, std::int64_t most) const;
-    double number(std::string_view field, double absent) const;
+    std::int64_t integer(std::string_view field, std::int64_t default_value) const;
+    std::int64_t integer_within(std::string_view field, std::int64_t min, std::int64_t max) const;
+    double number(std::string_view field, double default_value) const;
     bool flag(std::string_view field) const;
     protocol::PathValues fields() const { return {fields_.begin(), fields_.end()}; }
 
   private:
     std::string_view name_;
-    std::string_view malformed_word_; // a word without a value: malformed, unless the message is none of ours
+    std::string_view
+        malformed_word_; // a word without a value: an error unless the message is unknown and so never read
     std::map<std::string_view, std::string_view> fields_;
 };
 
 OpeningTerms read_terms(const Message& opening);
 LoadReport read_report(const Message& message);
-Outcome read_outcome(std::string_view word);
-Listed read_listed(std::string_view word);
-ListKind read_list_kind(std::string_view word);
+Outcome read_outcome(std::string_view value);
+Listed read_listed(std::string_view value);
+ListKind read_list_kind(std::string_view value);
 
 } // namespace ivyrill::simulator
--- a/tests/membership_tests.cpp
+++ b/tests/membership_tests.cpp
@@ -1,5 +1,5 @@
-// Members in virtual time, over a network that loses, delays and cuts as a test says. `membership_tests
-// NAME`.
+// Failure detection and membership in virtual time, over a simulated network that loses, delays and
+// partitions as each test sets. Run one with `membership_tests NAME`.
 #include "fake_host.hpp"
 #include "membership/datagram_codec.hpp"
 #include "membership/member_list.hpp"
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr Tenths kGap = kTenthsPerSecond;
+constexpr Tenths kProbeInterval = kTenthsPerSecond;
 
 struct World {
-    struct Flight {
+    struct InFlight {
         Tenths at;
         std::uint64_t order;
         int to;
         Datagram datagram;
-        bool operator>(const Flight& other) const {
+        bool operator>(const InFlight& other) const {
             return std::pair(at, order) > std::pair(other.at, other.order);
         }
     };
@@ -38,15 +38,15 @@
         options.peers = {address(0), address(1)},
         options.seed = static_cast<std::uint64_t>(member) + 1000 * incarnation;
         members[member] = std::make_unique<MemberList>(options, now);
-        if (static_cast<std::size_t>(member) < dues.size()) dues[member] = 0;
+        if (static_cast<std::size_t>(member) < due_times.size()) due_times[member] = 0;
     }
-    Tenths due_of(int member) { // asked once after each change
-        dues.resize(members.size());
-        if (dues[member] == 0) dues[member] = members[member]->next_step();
-        return dues[member];
+    Tenths due_of(int member) { // cached until the member changes
+        due_times.resize(members.size());
+        if (due_times[member] == 0) due_times[member] = members[member]->next_step();
+        return due_times[member];
     }
-    void carry(int from, std::vector<Effect> effects) {
-        if (static_cast<std::size_t>(from) < dues.size()) dues[from] = 0;
+    void dispatch(int from, std::vector<Effect> effects) {
+        if (static_cast<std::size_t>(from) < due_times.size()) due_times[from] = 0;
         for (Effect& effect : effects) {
             if (auto* changed = std::get_if<MemberChanged>(&effect)) {
                 if (changed->state == MemberState::kFailed) ++failures;
@@ -56,12 +56,12 @@
             ++datagrams;
             max_updates = std::max(max_updates, sent.datagram.updates.size());
             const int to = std::stoi(sent.address.substr(7));
-            if (chance.unit() < loss || (cut && cut(from, to))) continue;
-            flights.push(
-                {now + 5 + static_cast<Tenths>(chance.unit() * 20), ++order, to, std::move(sent.datagram)});
+            if (rng.unit() < loss || (partition && partition(from, to))) continue;
+            in_flight.push(
+                {now + 5 + static_cast<Tenths>(rng.unit() * 20), ++order, to, std::move(sent.datagram)});
         }
     }
-    void pass(Tenths span) {
+    void advance(Tenths span) {
         const Tenths end = now + span;
         for (;;) {
             Tenths at = end;
@@ -69,170 +69,172 @@
             for (int i = 0; i < static_cast<int>(members.size()); ++i)
                 if (members[i] && !stalled.contains(i) && std::max(now, due_of(i)) < at)
                     at = std::max(now, due_of(i)), turn = i;
-            if (!flights.empty() && flights.top().at <= at) {
-                const Flight flight = flights.top();
-                flights.pop();
-                now = std::max(now, flight.at);
-                if (members[flight.to] && !stalled.contains(flight.to))
-                    carry(flight.to, members[flight.to]->receive(now, flight.datagram));
+            if (!in_flight.empty() && in_flight.top().at <= at) {
+                const InFlight next_datagram = in_flight.top();
+                in_flight.pop();
+                now = std::max(now, next_datagram.at);
+                if (members[next_datagram.to] && !stalled.contains(next_datagram.to))
+                    dispatch(next_datagram.to,
+                             members[next_datagram.to]->receive(now, next_datagram.datagram));
                 continue;
             }
             now = at;
             if (turn < 0) return;
-            carry(turn, members[turn]->step(now));
+            dispatch(turn, members[turn]->step(now));
         }
     }
-    // Passes until that holds, and says how long it took; the bound is the test's.
-    Tenths until(const std::function<bool()>& holds, Tenths bound) {
-        const Tenths begun = now;
-        while (!holds() && now < begun + bound) pass(kGap / 10);
-        return now - begun;
+    // Runs until the condition is met or `bound` has passed; returns the elapsed time.
+    Tenths advance_until(const std::function<bool()>& condition, Tenths bound) {
+        const Tenths begin = now;
+        while (!condition() && now < begin + bound) advance(kProbeInterval / 10);
+        return now - begin;
     }
     bool all_see(std::size_t count) const {
         return std::ranges::all_of(members, [&](auto& m) { return !m || m->present_count() == count; });
     }
 
     double loss;
-    std::function<bool(int, int)> cut;
+    std::function<bool(int, int)> partition;
     std::set<int> stalled;
     std::vector<std::unique_ptr<MemberList>> members;
-    std::vector<Tenths> dues;
-    std::priority_queue<Flight, std::vector<Flight>, std::greater<>> flights;
-    Pcg chance{7};
+    std::vector<Tenths> due_times;
+    std::priority_queue<InFlight, std::vector<InFlight>, std::greater<>> in_flight;
+    Pcg rng{7};
     Tenths now = kTenthsPerSecond;
     std::uint64_t order = 0, datagrams = 0, failures = 0;
     std::size_t max_updates = 0;
 };
 
-void all_find_each_other_by_two_peers() {
+void members_find_each_other_through_two_peers() {
     World world(40);
-    assert(world.until([&] { return world.all_see(40); }, 30 * kGap) < 30 * kGap);
+    assert(world.advance_until([&] { return world.all_see(40); }, 30 * kProbeInterval) < 30 * kProbeInterval);
     assert(world.failures == 0 && world.max_updates <= 8);
 }
 
-void one_that_dies_is_found_by_all() {
+void crashed_member_is_detected_by_all() {
     World world(20);
-    world.pass(30 * kGap);
+    world.advance(30 * kProbeInterval);
     world.members[7].reset();
-    const auto found = [&] { return world.all_see(19); };
-    assert(world.until(found, 40 * kGap) < 40 * kGap);
+    const auto detected = [&] { return world.all_see(19); };
+    assert(world.advance_until(detected, 40 * kProbeInterval) < 40 * kProbeInterval);
     assert(world.members[3]->state_of("n7") == MemberState::kFailed);
 }
 
-void one_that_leaves_has_not_failed() {
+void leaving_member_is_not_declared_failed() {
     World world(20);
-    world.pass(30 * kGap);
-    world.carry(7, world.members[7]->leave(world.now));
+    world.advance(30 * kProbeInterval);
+    world.dispatch(7, world.members[7]->leave(world.now));
     world.members[7].reset();
-    assert(world.until([&] { return world.all_see(19); }, 15 * kGap) < 15 * kGap);
+    assert(world.advance_until([&] { return world.all_see(19); }, 15 * kProbeInterval) < 15 * kProbeInterval);
     assert(world.failures == 0 && world.members[3]->state_of("n7") == MemberState::kLeft);
 }
 
-// Every twentieth datagram is lost for ten minutes: suspicions come and are refuted, nobody is declared
-// failed.
-void lost_datagrams_fail_nobody() {
+// 5 % datagram loss for ten minutes: members are suspected and refute it, none is declared failed.
+void datagram_loss_causes_no_false_failure() {
     World world(20, 0.05);
-    world.pass(30 * kGap);
-    world.pass(600 * kGap);
+    world.advance(30 * kProbeInterval);
+    world.advance(600 * kProbeInterval);
     assert(world.all_see(20) && world.failures == 0);
 }
 
-// The link between two is dead; the others probe in their place.
-void dead_link_between_two_fails_nobody() {
+// The link between two members fails; indirect probes through the others keep both alive.
+void broken_link_between_two_causes_no_false_failure() {
     World world(10);
-    world.pass(30 * kGap);
-    world.cut = [](int from, int to) { return (from == 2 && to == 5) || (from == 5 && to == 2); };
-    world.pass(300 * kGap);
+    world.advance(30 * kProbeInterval);
+    world.partition = [](int from, int to) { return (from == 2 && to == 5) || (from == 5 && to == 2); };
+    world.advance(300 * kProbeInterval);
     assert(world.failures == 0 && world.all_see(10));
-    std::uint64_t helped = 0;
-    for (auto& member : world.members) helped += member->counts().indirect_probes;
-    assert(helped > 0);
+    std::uint64_t indirect_probes = 0;
+    for (auto& member : world.members) indirect_probes += member->counts().indirect_probes;
+    assert(indirect_probes > 0);
 }
 
-// A member whose own links lose half of everything would suspect whomever it probes; it grows patient
-// instead.
-void one_that_hears_badly_blames_itself() {
+// A member whose own links lose half of all datagrams would suspect every member that it probes; it extends
+// its timeouts instead.
+void member_with_lossy_links_extends_its_timeouts() {
     World world(20);
-    world.pass(30 * kGap);
+    world.advance(30 * kProbeInterval);
     const std::uint64_t before = world.members[4]->counts().suspected;
-    world.cut = [&world](int from, int to) { return (from == 4 || to == 4) && world.chance.unit() < 0.5; };
-    world.pass(300 * kGap);
+    world.partition = [&world](int from, int to) { return (from == 4 || to == 4) && world.rng.unit() < 0.5; };
+    world.advance(300 * kProbeInterval);
     assert(world.members[4]->counts().suspected - before < 50 && world.members[4]->health_score() > 0);
 }
 
-// A process stands still for longer than a suspicion lasts. Awake again it takes nobody for failed, and is
-// taken back.
-void one_that_stalled_doubts_itself_first() {
+// A process stalls for longer than the suspicion timeout. Afterwards it declares no other member failed and
+// rejoins.
+void stalled_member_suspects_no_other() {
     World world(10);
-    world.pass(30 * kGap);
+    world.advance(30 * kProbeInterval);
     world.stalled = {4};
-    world.pass(60 * kGap);
+    world.advance(60 * kProbeInterval);
     assert(world.members[0]->state_of("n4") == MemberState::kFailed);
     const std::uint64_t before = world.failures;
     const Incarnation incarnation = world.members[4]->incarnation();
     world.stalled.clear();
-    assert(world.until([&] { return world.all_see(10); }, 60 * kGap) < 60 * kGap);
+    assert(world.advance_until([&] { return world.all_see(10); }, 60 * kProbeInterval) < 60 * kProbeInterval);
     assert(world.failures == before && world.members[4]->counts().stalls >= 1);
     assert(world.members[4]->incarnation() > incarnation);
 }
 
-// A cut lasts until each half has given the other up; they find together again by themselves.
-void two_halves_find_together_again() {
+// A partition lasts until each side has declared the other failed; after it heals, the sides reunite.
+void healed_partition_reunites() {
     World world(14);
-    world.pass(30 * kGap);
-    world.members[0].reset(), world.members[1].reset(); // those that the file names are gone for good
-    world.pass(60 * kGap);
-    world.cut = [](int from, int to) { return from % 2 != to % 2; };
-    assert(world.until([&] { return world.all_see(6); }, 90 * kGap) < 90 * kGap);
-    world.cut = {};
-    assert(world.until([&] { return world.all_see(12); }, 120 * kGap) < 120 * kGap);
+    world.advance(30 * kProbeInterval);
+    world.members[0].reset(), world.members[1].reset(); // the configured peers are gone for good
+    world.advance(60 * kProbeInterval);
+    world.partition = [](int from, int to) { return from % 2 != to % 2; };
+    assert(world.advance_until([&] { return world.all_see(6); }, 90 * kProbeInterval) < 90 * kProbeInterval);
+    world.partition = {};
+    assert(world.advance_until([&] { return world.all_see(12); }, 120 * kProbeInterval) <
+           120 * kProbeInterval);
 }
 
-// A node that lost its disk comes back in an earlier life than the others remember: it outbids what they say.
-void old_life_is_outbid() {
+// A node that lost its disk restarts with a lower incarnation than the others know; it refutes with a higher
+// one.
+void restart_with_lower_incarnation_is_refuted() {
     World world(8);
-    world.pass(30 * kGap);
+    world.advance(30 * kProbeInterval);
     world.members[5].reset();
     world.start(5, 50);
-    assert(world.until([&] { return world.all_see(8); }, 30 * kGap) < 30 * kGap);
+    assert(world.advance_until([&] { return world.all_see(8); }, 30 * kProbeInterval) < 30 * kProbeInterval);
     world.members[5].reset();
-    assert(world.until([&] { return world.all_see(7); }, 60 * kGap) < 60 * kGap);
+    assert(world.advance_until([&] { return world.all_see(7); }, 60 * kProbeInterval) < 60 * kProbeInterval);
     world.start(5, 2);
-    assert(world.until([&] { return world.all_see(8); }, 60 * kGap) < 60 * kGap);
+    assert(world.advance_until([&] { return world.all_see(8); }, 60 * kProbeInterval) < 60 * kProbeInterval);
     assert(world.members[5]->incarnation() > 50);
 }
 
-void two_with_one_name_do_not_outbid_each_other() {
+void duplicate_names_do_not_raise_incarnations() {
     World world(5);
-    world.pass(30 * kGap);
+    world.advance(30 * kProbeInterval);
     MemberListOptions options;
     options.name = "n3", options.address = World::address(5), options.peers = {World::address(0)},
     options.seed = 99;
     options.incarnation = 2;
     world.members.push_back(std::make_unique<MemberList>(options, world.now));
-    world.pass(60 * kGap);
+    world.advance(60 * kProbeInterval);
     assert(world.members[3]->counts().name_conflicts > 0 && world.members[5]->incarnation() == 2);
     assert(world.members[3]->incarnation() == 1 && world.members[0]->present_count() == 5);
 }
 
-// What each sends does not grow with the number of members.
-void traffic_of_one_does_not_grow_with_all() {
-    double each[2];
+// The traffic of each member does not grow with the size of the group.
+void traffic_per_member_is_independent_of_group_size() {
+    double per_member[2];
     for (const int count : {10, 100}) {
         World world(count);
-        world.pass(60 * kGap);
+        world.advance(60 * kProbeInterval);
         const std::uint64_t before = world.datagrams;
-        world.pass(60 * kGap);
-        each[count == 100] = static_cast<double>(world.datagrams - before) / count / 60;
+        world.advance(60 * kProbeInterval);
+        per_member[count == 100] = static_cast<double>(world.datagrams - before) / count / 60;
     }
-    assert(each[1] < 1.5 * each[0] && each[1] < 3);
+    assert(per_member[1] < 1.5 * per_member[0] && per_member[1] < 3);
 }
 
-void what_is_known_has_a_bound() {
+void member_table_is_bounded() {
     MemberListOptions options;
     options.name = "n", options.address = "10.0.0.1", options.max_members = 20;
     MemberList member_list(options, 1);
-    for (int i = 0; i < 1000; ++i) // as many names as anybody likes, all gone but the first ten
+    for (int i = 0; i < 1000; ++i) // many names, all absent but the first ten
         member_list.receive(2, {DatagramKind::kAck,
                                 "x",
                                 "10.0.0.2",
@@ -249,7 +251,7 @@
 
 const std::string kSecret = "a secret of more than thirty-two bytes";
 
-Datagram some_datagram(std::size_t updates = 8) {
+Datagram make_datagram(std::size_t updates = 8) {
     Datagram datagram{DatagramKind::kPingRequest, "n1", "10.0.0.1:7", 41, "n2", {}};
     for (std::size_t i = 0; i < updates; ++i)
         datagram.updates.push_back({std::string(50, 'm') + std::to_string(i), std::string(50, 'a'), i + 1,
@@ -257,21 +259,21 @@
     return datagram;
 }
 
-void sealed_datagram_is_read_as_it_was() {
+void datagram_round_trip() {
     DatagramCodec codec(kSecret);
-    const auto bytes = codec.encode(some_datagram());
+    const auto bytes = codec.encode(make_datagram());
     const auto read = codec.decode(*bytes);
     assert(read && read->kind == DatagramKind::kPingRequest && read->from == "n1" && read->serial == 41);
     assert(read->target == "n2" && read->updates.size() == 8 && read->updates[3].incarnation == 4);
     assert(read->updates[3].state == MemberState::kSuspect && bytes->size() <= kMaxDatagramBytes);
-    const auto crowded = codec.encode(some_datagram(40)); // what finds no room is left out
-    assert(crowded->size() <= kMaxDatagramBytes && codec.decode(*crowded)->updates.size() >= 8);
+    const auto truncated = codec.encode(make_datagram(40)); // updates beyond the size limit are left out
+    assert(truncated->size() <= kMaxDatagramBytes && codec.decode(*truncated)->updates.size() >= 8);
 }
 
-// Any bit changed on the way, a piece cut off, another secret: dropped and counted, never read.
-void strangers_are_counted_and_dropped() {
+// Datagrams with a flipped bit, a missing end or another secret's MAC are dropped and counted, never parsed.
+void unauthenticated_datagrams_are_counted_and_dropped() {
     DatagramCodec codec(kSecret), other("another secret, quite as long as that one");
-    const std::string bytes = *codec.encode(some_datagram(1));
+    const std::string bytes = *codec.encode(make_datagram(1));
     std::uint64_t dropped = 0;
     for (std::size_t i = 0; i < bytes.size(); ++i, dropped += 2) {
         std::string changed = bytes;
@@ -283,11 +285,11 @@
     assert(codec.counts().unauthenticated == dropped && codec.counts().accepted == 0);
 }
 
-// One that holds the secret and has gone wrong: a life that none could outbid would shut its name out for
-// ever.
-void sealed_nonsense_is_spoilt() {
+// A faulty member with the right secret: an incarnation that cannot be exceeded would block its name for
+// good.
+void authenticated_malformed_datagrams_are_rejected() {
     DatagramCodec codec(kSecret);
-    Datagram wrong = some_datagram(1);
+    Datagram wrong = make_datagram(1);
     wrong.updates[0].incarnation = ~std::uint64_t{0};
     assert(!codec.decode(*codec.encode(wrong)));
     wrong.updates[0].incarnation = 1, wrong.updates[0].state = static_cast<MemberState>(9);
@@ -297,21 +299,21 @@
 }
 
 const Test kTests[] = {
-    TEST(all_find_each_other_by_two_peers),
-    TEST(one_that_dies_is_found_by_all),
-    TEST(one_that_leaves_has_not_failed),
-    TEST(lost_datagrams_fail_nobody),
-    TEST(dead_link_between_two_fails_nobody),
-    TEST(one_that_hears_badly_blames_itself),
-    TEST(one_that_stalled_doubts_itself_first),
-    TEST(two_halves_find_together_again),
-    TEST(old_life_is_outbid),
-    TEST(two_with_one_name_do_not_outbid_each_other),
-    TEST(traffic_of_one_does_not_grow_with_all),
-    TEST(what_is_known_has_a_bound),
-    TEST(sealed_datagram_is_read_as_it_was),
-    TEST(strangers_are_counted_and_dropped),
-    TEST(sealed_nonsense_is_spoilt),
+    TEST(members_find_each_other_through_two_peers),
+    TEST(crashed_member_is_detected_by_all),
+    TEST(leaving_member_is_not_declared_failed),
+    TEST(datagram_loss_causes_no_false_failure),
+    TEST(broken_link_between_two_causes_no_false_failure),
+    TEST(member_with_lossy_links_extends_its_timeouts),
+    TEST(stalled_member_suspects_no_other),
+    TEST(healed_partition_reunites),
+    TEST(restart_with_lower_incarnation_is_refuted),
+    TEST(duplicate_names_do_not_raise_incarnations),
+    TEST(traffic_per_member_is_independent_of_group_size),
+    TEST(member_table_is_bounded),
+    TEST(datagram_round_trip),
+    TEST(unauthenticated_datagrams_are_counted_and_dropped),
+    TEST(authenticated_malformed_datagrams_are_rejected),
 };
 
 } // namespace
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -258,8 +258,8 @@
     assert(list.servers[2].listed == Listed::kGone && list.servers[3].listed == Listed::kLive);
 }
 
-// The simulator's line and the front node's JSON are read by the same words.
-void settings_are_read_once_for_both() {
+// The simulator's opening message and the front node's JSON are read by the same parser.
+void simulator_and_front_node_read_equal_settings() {
     const std::string orders =
         R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",)"
         R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":0,"full":true,"servers":[]},)"
@@ -295,7 +295,7 @@
     TEST(noise_does_no_harm),
     TEST(json_is_strict_and_bounded),
     TEST(list_is_read_and_unknown_states_get_nothing_new),
-    TEST(settings_are_read_once_for_both),
+    TEST(simulator_and_front_node_read_equal_settings),
 };
 
 } // namespace
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -158,7 +158,7 @@
     return operators::read_operator_settings(result(text));
 }
 
-std::string refusal(const std::string& text) {
+std::string error_of(const std::string& text) {
     try {
         settings(text);
     } catch (const operators::SettingsError& error) { return error.what(); }
@@ -174,39 +174,39 @@
 )";
 
 void operators_file_is_read_by_type() {
-    const operators::OperatorSettings made = settings(kAccess + R"(
+    const operators::OperatorSettings parsed = settings(kAccess + R"(
 listeners = [{"name": "members", "address": "127.0.0.1:8443", "certificate": "a.pem", "key": "a.key"}]
 tls = {"open_handshakes": 10}
 )");
-    assert(made.access && made.access->platform_port_guarded &&
-           made.access->terms.skew == 5 * kTenthsPerSecond);
-    assert(made.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
-    assert(!made.access->terms.other_request_classes && made.listeners.size() == 1 &&
-           made.listeners[0].guarded);
-    assert(made.handshakes.most_open == 10 && !settings("").access);
+    assert(parsed.access && parsed.access->platform_port_guarded &&
+           parsed.access->terms.skew == 5 * kTenthsPerSecond);
+    assert(parsed.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
+    assert(!parsed.access->terms.other_request_classes && parsed.listeners.size() == 1 &&
+           parsed.listeners[0].guarded);
+    assert(parsed.handshakes.most_open == 10 && !settings("").access);
 }
 
-void what_nobody_knows_is_refused_with_the_nearest_name() {
-    assert(refusal("acess = {}") == "acess: is not known here; did you mean 'access'?");
-    assert(refusal("tls = {'open_handshake': 1}").find("did you mean 'open_handshakes'?") !=
+void unknown_field_is_rejected_with_the_nearest_name() {
+    assert(error_of("acess = {}") == "acess: is not a known field; did you mean 'access'?");
+    assert(error_of("tls = {'open_handshake': 1}").find("did you mean 'open_handshakes'?") !=
            std::string::npos);
-    assert(refusal("tls = {'open_handshakes': 0}") ==
+    assert(error_of("tls = {'open_handshakes': 0}") ==
            "tls.open_handshakes: expected an int from 1 to 10000, got 0");
-    assert(refusal("access = {'issuer': 'a'}") == "access.audience: is missing; expected a string");
-    assert(refusal(kAccess + "access['products'] = {'x': 'reed'}")
+    assert(error_of("access = {'issuer': 'a'}") == "access.audience: is missing; expected a string");
+    assert(error_of(kAccess + "access['products'] = {'x': 'reed'}")
                .find("access.products[\"x\"]: expected \"read\"") == 0);
-    assert(refusal(kAccess + "access['plain_port'] = 'guard'").find("did you mean 'guarded'?") !=
+    assert(error_of(kAccess + "access['plain_port'] = 'guard'").find("did you mean 'guarded'?") !=
            std::string::npos);
-    assert(refusal(kAccess +
-                   "access['names'] = [{'uri': 'spiffe://a/*/b', 'club': 'circolo-etna', 'member': 'x'}]")
+    assert(error_of(kAccess +
+                    "access['names'] = [{'uri': 'spiffe://a/*/b', 'club': 'circolo-etna', 'member': 'x'}]")
                .find("access.names[0].uri: expected '*' at the end only") == 0);
-    assert(refusal(
+    assert(error_of(
                "listeners = [{'name': 'a', 'address': 'x', 'certificate': 'c', 'key': 'k', 'guarded': True}]")
                .find("listeners[0].guarded: there is no section 'access'") == 0);
-    assert(refusal("listeners = 1") == "listeners: expected a list of dicts");
+    assert(error_of("listeners = 1") == "listeners: expected a list of dicts");
 }
 
-const std::string kRota = R"(
+const std::string kMaintenance = R"(
 members = {"address": "10.0.0.1:7946", "peers": ["10.0.0.2:7946"], "secret": "secret"}
 rota = {
     "candidates": {"n0": "10.0.0.1:7946", "n1": "10.0.0.2:7946", "n2": "10.0.0.3:7946"},
@@ -214,12 +214,13 @@
 }
 )";
 
-void an_order_of_work_is_read_and_what_contradicts_itself_refused() {
-    const operators::OperatorSettings made = settings(kRota);
-    assert(made.membership && made.membership->bind == "10.0.0.1:7946" && made.maintenance->voter_count == 3);
-    assert(made.maintenance->limits.floor == 1 && made.maintenance->spans.grant == 10 * kTenthsPerSecond);
-    const auto with = [](const std::string& more) { return refusal(kRota + more); };
-    assert(refusal("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
+void maintenance_settings_are_read_and_contradictions_are_rejected() {
+    const operators::OperatorSettings parsed = settings(kMaintenance);
+    assert(parsed.membership && parsed.membership->bind == "10.0.0.1:7946" &&
+           parsed.maintenance->voter_count == 3);
+    assert(parsed.maintenance->limits.floor == 1 && parsed.maintenance->spans.grant == 10 * kTenthsPerSecond);
+    const auto with = [](const std::string& more) { return error_of(kMaintenance + more); };
+    assert(error_of("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
     assert(with("rota['council'] = 4").find("rota.council: expected 1, 3, 5 or 7") == 0);
     assert(with("rota['council'] = 5").find("rota.candidates: expected as many as the council has") == 0);
     assert(with("rota['spans'] = {'grant_ms': 1500, 'act_ms': 400}")
@@ -241,8 +242,8 @@
     TEST(files_are_loaded_from_the_same_folder_and_frozen),
     TEST(same_text_gives_the_same_result_every_time),
     TEST(operators_file_is_read_by_type),
-    TEST(what_nobody_knows_is_refused_with_the_nearest_name),
-    TEST(an_order_of_work_is_read_and_what_contradicts_itself_refused),
+    TEST(unknown_field_is_rejected_with_the_nearest_name),
+    TEST(maintenance_settings_are_read_and_contradictions_are_rejected),
 };
 
 } // namespace
