--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -141,8 +141,8 @@
         fields.fail("council", "expected 1, 3, 5 or 7: an even number tolerates no more failures");
     if (result.candidates.size() < result.voter_count)
         fields.fail("candidates", "expected as many as the council has voters, or more");
-    result.ledger = fields.text("ledger", "rota/ledger.db"), result.witness = fields.text("witness", "");
-    if (result.ledger.find('/') == std::string::npos)
+    result.raft_store = fields.text("ledger", "rota/ledger.db"), result.witness = fields.text("witness", "");
+    if (result.raft_store.find('/') == std::string::npos)
         fields.fail(
             "ledger",
             "expected a folder of its own, as in \"rota/ledger.db\": this one is watched for changes");
@@ -160,33 +160,33 @@
     result.limits.front_share = limits.number("front_share", 0.001, 1, 0.2);
     limits.reject_unknown();
     FieldReader spans = group("spans");
-    rota::Spans& timeouts = result.spans;
-    timeouts.grant = millis(spans.integer("grant_ms", 200, 600'000, 10'000));
-    timeouts.drain = millis(spans.integer("drain_ms", 100, 86'400'000, 60'000));
-    timeouts.work = millis(spans.integer("work_ms", 100, 86'400'000, 1'800'000));
-    timeouts.back = millis(spans.integer("back_ms", 100, 86'400'000, 120'000));
-    timeouts.warm = millis(spans.integer("warm_ms", 100, 86'400'000, 120'000));
-    timeouts.act = millis(spans.integer("act_ms", 20, 600'000, 2'000));
-    timeouts.settle = millis(spans.integer("settle_ms", 0, 600'000, 3'000));
-    timeouts.clock_error = spans.number("clock_error", 0, 0.2, 0.01);
-    timeouts.most_setbacks = static_cast<int>(spans.integer("setbacks", 0, 100, 3));
-    timeouts.most_strain = spans.number("strain", 0, 1, 0.05);
-    if (timeouts.act >= timeouts.grant)
+    rota::Spans& timing = result.timing;
+    timing.grant = millis(spans.integer("grant_ms", 200, 600'000, 10'000));
+    timing.drain = millis(spans.integer("drain_ms", 100, 86'400'000, 60'000));
+    timing.work = millis(spans.integer("work_ms", 100, 86'400'000, 1'800'000));
+    timing.back = millis(spans.integer("back_ms", 100, 86'400'000, 120'000));
+    timing.warm = millis(spans.integer("warm_ms", 100, 86'400'000, 120'000));
+    timing.act = millis(spans.integer("act_ms", 20, 600'000, 2'000));
+    timing.settle = millis(spans.integer("settle_ms", 0, 600'000, 3'000));
+    timing.clock_error = spans.number("clock_error", 0, 0.2, 0.01);
+    timing.most_setbacks = static_cast<int>(spans.integer("setbacks", 0, 100, 3));
+    timing.most_strain = spans.number("strain", 0, 1, 0.05);
+    if (timing.act >= timing.grant)
         spans.fail("act_ms", "expected less than grant_ms: a grant would expire during one act");
     const Tenths election = 16 * result.heartbeat;
-    if (timeouts.grant <= election)
+    if (timing.grant <= election)
         spans.fail("grant_ms",
                    "expected more than 16 heartbeats: grants would expire at each leader election");
     spans.reject_unknown();
     FieldReader answers = group("answers");
-    rota::Answers& policy = result.answers;
-    policy.drain_late = read_answer(answers, "drain_late", policy.drain_late);
-    policy.work_late = read_answer(answers, "work_late", policy.work_late);
-    policy.back_late = read_answer(answers, "back_late", policy.back_late);
-    policy.broken = read_answer(answers, "broken", policy.broken);
-    policy.cold_late = read_answer(answers, "cold_late", policy.cold_late);
-    policy.neighbour_down = read_answer(answers, "neighbour_down", policy.neighbour_down);
-    if (policy.broken == rota::Answer::kPutBack || policy.back_late == rota::Answer::kPutBack)
+    rota::Answers& failure_policy = result.failure_policy;
+    failure_policy.drain_late = read_answer(answers, "drain_late", failure_policy.drain_late);
+    failure_policy.work_late = read_answer(answers, "work_late", failure_policy.work_late);
+    failure_policy.back_late = read_answer(answers, "back_late", failure_policy.back_late);
+    failure_policy.broken = read_answer(answers, "broken", failure_policy.broken);
+    failure_policy.cold_late = read_answer(answers, "cold_late", failure_policy.cold_late);
+    failure_policy.neighbour_down = read_answer(answers, "neighbour_down", failure_policy.neighbour_down);
+    if (failure_policy.broken == rota::Answer::kPutBack || failure_policy.back_late == rota::Answer::kPutBack)
         answers.fail("broken", "what does not come back cannot be put back: expected another answer");
     answers.reject_unknown();
     fields.for_each_entry(
@@ -196,8 +196,9 @@
             result.work[kind == "other" ? "" : kind] = millis(count.template get<std::int64_t>());
         });
     FieldReader keeper = fields.object("keeper").value_or(FieldReader(none, fields.path() + ".keeper"));
-    result.keeper_command = keeper.text_list("command"), result.keeper_address = keeper.text("address", "");
-    if (result.keeper_command.empty() == result.keeper_address.empty())
+    result.controller_command = keeper.text_list("command"),
+    result.controller_address = keeper.text("address", "");
+    if (result.controller_command.empty() == result.controller_address.empty())
         keeper.fail("command", "expected a command or an address, not both");
     keeper.reject_unknown();
     fields.reject_unknown();
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -50,13 +50,13 @@
     std::vector<std::pair<std::string, std::string>>
         candidates; // front nodes with a disk that may be voters: name, address
     std::size_t voter_count = 3;
-    std::string ledger, witness; // paths
+    std::string raft_store, witness; // paths
     Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
     rota::Limits limits;
-    rota::Spans spans;
-    rota::Answers answers;
-    std::vector<std::string> keeper_command; // either this or the address
-    std::string keeper_address;
+    rota::Spans timing;
+    rota::Answers failure_policy;
+    std::vector<std::string> controller_command; // either this or the address
+    std::string controller_address;
     std::map<std::string, Tenths> work; // duration by kind of machine; "" for all others
 };
 
--- a/src/program/audit.hpp
+++ b/src/program/audit.hpp
@@ -1,6 +1,7 @@
-// The audit log: one JSON object a line for each refusal and each change of keys, by spdlog, to a file of the
-// operator's or among the log. No secret is in it. Bounded in rate: what is left out is counted and told.
-// Refusals, which any stranger can cause, have a bound of their own, so that they crowd out no change.
+// The audit log: one line with a JSON object for each refused request and each change of keys, to the
+// operator's file or the log. Contains no secrets. The rate is limited; suppressed lines are counted and
+// reported. Refusals, which unauthenticated clients can cause, have a limit of their own so that they don't
+// suppress changes.
 #pragma once
 #include "operator/operator_settings.hpp"
 #include "routing/events.hpp"
@@ -14,19 +15,19 @@
 
 class AuditLog {
   public:
-    explicit AuditLog(const operators::AuditSettings& orders);
-    void write(const routing::Audit& line, Tenths now);
-    void write(nlohmann::ordered_json line, Tenths now); // `what` and the rest
+    explicit AuditLog(const operators::AuditSettings& settings);
+    void write(const routing::Audit& event, Tenths now);
+    void write(nlohmann::ordered_json line, Tenths now); // with the key `what`
 
   private:
     struct Budget {
         int lines = 0;
-        std::uint64_t left_out = 0;
+        std::uint64_t suppressed = 0;
     };
-    bool may_write(Budget& budget, Tenths now);
-    void put(nlohmann::ordered_json line, Tenths now);
-    std::shared_ptr<spdlog::logger> logger_; // null: among the log
-    int most_;
+    bool within_budget(Budget& budget, Tenths now);
+    void write_line(nlohmann::ordered_json line, Tenths now);
+    std::shared_ptr<spdlog::logger> logger_; // null: write to the log
+    int max_lines_per_second_;
     Budget refusals_, changes_;
     Tenths second_ = 0;
 };
--- a/src/program/rota_side.cpp
+++ b/src/program/coordination_thread.cpp
@@ -1,8 +1,8 @@
-#include "program/rota_side.hpp"
+#include "program/coordination_thread.hpp"
 
 #include "access/signature.hpp"
-#include "program/keepers.hpp"
 #include "program/log.hpp"
+#include "program/machine_controller.hpp"
 #include "store/sqlite_ledger.hpp"
 #include "transport/datagrams.hpp"
 #include "transport/stream.hpp"
@@ -48,18 +48,18 @@
             work = rota.work;
             if (const auto front = work.find("front"); front != work.end()) made.front_work = front->second;
             for (const auto& [who, where] : rota.candidates) made.candidates.push_back({who, where});
-            made.council = rota.voter_count, made.limits = rota.limits, made.spans = rota.spans;
-            made.answers = rota.answers, made.heartbeat = rota.heartbeat,
+            made.council = rota.voter_count, made.limits = rota.limits, made.spans = rota.timing;
+            made.answers = rota.failure_policy, made.heartbeat = rota.heartbeat,
             made.replace_after = rota.replace_after;
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
-                ledger = std::make_unique<store::SqliteLedger>(rota.ledger, rota.witness);
+                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
+                ledger = std::make_unique<store::SqliteLedger>(rota.raft_store, rota.witness);
                 made.incarnation = ledger->next_incarnation();
             }
-            keepers =
-                std::make_unique<Keepers>(loop, rota.keeper_command, rota.keeper_address, rota.spans.act);
+            machine_controller = std::make_unique<MachineController>(
+                loop, rota.controller_command, rota.controller_address, rota.timing.act);
         }
         warden = std::make_unique<rota::Warden>(made, ledger.get(), loop.now(), Loop::wall());
         if (loop.now() == 0 || told_out < 0) throw std::runtime_error("no clock, or no descriptor");
@@ -94,14 +94,14 @@
             warden->step(loop.now(), Loop::wall());
             if (leaving && !left) left = true, warden->leave(loop.now());
             carry_out();
-            if (keepers) {
-                keepers->step(loop.now());
-                for (const Keepers::Said& said : keepers->take())
-                    warden->kept(loop.now(), said.serial, said.machine, said.kept);
+            if (machine_controller) {
+                machine_controller->step(loop.now());
+                for (const MachineController::Reply& reply : machine_controller->take_replies())
+                    warden->kept(loop.now(), reply.serial, reply.machine, reply.kept);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next(), look_at, counts_at});
-            if (keepers) until = std::min(until, keepers->next());
+            if (machine_controller) until = std::min(until, machine_controller->next_step());
             loop.wait(until);
         }
         receiving = {};
@@ -112,7 +112,7 @@
             if (const auto* sent = std::get_if<rota::SendBytes>(&effect)) {
                 transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
             } else if (const auto* act = std::get_if<rota::KeeperAct>(&effect)) {
-                if (keepers) keepers->act(loop.now(), *act);
+                if (machine_controller) machine_controller->execute(loop.now(), *act);
             } else if (const auto* line = std::get_if<rota::Line>(&effect)) {
                 std::string words = line->what;
                 for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
@@ -149,7 +149,7 @@
     transport::Source socket, stirred; // the latter: the front node has told us something
     int told_out;
     std::unique_ptr<store::SqliteLedger> ledger;
-    std::unique_ptr<Keepers> keepers;
+    std::unique_ptr<MachineController> machine_controller;
     std::unique_ptr<rota::Warden> warden;
     Task receiving;
     protocol::ServerList list_now;
--- a/src/program/phases.cpp
+++ b/src/program/lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "program/phases.hpp"
+#include "program/lifecycle.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,23 +8,23 @@
 
 namespace {
 
-constexpr std::array<std::pair<Phase, Phase>, 5> kMayFollow = {{
+constexpr std::array<std::pair<Phase, Phase>, 5> kTransitions = {{
     {Phase::kStarting, Phase::kServing},
-    {Phase::kStarting, Phase::kStopped}, // told to stop before it served
+    {Phase::kStarting, Phase::kStopped}, // stop requested before serving began
     {Phase::kServing, Phase::kDraining},
-    {Phase::kDraining, Phase::kQuiet},
-    {Phase::kQuiet, Phase::kStopped},
+    {Phase::kDraining, Phase::kFinishing},
+    {Phase::kFinishing, Phase::kStopped},
 }};
 
 } // namespace
 
-bool Phases::enter(Phase next, Tenths at) {
-    if (std::ranges::find(kMayFollow, std::pair{phase_, next}) == kMayFollow.end()) return false;
-    phase_ = next, since_ = at;
+bool Lifecycle::enter(Phase next, Tenths now) {
+    if (std::ranges::find(kTransitions, std::pair{phase_, next}) == kTransitions.end()) return false;
+    phase_ = next, since_ = now;
     return true;
 }
 
-std::string_view Phases::name(Phase phase) {
+std::string_view Lifecycle::name(Phase phase) {
     switch (phase) {
     case Phase::kStarting:
         return "starting";
@@ -32,7 +32,7 @@
         return "serving";
     case Phase::kDraining:
         return "draining";
-    case Phase::kQuiet:
+    case Phase::kFinishing:
         return "quiet";
     case Phase::kStopped:
         return "stopped";
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMostASecond = 5;
+constexpr int kMaxLinesPerSecond = 5;
 
 } // namespace
 
@@ -21,16 +21,16 @@
 
 spdlog::logger& log() { return *spdlog::default_logger_raw(); }
 
-bool may_log_some() {
+bool may_log_limited() {
     static std::int64_t second = 0;
     static int lines = 0, dropped = 0;
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
-    const std::int64_t here = std::chrono::duration_cast<std::chrono::seconds>(now).count();
-    if (here != second) {
-        if (dropped > 0) log().warn("{} further lines were not written", dropped);
-        second = here, lines = dropped = 0;
+    const std::int64_t this_second = std::chrono::duration_cast<std::chrono::seconds>(now).count();
+    if (this_second != second) {
+        if (dropped > 0) log().warn("{} further lines were suppressed", dropped);
+        second = this_second, lines = dropped = 0;
     }
-    if (++lines <= kMostASecond) return true;
+    if (++lines <= kMaxLinesPerSecond) return true;
     ++dropped;
     return false;
 }
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -1,5 +1,5 @@
-// The log: spdlog to standard error. What could come with every search goes through `log_some`, which lets a
-// few lines a second pass and counts the rest.
+// The log: spdlog to standard error. Lines that every search could cause go through `log_limited`, which
+// writes a few per second and counts the rest.
 #pragma once
 #include <spdlog/spdlog.h>
 
@@ -9,10 +9,10 @@
 
 void open_log(const std::string& name, const std::string& level);
 spdlog::logger& log();
-bool may_log_some(); // counts, too
+bool may_log_limited(); // counts the line in either case
 
-template <class What> void log_some(const char* form, const What& what) {
-    if (may_log_some()) log().warn(fmt::runtime(form), what);
+template <class Value> void log_limited(const char* format, const Value& value) {
+    if (may_log_limited()) log().warn(fmt::runtime(format), value);
 }
 
 } // namespace ivyrill::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,8 +1,8 @@
 // The command line.
-#include "program/credentials.hpp"
+#include "program/credential_commands.hpp"
 #include "program/log.hpp"
+#include "program/maintenance_commands.hpp"
 #include "program/node.hpp"
-#include "program/work.hpp"
 
 #include "protocol/values.hpp"
 
@@ -32,17 +32,18 @@
     } catch (const protocol::ProtocolError& error) { throw std::runtime_error(path + ": " + error.what()); }
 }
 
-// With an operator's file, that is evaluated, checked together with all that it names, and printed as JSON.
+// Validates the configuration. An operator's file is evaluated, validated with all files that it names, and
+// printed as JSON.
 int check(const std::string& path, const std::string& operator_file) {
-    std::optional<LoadedSettings> side;
+    std::optional<LoadedSettings> loaded;
     if (!operator_file.empty()) {
-        side = load_operator_files(operator_file, nullptr, transport::Loop::wall(), nullptr);
+        loaded = load_operator_files(operator_file, nullptr, transport::Loop::wall(), nullptr);
         std::cout << evaluate(operator_file).dump(2) << "\n";
         if (path.empty()) return 0;
     }
     const protocol::StartOrders orders = read_orders(path);
-    if (side) check_names(side->orders, orders.terms.request_classes, orders.terms.tenants);
-    std::cout << path << ": sound; " << orders.name << " on " << orders.listen << ", discovery at "
+    if (loaded) check_names(loaded->settings, orders.terms.request_classes, orders.terms.tenants);
+    std::cout << path << ": valid; " << orders.name << " on " << orders.listen << ", discovery at "
               << orders.discovery << ", " << orders.known.servers.size() << " index servers known, "
               << orders.terms.request_classes.size() << " products, " << orders.sockets << " sockets, "
               << orders.memory_mb << " MB\n";
@@ -50,7 +51,7 @@
 }
 
 int serve(const std::string& path, const std::string& operator_file, const std::string& level) {
-    hold_signals(); // a SIGHUP may come before we know what to serve
+    block_signals(); // a SIGHUP may arrive before the configuration is read
     protocol::StartOrders orders = read_orders(path);
     open_log(orders.name, level);
     return Node(
@@ -64,27 +65,29 @@
 
 int main(int argc, char** argv) {
     using namespace ivyrill::program;
-    CLI::App app("ivyrill co-ordinates searches over replicated shards");
+    CLI::App app("ivyrill coordinates searches over replicated shards");
     app.require_subcommand(1);
     std::string path, operator_file, level = "info";
-    std::function<int()> run; // of the commands that add themselves
-    auto* const serving = app.add_subcommand("serve", "run a front node until it is told to stop");
-    auto* const checking = app.add_subcommand("check-config", "read the configuration and say what it holds");
-    auto* const version = app.add_subcommand("version", "print the version");
-    for (auto* command : {serving, checking}) {
+    std::function<int()> run; // set by the credential and maintenance commands
+    auto* const serve_command =
+        app.add_subcommand("serve", "run a front node until it is stopped by a signal");
+    auto* const check_command =
+        app.add_subcommand("check-config", "validate the configuration and print a summary");
+    auto* const version_command = app.add_subcommand("version", "print the version");
+    for (auto* command : {serve_command, check_command}) {
         command->add_option("--config", path, "the configuration, JSON")->envname("RELAY_CONFIG");
         command->add_option("--operator", operator_file, "the operator's file, a script")
             ->check(CLI::ExistingFile);
     }
     add_credential_commands(app, run);
-    add_work_commands(app, run);
-    serving->add_option("--log-level", level, "trace, debug, info, warn or error")
+    add_maintenance_commands(app, run);
+    serve_command->add_option("--log-level", level, "trace, debug, info, warn or error")
         ->check(CLI::IsMember({"trace", "debug", "info", "warn", "error"}));
     CLI11_PARSE(app, argc, argv);
     try {
-        if (version->parsed()) return std::cout << "ivyrill " << kVersion << "\n", 0;
+        if (version_command->parsed()) return std::cout << "ivyrill " << kVersion << "\n", 0;
         if (run) return run();
-        return checking->parsed() ? check(path, operator_file) : serve(path, operator_file, level);
+        return check_command->parsed() ? check(path, operator_file) : serve(path, operator_file, level);
     } catch (const std::exception& error) {
         std::cerr << "ivyrill: " << error.what() << "\n";
         return 1;
--- a/src/program/work.cpp
+++ b/src/program/maintenance_commands.cpp
@@ -1,4 +1,4 @@
-#include "program/work.hpp"
+#include "program/maintenance_commands.hpp"
 
 #include "access/signature.hpp"
 #include "access/text.hpp"
@@ -186,7 +186,7 @@
 
 } // namespace
 
-void add_work_commands(CLI::App& app, std::function<int()>& run) {
+void add_maintenance_commands(CLI::App& app, std::function<int()>& run) {
     const auto ask = std::make_shared<Ask>();
     auto* work = app.add_subcommand("work", "machines taken out for work: ask a running front node");
     work->require_subcommand(1);
--- a/src/program/work.hpp
+++ b/src/program/maintenance_commands.hpp
@@ -6,6 +6,6 @@
 
 namespace ivyrill::program {
 
-void add_work_commands(CLI::App& app, std::function<int()>& run);
+void add_maintenance_commands(CLI::App& app, std::function<int()>& run);
 
 } // namespace ivyrill::program
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -30,7 +30,7 @@
 constexpr Tenths kCountsEvery = 10 * kTenthsPerSecond;
 constexpr Tenths kStrainSpan = 2 * kTenthsPerSecond;
 
-int open_signals() { return signalfd(-1, &hold_signals(), SFD_NONBLOCK | SFD_CLOEXEC); }
+int open_signals() { return signalfd(-1, &block_signals(), SFD_NONBLOCK | SFD_CLOEXEC); }
 
 std::size_t descriptors(std::int64_t stated) {
     rlimit limit{};
@@ -42,7 +42,7 @@
 
 } // namespace
 
-const sigset_t& hold_signals() {
+const sigset_t& block_signals() {
     static const sigset_t held = [] {
         sigset_t set;
         sigemptyset(&set), sigaddset(&set, SIGTERM), sigaddset(&set, SIGINT), sigaddset(&set, SIGHUP);
@@ -87,7 +87,7 @@
                              std::size_t most_out)
     : id(number), stream(loop, descriptor, Stream::Start::kConnecting, kMostRead, most_out) {}
 
-Node::Node(protocol::StartOrders orders, ReadAgain read_again, const std::string& operator_file)
+Node::Node(protocol::StartOrders orders, ReloadConfiguration read_again, const std::string& operator_file)
     : orders_(std::move(orders)), read_again_(std::move(read_again)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, orders_.listen));
@@ -97,33 +97,33 @@
                                                 descriptors(orders_.sockets), loop_.now());
     if (operator_file_.empty()) return;
     tickets_.emplace(loop_, Tenths{0});
-    operator_side_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
-    const operators::OperatorSettings& ordered = operator_side_->orders;
-    check_names(ordered, orders_.terms.request_classes, orders_.terms.tenants);
-    tickets_.emplace(loop_, ordered.ticket_span);
-    audit_.emplace(ordered.audit);
-    if (ordered.membership) {
-        rota_ = std::make_unique<CoordinationThread>(ordered, operator_side_->secret, orders_.terms,
+    operator_settings_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
+    const operators::OperatorSettings& settings = operator_settings_->settings;
+    check_names(settings, orders_.terms.request_classes, orders_.terms.tenants);
+    tickets_.emplace(loop_, settings.ticket_span);
+    audit_.emplace(settings.audit);
+    if (settings.membership) {
+        rota_ = std::make_unique<CoordinationThread>(settings, operator_settings_->secret, orders_.terms,
                                                      orders_.name, orders_.terms.opening.seed);
         members_.emplace(loop_, dup(rota_->news()));
         protocol::ServerList known = orders_.known;
         known.full = true;
         rota_->told(known);
     }
-    if (operator_side_->policy)
-        router_->guard(operator_side_->policy, ordered.access->query_is_note_key, loop_.now(),
+    if (operator_settings_->policy)
+        router_->guard(operator_settings_->policy, settings.access->query_is_note_key, loop_.now(),
                        transport::Loop::wall());
-    listeners_.front()->guarded = ordered.access && ordered.access->platform_port_guarded;
-    connection_terms_ = ordered.connections;
-    router_->bound_handshakes(ordered.handshakes, loop_.now());
-    for (std::size_t i = 0; i < ordered.listeners.size(); ++i) {
-        listeners_.push_back(std::make_unique<Listener>(loop_, ordered.listeners[i].address));
-        listeners_.back()->tls = operator_side_->tls[i],
-        listeners_.back()->guarded = ordered.listeners[i].guarded;
-        listeners_.back()->protocol = ordered.listeners[i].protocols.front();
+    listeners_.front()->guarded = settings.access && settings.access->platform_port_guarded;
+    connection_terms_ = settings.connections;
+    router_->bound_handshakes(settings.handshakes, loop_.now());
+    for (std::size_t i = 0; i < settings.listeners.size(); ++i) {
+        listeners_.push_back(std::make_unique<Listener>(loop_, settings.listeners[i].address));
+        listeners_.back()->tls = operator_settings_->tls[i],
+        listeners_.back()->guarded = settings.listeners[i].guarded;
+        listeners_.back()->protocol = settings.listeners[i].protocols.front();
     }
     changes_.emplace(loop_, inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
-    for (const std::string& folder : operator_side_->folders)
+    for (const std::string& folder : operator_settings_->folders)
         inotify_add_watch(changes_->descriptor(), folder.c_str(), IN_CLOSE_WRITE | IN_MOVED_TO | IN_DELETE);
 }
 
@@ -131,16 +131,16 @@
     signal_task_ = await_signals(), signal_task_.start();
     discovery_.emplace(loop_);
     discovery_task_ = serve_discovery(), discovery_task_.start();
-    if (phases_.now() == Phase::kStarting) enter(Phase::kServing); // before the first client is heard
+    if (lifecycle_.phase() == Phase::kStarting) enter(Phase::kServing); // before the first client is heard
     if (changes_) change_task_ = await_changes(), change_task_.start();
     if (rota_) rota_->start(), member_task_ = await_members(), member_task_.start();
     for (auto& listener : listeners_) listener->task = accept_clients(*listener), listener->task.start();
     counts_at_ = loop_.now() + kCountsEvery;
-    while (turn(), keep_phase(), phases_.now() != Phase::kStopped) {
+    while (turn(), keep_phase(), lifecycle_.phase() != Phase::kStopped) {
         Tenths until = std::min(counts_at_, stuck_at_);
         if (rota_) until = std::min(until, strain_at_);
         if (timer_ > 0) until = std::min(until, timer_);
-        if (phases_.now() == Phase::kDraining) until = std::min(until, phases_.since() + kCrossing);
+        if (lifecycle_.phase() == Phase::kDraining) until = std::min(until, lifecycle_.since() + kCrossing);
         if (accept_more_ && accepting_) until = loop_.now();
         loop_.wait(until);
     }
@@ -152,13 +152,13 @@
 void Node::turn() {
     const bool more = std::exchange(accept_more_, false);
     if (std::exchange(accept_short_, false) || more) accept_all(); // no edge comes for those who wait already
-    around_ = {phases_.now() == Phase::kServing, loop_.now()};
+    around_ = {lifecycle_.phase() == Phase::kServing, loop_.now()};
     for (const routing::ConnectionId id :
          std::exchange(writing_, {})) // what was written since is known first
         if (const auto connection = connections_.find(id); connection != connections_.end())
             tell_connection(*connection->second);
     if (loop_.now() >= stuck_at_) drop_stuck();
-    if (operator_side_ && operator_side_->policy)
+    if (operator_settings_ && operator_settings_->policy)
         inbox_.push_front(routing::WallTold{transport::Loop::wall()});
     do {
         for (; !inbox_.empty(); inbox_.pop_front()) router_->step(loop_.now(), std::move(inbox_.front()));
@@ -173,24 +173,24 @@
 // ---- phases
 
 void Node::enter(Phase phase) {
-    if (!phases_.enter(phase, loop_.now())) return;
+    if (!lifecycle_.enter(phase, loop_.now())) return;
     around_.ready = phase == Phase::kServing; // also for who is heard before the first turn
-    log().info("phase={} searches={} clients={}", Phases::name(phase), router_->open_searches(),
+    log().info("phase={} searches={} clients={}", Lifecycle::name(phase), router_->open_searches(),
                router_->open_clients());
 }
 
 void Node::keep_phase() {
-    if (phases_.now() == Phase::kDraining && loop_.now() >= phases_.since() + kCrossing) {
+    if (lifecycle_.phase() == Phase::kDraining && loop_.now() >= lifecycle_.since() + kCrossing) {
         loop_.wait(loop_.now()); // what the system has taken for us is ours to answer
         accept_all();
         turn();
         listeners_.clear();
         post(routing::QuietOrdered{});
-        enter(Phase::kQuiet);
+        enter(Phase::kFinishing);
         turn();
     }
     // To end the process would reset who is still to read its answer: each closes, or its time is over.
-    if (phases_.now() == Phase::kQuiet && clients_.empty()) enter(Phase::kStopped);
+    if (lifecycle_.phase() == Phase::kFinishing && clients_.empty()) enter(Phase::kStopped);
 }
 
 Task Node::await_signals() {
@@ -203,9 +203,9 @@
                 read_operator_file();
                 continue;
             }
-            if (phases_.now() == Phase::kServing) post(routing::DrainOrdered{});
+            if (lifecycle_.phase() == Phase::kServing) post(routing::DrainOrdered{});
             if (rota_) rota_->leave();
-            enter(phases_.now() == Phase::kStarting ? Phase::kStopped : Phase::kDraining);
+            enter(lifecycle_.phase() == Phase::kStarting ? Phase::kStopped : Phase::kDraining);
         }
         co_await next;
     }
@@ -219,7 +219,7 @@
         const protocol::StartOrders fresh = read_again_();
         log().info("configuration read again, discovery={}", fresh.discovery);
         post(routing::DiscoveryNamed{fresh.discovery});
-    } catch (const std::exception& error) { log_some("configuration not taken up: {}", error.what()); }
+    } catch (const std::exception& error) { log_limited("configuration not taken up: {}", error.what()); }
 }
 
 // Keys, lists, rights and our own certificates change in service, as one step: what was read is checked
@@ -228,19 +228,19 @@
 void Node::read_operator_file() {
     if (operator_file_.empty()) return;
     try {
-        LoadedSettings fresh = load_operator_files(operator_file_, operator_side_->policy.get(),
+        LoadedSettings fresh = load_operator_files(operator_file_, operator_settings_->policy.get(),
                                                    transport::Loop::wall(), &*tickets_);
-        check_names(fresh.orders, orders_.terms.request_classes, orders_.terms.tenants);
+        check_names(fresh.settings, orders_.terms.request_classes, orders_.terms.tenants);
         const auto same = [](auto& a, auto& b) { return a.name == b.name && a.address == b.address; };
-        if (!std::ranges::equal(fresh.orders.listeners, operator_side_->orders.listeners, same) ||
-            (fresh.policy == nullptr) != (operator_side_->policy == nullptr))
+        if (!std::ranges::equal(fresh.settings.listeners, operator_settings_->settings.listeners, same) ||
+            (fresh.policy == nullptr) != (operator_settings_->policy == nullptr))
             throw std::runtime_error("other listeners, and access on or off, need a restart");
         for (std::size_t i = 1; i < listeners_.size(); ++i) listeners_[i]->tls = fresh.tls[i - 1];
         if (fresh.policy) post(routing::PolicyRead{fresh.policy});
-        operator_side_ = std::move(fresh);
+        operator_settings_ = std::move(fresh);
     } catch (const std::exception& error) {
         audit_->write({{"what", "kept"}, {"why", error.what()}}, transport::Loop::wall());
-        log_some("the operator's file is not taken up: {}", error.what());
+        log_limited("the operator's file is not taken up: {}", error.what());
     }
 }
 
@@ -315,7 +315,7 @@
         if (descriptor < 0 && (errno == EINTR || errno == ECONNABORTED)) continue;
         if (descriptor < 0) {
             accept_short_ = errno != EAGAIN && errno != EWOULDBLOCK;
-            if (accept_short_) log_some("accept: {}", errno);
+            if (accept_short_) log_limited("accept: {}", errno);
             return;
         }
         const routing::ClientId id{next_client_++};
@@ -328,7 +328,7 @@
             post(routing::ClientOpened{id, listener.guarded, listener.tls != nullptr});
             held.task.start();
         } catch (const std::runtime_error& error) {
-            log_some("a client could not be taken on: {}", error.what());
+            log_limited("a client could not be taken on: {}", error.what());
         }
     }
 }
@@ -388,7 +388,7 @@
             stream.discard();
             if (!stream.ended()) co_await changed;
         }
-    } catch (const std::exception& error) { log_some("client: {}", error.what()); }
+    } catch (const std::exception& error) { log_limited("client: {}", error.what()); }
     post(routing::ClientGone{client.id});
 }
 
@@ -510,10 +510,10 @@
         }
         tell_connection(connection);
         if (connection.parser.broken()) {
-            log_some("index server: {}", "what it sent is no frame");
+            log_limited("index server: {}", "what it sent is no frame");
             post(routing::ConnectionSpoilt{connection.id, {}});
         }
-    } catch (const std::exception& error) { log_some("index server: {}", error.what()); }
+    } catch (const std::exception& error) { log_limited("index server: {}", error.what()); }
     end_connection(connection);
 }
 
@@ -541,9 +541,9 @@
         if (frame.letter == 'M')
             return post(routing::LoadTold{connection.id, protocol::read_load_answer(frame.rest)});
         if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
-        log_some("index server: our frame was of no use to it: {}", protocol::quoted(frame.rest));
+        log_limited("index server: our frame was of no use to it: {}", protocol::quoted(frame.rest));
     } catch (const protocol::ProtocolError& error) {
-        log_some("index server: {}", error.what());
+        log_limited("index server: {}", error.what());
         post(routing::ConnectionSpoilt{connection.id, std::string(protocol::part_named(frame.rest))});
     }
     connection.over = true;
@@ -558,7 +558,7 @@
         connection->task = serve_connection(*connection);
         connections_.emplace(effect.connection, std::move(connection)).first->second->task.start();
     } catch (const std::system_error& error) {
-        log_some("no connection: {}", error.what());
+        log_limited("no connection: {}", error.what());
         post(routing::ConnectionEnded{effect.connection});
     }
 }
@@ -616,7 +616,7 @@
                                list.servers.size());
                 if (rota_) rota_->told(list);
                 news = routing::ListTold{id, std::move(list)};
-            } catch (const protocol::ProtocolError& error) { log_some("discovery: {}", error.what()); }
+            } catch (const protocol::ProtocolError& error) { log_limited("discovery: {}", error.what()); }
         }
         post(std::move(news));
     }
@@ -628,7 +628,7 @@
 }
 
 void Node::carry_out(const routing::DropAsk& effect) {
-    log_some("discovery: its connection is closed: {}", effect.why);
+    log_limited("discovery: its connection is closed: {}", effect.why);
     discovery_task_ = {};
     discovery_.emplace(loop_);
     discovery_task_ = serve_discovery(), discovery_task_.start();
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -4,9 +4,9 @@
 #include "access/ticket_keys.hpp"
 #include "limits/connection_budget.hpp"
 #include "program/audit.hpp"
+#include "program/coordination_thread.hpp"
+#include "program/lifecycle.hpp"
 #include "program/operator_files.hpp"
-#include "program/phases.hpp"
-#include "program/rota_side.hpp"
 #include "protocol/frames.hpp"
 #include "protocol/http.hpp"
 #include "protocol/messages.hpp"
@@ -43,13 +43,14 @@
 };
 
 // From here on these wait to be read: one that comes during the start ends nothing.
-const sigset_t& hold_signals();
+const sigset_t& block_signals();
 
 class Node {
   public:
-    using ReadAgain = std::function<protocol::StartOrders()>; // throws where nothing can be made of it
+    using ReloadConfiguration =
+        std::function<protocol::StartOrders()>; // throws where nothing can be made of it
     // `operator_file` may be empty: then there is no access, no further listener and no audit log.
-    explicit Node(protocol::StartOrders orders, ReadAgain read_again = {},
+    explicit Node(protocol::StartOrders orders, ReloadConfiguration read_again = {},
                   const std::string& operator_file = {}); // throws what cannot be kept
     // Of the platform's listener, or of a further one, counted from 1 as the operator's file lists them.
     int port(std::size_t listener = 0) const {
@@ -138,9 +139,9 @@
     void post(routing::Event event) { inbox_.push_back(std::move(event)); }
 
     protocol::StartOrders orders_;
-    ReadAgain read_again_;
+    ReloadConfiguration read_again_;
     transport::Loop loop_;
-    Phases phases_;
+    Lifecycle lifecycle_;
     sessions::Around around_;
     limits::ConnectionTerms connection_terms_;
     std::deque<routing::Event> inbox_;
@@ -148,7 +149,7 @@
     std::optional<transport::Source> signals_, changes_; // the latter: of the operator's files
     std::string operator_file_;
     std::optional<Tickets> tickets_;
-    std::optional<LoadedSettings> operator_side_;
+    std::optional<LoadedSettings> operator_settings_;
     std::optional<AuditLog> audit_;
     std::unique_ptr<CoordinationThread> rota_; // where front nodes may talk to each other
     std::optional<transport::Source> members_;
--- a/src/program/operator_files.hpp
+++ b/src/program/operator_files.hpp
@@ -1,5 +1,5 @@
-// The operator's file and all that it names, read from disk as one step: either everything is sound and comes
-// back, or the error says what is not and nothing has changed.
+// Loads the operator's file and all files that it names in one step: returns the complete valid settings, or
+// throws an error that names the problem.
 #pragma once
 #include "operator/operator_settings.hpp"
 
@@ -12,22 +12,23 @@
 namespace ivyrill::program {
 
 struct LoadedSettings {
-    operators::OperatorSettings orders;
-    std::shared_ptr<const access::Policy> policy;                  // null: access is off
-    std::vector<std::shared_ptr<const transport::TlsContext>> tls; // one for each listener
-    std::string secret;                                            // of the members, empty without them
-    std::vector<std::string> folders;                              // where a change means reading again
+    operators::OperatorSettings settings;
+    std::shared_ptr<const access::Policy> policy;                  // null: no access control
+    std::vector<std::shared_ptr<const transport::TlsContext>> tls; // one per listener; null: plain
+    std::string secret;               // shared by the members; empty without membership
+    std::vector<std::string> folders; // to watch: a change there requires a reload
 };
 
 std::string read_file(const std::string& path);           // throws std::runtime_error
-nlohmann::ordered_json evaluate(const std::string& path); // the script's result, unread; throws
-// `wall` is the time that credentials are judged by; `before` what is in force, or null.
-LoadedSettings load_operator_files(const std::string& path, const access::Policy* before, Tenths wall,
+nlohmann::ordered_json evaluate(const std::string& path); // the script's result, not validated; throws
+// `wall`: the time for checking credentials; `previous`: the policy in force, or null.
+LoadedSettings load_operator_files(const std::string& path, const access::Policy* previous, Tenths wall,
                                    transport::TicketStore* tickets);
-// Clubs and request classes that the settings do not have would be silently nothing.
-void check_names(const operators::OperatorSettings& orders, const std::vector<std::string>& request_classes,
+// Throws if the access section names tenants or request classes that the configuration lacks, as they would
+// be ignored silently.
+void check_names(const operators::OperatorSettings& settings, const std::vector<std::string>& request_classes,
                  const std::vector<std::string>& tenants);
-// Written beside and renamed: whoever reads meanwhile sees the old file or the new one, whole.
+// Writes a temporary file and renames it, so that readers see either the old or the new content.
 void write_file(const std::string& path, const std::string& text, bool secret);
 
 } // namespace ivyrill::program
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -218,7 +218,8 @@
     const operators::OperatorSettings parsed = settings(kMaintenance);
     assert(parsed.membership && parsed.membership->bind == "10.0.0.1:7946" &&
            parsed.maintenance->voter_count == 3);
-    assert(parsed.maintenance->limits.floor == 1 && parsed.maintenance->spans.grant == 10 * kTenthsPerSecond);
+    assert(parsed.maintenance->limits.floor == 1 &&
+           parsed.maintenance->timing.grant == 10 * kTenthsPerSecond);
     const auto with = [](const std::string& more) { return error_of(kMaintenance + more); };
     assert(error_of("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
     assert(with("rota['council'] = 4").find("rota.council: expected 1, 3, 5 or 7") == 0);
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -615,13 +615,13 @@
     assert(taker.heard == "answer");
 }
 
-void phases_follow_their_table() {
-    program::Phases phases;
+void lifecycle_allows_only_listed_transitions() {
+    program::Lifecycle lifecycle;
     using program::Phase;
-    assert(!phases.enter(Phase::kQuiet, 1) && phases.now() == Phase::kStarting);
-    assert(phases.enter(Phase::kServing, 2) && phases.enter(Phase::kDraining, 3));
-    assert(!phases.enter(Phase::kServing, 4) && phases.since() == 3);
-    assert(phases.enter(Phase::kQuiet, 5) && phases.enter(Phase::kStopped, 6));
+    assert(!lifecycle.enter(Phase::kFinishing, 1) && lifecycle.phase() == Phase::kStarting);
+    assert(lifecycle.enter(Phase::kServing, 2) && lifecycle.enter(Phase::kDraining, 3));
+    assert(!lifecycle.enter(Phase::kServing, 4) && lifecycle.since() == 3);
+    assert(lifecycle.enter(Phase::kFinishing, 5) && lifecycle.enter(Phase::kStopped, 6));
 }
 
 constexpr Test kTests[] = {
@@ -642,7 +642,7 @@
     TEST(frame_behind_a_full_connection_does_not_leave_late),
     TEST(taken_address_is_one_clear_error),
     TEST(partial_writes_lose_nothing),
-    TEST(phases_follow_their_table),
+    TEST(lifecycle_allows_only_listed_transitions),
     TEST(answer_that_came_with_the_reset_is_read),
     TEST(first_question_finds_it_ready),
     TEST(crowd_that_comes_at_once_leaves_descriptors_to_others),
