--- a/fuzz/parcels.cpp
+++ b/fuzz/parcels.cpp
@@ -12,7 +12,7 @@
     static const std::string kSecret = "a secret of more than thirty-two bytes";
     if (size < 2) return 0;
     const std::string bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-    membership::Seal seal(kSecret);
+    membership::DatagramCodec seal(kSecret);
     if (FragmentTransport("x", "10.0.0.9:1", seal, 1).receive(1, bytes))
         std::abort(); // nobody guesses the seal
     (void)decode(bytes);
@@ -23,11 +23,11 @@
     settings.candidates = {{"n0", settings.address}}, settings.voter_count = 1; // one alone leads at once
     MaintenanceNode node(settings, &store, 1, 1);
     for (Tenths now = 1; now < 5 * kTenthsPerSecond; now += kTenthsPerSecond / 4) node.step(now, now);
-    FragmentTransport other("x", "10.0.0.9:1", seal, 1);
+    FragmentTransport other("x", "10.0.0.9:1", sign, 1);
     other.send(1, settings.address, static_cast<MessageKind>(data[0] % 8), bytes);
     for (const OutboundDatagram& sealed : other.take_datagrams())
         node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", sealed.bytes);
-    node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", seal.seal(bytes));
+    node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", sign.sign(bytes));
     for (Tenths now = 5 * kTenthsPerSecond; now < 6 * kTenthsPerSecond; now += kTenthsPerSecond / 10)
         node.step(now, now);
     for (const MaintenanceEffect& effect : node.take_effects())
--- a/src/maintenance/fragment_transport.cpp
+++ b/src/maintenance/fragment_transport.cpp
@@ -22,7 +22,7 @@
 
 std::string name_in(const Json& value) {
     auto name = value.get<std::string>();
-    if (name.size() > membership::kMostName) throw std::out_of_range("a name too long");
+    if (name.size() > membership::kMaxNameBytes) throw std::out_of_range("a name too long");
     return name;
 }
 
@@ -38,13 +38,13 @@
     ++counts_.fragments;
     const Json row = Json::array({kVersion, static_cast<int>(kind), name_, address_, serial, fragment_index,
                                   fragment_count, binary(bytes)});
-    outgoing_.push_back({to, seal_.seal(codec::pack_cbor(row))});
+    outgoing_.push_back({to, seal_.sign(codec::pack_cbor(row))});
 }
 
 bool FragmentTransport::send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes) {
     const std::size_t fragment_count =
         std::max<std::size_t>(1, (bytes.size() + kFragmentBytes - 1) / kFragmentBytes);
-    if (fragment_count > kMaxFragments || name_.size() > membership::kMostName)
+    if (fragment_count > kMaxFragments || name_.size() > membership::kMaxNameBytes)
         return ++counts_.dropped, false;
     const std::uint64_t serial = ++serial_;
     for (std::size_t fragment_index = 0; fragment_index < fragment_count; ++fragment_index)
@@ -57,7 +57,7 @@
 }
 
 std::optional<PeerMessage> FragmentTransport::receive(Tenths now, std::string_view sealed) {
-    const auto opened = seal_.unseal(sealed);
+    const auto opened = seal_.verify(sealed);
     if (!opened) return {};
     try {
         const Json row = Json::from_cbor(opened->begin(), opened->end());
@@ -71,7 +71,7 @@
             payload.size() > kFragmentBytes)
             throw std::out_of_range("no piece");
         PeerMessage message{static_cast<MessageKind>(kind), name_in(row[2]), name_in(row[3]), {}};
-        seal_.count_opened();
+        seal_.count_accepted();
         const std::string bytes(payload.begin(), payload.end());
         if (message.kind == MessageKind::kResendRequest) {
             const Json wanted = Json::from_cbor(payload.begin(), payload.end());
@@ -115,7 +115,7 @@
         for (const std::string& one : incomplete.fragments) message.bytes += one;
         incomplete_.erase(found);
         return ++counts_.reassembled, message;
-    } catch (const std::exception&) { return seal_.count_spoilt(), std::nullopt; }
+    } catch (const std::exception&) { return seal_.count_malformed(), std::nullopt; }
 }
 
 void FragmentTransport::step(Tenths now) {
--- a/src/program/work.cpp
+++ b/src/program/maintenance_commands.cpp
@@ -1,4 +1,4 @@
-#include "program/work.hpp"
+#include "program/maintenance_commands.hpp"
 
 #include "access/signature.hpp"
 #include "access/text.hpp"
@@ -62,10 +62,10 @@
                                                                   [](const int* d) { close(*d); });
     const std::string node = node_of(ask);
     const std::string address = "127.0.0.1:" + std::to_string(transport::port_of(descriptor));
-    membership::Seal seal(secret_of(ask));
+    membership::DatagramCodec codec(secret_of(ask));
     std::uint64_t serial = 0;
     std::memcpy(&serial, access::random_bytes(sizeof serial).data(), sizeof serial);
-    FragmentTransport parcels("operator", address, seal, serial >> 8U);
+    FragmentTransport parcels("operator", address, codec, serial >> 8U);
     const std::string request =
         ask.request.empty() ? access::base64url(access::random_bytes(12)) : ask.request;
     question["request"] = request;
@@ -186,7 +186,7 @@
 
 } // namespace
 
-void add_work_commands(CLI::App& app, std::function<int()>& run) {
+void add_maintenance_commands(CLI::App& app, std::function<int()>& run) {
     const auto ask = std::make_shared<Ask>();
     auto* work = app.add_subcommand("work", "machines taken out for work: ask a running front node");
     work->require_subcommand(1);
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -6,7 +6,7 @@
 
 #include "base/pcg.hpp"
 #include "limits/slow_start.hpp"
-#include "recovery/relief.hpp"
+#include "recovery/failover_policy.hpp"
 #include "replica_selection/c3.hpp"
 #include "search_scheduler_state.hpp"
 
@@ -48,7 +48,7 @@
                  kSameTime = 0.01;                      // time left of a hasty client; spread of first tries
 constexpr double kWeightSlack = 1e-6, kRankStep = 1e12; // rounding error; distance between ranks
 
-using Stand = recovery::Relief::Stand;
+using Eligibility = recovery::FailoverPolicy::Eligibility;
 using replica_selection::kWindow;
 
 class C3SearchScheduler : public SearchScheduler {
@@ -128,7 +128,7 @@
     }
 
     void apply(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
-    void apply(const SiteRecoveryPlan& plan) { relief_.hear(plan); }
+    void apply(const SiteRecoveryPlan& plan) { relief_.update(plan); }
     void apply(const ServerListUpdate& update) {
         if (update.kind == ListKind::kLost) {
             subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
@@ -484,20 +484,21 @@
             const bool open = admits(*server), bad = degraded(*server);
             const auto used =
                 std::ranges::count_if(part.attempts, [&](auto& l) { return l.server == server->id; });
-            const auto stand = relief_.stand(server->entry.zone, once, random_);
-            if (!may_serve(*server) || (!open && !may_test(*server)) || stand == Stand::kShut) continue;
+            const auto eligibility = relief_.eligibility(server->entry.zone, once, random_);
+            if (!may_serve(*server) || (!open && !may_test(*server)) || eligibility == Eligibility::kExcluded)
+                continue;
             if (now_ < server->backoff_until) {
                 wake_by(server->backoff_until);
                 continue;
             }
-            if (healthy_only && (!open || used > 0 || bad || stand != Stand::kOpen)) continue;
+            if (healthy_only && (!open || used > 0 || bad || eligibility != Eligibility::kEligible)) continue;
             limited = limited || !server->limiter.has_room(now_);
             if (!server->limiter.has_room(now_)) continue;
             double rank = score(*server), penalty = 0.5 * static_cast<double>(used);
             if (!open) penalty += server->unreachable ? 3 : 2;
             if (once && server->health == Health::kTrial) ++penalty;
             if (server->silent > 0) penalty += 0.25;
-            if (stand == Stand::kBehind) penalty += 1.2;
+            if (eligibility == Eligibility::kLastResort) penalty += 1.2;
             if (bad) {
                 double sound = 1;
                 for (const Group& group : server->groups()) sound *= 1 - failure_rate(group);
@@ -575,7 +576,7 @@
             static_cast<Tenths>(wait * (0.5 + (config_.may_send_retry_after ? random_.unit() : 0) / 2));
         search.retry_after = config_.may_send_retry_after ? relief_.retry_after(usual, random_) : 0;
     }
-    bool is_omitted(const Part& part) const { return part.left_out || relief_.gone(part.shard); }
+    bool is_omitted(const Part& part) const { return part.left_out || relief_.shard_lost(part.shard); }
 
     // Rule 2 and the limit on attempts, for a part without an answer.
     bool may_attempt(const Part& part, const RequestClassState& request_class) const {
@@ -602,7 +603,8 @@
         while (!arrivals_.empty() && arrivals_.front() <= now_ - config_.retry_window) arrivals_.pop_front();
         while (!retries_.empty() && retries_.front() <= now_ - config_.retry_window - 1) retries_.pop_front();
         const double share = config_.retry_ratio * (1 - overload_);
-        return retries_.size() + 1 <= (config_.retry_slack + share * arrivals_.size()) * relief_.further();
+        return retries_.size() + 1 <=
+               (config_.retry_slack + share * arrivals_.size()) * relief_.attempt_budget_share();
     }
 
     // Expected time of a part at its best replica, preferring healthy ones.
@@ -610,7 +612,7 @@
         double sound = static_cast<double>(kNever), any = sound;
         const int ahead = backlog_[part.shard];
         for (IndexServer* server : replicas(part.shard)) {
-            if (!may_serve(*server) || relief_.shut(server->entry.zone)) continue;
+            if (!may_serve(*server) || relief_.excludes(server->entry.zone)) continue;
             if (admits(*server) && !degraded(*server)) sound = std::min(sound, expected_time(*server, ahead));
             if (may_test(*server)) any = std::min(any, expected_time(*server, ahead));
         }
@@ -675,7 +677,7 @@
         RequestClassState& request_class = request_classes_[search.request_class.value];
         if (search.parts.empty() || search.revoked) return;
         const bool begun = std::ranges::any_of(search.parts, [](auto& p) { return !p.attempts.empty(); });
-        if (!begun) relief_.leave_out(search, request_class.config.floor, search.tenant);
+        if (!begun) relief_.omit_parts(search, request_class.config.floor, search.tenant);
         if (!begun && (search.shed || !admit(search))) return reject_or_fail(search); // also while backlogged
         if (search.crashing) return reject_or_fail(search);
         const bool singly = !search.has_answer && crashes() >= kCrashLimit;
@@ -822,7 +824,7 @@
     Pcg random_;
     limits::SlowStart slow_start_{config_.warm_up_time, config_.cold_capacity_ratio, config_.overload_window,
                                   config_.overload_factor};
-    recovery::Relief relief_;
+    recovery::FailoverPolicy relief_;
     double front_nodes_ = config_.front_nodes, target_ = 1e9; // target_: the shortest latency target
     double overload_ = 0;                                     // at the start of this decision
     Tenths now_ = 0, wakeup_ = kNever, armed_ = 0;            // armed_: the wake-up last scheduled
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -761,7 +761,7 @@
 // ---- parcels
 
 void pieces_that_are_lost_are_asked_for() {
-    membership::Seal seal("the secret of a story, thirty-two bytes or more");
+    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     std::string large(50'000, 'x');
     for (std::size_t i = 0; i < large.size(); ++i) large[i] = static_cast<char>(i * 7);
@@ -782,7 +782,7 @@
 }
 
 void room_for_pieces_has_a_bound() {
-    membership::Seal seal("the secret of a story, thirty-two bytes or more");
+    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     for (int i = 0; i < 500; ++i) {
         a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, std::string(3'000, 'x'));
@@ -791,7 +791,7 @@
     assert(b.incomplete() <= FragmentTransport::kMaxIncomplete);
     b.step(10 * kS);
     assert(b.incomplete() == 0);
-    assert(!b.receive(kS, "a stranger's bytes") && seal.counts().strangers == 1);
+    assert(!b.receive(kS, "a stranger's bytes") && seal.counts().unauthenticated == 1);
 }
 
 void a_flood_is_dropped_unread() {
@@ -800,7 +800,7 @@
     settings.secret = "the secret of a story, thirty-two bytes or more";
     MaintenanceNode node(settings, nullptr, kS, kS);
     for (int i = 0; i < 50'000; ++i) node.receive(kS + i / 100, "10.0.0.9:1", "\x88nothing that is sealed");
-    assert(node.counts().rate_limited > 40'000 && node.seal_counts().strangers < 10'000);
+    assert(node.counts().rate_limited > 40'000 && node.seal_counts().unauthenticated < 10'000);
     assert(node.take_effects().empty());
 }
 
