--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -55,9 +55,9 @@
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
-                raft_store = std::make_unique<raft_storage::SqliteRaftStore>(rota.raft_store, rota.witness);
-                made.incarnation = raft_store->next_member_incarnation();
+                std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
+                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.ledger, rota.witness);
+                made.incarnation = ledger->next_member_incarnation();
             }
             machine_controller = std::make_unique<MachineController>(
                 loop, rota.controller_command, rota.controller_address, rota.timing.action);
@@ -99,8 +99,7 @@
             if (machine_controller) {
                 machine_controller->step(loop.now());
                 for (const MachineController::Reply& reply : machine_controller->take_replies())
-                    warden->on_machine_status(loop.now(), reply.serial, reply.machine,
-                                              reply.on_machine_status);
+                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.kept);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next(), look_at, counts_at});
--- a/src/program/machine_controller.cpp
+++ b/src/program/machine_controller.cpp
@@ -19,8 +19,9 @@
 
 constexpr std::size_t kMaxOutputBytes = 1024, kMaxPending = 256;
 
-std::string command_line(const rota::KeeperAct& act) {
-    return std::string(rota::word_of(act.act)) + " " + act.machine + " " + std::to_string(act.fence.value);
+std::string command_line(const maintenance::MachineCommand& act) {
+    return std::string(maintenance::to_string(act.action)) + " " + act.machine + " " +
+           std::to_string(act.fence.value);
 }
 
 } // namespace
@@ -34,7 +35,7 @@
         if (command.process > 0) kill(command.process, SIGKILL), waitpid(command.process, nullptr, 0);
 }
 
-void MachineController::execute(Tenths now, const rota::KeeperAct& act) {
+void MachineController::execute(Tenths now, const maintenance::MachineCommand& act) {
     if (pending_.size() >= kMaxPending) return; // dropped: the caller treats a missing reply as unknown
     PendingCommand& command = pending_.emplace_back();
     command.act = act, command.deadline = now + timeout_;
@@ -126,7 +127,9 @@
         words >> state;
     // An unusable reply is reported as an unknown state; the caller asks again.
     if (!words && state.empty()) machine = command.act.machine, serial = command.act.serial;
-    replies_.push_back({serial, machine, rota::kept_named(state).value_or(rota::Kept::kUnknown)});
+    replies_.push_back(
+        {serial, machine,
+         maintenance::machine_status_from(state).value_or(maintenance::MachineStatus::kUnknown)});
 }
 
 void MachineController::step(Tenths now) {
