--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -35,7 +35,7 @@
 
 struct Totals {
     std::uint64_t violations = 0, faults = 0, acknowledged = 0, refused = 0, sent_again = 0, reads = 0,
-                  leavings = 0, disks_lost = 0, orders_to_servers = 0, orders_taken = 0;
+                  leavings = 0, disks_lost = 0, orders_to_servers = 0, orders_accepted = 0;
     std::array<std::uint64_t, 5> five{};
     void add(const ControlWorld& world) {
         const ControlCounts& counts = world.counts();
@@ -43,7 +43,7 @@
         faults += counts.faults, acknowledged += counts.acknowledged, refused += counts.refused;
         sent_again += counts.sent_again, reads += counts.reads, leavings += counts.leavings;
         disks_lost += counts.disks_lost;
-        orders_to_servers += counts.orders_to_servers, orders_taken += counts.orders_taken;
+        orders_to_servers += counts.orders_to_servers, orders_accepted += counts.orders_accepted;
         for (std::size_t i = 0; i < five.size(); ++i) five[i] += counts.five[i] ? 1 : 0;
     }
 };
@@ -88,7 +88,7 @@
             {"duty_violations", duty.violations},
             {"duty_faults", duty.faults},
             {"orders_to_servers", duty.orders_to_servers},
-            {"orders_taken", duty.orders_taken},
+            {"orders_taken", duty.orders_accepted},
             {"histories_s", took.count()}};
 }
 
--- a/examples/model_server.cpp
+++ b/examples/model_server.cpp
@@ -118,7 +118,7 @@
     CLI::App app("a stand-in model server of the published protocol");
     declare(app, arguments);
     CLI11_PARSE(app, count, words);
-    arguments.plan.stage = *lab::stage_named(arguments.stage);
+    arguments.plan.stage = *lab::stage_from_name(arguments.stage);
     arguments.plan.token_step = arguments.token_ms * kTenthsPerMs;
     arguments.heartbeats.interval = arguments.beat_ms * kTenthsPerMs;
     arguments.heartbeats.drain = arguments.drain_ms * kTenthsPerMs;
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -43,13 +43,13 @@
     };
     publisher_ = std::make_unique<feed::Publisher>(reactor_, log_, to_proxy, std::move(of_proxy));
     listener_ = network_.listen(feed::local_feed_address(settings_),
-                                [this](feed::AcceptedLink connection) { publisher_->take(connection); });
+                                [this](feed::AcceptedLink connection) { publisher_->accept(connection); });
     reader_ =
-        std::make_unique<ReportReader>(reactor_, ReportReader::Options{settings_.node_name, kReportInterval},
+        std::make_unique<ReportPoller>(reactor_, ReportPoller::Options{settings_.node_name, kReportInterval},
                                        [this](model::Load load) { read_.push_back(std::move(load)); });
     feed::Subscriber::Options options;
     options.node = {settings_.node_name, settings_.zone, settings_.ip, draw()};
-    options.heartbeat = feed::kSessionHeartbeat, options.silence = feed::kSessionSilence;
+    options.heartbeat = feed::kSessionHeartbeat, options.silence = feed::kSessionTimeout;
     options.offers_records = true;
     callbacks.publishers = [this] { return control_addresses(); };
     callbacks.applied = [this](const feed::Tables::Applied& applied) { this->applied(applied); };
@@ -65,12 +65,12 @@
 void Agent::report_usage(feed::Publisher::Callbacks& of_proxy, feed::Subscriber::Callbacks& of_control) {
     of_proxy.fleet_time = [this] { return usage_->time(reactor_.now()); };
     of_proxy.usage = [this](const std::vector<model::ProcessUsage>& counts) {
-        usage_->counted(counts, reactor_.now());
+        usage_->add_counts(counts, reactor_.now());
         subscriber_->send(feed::UsageCounts{counts});
     };
     of_control.time_of_day = clock::time_of_day;
     of_control.fleet_time = [this](const clock::FleetTime& time) {
-        if (usage_->time_told(time, reactor_.now())) publisher_->tell_time();
+        if (usage_->update_fleet_time(time, reactor_.now())) publisher_->publish_time();
     };
     of_control.began = [this] { // what went over the former link may be lost
         auto counts = usage_->recent();
@@ -82,14 +82,14 @@
     std::vector<std::string> seeds;
     for (const std::string& seed : settings_.seed_nodes)
         seeds.push_back(feed::feed_address(settings_, host_text(seed)));
-    return control_nodes_.next_round(std::move(seeds));
+    return control_nodes_.next_candidates(std::move(seeds));
 }
 
 void Agent::learn_control_nodes() {
     std::vector<std::string> addresses;
     for (const model::ControlNode& node : subscriber_->tables().control_nodes())
         addresses.push_back(feed::feed_address(settings_, host_text(node.address)));
-    control_nodes_.told(addresses, reactor_.now());
+    control_nodes_.update(addresses, reactor_.now());
 }
 
 void Agent::applied(const feed::Tables::Applied& applied) {
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -2,7 +2,7 @@
 // and hands it to the proxy over loopback, so that the proxy's own time goes to requests. It reads the load
 // of its share of the servers for all nodes.
 #pragma once
-#include "agent/report_reader.hpp"
+#include "agent/report_poller.hpp"
 #include "agent/usage_relay.hpp"
 #include "feed/publisher.hpp"
 #include "feed/publisher_list.hpp"
@@ -39,7 +39,7 @@
     std::unique_ptr<feed::Publisher> publisher_;
     feed::PublisherList control_nodes_;
     std::unique_ptr<feed::Subscriber> subscriber_;
-    std::unique_ptr<ReportReader> reader_;
+    std::unique_ptr<ReportPoller> reader_;
     std::unique_ptr<feed::LinkListener> listener_;
     std::vector<model::Load> read_; // to be told with the next flush
     transport::Reactor::TimerId timer_{};
--- a/src/agent/report_duties.cpp
+++ b/src/agent/report_assignment.cpp
@@ -1,4 +1,4 @@
-#include "agent/report_duties.hpp"
+#include "agent/report_assignment.hpp"
 
 #include "base/hash.hpp"
 
@@ -17,13 +17,13 @@
 
 } // namespace
 
-std::string reader_of(const std::string& instance, const std::vector<model::EdgeNode>& nodes) {
-    ReportDuties duties;
+std::string poller_of(const std::string& instance, const std::vector<model::EdgeNode>& nodes) {
+    ReportAssignment duties;
     duties.set_nodes(nodes);
     return duties.reader(instance);
 }
 
-void ReportDuties::set_nodes(const std::vector<model::EdgeNode>& nodes) {
+void ReportAssignment::set_nodes(const std::vector<model::EdgeNode>& nodes) {
     std::vector<std::string> names, joined, left;
     for (const model::EdgeNode& node : nodes) names.push_back(node.name);
     std::ranges::sort(names);
@@ -43,7 +43,7 @@
     }
 }
 
-ReportDuties::Reader ReportDuties::among_all(const std::string& instance) const {
+ReportAssignment::Reader ReportAssignment::among_all(const std::string& instance) const {
     Reader best;
     for (const std::string& node : nodes_) {
         const std::uint64_t weight = weight_of(node, instance);
@@ -52,13 +52,13 @@
     return best;
 }
 
-const std::string& ReportDuties::reader(const std::string& instance) {
+const std::string& ReportAssignment::reader(const std::string& instance) {
     const auto known = readers_.find(instance);
     if (known != readers_.end()) return known->second.node;
     return readers_.emplace(instance, among_all(instance)).first->second.node;
 }
 
-void ReportDuties::bound(std::size_t instances) {
+void ReportAssignment::bound(std::size_t instances) {
     if (readers_.size() > 2 * instances + kSpareReaders) readers_.clear();
 }
 
--- a/src/agent/report_duties.hpp
+++ b/src/agent/report_assignment.hpp
@@ -11,9 +11,9 @@
 
 namespace ivyrill::agent {
 
-std::string reader_of(const std::string& instance, const std::vector<model::EdgeNode>& nodes);
+std::string poller_of(const std::string& instance, const std::vector<model::EdgeNode>& nodes);
 
-class ReportDuties {
+class ReportAssignment {
   public:
     void set_nodes(const std::vector<model::EdgeNode>& nodes);
     const std::string& reader(const std::string& instance); // empty while no node is known
--- a/src/agent/report_reader.cpp
+++ b/src/agent/report_poller.cpp
@@ -1,4 +1,4 @@
-#include "agent/report_reader.hpp"
+#include "agent/report_poller.hpp"
 
 #include "base/hash.hpp"
 #include "base/log.hpp"
@@ -24,7 +24,7 @@
 bool plausible(const model::Load& load, std::int64_t slots) {
     return within(load.waiting, kMostWaiting) && within(load.running, slots) &&
            within(load.memory_total, kMostMemory) && within(load.memory_used, load.memory_total) &&
-           load.orders_taken >= 0;
+           load.orders_accepted >= 0;
 }
 
 } // namespace
@@ -41,26 +41,26 @@
         load.instance = instance;
         load.waiting = number("waiting"), load.running = number("running");
         load.memory_used = number("kvUsed"), load.memory_total = number("kvTotal");
-        load.orders_taken = number("callSeq");
+        load.orders_accepted = number("callSeq");
         if (const protocol::Json* stage = body.find("stage"))
-            load.stage = model::stage_named(stage->as_text("stage"));
+            load.stage = model::stage_from_name(stage->as_text("stage"));
         if (const protocol::Json* busy = body.find("busy")) load.changing = busy->as_bool("busy");
         if (!plausible(load, slots)) return std::nullopt;
         return load;
     } catch (const protocol::ProtocolError&) { return std::nullopt; }
 }
 
-ReportReader::ReportReader(transport::Reactor& reactor, Options options,
+ReportPoller::ReportPoller(transport::Reactor& reactor, Options options,
                            std::function<void(model::Load)> read)
     : reactor_(reactor), options_(std::move(options)), read_(std::move(read)) {}
 
-void ReportReader::assign(const std::map<std::string, model::Instance>& instances,
+void ReportPoller::assign(const std::map<std::string, model::Instance>& instances,
                           const std::vector<model::EdgeNode>& nodes) {
     readers_.set_nodes(nodes);
     readers_.bound(instances.size());
     servers_ = instances.size();
     const auto is_mine = [&](const model::Instance& instance) {
-        return instance.may_be_sent_to() && instance.stage != model::Stage::kNone &&
+        return instance.is_routable() && instance.stage != model::Stage::kNone &&
                readers_.reader(instance.id) == options_.self;
     };
     for (auto next = duties_.begin(); next != duties_.end();) {
@@ -79,18 +79,18 @@
     }
 }
 
-Tenths ReportReader::interval() const {
+Tenths ReportPoller::interval() const {
     const std::size_t servers = std::max(servers_, options_.servers);
     return options_.interval * static_cast<Tenths>(servers) / static_cast<Tenths>(options_.servers);
 }
 
-transport::Async<transport::Done> ReportReader::sleep(Duty& duty, Tenths until) {
+transport::Async<transport::Done> ReportPoller::sleep(Duty& duty, Tenths until) {
     const transport::WakeAt timer(reactor_, until, duty.wake);
     while (reactor_.now() < until) co_await duty.wake;
     co_return transport::Done{};
 }
 
-transport::Task ReportReader::keep_reading(Duty& duty) {
+transport::Task ReportPoller::keep_reading(Duty& duty) {
     // Readings of many servers are spread over the interval by the server's id.
     const auto interval = static_cast<std::uint64_t>(this->interval());
     co_await sleep(duty, reactor_.now() + static_cast<Tenths>(hash_text(duty.instance) % interval));
@@ -101,7 +101,7 @@
     }
 }
 
-transport::Async<bool> ReportReader::read_once(Duty& duty) {
+transport::Async<bool> ReportPoller::read_once(Duty& duty) {
     if (duty.connection && !duty.connection->quiet()) duty.connection.reset();
     if (!duty.connection)
         duty.connection = http::ClientConnection::open(reactor_, duty.address, kMostRequest);
@@ -123,8 +123,9 @@
         const auto load = read_report(duty.instance, duty.slots, answer.body);
         if (load)
             read_(*load);
-        else if (++spoilt_ == 1 || spoilt_ % kSpoiltLogged == 0)
-            log_line("spoilt_report", {{"instance", duty.instance}, {"count", std::to_string(spoilt_)}});
+        else if (++invalid_reports_ == 1 || invalid_reports_ % kSpoiltLogged == 0)
+            log_line("spoilt_report",
+                     {{"instance", duty.instance}, {"count", std::to_string(invalid_reports_)}});
     }
     co_return !answer.close;
 }
--- a/src/agent/usage_relay.hpp
+++ b/src/agent/usage_relay.hpp
@@ -1,8 +1,8 @@
 // What an agent knows of the fleet's time and of its proxies' counts: the time for the proxy, the counts of
 // the last windows for whichever control node it turns to next. Pure: the steady clock is handed in.
 #pragma once
-#include "clock/followed_clock.hpp"
-#include "duties/usage_tally.hpp"
+#include "clock/synced_clock.hpp"
+#include "duties/usage_aggregator.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -15,14 +15,14 @@
     explicit UsageRelay(std::int64_t window_ms) : tally_({window_ms, kKeptMs}) {}
 
     // Whether the time was not known before.
-    bool time_told(const clock::FleetTime& time, Tenths now) {
+    bool update_fleet_time(const clock::FleetTime& time, Tenths now) {
         const bool is_first = !clock_.at(now);
-        clock_.told(time, now);
+        clock_.update(time, now);
         return is_first;
     }
     std::optional<clock::FleetTime> time(Tenths now) const { return clock_.at(now); }
 
-    void counted(const std::vector<model::ProcessUsage>& usage, Tenths now) {
+    void add_counts(const std::vector<model::ProcessUsage>& usage, Tenths now) {
         if (const auto time = clock_.at(now)) tally_.advance(time->unix_ms, now);
         for (const model::ProcessUsage& here : usage) tally_.merge(here, now);
     }
@@ -30,8 +30,8 @@
 
   private:
     static constexpr std::int64_t kKeptMs = 20'000;
-    clock::FollowedClock clock_;
-    duties::UsageTally tally_;
+    clock::SyncedClock clock_;
+    duties::UsageAggregator tally_;
 };
 
 } // namespace ivyrill::agent
--- a/src/base/planted_fault.hpp
+++ b/src/base/planted_fault.hpp
@@ -43,7 +43,7 @@
     kReadyKept,              // a member that was cut off may become a voter by the copies from before
     kContactWithoutMajority, // a leader that is itself cut off keeps others in contact
     kLeaderCommitForgotten,  // what a leader has committed is forgotten while it is not heard
-    // Of the duties (src/duties, src/control/duty_parts.hpp) and of orders to servers.
+    // Of the duties (src/duties, src/control/duty_partitions.hpp) and of orders to servers.
     kLeaseNotAwaited,       // a holder acts as soon as it is elected
     kHolderReturnsAtOnce,   // a holder that held shortly before acts again without a wait
     kActsWithoutContact,    // a holder acts on while no majority answers it
--- a/src/clock/fleet_clock.hpp
+++ b/src/clock/fleet_clock.hpp
@@ -34,29 +34,29 @@
   public:
     // The time of day of a machine, seen at a moment of this process's steady clock. What was on its way
     // makes the machine appear behind by so much.
-    void sample(const std::string& machine, std::int64_t wall_unix_ms, Tenths seen_at) {
-        if (!is_plausible(wall_unix_ms)) return;
+    void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Tenths seen_at) {
+        if (!is_plausible(time_of_day_ms)) return;
         Sample& known = samples_[machine];
         if (seen_at < known.seen_at) return;
-        known = {wall_unix_ms * kTenthsPerMs - seen_at, seen_at};
+        known = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
     }
 
     // A machine's time of day by its last sample; nothing where that is too old.
-    std::optional<std::int64_t> wall_of(const std::string& machine, Tenths steady_now) const {
+    std::optional<std::int64_t> wall_clock_of(const std::string& machine, Tenths steady_now) const {
         const auto found = samples_.find(machine);
         if (found == samples_.end() || !is_fresh(found->second, steady_now)) return std::nullopt;
-        return to_unix_ms(found->second.ahead + steady_now);
+        return to_unix_ms(found->second.offset + steady_now);
     }
 
     std::optional<FleetTime> at(Tenths steady_now) const {
-        std::vector<Tenths> ahead;
-        ahead.reserve(samples_.size());
+        std::vector<Tenths> offset;
+        offset.reserve(samples_.size());
         for (const auto& [machine, sample] : samples_)
-            if (is_fresh(sample, steady_now)) ahead.push_back(sample.ahead);
-        if (ahead.empty()) return std::nullopt;
-        std::ranges::sort(ahead);
-        const Tenths middle = ahead[(ahead.size() - 1) / 2];
-        return FleetTime{to_unix_ms(middle + steady_now), error_around(middle, ahead)};
+            if (is_fresh(sample, steady_now)) offset.push_back(sample.offset);
+        if (offset.empty()) return std::nullopt;
+        std::ranges::sort(offset);
+        const Tenths middle = offset[(offset.size() - 1) / 2];
+        return FleetTime{to_unix_ms(middle + steady_now), error_bound(middle, offset)};
     }
 
     void forget_old(Tenths now) {
@@ -65,20 +65,20 @@
 
   private:
     struct Sample {
-        Tenths ahead = 0; // of the steady clock
+        Tenths offset = 0; // of the steady clock
         Tenths seen_at = INT64_MIN;
     };
-    static constexpr Tenths kSampleAge = 10 * kTenthsPerSecond;
-    static constexpr std::size_t kOutvoted = 3;          // so many machines outvote one that has jumped
-    static constexpr std::int64_t kUnconfirmedMs = 3000; // how far a machine's time of day may jump
-    static constexpr std::int64_t kTransitMs = 10;       // that a sample may have been on its way
+    static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
+    static constexpr std::size_t kMinMajoritySamples = 3;     // so many machines outvote one that has jumped
+    static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a machine's time of day may jump
+    static constexpr std::int64_t kMaxTransitMs = 10;         // that a sample may have been on its way
 
-    static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleAge; }
+    static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleMaxAge; }
 
     // Most are right, so the shortest span that holds most of them is no longer than theirs and holds one of
     // them; the median lies in every such span.
-    static std::int64_t error_around(Tenths middle, const std::vector<Tenths>& sorted) {
-        if (sorted.size() < kOutvoted) return kUnconfirmedMs;
+    static std::int64_t error_bound(Tenths middle, const std::vector<Tenths>& sorted) {
+        if (sorted.size() < kMinMajoritySamples) return kUnconfirmedErrorMs;
         const std::size_t most = sorted.size() / 2 + 1;
         Tenths shortest = INT64_MAX, error = 0;
         for (std::size_t first = 0; first + most <= sorted.size(); ++first) {
@@ -87,7 +87,7 @@
             shortest = end - begin;
             error = std::max(middle - begin, end - middle);
         }
-        return to_unix_ms(error) + 1 + kTransitMs;
+        return to_unix_ms(error) + 1 + kMaxTransitMs;
     }
 
     std::map<std::string, Sample> samples_; // by machine
--- /dev/null
+++ b/src/clock/synced_clock.hpp
@@ -0,0 +1,52 @@
+// The fleet's time in a process that is told it by another one. Being on its way only makes what was told
+// older, so the latest of what came lately is the nearest. Without news it goes on by the steady clock. Pure.
+#pragma once
+#include "clock/fleet_clock.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <deque>
+#include <optional>
+
+namespace ivyrill::clock {
+
+class SyncedClock {
+  public:
+    void update(const FleetTime& time, Tenths now) {
+        if (!is_plausible(time.unix_ms) || time.error_ms < 0) return;
+        samples_.push_back({time.unix_ms * kTenthsPerMs - now, time.error_ms, now});
+        while (samples_.size() > kMaxSamples || now - samples_.front().at > kSampleMaxAge)
+            samples_.pop_front();
+        choose();
+    }
+    std::optional<FleetTime> at(Tenths now) const {
+        if (samples_.empty()) return std::nullopt;
+        return FleetTime{to_unix_ms(offset_ + now), error_ms_};
+    }
+
+  private:
+    struct Sample {
+        Tenths offset = 0; // of this process's steady clock
+        std::int64_t error_ms = 0;
+        Tenths at = 0;
+    };
+    static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
+    static constexpr std::size_t kMaxSamples = 32;
+    static constexpr std::int64_t kMaxErrorExcessMs = 100; // what may be off by so much more is passed over
+
+    void choose() {
+        const auto least = std::ranges::min_element(samples_, {}, &Sample::error_ms)->error_ms;
+        std::optional<Tenths> latest;
+        for (const Sample& here : samples_) {
+            if (here.error_ms > least + kMaxErrorExcessMs || (latest && here.offset <= *latest)) continue;
+            latest = here.offset, error_ms_ = here.error_ms;
+        }
+        offset_ = *latest;
+    }
+
+    std::deque<Sample> samples_;
+    Tenths offset_ = 0;
+    std::int64_t error_ms_ = 0;
+};
+
+} // namespace ivyrill::clock
--- a/src/control/count_duty.cpp
+++ b/src/control/autoscale_duty.cpp
@@ -1,4 +1,4 @@
-#include "control/count_duty.hpp"
+#include "control/autoscale_duty.hpp"
 
 #include "base/log.hpp"
 #include "protocol/json.hpp"
@@ -11,7 +11,7 @@
 
 using duties::Duty;
 using duties::PlatformOutcome;
-using duties::ZoneCount;
+using duties::ZoneServerCount;
 
 namespace {
 
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::string scale_body(const std::string& service, const ZoneCount& ordered) {
+std::string scale_body(const std::string& service, const ZoneServerCount& ordered) {
     std::string body = R"({"service":)";
     protocol::write_json_text(body, service);
     body += R"(,"zone":)";
@@ -36,16 +36,16 @@
     return body + fmt::format(R"(,"desiredCount":{}}})", ordered.servers);
 }
 
-CountDuty::CountDuty(transport::Reactor& reactor, duties::PlatformLink& link, std::string holder,
-                     Callbacks callbacks)
+AutoscaleDuty::AutoscaleDuty(transport::Reactor& reactor, duties::PlatformClient& link, std::string holder,
+                             Callbacks callbacks)
     : reactor_(reactor), link_(link), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
-    timer_ = reactor_.call_after(duties::CountController::kInterval, [this] { look(); });
+    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { look(); });
 }
 
-CountDuty::~CountDuty() { reactor_.cancel(timer_); }
+AutoscaleDuty::~AutoscaleDuty() { reactor_.cancel(timer_); }
 
-void CountDuty::look() {
-    timer_ = reactor_.call_after(duties::CountController::kInterval, [this] { look(); });
+void AutoscaleDuty::look() {
+    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { look(); });
     const model::Configuration* configuration = callbacks_.configuration();
     if (configuration == nullptr) return;
     std::erase_if(services_, [&](const auto& known) { return !has_numbers(*configuration, known.first); });
@@ -53,22 +53,22 @@
         if (has_numbers(service)) look_at(service);
 }
 
-void CountDuty::look_at(const model::Service& service) {
+void AutoscaleDuty::look_at(const model::Service& service) {
     ServiceCounts& counts = services_[service.name];
     count_servers(service.name, counts);
     update_holding(service.name, counts);
     forget_taken_away(counts, static_cast<Tenths>(service.scaling->boot_time_s * kTenthsPerSecond));
     const auto wanted =
-        counts.controller.next(picture(service.name, counts), *service.scaling, reactor_.now());
+        counts.controller.plan(picture(service.name, counts), *service.scaling, reactor_.now());
     want(service.name, counts, wanted);
     for (auto& [zone, state] : counts.zones) send_due(service.name, zone, state);
 }
 
 // Silent ones count: they may be cut off, or start anew.
-void CountDuty::count_servers(const std::string& service, ServiceCounts& counts) const {
+void AutoscaleDuty::count_servers(const std::string& service, ServiceCounts& counts) const {
     std::map<std::string, std::int64_t> present; // by zone
     for (const auto& [id, instance] : callbacks_.instances().records())
-        if (instance.service == service && instance.may_be_sent_to()) ++present[instance.zone];
+        if (instance.service == service && instance.is_routable()) ++present[instance.zone];
     for (const auto& [zone, servers] : present) counts.zones[zone];
     for (auto& [zone, state] : counts.zones) {
         const std::int64_t servers = present[zone];
@@ -77,7 +77,7 @@
     }
 }
 
-void CountDuty::update_holding(const std::string& service, ServiceCounts& counts) const {
+void AutoscaleDuty::update_holding(const std::string& service, ServiceCounts& counts) const {
     for (auto& [zone, state] : counts.zones) {
         const auto fence = callbacks_.fence(duties::server_count_duty(service, zone));
         if (fence && !state.holds) state.held_since = reactor_.now();
@@ -89,45 +89,45 @@
 }
 
 // Fewer than ordered for so long were not only started anew.
-void CountDuty::forget_taken_away(ServiceCounts& counts, Tenths boot_time) const {
+void AutoscaleDuty::forget_taken_away(ServiceCounts& counts, Tenths boot_time) const {
     for (auto& [zone, state] : counts.zones) {
         if (!state.holds || !state.order->accepted()) continue;
         const bool should_serve = reactor_.now() - state.order->accepted_at() > boot_time + kMissingSpan;
-        if (should_serve && state.most < *state.order->accepted()) state.order->forget_accepted();
+        if (should_serve && state.most < *state.order->accepted()) state.order->clear_accepted();
     }
 }
 
-duties::CountPicture CountDuty::picture(const std::string& service, const ServiceCounts& counts) const {
-    duties::CountPicture seen{callbacks_.servers(service), {}, callbacks_.demand(service)};
+duties::ScalingInput AutoscaleDuty::picture(const std::string& service, const ServiceCounts& counts) const {
+    duties::ScalingInput seen{callbacks_.servers(service), {}, callbacks_.demand(service)};
     for (const auto& [zone, state] : counts.zones) {
         const auto accepted = state.holds ? state.order->accepted() : std::nullopt;
-        seen.standing.push_back({zone, accepted.value_or(state.most)});
+        seen.target_counts.push_back({zone, accepted.value_or(state.most)});
     }
     return seen;
 }
 
-void CountDuty::want(const std::string& service, ServiceCounts& counts,
-                     const std::vector<ZoneCount>& wanted) const {
-    for (const ZoneCount& count : wanted) {
+void AutoscaleDuty::want(const std::string& service, ServiceCounts& counts,
+                         const std::vector<ZoneServerCount>& wanted) const {
+    for (const ZoneServerCount& count : wanted) {
         Zone& state = counts.zones.at(count.zone);
-        const bool has_looked = reactor_.now() - state.held_since >= kFirstLook;
+        const bool has_looked = reactor_.now() - state.held_since >= kObservationTime;
         if (!state.holds || !has_looked || state.order->is_fenced_off()) continue;
         log_line("count", {{"service", service},
                            {"zone", count.zone},
                            {"servers", std::to_string(state.most)},
                            {"wanted", std::to_string(count.servers)},
-                           {"needed", fmt::format("{:.1f}", counts.controller.needed())}});
+                           {"needed", fmt::format("{:.1f}", counts.controller.needed_servers())}});
         state.order->want(count.servers, reactor_.now());
     }
 }
 
-void CountDuty::send_due(const std::string& service, const std::string& zone, Zone& state) {
+void AutoscaleDuty::send_due(const std::string& service, const std::string& zone, Zone& state) {
     if (!state.holds) return;
     const auto servers = state.order->due(reactor_.now());
     const Duty duty = duties::server_count_duty(service, zone);
-    if (!servers || !callbacks_.take_call(duty)) return;
-    state.order->sent(), calls_.sent();
-    const ZoneCount ordered{zone, *servers};
+    if (!servers || !callbacks_.acquire_call(duty)) return;
+    state.order->sent(), calls_.record_sent();
+    const ZoneServerCount ordered{zone, *servers};
     const std::uint64_t fence = state.order->fence();
     link_.send(
         {"/scale", scale_body(service, ordered), fence}, holder_,
@@ -137,14 +137,14 @@
         });
 }
 
-void CountDuty::answered(const std::string& service, const ZoneCount& ordered, std::uint64_t fence,
-                         PlatformOutcome outcome) {
+void AutoscaleDuty::answered(const std::string& service, const ZoneServerCount& ordered, std::uint64_t fence,
+                             PlatformOutcome outcome) {
     log_line("count_order", {{"service", service},
                              {"zone", ordered.zone},
                              {"servers", std::to_string(ordered.servers)},
                              {"fence", std::to_string(fence)},
                              {"outcome", std::string(duties::name_of(outcome))}});
-    calls_.ended(outcome);
+    calls_.record_outcome(outcome);
     const auto counts = services_.find(service);
     if (counts == services_.end()) return;
     const auto zone = counts->second.zones.find(ordered.zone);
@@ -153,8 +153,8 @@
         zone->second.order->answered(ordered.servers, outcome, reactor_.now());
 }
 
-std::vector<CountDuty::Standing> CountDuty::standings() const {
-    std::vector<Standing> seen;
+std::vector<AutoscaleDuty::ZoneStatus> AutoscaleDuty::zone_statuses() const {
+    std::vector<ZoneStatus> seen;
     for (const auto& [service, counts] : services_)
         for (const auto& [zone, state] : counts.zones)
             if (state.holds)
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -26,8 +26,8 @@
 std::string port_text(const std::string& address) { return address.substr(address.rfind(':') + 1); }
 std::string host_text(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
-duties::UsageTally::Options tally_options(const settings::Settings& settings) {
-    duties::UsageTally::Options options;
+duties::UsageAggregator::Options tally_options(const settings::Settings& settings) {
+    duties::UsageAggregator::Options options;
     if (settings.bounds.usage_window_ms() > 0) options.window_ms = settings.bounds.usage_window_ms();
     return options;
 }
@@ -87,7 +87,7 @@
     const bool has_stages =
         std::ranges::find(settings_.contracts, kEngineContract) != settings_.contracts.end();
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
-    DutyParts::Options options;
+    DutyPartitions::Options options;
     options.least_copies = losses() + 1, options.voters = least_voters();
     options.lease = settings_.bounds.lease_ms * (kTenthsPerSecond / 1000);
     options.draw = environment_.draw;
@@ -96,7 +96,8 @@
         if (!peers_) return;
         if (!peers_->send_to_member(sent.message.to.value, message)) peers_->send(sent.address, message);
     };
-    BOOST_OUTCOME_TRY(parts, DutyParts::open(reactor_, environment_.open_file, std::move(options), send));
+    BOOST_OUTCOME_TRY(parts,
+                      DutyPartitions::open(reactor_, environment_.open_file, std::move(options), send));
     duty_parts_ = std::move(parts);
     return boost::outcome_v2::success();
 }
@@ -108,7 +109,7 @@
     for (const std::string& seed : settings_.seed_nodes)
         options.founders.push_back(feed::peer_address(settings_, host_text(seed)));
     options.first_start = settings_.first_start, options.draw = environment_.draw;
-    options.disk_is_spoilt = known_state_->is_spoilt() || (duty_parts_ && duty_parts_->is_spoilt());
+    options.disk_is_spoilt = known_state_->is_spoilt() || (duty_parts_ && duty_parts_->has_lost_state());
     options.least_copies = losses() + 1, options.least_voters = least_voters();
     options.most_voters = std::max<std::size_t>(options.least_voters, 9);
     ConfigurationGroup::Callbacks callbacks;
@@ -196,7 +197,7 @@
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
     callbacks.loads = [this]() -> const std::map<std::string, model::Load>& { return registry_->loads(); };
     callbacks.ordered = [this](const feed::StageOrdered& ordered) {
-        peers_->send_to_all(feed::Ordered{{ordered}});
+        peers_->send_to_all(feed::StageOrderNotice{{ordered}});
         put_orders({ordered});
     };
     stage_duty_ =
@@ -221,8 +222,8 @@
     callbacks.may_act_under = [this](std::uint64_t fence) {
         return duty_parts_->may_act_under(duties::usage_report_duty(), fence);
     };
-    callbacks.agreed = [this]() -> std::optional<duties::UsageLedger> {
-        const auto state = duty_parts_->agreed(duties::usage_report_duty());
+    callbacks.committed = [this]() -> std::optional<duties::UsageLedger> {
+        const auto state = duty_parts_->committed(duties::usage_report_duty());
         return state ? std::optional(state->usage) : std::nullopt;
     };
     callbacks.propose = [this](UsageDuty::ChangeLedger change) { propose_usage(std::move(change)); };
@@ -231,17 +232,19 @@
         return usage_tally_.is_complete(window, end_ms, reactor_.now());
     };
     callbacks.sources.counts = [this](std::int64_t window) { return usage_tally_.counts(window); };
-    callbacks.take_call = [this] { return call_budget_.take(duties::usage_report_duty(), reactor_.now()); };
+    callbacks.acquire_call = [this] {
+        return call_budget_.try_acquire(duties::usage_report_duty(), reactor_.now());
+    };
     usage_duty_ = std::make_unique<UsageDuty>(
         reactor_, environment_.platform,
         UsageDuty::Options{settings_.node_name, settings_.bounds.usage_window_ms()}, std::move(callbacks));
 }
 
 void ControlNode::propose_usage(UsageDuty::ChangeLedger change) {
-    const auto change_state = [change = std::move(change)](const duties::PartState& newest) {
+    const auto change_state = [change = std::move(change)](const duties::PartitionState& newest) {
         auto usage = change(newest.usage);
-        std::optional<duties::PartState> changed;
-        if (usage) changed = duties::PartState{newest.released_term, std::move(*usage)};
+        std::optional<duties::PartitionState> changed;
+        if (usage) changed = duties::PartitionState{newest.released_term, std::move(*usage)};
         return changed;
     };
     duty_parts_->propose(duties::usage_report_duty(), change_state);
@@ -250,19 +253,19 @@
 void ControlNode::exchange_usage() {
     usage_timer_ = reactor_.call_after(kUsageInterval, [this] { exchange_usage(); });
     usage_exchange_->tick(reactor_.now());
-    for (feed::UsageCounts& counts : usage_exchange_->take_for_peers())
+    for (feed::UsageCounts& counts : usage_exchange_->drain_for_peers())
         peers_->send_to_all(std::move(counts));
 }
 
 void ControlNode::take_usage(const model::ControlNode& peer, const feed::UsageCounts& counts) {
-    feed::WantUsage wanted = usage_exchange_->merge(counts, reactor_.now());
+    feed::UsageRequest wanted = usage_exchange_->merge(counts, reactor_.now());
     if (!wanted.processes.empty()) peers_->send(peer.address, std::move(wanted));
 }
 
 void ControlNode::open_count_duty() {
     const std::vector<std::string>& duties = settings_.cloud_api.duties;
     if (!duty_parts_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
-    CountDuty::Callbacks callbacks;
+    AutoscaleDuty::Callbacks callbacks;
     callbacks.fence = [this](const duties::Duty& duty) { return duty_parts_->fence(duty); };
     callbacks.may_act_under = [this](const duties::Duty& duty, std::uint64_t fence) {
         return duty_parts_->may_act_under(duty, fence);
@@ -271,13 +274,13 @@
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
     callbacks.servers = [this](const std::string& service) { return stage_duty_->servers_of(service); };
     callbacks.demand = [this](const std::string& service) {
-        return stage_duty_->demand().of(service, reactor_.now());
+        return stage_duty_->demand().total(service, reactor_.now());
     };
-    callbacks.take_call = [this](const duties::Duty& duty) {
-        return call_budget_.take(duty, reactor_.now());
+    callbacks.acquire_call = [this](const duties::Duty& duty) {
+        return call_budget_.try_acquire(duty, reactor_.now());
     };
-    count_duty_ = std::make_unique<CountDuty>(reactor_, environment_.platform, settings_.node_name,
-                                              std::move(callbacks));
+    count_duty_ = std::make_unique<AutoscaleDuty>(reactor_, environment_.platform, settings_.node_name,
+                                                  std::move(callbacks));
 }
 
 void ControlNode::put_orders(const std::vector<feed::StageOrdered>& orders) {
@@ -299,8 +302,8 @@
     callbacks.fill_status = [this](feed::PeerStatus& status) {
         status.sessions = publisher_->sessions();
         status.instances = registry_->digests();
-        if (stage_duty_) status.demands = stage_duty_->demand().here(reactor_.now());
-        if (usage_exchange_) usage_exchange_->fill(status, reactor_.now());
+        if (stage_duty_) status.demands = stage_duty_->demand().local(reactor_.now());
+        if (usage_exchange_) usage_exchange_->fill_status(status, reactor_.now());
     };
     callbacks.term = [this] { return group_->term(); };
     callbacks.met = [this](const model::ControlNode& peer, std::uint64_t term) {
@@ -328,10 +331,10 @@
     callbacks.digests = [this] { return registry_->digests(); };
     if (usage_exchange_) {
         callbacks.usage = [this](const std::vector<model::ProcessUsage>& counts) {
-            usage_exchange_->counted(counts, reactor_.now());
+            usage_exchange_->add_local_counts(counts, reactor_.now());
         };
         callbacks.time_of_day = [this](const std::string& node, std::int64_t unix_ms) {
-            usage_exchange_->time_of_day(node, unix_ms, reactor_.now());
+            usage_exchange_->add_time_of_day(node, unix_ms, reactor_.now());
         };
         callbacks.fleet_time = [this] { return fleet_clock_.at(reactor_.now()); };
     }
@@ -340,13 +343,13 @@
     };
     callbacks.loads = [this](const std::vector<model::Load>& loads) { registry_->take_loads(loads, true); };
     callbacks.demands = [this](const std::string& node, const std::vector<model::ServiceDemand>& demands) {
-        if (stage_duty_) stage_duty_->demand().told_by_node(node, demands, reactor_.now());
+        if (stage_duty_) stage_duty_->demand().update_from_node(node, demands, reactor_.now());
     };
     publisher_ =
         std::make_unique<feed::Publisher>(reactor_, log_, feed::session_options(), std::move(callbacks));
     feed_listener_ = environment_.network.listen(
         feed::feed_address(settings_, settings_.ip),
-        [this](const feed::AcceptedLink& connection) { publisher_->take(connection); });
+        [this](const feed::AcceptedLink& connection) { publisher_->accept(connection); });
 }
 
 // The servers that the disk knew have their usual time to be heard from.
@@ -389,26 +392,27 @@
         if (!gate_.is_open()) update_gate();
     } else if (const auto* status = std::get_if<feed::PeerStatus>(&message)) {
         registry_->compare(peer, *status);
-        if (stage_duty_) stage_duty_->demand().told_by_peer(peer.address, status->demands, reactor_.now());
-        if (usage_exchange_) usage_exchange_->told(peer.address, *status, reactor_.now());
+        if (stage_duty_)
+            stage_duty_->demand().update_from_peer(peer.address, status->demands, reactor_.now());
+        if (usage_exchange_) usage_exchange_->on_peer_status(peer.address, *status, reactor_.now());
         put_edge_nodes();
     } else if (const auto* counts = std::get_if<feed::UsageCounts>(&message)) {
         if (usage_exchange_) take_usage(peer, *counts);
-    } else if (const auto* lacking = std::get_if<feed::WantUsage>(&message)) {
+    } else if (const auto* lacking = std::get_if<feed::UsageRequest>(&message)) {
         if (!usage_exchange_) return;
         for (feed::UsageCounts& counts : usage_exchange_->answer(*lacking))
             peers_->send(peer.address, std::move(counts));
     } else if (const auto* duty = std::get_if<feed::DutyMessage>(&message)) {
         if (duty_parts_) duty_parts_->receive(duty->part, duty->message);
-    } else if (const auto* ordered = std::get_if<feed::Ordered>(&message)) {
+    } else if (const auto* ordered = std::get_if<feed::StageOrderNotice>(&message)) {
         put_orders(ordered->orders);
-    } else if (const auto* heard = std::get_if<feed::Heard>(&message)) {
+    } else if (const auto* heard = std::get_if<feed::HeartbeatsSeen>(&message)) {
         registry_->heard_elsewhere(*heard);
     } else if (const auto* records = std::get_if<feed::Replicate>(&message)) {
         registry_->replicate(peer, *records);
     } else if (const auto* done = std::get_if<feed::Replicated>(&message)) {
         registry_->replicated(peer, *done);
-    } else if (const auto* wanted = std::get_if<feed::WantRanges>(&message)) {
+    } else if (const auto* wanted = std::get_if<feed::RangeRequest>(&message)) {
         registry_->send_ranges(peer, *wanted);
     } else if (const auto* copy = std::get_if<feed::Instances>(&message)) {
         registry_->take_copy(peer, *copy);
@@ -510,9 +514,9 @@
     become_ready();
     if (!gate_.update(standing())) return;
     log_line("feed", {{"serves", gate_.is_open() ? "yes" : "no"}});
-    if (gate_.is_open()) return publisher_->serve_waiting();
+    if (gate_.is_open()) return publisher_->serve_deferred();
     cut_off();
-    publisher_->end_all("this node is cut off from the majority");
+    publisher_->close_all("this node is cut off from the majority");
 }
 
 std::uint64_t ControlNode::refused_answers() const {
@@ -527,10 +531,11 @@
     seen.serves_feed = gate_.is_open(), seen.version = group_->version();
     seen.voters = group_->voters(), seen.peers = alive_, seen.edge_nodes = edge_nodes_.listed();
     for (const auto& [id, record] : registry_->table().records()) seen.servers.push_back(record);
-    if (duty_parts_) std::ranges::copy(duty_parts_->standings(), std::back_inserter(seen.duties));
+    if (duty_parts_) std::ranges::copy(duty_parts_->statuses(), std::back_inserter(seen.duties));
     if (stage_duty_) seen.orders = stage_duty_->counts();
-    if (usage_duty_) seen.usage = usage_duty_->standing();
-    if (count_duty_) seen.server_counts = count_duty_->standings(), seen.count_calls = count_duty_->calls();
+    if (usage_duty_) seen.usage = usage_duty_->status();
+    if (count_duty_)
+        seen.server_counts = count_duty_->zone_statuses(), seen.count_calls = count_duty_->calls();
     seen.group = group_->message_counts(), seen.links = peers_->refused();
     seen.copies = registry_->refused(), seen.calls = operator_calls_->refused();
     return to_json(seen);
@@ -544,7 +549,7 @@
     peers_->set_ending();
     group_->set_candidates(peers_->candidates());
     put_control_nodes();
-    publisher_->end_all("this node ends");
+    publisher_->close_all("this node ends");
     reactor_.call_after(kEndSpan, [this] { reactor_.stop(); });
 }
 
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -3,10 +3,10 @@
 // messages, see `handle`.
 #pragma once
 #include "clock/fleet_clock.hpp"
+#include "control/autoscale_duty.hpp"
 #include "control/configuration_group.hpp"
 #include "control/control_api.hpp"
-#include "control/count_duty.hpp"
-#include "control/duty_parts.hpp"
+#include "control/duty_partitions.hpp"
 #include "control/edge_node_list.hpp"
 #include "control/environment.hpp"
 #include "control/feed_gate.hpp"
@@ -17,8 +17,8 @@
 #include "control/stage_duty.hpp"
 #include "control/usage_duty.hpp"
 #include "control/usage_exchange.hpp"
-#include "duties/call_budget.hpp"
-#include "duties/usage_tally.hpp"
+#include "duties/platform_rate_limiter.hpp"
+#include "duties/usage_aggregator.hpp"
 #include "feed/publisher.hpp"
 #include "settings/settings.hpp"
 
@@ -42,9 +42,11 @@
     const ConfigurationGroup& group() const { return *group_; }
     const InstanceRegistry& registry() const { return *registry_; }
     const feed::FeedLog& log() const { return log_; }
-    const DutyParts* duty_parts() const { return duty_parts_.get(); } // null where the deployment has none
-    const clock::FleetClock& fleet_clock() const { return fleet_clock_; }  // empty where no usage is due
-    const duties::UsageTally& usage_tally() const { return usage_tally_; } // likewise
+    const DutyPartitions* duty_parts() const {
+        return duty_parts_.get();
+    } // null where the deployment has none
+    const clock::FleetClock& fleet_clock() const { return fleet_clock_; }       // empty where no usage is due
+    const duties::UsageAggregator& usage_tally() const { return usage_tally_; } // likewise
     bool serves_feed() const { return gate_.is_open(); }
     // Answers of peers that were passed over: of another process's question, of none, or of a peer not asked.
     std::uint64_t refused_answers() const;
@@ -94,18 +96,18 @@
     model::ControlNode self_;
     feed::FeedLog log_;
     clock::FleetClock fleet_clock_;
-    duties::UsageTally usage_tally_;
+    duties::UsageAggregator usage_tally_;
     std::unique_ptr<UsageExchange> usage_exchange_; // null where no usage is due
-    duties::CallBudget call_budget_{settings_.cloud_api.duty_per_s, reactor_.now()}; // of all duties
+    duties::PlatformRateLimiter call_budget_{settings_.cloud_api.duty_per_s, reactor_.now()}; // of all duties
     std::unique_ptr<KnownStateKeeper> known_state_;
     std::unique_ptr<feed::Publisher> publisher_;
     std::unique_ptr<PeerMesh> peers_;
-    std::unique_ptr<DutyParts> duty_parts_;
+    std::unique_ptr<DutyPartitions> duty_parts_;
     std::unique_ptr<ConfigurationGroup> group_;
     std::unique_ptr<InstanceRegistry> registry_;
-    std::unique_ptr<StageDuty> stage_duty_; // null without duties
-    std::unique_ptr<UsageDuty> usage_duty_; // null where no usage is due
-    std::unique_ptr<CountDuty> count_duty_; // null where no numbers are ordered
+    std::unique_ptr<StageDuty> stage_duty_;     // null without duties
+    std::unique_ptr<UsageDuty> usage_duty_;     // null where no usage is due
+    std::unique_ptr<AutoscaleDuty> count_duty_; // null where no numbers are ordered
     std::unique_ptr<OperatorCalls> operator_calls_;
     std::unique_ptr<ControlApi> api_;
     std::unique_ptr<feed::LinkListener> peer_listener_, feed_listener_;
--- a/src/control/control_program.hpp
+++ b/src/control/control_program.hpp
@@ -1,8 +1,8 @@
 // The program `control`: a control node on sockets and files.
 #pragma once
 #include "control/control_node.hpp"
-#include "control/http_order_link.hpp"
-#include "control/http_platform_link.hpp"
+#include "control/http_order_client.hpp"
+#include "control/http_platform_client.hpp"
 #include "feed/socket_link.hpp"
 #include "http/call_server.hpp"
 #include "settings/settings.hpp"
@@ -23,8 +23,8 @@
         : network_(reactor), orders_(reactor), platform_(reactor, settings.cloud_api.address) {}
 
     feed::SocketNetwork network_;
-    HttpOrderLink orders_;
-    HttpPlatformLink platform_;
+    HttpOrderClient orders_;
+    HttpPlatformClient platform_;
     std::unique_ptr<ControlNode> node_;
     std::unique_ptr<http::CallServer> calls_;
 };
--- a/src/control/copy_collection.hpp
+++ b/src/control/copy_collection.hpp
@@ -22,14 +22,14 @@
   public:
     explicit CopyCollection(std::uint64_t incarnation) : incarnation_(incarnation) {} // of this process
 
-    feed::CallId next_id() { return {incarnation_, ++count_}; } // for any question of this process
-    bool asked_by_this_process(const feed::CallId& id);
+    feed::RequestId next_id() { return {incarnation_, ++count_}; } // for any question of this process
+    bool asked_by_this_process(const feed::RequestId& id);
     void pass_over_unasked() { ++refused_.unasked; }
 
     // The question for the member, where one is due; then whether it went out.
-    std::optional<feed::WantRanges> question(std::uint64_t member, Tenths now);
+    std::optional<feed::RangeRequest> question(std::uint64_t member, Tenths now);
     void not_asked(std::uint64_t member) { questions_.erase(member); }
-    void answered(std::uint64_t member, const feed::CallId& answers);
+    void answered(std::uint64_t member, const feed::RequestId& answers);
     void forget(); // this node was cut off: others may have acknowledged what it does not know
     const std::set<std::uint64_t>& copied_from() const { return copied_from_; }
     const RefusedCopies& refused() const { return refused_; }
--- a/src/control/duty_parts.cpp
+++ b/src/control/duty_partitions.cpp
@@ -1,8 +1,8 @@
-#include "control/duty_parts.hpp"
+#include "control/duty_partitions.hpp"
 
 #include "base/log.hpp"
 #include "base/planted_fault.hpp"
-#include "duties/order_link.hpp"
+#include "duties/order_client.hpp"
 #include "wire/cbor.hpp"
 
 #include <algorithm>
@@ -18,14 +18,14 @@
 constexpr Tenths kElectionTimeout = 12'000; // four heartbeats; the longest is twice as long
 constexpr Tenths kHoldShare = 3;            // of a lease: for so much of it a holder acts without an answer
 
-std::optional<duties::PartState> state_of(const consensus::Replica& replica) {
-    return replica.committed() ? duties::read_part_state(replica.committed()->payload) : std::nullopt;
+std::optional<duties::PartitionState> state_of(const consensus::Replica& replica) {
+    return replica.committed() ? duties::read_partition_state(replica.committed()->payload) : std::nullopt;
 }
 
 // What can't be read is never replaced.
-consensus::Replica::MakePayload payload_by(DutyParts::ChangeState change) {
+consensus::Replica::MakePayload payload_by(DutyPartitions::ChangeState change) {
     return [change = std::move(change)](const std::string& newest) -> std::optional<std::string> {
-        const auto state = duties::read_part_state(newest);
+        const auto state = duties::read_partition_state(newest);
         const auto changed = state ? change(*state) : std::nullopt;
         if (!changed) return std::nullopt;
         return wire::to_bytes(*changed);
@@ -34,23 +34,23 @@
 
 } // namespace
 
-Result<std::unique_ptr<DutyParts>> DutyParts::open(transport::Reactor& reactor,
-                                                   const OpenStateFile& open_file, Options options,
-                                                   SendToMember send) {
-    std::unique_ptr<DutyParts> parts(new DutyParts(reactor, std::move(options), std::move(send)));
+Result<std::unique_ptr<DutyPartitions>> DutyPartitions::open(transport::Reactor& reactor,
+                                                             const OpenStateFile& open_file, Options options,
+                                                             SendToMember send) {
+    std::unique_ptr<DutyPartitions> parts(new DutyPartitions(reactor, std::move(options), std::move(send)));
     BOOST_OUTCOME_TRYV(parts->load(open_file));
     return parts;
 }
 
-DutyParts::DutyParts(transport::Reactor& reactor, Options options, SendToMember send)
+DutyPartitions::DutyPartitions(transport::Reactor& reactor, Options options, SendToMember send)
     : reactor_(reactor), options_(std::move(options)), send_(std::move(send)), opened_at_(reactor.now()) {}
 
-Result<void> DutyParts::load(const OpenStateFile& open_file) {
+Result<void> DutyPartitions::load(const OpenStateFile& open_file) {
     for (std::size_t number = 0; number < parts_.size(); ++number) {
         Part& part = parts_[number];
         part.disk = open_file("duties-" + std::to_string(number));
         BOOST_OUTCOME_TRY(loaded, part.disk->load());
-        spoilt_ = spoilt_ || loaded.newest_is_spoilt;
+        has_lost_state_ = has_lost_state_ || loaded.newest_is_spoilt;
         if (!loaded.bytes || loaded.newest_is_spoilt) continue;
         BOOST_OUTCOME_TRY(read, wire::from_bytes<MemberState>(*loaded.bytes));
         part.loaded = std::move(read);
@@ -58,14 +58,14 @@
     return boost::outcome_v2::success();
 }
 
-void DutyParts::join(const consensus::Member& self) {
+void DutyPartitions::join(const consensus::Member& self) {
     if (has_joined()) return;
     self_ = self;
     for (std::size_t number = 0; number < parts_.size(); ++number) open_member(number, self);
     if (!founders_.empty()) found(founders_);
 }
 
-void DutyParts::open_member(std::size_t number, const consensus::Member& self) {
+void DutyPartitions::open_member(std::size_t number, const consensus::Member& self) {
     Part& part = parts_[number];
     // What another disk's member had accepted or voted here is not this one's.
     const bool is_own = part.loaded.self.id == self.id && !planted(PlantedFault::kDutiesForgotten);
@@ -79,8 +79,8 @@
     callbacks.committed = [](const consensus::Entry&) {};
     callbacks.role_changed = [this, &part](const consensus::RoleChanged& role) { role_changed(part, role); };
     const Tenths hold = std::min(options_.lease / kHoldShare, kElectionTimeout);
-    const duties::Lease::Terms terms{options_.lease, hold, duties::OrderLink::kPatience};
-    part.lease = std::make_unique<duties::Lease>(terms, opened_at_);
+    const duties::Lease::Timing timing{options_.lease, hold, duties::OrderClient::kTimeout};
+    part.lease = std::make_unique<duties::Lease>(timing, opened_at_);
     part.member = std::make_unique<ReplicatedGroup>(reactor_, *part.disk, std::move(options), durable,
                                                     std::move(callbacks));
     part.member->step();
@@ -88,25 +88,25 @@
 
 // A disk that has been empty since is another member, and founds nothing: the founders are known by the
 // identities of their disks, which are drawn anew.
-void DutyParts::found(const std::vector<consensus::Member>& founders) {
+void DutyPartitions::found(const std::vector<consensus::Member>& founders) {
     founders_ = founders;
     if (!has_joined() || std::ranges::find(founders, self_.id, &consensus::Member::id) == founders.end())
         return;
     for (Part& part : parts_)
         if (!part.member->replica().newest())
-            part.member->found(founders, wire::to_bytes(duties::PartState{}));
+            part.member->found(founders, wire::to_bytes(duties::PartitionState{}));
 }
 
-void DutyParts::receive(std::size_t part, const consensus::Message& message) {
+void DutyPartitions::receive(std::size_t part, const consensus::Message& message) {
     if (part < parts_.size() && has_joined()) parts_[part].member->receive(message);
 }
 
-void DutyParts::set_candidates(const std::vector<consensus::Candidate>& candidates) {
+void DutyPartitions::set_candidates(const std::vector<consensus::Candidate>& candidates) {
     if (!has_joined()) return;
     for (Part& part : parts_) part.member->set_candidates(candidates, options_.voters, options_.voters);
 }
 
-void DutyParts::role_changed(Part& part, const consensus::RoleChanged& role) {
+void DutyPartitions::role_changed(Part& part, const consensus::RoleChanged& role) {
     const std::size_t number = static_cast<std::size_t>(&part - parts_.data());
     log_line("duties", {{"part", std::to_string(number)},
                         {"leads", role.leads ? "yes" : "no"},
@@ -121,7 +121,7 @@
     part.lease->begin(state && duties::was_handed_over(*state, role.term), reactor_.now());
 }
 
-void DutyParts::resign() {
+void DutyPartitions::resign() {
     if (std::exchange(ending_, true) || !has_joined()) return;
     for (Part& part : parts_) {
         release(part);
@@ -130,53 +130,54 @@
 }
 
 // Only who has waited out all former holders may say that nobody acts any more.
-void DutyParts::release(Part& part) {
-    const bool says_so = part.member->replica().leads() && part.lease->is_settled(reactor_.now());
+void DutyPartitions::release(Part& part) {
+    const bool says_so = part.member->replica().leads() && part.lease->former_leases_expired(reactor_.now());
     if (!planted(PlantedFault::kActsAfterRelease)) part.lease->end(reactor_.now());
     if (!says_so) return;
     const std::uint64_t term = part.member->replica().term();
-    part.member->propose_unawaited(payload_by([term](const duties::PartState& newest) {
-        duties::PartState released = planted(PlantedFault::kLedgerForgotten) ? duties::PartState{} : newest;
+    part.member->propose_unawaited(payload_by([term](const duties::PartitionState& newest) {
+        duties::PartitionState released =
+            planted(PlantedFault::kLedgerForgotten) ? duties::PartitionState{} : newest;
         released.released_term = term;
         return std::optional(std::move(released));
     }));
 }
 
-bool DutyParts::may_act(const Part& part) const {
+bool DutyPartitions::may_act(const Part& part) const {
     const consensus::Replica& replica = part.member->replica();
     const bool leads = replica.leads() || planted(PlantedFault::kActsAfterRelease);
     return leads && part.lease->may_act(replica.contact_at(), reactor_.now());
 }
 
-std::optional<std::uint64_t> DutyParts::fence(const duties::Duty& duty) const {
+std::optional<std::uint64_t> DutyPartitions::fence(const duties::Duty& duty) const {
     if (!has_joined()) return std::nullopt;
-    const Part& part = parts_[duties::part_of(duty)];
+    const Part& part = parts_[duties::partition_of(duty)];
     if (!may_act(part)) return std::nullopt;
     return planted(PlantedFault::kFenceFromMemory) ? part.times_led : part.member->replica().term();
 }
 
-bool DutyParts::may_propose(const duties::Duty& duty) const {
+bool DutyPartitions::may_propose(const duties::Duty& duty) const {
     if (fence(duty)) return true;
     if (!has_joined() || ending_) return false;
-    const Part& part = parts_[duties::part_of(duty)];
+    const Part& part = parts_[duties::partition_of(duty)];
     return part.member->replica().leads() && part.lease->may_prepare(reactor_.now());
 }
 
-bool DutyParts::may_act_under(const duties::Duty& duty, std::uint64_t fence) const {
+bool DutyPartitions::may_act_under(const duties::Duty& duty, std::uint64_t fence) const {
     return this->fence(duty) == fence || planted(PlantedFault::kFenceNotCheckedAtSend);
 }
 
-std::optional<duties::PartState> DutyParts::agreed(const duties::Duty& duty) const {
-    return has_joined() ? state_of(parts_[duties::part_of(duty)].member->replica()) : std::nullopt;
+std::optional<duties::PartitionState> DutyPartitions::committed(const duties::Duty& duty) const {
+    return has_joined() ? state_of(parts_[duties::partition_of(duty)].member->replica()) : std::nullopt;
 }
 
-void DutyParts::propose(const duties::Duty& duty, ChangeState change) {
+void DutyPartitions::propose(const duties::Duty& duty, ChangeState change) {
     if (may_propose(duty))
-        parts_[duties::part_of(duty)].member->propose_unawaited(payload_by(std::move(change)));
+        parts_[duties::partition_of(duty)].member->propose_unawaited(payload_by(std::move(change)));
 }
 
-std::array<DutyParts::Standing, duties::kDutyParts> DutyParts::standings() const {
-    std::array<Standing, duties::kDutyParts> seen;
+std::array<DutyPartitions::Status, duties::kDutyPartitions> DutyPartitions::statuses() const {
+    std::array<Status, duties::kDutyPartitions> seen;
     for (std::size_t number = 0; has_joined() && number < parts_.size(); ++number) {
         const consensus::Replica& replica = parts_[number].member->replica();
         const Tenths led_for = replica.leads() ? reactor_.now() - parts_[number].led_since : 0;
--- a/src/control/duty_parts.hpp
+++ b/src/control/duty_partitions.hpp
@@ -16,7 +16,7 @@
 
 namespace ivyrill::control {
 
-class DutyParts {
+class DutyPartitions {
   public:
     struct Options {
         std::size_t least_copies = 1; // disks, of voters that stay, that hold what is agreed on
@@ -25,20 +25,21 @@
         std::function<std::uint64_t()> draw;
     };
     using SendToMember = std::function<void(std::size_t part, const consensus::Send&)>;
-    struct Standing { // of one part, as this node sees it
+    struct Status { // of one part, as this node sees it
         bool leads = false, acts = false;
         std::uint64_t fence = 0;
         std::optional<consensus::MemberId> leader;
         Tenths led_for = 0; // since this node was elected
     };
     // The state that should follow; none where nothing is to change.
-    using ChangeState = std::function<std::optional<duties::PartState>(const duties::PartState& newest)>;
+    using ChangeState =
+        std::function<std::optional<duties::PartitionState>(const duties::PartitionState& newest)>;
 
     // Reads the disk. An error where it holds what can't be served with.
-    static Result<std::unique_ptr<DutyParts>>
+    static Result<std::unique_ptr<DutyPartitions>>
     open(transport::Reactor& reactor, const OpenStateFile& open_file, Options options, SendToMember send);
     // The disk has lost what was durable here: this node's member is lost with it, in every group.
-    bool is_spoilt() const { return spoilt_; }
+    bool has_lost_state() const { return has_lost_state_; }
 
     bool has_joined() const { return parts_.front().member != nullptr; }
     void join(const consensus::Member& self); // once it is certain whose disk this is
@@ -53,10 +54,10 @@
     bool may_propose(const duties::Duty& duty) const;
     // In the moment in which something leaves that was begun under that fence.
     bool may_act_under(const duties::Duty& duty, std::uint64_t fence) const;
-    std::array<Standing, duties::kDutyParts> standings() const;
+    std::array<Status, duties::kDutyPartitions> statuses() const;
     // What the duty's part has agreed on, as far as this node knows; whoever may act knows all of it. None
     // where it can't be read.
-    std::optional<duties::PartState> agreed(const duties::Duty& duty) const;
+    std::optional<duties::PartitionState> committed(const duties::Duty& duty) const;
     // Where this node may propose for the duty: `change` is asked once at its turn, never after that fence.
     // What became of it shows in `agreed`.
     void propose(const duties::Duty& duty, ChangeState change);
@@ -70,7 +71,7 @@
         std::uint64_t times_led = 0; // by this process
         Tenths led_since = 0;
     };
-    DutyParts(transport::Reactor& reactor, Options options, SendToMember send);
+    DutyPartitions(transport::Reactor& reactor, Options options, SendToMember send);
     Result<void> load(const OpenStateFile& open_file);
     void open_member(std::size_t number, const consensus::Member& self);
     void role_changed(Part& part, const consensus::RoleChanged& role);
@@ -81,10 +82,10 @@
     Options options_;
     SendToMember send_;
     Tenths opened_at_;
-    std::array<Part, duties::kDutyParts> parts_;
+    std::array<Part, duties::kDutyPartitions> parts_;
     std::vector<consensus::Member> founders_;
     consensus::Member self_;
-    bool spoilt_ = false, ending_ = false;
+    bool has_lost_state_ = false, ending_ = false;
 };
 
 } // namespace ivyrill::control
--- a/src/control/environment.hpp
+++ b/src/control/environment.hpp
@@ -2,8 +2,8 @@
 // files, tests a simulated world.
 #pragma once
 #include "control/state_file.hpp"
-#include "duties/order_link.hpp"
-#include "duties/platform_link.hpp"
+#include "duties/order_client.hpp"
+#include "duties/platform_client.hpp"
 #include "feed/link.hpp"
 #include "transport/reactor.hpp"
 
@@ -15,8 +15,8 @@
 struct Environment {
     transport::Reactor& reactor;
     feed::LinkNetwork& network;
-    duties::OrderLink& orders;
-    duties::PlatformLink& platform;
+    duties::OrderClient& orders;
+    duties::PlatformClient& platform;
     OpenStateFile open_file;
     std::function<std::uint64_t()> draw;       // random numbers, never 0
     std::function<std::int64_t()> time_of_day; // of this machine, which may jump; Unix ms
--- a/src/control/heartbeat_call.cpp
+++ b/src/control/heartbeat_call.cpp
@@ -39,7 +39,7 @@
         const auto state = state_of(text_or(body, "state", "serving"));
         if (!state) return error(ErrorKind::kInvalidInput, "state: send serving or draining");
         instance.state = *state;
-        instance.stage = model::stage_named(text_or(body, "stage", ""));
+        instance.stage = model::stage_from_name(text_or(body, "stage", ""));
         if (const auto* models = body.find("models"))
             for (const protocol::Json& model : models->as_list("models")) {
                 model::ServedModel served{model.at("name").as_text("name"), 0};
--- a/src/control/http_order_link.cpp
+++ b/src/control/http_order_client.cpp
@@ -1,7 +1,7 @@
-#include "control/http_order_link.hpp"
+#include "control/http_order_client.hpp"
 
 #include "base/planted_fault.hpp"
-#include "control/single_call.hpp"
+#include "control/one_shot_request.hpp"
 
 #include <fmt/format.h>
 #include <utility>
@@ -22,23 +22,25 @@
     return head + body;
 }
 
-void HttpOrderLink::send(const duties::StageOrder& order, const std::string& holder,
-                         std::function<bool()> may_send, std::function<void(OrderOutcome)> done) {
+void HttpOrderClient::send(const duties::StageOrder& order, const std::string& holder,
+                           std::function<bool()> may_send, std::function<void(OrderOutcome)> done) {
     reactor_.spawn(carry(order, holder, std::move(may_send), std::move(done)));
 }
 
-transport::Task HttpOrderLink::carry(duties::StageOrder order, std::string holder,
-                                     std::function<bool()> may_send, std::function<void(OrderOutcome)> done) {
+transport::Task HttpOrderClient::carry(duties::StageOrder order, std::string holder,
+                                       std::function<bool()> may_send,
+                                       std::function<void(OrderOutcome)> done) {
     const OrderOutcome outcome = co_await call(order, holder, may_send);
     done(outcome);
 }
 
-transport::Async<OrderOutcome> HttpOrderLink::call(const duties::StageOrder& order, const std::string& holder,
-                                                   const std::function<bool()>& may_send) {
-    SingleCall call{order.address, order_request(order, holder), kPatience, kPatience};
-    const SingleCallEnd end = co_await carry_single_call(reactor_, std::move(call), may_send);
-    if (end.kind == SingleCallEnd::Kind::kNotSent) co_return OrderOutcome::kNotSent;
-    if (end.kind != SingleCallEnd::Kind::kAnswered) co_return OrderOutcome::kUnanswered;
+transport::Async<OrderOutcome> HttpOrderClient::call(const duties::StageOrder& order,
+                                                     const std::string& holder,
+                                                     const std::function<bool()>& may_send) {
+    OneShotRequest call{order.address, order_request(order, holder), kTimeout, kTimeout};
+    const OneShotResult end = co_await send_one_shot(reactor_, std::move(call), may_send);
+    if (end.kind == OneShotResult::Kind::kNotSent) co_return OrderOutcome::kNotSent;
+    if (end.kind != OneShotResult::Kind::kAnswered) co_return OrderOutcome::kUnanswered;
     co_return duties::outcome_of_status(end.status);
 }
 
--- a/src/control/http_platform_link.cpp
+++ b/src/control/http_platform_client.cpp
@@ -1,6 +1,6 @@
-#include "control/http_platform_link.hpp"
+#include "control/http_platform_client.hpp"
 
-#include "control/single_call.hpp"
+#include "control/one_shot_request.hpp"
 
 #include <fmt/format.h>
 #include <utility>
@@ -11,15 +11,15 @@
 
 namespace {
 
-PlatformOutcome outcome_of(const SingleCallEnd& end) {
+PlatformOutcome outcome_of(const OneShotResult& end) {
     switch (end.kind) {
-    case SingleCallEnd::Kind::kNotSent:
+    case OneShotResult::Kind::kNotSent:
         return PlatformOutcome::kNotSent;
-    case SingleCallEnd::Kind::kUnanswered:
+    case OneShotResult::Kind::kUnanswered:
         return PlatformOutcome::kUnanswered;
-    case SingleCallEnd::Kind::kNoAnswer:
+    case OneShotResult::Kind::kNoAnswer:
         return PlatformOutcome::kFailed;
-    case SingleCallEnd::Kind::kAnswered:
+    case OneShotResult::Kind::kAnswered:
         return platform_outcome_of_status(end.status);
     }
     return PlatformOutcome::kFailed;
@@ -43,16 +43,16 @@
     return PlatformOutcome::kFailed;
 }
 
-void HttpPlatformLink::send(const duties::PlatformCall& call, const std::string& holder,
-                            std::function<bool()> may_send, std::function<void(PlatformOutcome)> done) {
+void HttpPlatformClient::send(const duties::PlatformCall& call, const std::string& holder,
+                              std::function<bool()> may_send, std::function<void(PlatformOutcome)> done) {
     reactor_.spawn(carry(platform_request(call, holder, address_), std::move(may_send), std::move(done)));
 }
 
 // `done` is told in a later turn, also where nothing could be begun.
-transport::Task HttpPlatformLink::carry(std::string request, std::function<bool()> may_send,
-                                        std::function<void(PlatformOutcome)> done) {
-    SingleCall call{address_, std::move(request), kDeliveryPatience, kAnswerPatience};
-    const SingleCallEnd end = co_await carry_single_call(reactor_, std::move(call), may_send);
+transport::Task HttpPlatformClient::carry(std::string request, std::function<bool()> may_send,
+                                          std::function<void(PlatformOutcome)> done) {
+    OneShotRequest call{address_, std::move(request), kDeliveryTimeout, kResponseTimeout};
+    const OneShotResult end = co_await send_one_shot(reactor_, std::move(call), may_send);
     reactor_.call_at(reactor_.now(), [done = std::move(done), outcome = outcome_of(end)] { done(outcome); });
 }
 
--- a/src/control/http_platform_link.hpp
+++ b/src/control/http_platform_client.hpp
@@ -1,6 +1,6 @@
 // Calls of duties to the platform's API over HTTP/1.1, each on a connection of its own (single_call.hpp).
 #pragma once
-#include "duties/platform_link.hpp"
+#include "duties/platform_client.hpp"
 #include "transport/reactor.hpp"
 #include "transport/task.hpp"
 
@@ -14,10 +14,10 @@
                              const std::string& address);
 duties::PlatformOutcome platform_outcome_of_status(int status);
 
-class HttpPlatformLink : public duties::PlatformLink {
+class HttpPlatformClient : public duties::PlatformClient {
   public:
     // `address`: IP:PORT; nothing is ever sent where it is empty.
-    HttpPlatformLink(transport::Reactor& reactor, std::string address)
+    HttpPlatformClient(transport::Reactor& reactor, std::string address)
         : reactor_(reactor), address_(std::move(address)) {}
     void send(const duties::PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
               std::function<void(duties::PlatformOutcome)> done) override;
--- a/src/control/inspection.cpp
+++ b/src/control/inspection.cpp
@@ -62,7 +62,7 @@
 
 // `heldForMs` is known to the holder alone.
 std::string duties_of(const Inspection& seen) {
-    return list_of(seen.duties, [&](const DutyParts::Standing& part) {
+    return list_of(seen.duties, [&](const DutyPartitions::Status& part) {
         const std::string holder = part.leader ? std::to_string(part.leader->value) : "";
         const std::string address = part.leader ? address_of(seen, *part.leader) : "";
         return fmt::format(
@@ -71,25 +71,25 @@
     });
 }
 
-std::string calls_of(const duties::PlatformCounts& calls) {
+std::string calls_of(const duties::PlatformCallStats& calls) {
     std::string counts = fmt::format(R"("sent":{})", calls.calls());
     for (const duties::PlatformOutcome outcome : duties::kPlatformOutcomes)
-        counts += fmt::format(R"(,"{}":{})", duties::name_of(outcome), calls.of(outcome));
+        counts += fmt::format(R"(,"{}":{})", duties::name_of(outcome), calls.count(outcome));
     return "{" + counts + "}";
 }
 
 std::string usage_of(const Inspection& seen) {
     if (!seen.usage) return "null";
-    const UsageDuty::Standing& usage = *seen.usage;
+    const UsageDuty::Status& usage = *seen.usage;
     return fmt::format(
         R"({{"part":{},"reports":{},"fence":{},"nextWindow":{},"due":{},"acknowledged":{},"givenUp":{},)"
         R"("calls":{}}})",
-        duties::part_of(duties::usage_report_duty()), usage.fence.has_value(), usage.fence.value_or(0),
+        duties::partition_of(duties::usage_report_duty()), usage.fence.has_value(), usage.fence.value_or(0),
         usage.next_window, usage.due, usage.acknowledged, usage.given_up, calls_of(usage.calls));
 }
 
 std::string orders_of(const Inspection& seen) {
-    const duties::StageOrders::Counts& orders = seen.orders;
+    const duties::StageOrderTracker::Counts& orders = seen.orders;
     return fmt::format(
         R"({{"sent":{},"taken":{},"conflicts":{},"fencedOff":{},"otherServer":{},"refused":{},"notSent":{},)"
         R"("unanswered":{}}})",
@@ -98,7 +98,7 @@
 }
 
 std::string server_counts_of(const Inspection& seen) {
-    const std::string zones = list_of(seen.server_counts, [](const CountDuty::Standing& zone) {
+    const std::string zones = list_of(seen.server_counts, [](const AutoscaleDuty::ZoneStatus& zone) {
         const std::string accepted = zone.accepted ? std::to_string(*zone.accepted) : "null";
         return fmt::format(R"({{"service":"{}","zone":"{}","fence":{},"there":{},"accepted":{}}})",
                            zone.service, zone.zone, zone.fence, zone.there, accepted);
--- a/src/control/inspection.hpp
+++ b/src/control/inspection.hpp
@@ -1,13 +1,13 @@
 // What GET /inspect tells of a control node, as JSON. Pure.
 #pragma once
 #include "consensus/replica.hpp"
-#include "control/count_duty.hpp"
-#include "control/duty_parts.hpp"
+#include "control/autoscale_duty.hpp"
+#include "control/duty_partitions.hpp"
 #include "control/instance_registry.hpp"
 #include "control/operator_calls.hpp"
 #include "control/peer_mesh.hpp"
 #include "control/usage_duty.hpp"
-#include "duties/stage_orders.hpp"
+#include "duties/stage_order_tracker.hpp"
 #include "model/instance.hpp"
 
 #include <cstdint>
@@ -25,11 +25,11 @@
     std::vector<model::ControlNode> peers; // that are alive
     std::vector<model::EdgeNode> edge_nodes;
     std::vector<model::Instance> servers;
-    std::vector<DutyParts::Standing> duties;        // by part; none where the deployment has no duties
-    duties::StageOrders::Counts orders;             // to servers, by this process
-    std::optional<UsageDuty::Standing> usage;       // none where no usage is due
-    std::vector<CountDuty::Standing> server_counts; // of the zones that this node orders for
-    duties::PlatformCounts count_calls;             // for them, by this process
+    std::vector<DutyPartitions::Status> duties;           // by part; none where the deployment has no duties
+    duties::StageOrderTracker::Counts orders;             // to servers, by this process
+    std::optional<UsageDuty::Status> usage;               // none where no usage is due
+    std::vector<AutoscaleDuty::ZoneStatus> server_counts; // of the zones that this node orders for
+    duties::PlatformCallStats count_calls;                // for them, by this process
     // Messages that were passed over, by cause.
     consensus::MessageCounts group;
     PeerMesh::Refused links;
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -109,7 +109,7 @@
 }
 
 transport::Async<bool> InstanceRegistry::secure(std::vector<Instance> records) {
-    const feed::CallId id = copies_.next_id();
+    const feed::RequestId id = copies_.next_id();
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
     leavings_[id.number] = {{}, pending};
     callbacks_.send_to_peers(feed::Replicate{id, std::move(records), {}});
@@ -181,12 +181,12 @@
 
 void InstanceRegistry::compare(const model::ControlNode& peer, const feed::PeerStatus& status) {
     ask_for_copy(peer);
-    const auto ranges = feed::InstanceTable::differing(digests(), status.instances);
+    const auto ranges = feed::InstanceTable::differing_ranges(digests(), status.instances);
     int& times = differs_[peer.address];
     times = ranges.empty() ? 0 : times + 1;
     if (times < kDiffersOften) return;
     times = 0;
-    callbacks_.send(peer.address, feed::WantRanges{ranges, {}});
+    callbacks_.send(peer.address, feed::RangeRequest{ranges, {}});
 }
 
 void InstanceRegistry::ask_for_copy(const model::ControlNode& peer) {
@@ -194,8 +194,8 @@
     if (question && !callbacks_.send(peer.address, *question)) copies_.not_asked(peer.member);
 }
 
-void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted) {
-    callbacks_.send(peer.address, feed::Instances{table_.in_ranges(wanted.ranges), true, wanted.id});
+void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::RangeRequest& wanted) {
+    callbacks_.send(peer.address, feed::Instances{table_.records_in_ranges(wanted.ranges), true, wanted.id});
 }
 
 void InstanceRegistry::take_copy(const model::ControlNode& peer, const feed::Instances& records) {
@@ -234,10 +234,10 @@
 
 void InstanceRegistry::tell_watchers() {
     for (const auto& [node, ids] : std::exchange(heard_for_others_, {}))
-        callbacks_.send(node, feed::Heard{{ids.begin(), ids.end()}});
+        callbacks_.send(node, feed::HeartbeatsSeen{{ids.begin(), ids.end()}});
 }
 
-void InstanceRegistry::heard_elsewhere(const feed::Heard& message) {
+void InstanceRegistry::heard_elsewhere(const feed::HeartbeatsSeen& message) {
     for (const std::string& id : message.instances) heard(id);
 }
 
@@ -264,7 +264,7 @@
 
 bool InstanceRegistry::forget_gone() {
     bool forgot = false;
-    for (const std::string& id : table_.forget_gone(kGoneSpan, reactor_.now())) {
+    for (const std::string& id : table_.remove_expired(kGoneSpan, reactor_.now())) {
         log_.forget_instance(id);
         secured_.erase(id), silence_.forget(id), loads_.erase(id);
         forgot = true;
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -57,7 +57,7 @@
     void replicate(const model::ControlNode& peer, const feed::Replicate& message);
     void replicated(const model::ControlNode& peer, const feed::Replicated& message);
     void compare(const model::ControlNode& peer, const feed::PeerStatus& status);
-    void send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted);
+    void send_ranges(const model::ControlNode& peer, const feed::RangeRequest& wanted);
     // A process that starts asks each peer for all its records once: digests don't tell of what is gone.
     void ask_for_copy(const model::ControlNode& peer);
     void take_copy(const model::ControlNode& peer, const feed::Instances& records);
@@ -66,7 +66,7 @@
     // This node was cut off: others may have acknowledged what it does not know, so each is asked anew.
     void forget_copies() { copies_.forget(); }
     const RefusedCopies& refused() const { return copies_.refused(); }
-    void heard_elsewhere(const feed::Heard& message);              // a peer has heard them
+    void heard_elsewhere(const feed::HeartbeatsSeen& message);     // a peer has heard them
     void merge_known(const std::vector<model::Instance>& records); // that an agent knows
     void take_loads(const std::vector<model::Load>& loads, bool first_hand);
     const std::map<std::string, model::Load>& loads() const { return loads_; }
--- a/src/control/single_call.cpp
+++ b/src/control/one_shot_request.cpp
@@ -1,4 +1,4 @@
-#include "control/single_call.hpp"
+#include "control/one_shot_request.hpp"
 
 #include "http/client_connection.hpp"
 
@@ -6,9 +6,9 @@
 
 namespace {
 
-using Kind = SingleCallEnd::Kind;
+using Kind = OneShotResult::Kind;
 
-SingleCallEnd end_of(const protocol::HttpParser& parser) {
+OneShotResult end_of(const protocol::HttpParser& parser) {
     const int status = parser.message().status;
     if (parser.broken() != 0 && status == 0) return {Kind::kNoAnswer, 0};
     if (parser.broken() != 0 || parser.head_complete()) return {Kind::kAnswered, status};
@@ -17,11 +17,11 @@
 
 } // namespace
 
-transport::Async<SingleCallEnd> carry_single_call(transport::Reactor& reactor, SingleCall call,
-                                                  const std::function<bool()>& may_send) {
+transport::Async<OneShotResult> send_one_shot(transport::Reactor& reactor, OneShotRequest call,
+                                              const std::function<bool()>& may_send) {
     const auto connection = http::ClientConnection::open_for_one_call(
         reactor, call.address, call.request.size(), call.delivery_patience);
-    if (!connection) co_return SingleCallEnd{};
+    if (!connection) co_return OneShotResult{};
     // It has to have come in, or be lost, within the patience: half of it is for its way.
     const Tenths leaves_before = reactor.now() + call.delivery_patience / 2;
     const Tenths until = reactor.now() + call.answer_patience;
@@ -30,11 +30,11 @@
     {
         const transport::WakeAt timer(reactor, leaves_before, wake);
         while (!connection->stream().up()) {
-            if (connection->stream().ended() || reactor.now() >= leaves_before) co_return SingleCallEnd{};
+            if (connection->stream().ended() || reactor.now() >= leaves_before) co_return OneShotResult{};
             co_await wake;
         }
     }
-    if (reactor.now() >= leaves_before || !may_send()) co_return SingleCallEnd{};
+    if (reactor.now() >= leaves_before || !may_send()) co_return OneShotResult{};
     connection->stream().send(call.request);
     const transport::WakeAt timer(reactor, until, wake);
     for (;;) {
--- a/src/control/single_call.hpp
+++ b/src/control/one_shot_request.hpp
@@ -11,14 +11,14 @@
 
 namespace ivyrill::control {
 
-struct SingleCall {
+struct OneShotRequest {
     std::string address; // IP:PORT
     std::string request; // as it goes out
     Tenths delivery_patience = 0;
     Tenths answer_patience = 0; // since the connection was begun
 };
 
-struct SingleCallEnd {
+struct OneShotResult {
     enum class Kind : std::uint8_t {
         kNotSent,    // no byte of it left, or it was no longer to be sent
         kUnanswered, // it may have been taken
@@ -31,7 +31,7 @@
 
 // `may_send` is asked in the moment in which the call leaves. An answer counts by its status, whatever
 // follows it.
-transport::Async<SingleCallEnd> carry_single_call(transport::Reactor& reactor, SingleCall call,
-                                                  const std::function<bool()>& may_send);
+transport::Async<OneShotResult> send_one_shot(transport::Reactor& reactor, OneShotRequest call,
+                                              const std::function<bool()>& may_send);
 
 } // namespace ivyrill::control
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -133,7 +133,7 @@
 }
 
 transport::Task OperatorCalls::answer_forwarded(std::string peer, feed::ForwardedCall call) {
-    const feed::CallId id = call.id;
+    const feed::RequestId id = call.id;
     const http::Answer answer = co_await decide_here(call.method, call.if_match, std::move(call.body));
     callbacks_.send(peer, feed::ForwardedAnswer{id, answer.status, answer.body});
 }
--- a/src/control/stage_duty.cpp
+++ b/src/control/stage_duty.cpp
@@ -19,9 +19,9 @@
 
 const char* text_of(OrderOutcome outcome) {
     switch (outcome) {
-    case OrderOutcome::kTaken:
+    case OrderOutcome::kAccepted:
         return "taken";
-    case OrderOutcome::kHolds:
+    case OrderOutcome::kAlreadyInStage:
         return "holds";
     case OrderOutcome::kConflict:
         return "conflict";
@@ -41,7 +41,7 @@
 
 } // namespace
 
-StageDuty::StageDuty(transport::Reactor& reactor, duties::OrderLink& link, std::string holder,
+StageDuty::StageDuty(transport::Reactor& reactor, duties::OrderClient& link, std::string holder,
                      Callbacks callbacks)
     : reactor_(reactor), link_(link), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
     timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { look(); });
@@ -51,14 +51,14 @@
 
 void StageDuty::reported(const std::vector<model::Load>& loads) {
     for (const model::Load& load : loads) {
-        report_ages_.reported(load.instance, reactor_.now());
+        report_freshness_.record_report(load.instance, reactor_.now());
         orders_.reported(load, reactor_.now());
     }
 }
 
 void StageDuty::look() {
     timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { look(); });
-    report_ages_.forget_old(reactor_.now());
+    report_freshness_.forget_old(reactor_.now());
     const model::Configuration* configuration = callbacks_.configuration();
     if (configuration == nullptr) return;
     for (const model::Service& service : configuration->services)
@@ -73,25 +73,26 @@
         controllers_.erase(service.name);
         return;
     }
-    const auto change_span = static_cast<Tenths>(service.engine->role_switch_s * kTenthsPerSecond);
+    const auto stage_change_time = static_cast<Tenths>(service.engine->role_switch_s * kTenthsPerSecond);
     duties::StageController& controller = controllers_.try_emplace(service.name).first->second;
-    controller.set_change_span(change_span);
+    controller.set_stage_change_time(stage_change_time);
     const std::vector<StagedServer> servers = servers_of(service.name);
-    const auto changes = controller.next(servers, demand_.of(service.name, reactor_.now()), reactor_.now());
+    const auto changes =
+        controller.plan(servers, demand_.total(service.name, reactor_.now()), reactor_.now());
     if (!changes.empty())
         log_line("stages", {{"service", service.name},
-                            {"reader_use", fmt::format("{:.2f}", controller.reader_use())},
-                            {"runner_use", fmt::format("{:.2f}", controller.runner_use())},
+                            {"reader_use", fmt::format("{:.2f}", controller.prefill_utilization())},
+                            {"runner_use", fmt::format("{:.2f}", controller.decode_utilization())},
                             {"changes", std::to_string(changes.size())}});
     for (const duties::StageChange& change : changes) {
         const auto server = std::ranges::find(servers, change.instance, &StagedServer::id);
-        if (!orders_.rests(change.instance, reactor_.now())) order(duty, *fence, change, *server);
+        if (!orders_.is_backing_off(change.instance, reactor_.now())) order(duty, *fence, change, *server);
     }
 }
 
 void StageDuty::order(const Duty& duty, std::uint64_t fence, const duties::StageChange& change,
                       const StagedServer& server) {
-    StageOrder order{server.id, server.address, change.to, fence, server.orders_taken};
+    StageOrder order{server.id, server.address, change.to, fence, server.orders_accepted};
     if (planted(PlantedFault::kOrderNotExpected)) order.expected_count.reset();
     orders_.sent(order, reactor_.now());
     send(duty, order);
@@ -114,7 +115,7 @@
         ++*again.expected_count;
         send(duty, again);
     }
-    if (outcome == OrderOutcome::kTaken && order.expected_count)
+    if (outcome == OrderOutcome::kAccepted && order.expected_count)
         callbacks_.ordered({order.instance, order.stage, *order.expected_count + 1});
 }
 
@@ -134,7 +135,8 @@
     server.id = instance.id, server.address = instance.address, server.zone = instance.zone;
     server.stage = instance.stage, server.slots = static_cast<double>(instance.slots);
     const auto load = callbacks_.loads().find(instance.id);
-    server.reported = load != callbacks_.loads().end() && report_ages_.is_fresh(instance.id, reactor_.now());
+    server.reported =
+        load != callbacks_.loads().end() && report_freshness_.is_fresh(instance.id, reactor_.now());
     if (server.reported) {
         const model::Load& seen = load->second;
         if (seen.stage != model::Stage::kNone) server.stage = seen.stage;
@@ -143,9 +145,9 @@
         server.memory_share = seen.memory_total > 0 ? static_cast<double>(seen.memory_used) /
                                                           static_cast<double>(seen.memory_total)
                                                     : 0;
-        server.orders_taken = seen.orders_taken, server.changing = seen.changing;
+        server.orders_accepted = seen.orders_accepted, server.changing = seen.changing;
     }
-    if (const auto to = orders_.under_way(instance.id, reactor_.now()))
+    if (const auto to = orders_.pending_stage(instance.id, reactor_.now()))
         server.stage = *to, server.changing = true;
     return server;
 }
--- a/src/control/stage_duty.hpp
+++ b/src/control/stage_duty.hpp
@@ -1,12 +1,12 @@
 // The duty to give a service's servers their parts (duties::DutyKind::kServerStages), one subject a service:
 // looks at reports and demand every so often, and where this node holds the duty has orders sent.
 #pragma once
-#include "duties/demand_tally.hpp"
+#include "duties/demand_aggregator.hpp"
 #include "duties/duty.hpp"
-#include "duties/order_link.hpp"
-#include "duties/report_ages.hpp"
+#include "duties/order_client.hpp"
+#include "duties/report_freshness.hpp"
 #include "duties/stage_controller.hpp"
-#include "duties/stage_orders.hpp"
+#include "duties/stage_order_tracker.hpp"
 #include "feed/instance_table.hpp"
 #include "feed/messages.hpp"
 #include "model/configuration.hpp"
@@ -33,13 +33,14 @@
         std::function<void(const feed::StageOrdered&)> ordered;           // all nodes are to know
     };
     // `holder`: this node's name, told with each order. `link` must outlive it.
-    StageDuty(transport::Reactor& reactor, duties::OrderLink& link, std::string holder, Callbacks callbacks);
+    StageDuty(transport::Reactor& reactor, duties::OrderClient& link, std::string holder,
+              Callbacks callbacks);
     ~StageDuty();
 
-    duties::DemandTally& demand() { return demand_; }
+    duties::DemandAggregator& demand() { return demand_; }
     void reported(const std::vector<model::Load>& loads); // by servers, as they come
     std::vector<duties::StagedServer> servers_of(const std::string& service) const; // that serve
-    const duties::StageOrders::Counts& counts() const { return orders_.counts(); }
+    const duties::StageOrderTracker::Counts& counts() const { return orders_.counts(); }
 
   private:
     void look();
@@ -51,13 +52,13 @@
     duties::StagedServer staged(const model::Instance& instance) const;
 
     transport::Reactor& reactor_;
-    duties::OrderLink& link_;
+    duties::OrderClient& link_;
     std::string holder_;
     Callbacks callbacks_;
-    duties::DemandTally demand_;
-    duties::StageOrders orders_;
+    duties::DemandAggregator demand_;
+    duties::StageOrderTracker orders_;
     std::map<std::string, duties::StageController> controllers_; // by service, while this node holds its duty
-    duties::ReportAges report_ages_;
+    duties::ReportFreshness report_freshness_;
     transport::Reactor::TimerId timer_{};
 };
 
--- a/src/control/usage_duty.cpp
+++ b/src/control/usage_duty.cpp
@@ -8,7 +8,7 @@
 
 namespace ivyrill::control {
 
-using duties::AgreedWindow;
+using duties::CommittedWindow;
 using duties::PlatformOutcome;
 using duties::UsageLedger;
 
@@ -18,31 +18,31 @@
 
 } // namespace
 
-UsageDuty::UsageDuty(transport::Reactor& reactor, duties::PlatformLink& link, Options options,
+UsageDuty::UsageDuty(transport::Reactor& reactor, duties::PlatformClient& link, Options options,
                      Callbacks callbacks)
     : reactor_(reactor), link_(link), options_(std::move(options)), callbacks_(std::move(callbacks)) {
-    timer_ = reactor_.call_after(kLookInterval, [this] { look(); });
+    timer_ = reactor_.call_after(kCheckInterval, [this] { look(); });
 }
 
 UsageDuty::~UsageDuty() { reactor_.cancel(timer_); }
 
 void UsageDuty::look() {
-    timer_ = reactor_.call_after(kLookInterval, [this] { look(); });
+    timer_ = reactor_.call_after(kCheckInterval, [this] { look(); });
     const auto fence = callbacks_.fence();
-    const auto agreed = callbacks_.agreed();
-    if (!agreed || !callbacks_.may_propose()) return;
-    propose_next(*agreed);
+    const auto committed = callbacks_.committed();
+    if (!committed || !callbacks_.may_propose()) return;
+    propose_next(*committed);
     if (!fence) return;
-    forget_settled(*agreed);
-    const auto early = planted(PlantedFault::kSentBeforeAgreed) ? next(*agreed) : std::nullopt;
-    send_due(early ? *early : *agreed, *fence);
+    forget_settled(*committed);
+    const auto early = planted(PlantedFault::kSentBeforeAgreed) ? next(*committed) : std::nullopt;
+    send_due(early ? *early : *committed, *fence);
 }
 
 // What is proposed is worked out at its turn, from the newest ledger: a proposal that was made twice changes
 // nothing the second time.
-void UsageDuty::propose_next(const UsageLedger& agreed) {
+void UsageDuty::propose_next(const UsageLedger& committed) {
     const bool waits = proposed_at_ && reactor_.now() - *proposed_at_ < kProposeAgain;
-    if (waits || !next(agreed)) return;
+    if (waits || !next(committed)) return;
     proposed_at_ = reactor_.now();
     callbacks_.propose([this](const UsageLedger& newest) { return next(newest); });
 }
@@ -51,25 +51,27 @@
     const auto now = callbacks_.time();
     if (!now) return std::nullopt;
     // Who follows may only just have begun to hear of counts: without all of them it waits until it acts.
-    const auto counts = callbacks_.fence() ? duties::CountsDue::kAsHeard : duties::CountsDue::kComplete;
+    const auto counts =
+        callbacks_.fence() ? duties::CountRequirement::kAllowPartial : duties::CountRequirement::kComplete;
     return duties::next_ledger(newest, *now, options_.window_ms, callbacks_.sources, settled_, counts);
 }
 
-void UsageDuty::forget_settled(const UsageLedger& agreed) {
+void UsageDuty::forget_settled(const UsageLedger& committed) {
     const auto is_gone = [&](std::int64_t window) {
-        return std::ranges::find(agreed.agreed, window, &AgreedWindow::number) == agreed.agreed.end();
+        return std::ranges::find(committed.committed, window, &CommittedWindow::number) ==
+               committed.committed.end();
     };
     std::erase_if(settled_, is_gone);
     std::erase_if(sending_, [&](const auto& entry) { return is_gone(entry.first); });
 }
 
-void UsageDuty::send_due(const UsageLedger& agreed, std::uint64_t fence) {
+void UsageDuty::send_due(const UsageLedger& committed, std::uint64_t fence) {
     if (is_fenced_off(fence)) return;
-    for (const AgreedWindow& window : agreed.agreed) {
+    for (const CommittedWindow& window : committed.committed) {
         const Sending& sending = sending_[window.number];
-        if (sending.is_under_way || reactor_.now() < sending.not_before) continue;
+        if (sending.is_in_flight || reactor_.now() < sending.not_before) continue;
         if (settled_.contains(window.number)) continue;
-        if (under_way() >= kMostUnderWay || !callbacks_.take_call()) return;
+        if (in_flight() >= kMaxInFlight || !callbacks_.acquire_call()) return;
         send(window, fence);
     }
 }
@@ -78,20 +80,21 @@
     return fence <= fenced_off_ && !planted(PlantedFault::kPlatformFenceIgnored);
 }
 
-std::size_t UsageDuty::under_way() const {
+std::size_t UsageDuty::in_flight() const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(sending_, [](const auto& entry) { return entry.second.is_under_way; }));
+        std::ranges::count_if(sending_, [](const auto& entry) { return entry.second.is_in_flight; }));
 }
 
-void UsageDuty::send(const AgreedWindow& window, std::uint64_t fence) {
+void UsageDuty::send(const CommittedWindow& window, std::uint64_t fence) {
     Sending& sending = sending_[window.number];
-    sending.is_under_way = true;
-    calls_.sent();
+    sending.is_in_flight = true;
+    calls_.record_sent();
     duties::PlatformCall call{"/usage", window.body, fence};
     if (planted(PlantedFault::kCountedAgain))
         call.body = duties::usage_body(window.number, callbacks_.sources.counts(window.number));
-    const bool is_unchecked = planted(PlantedFault::kPlatformNotChecked) ||
-                              (planted(PlantedFault::kRetriedWithoutLease) && sending.pause > kFirstPause);
+    const bool is_unchecked =
+        planted(PlantedFault::kPlatformNotChecked) ||
+        (planted(PlantedFault::kRetriedWithoutLease) && sending.backoff > kInitialBackoff);
     const auto may_send = [this, fence, is_unchecked] {
         return is_unchecked || (callbacks_.may_act_under(fence) && !is_fenced_off(fence));
     };
@@ -99,13 +102,13 @@
                [this, window, fence](PlatformOutcome outcome) { answered(window, fence, outcome); });
 }
 
-void UsageDuty::answered(const AgreedWindow& window, std::uint64_t fence, PlatformOutcome outcome) {
+void UsageDuty::answered(const CommittedWindow& window, std::uint64_t fence, PlatformOutcome outcome) {
     log_line("usage_report", {{"window", std::to_string(window.number)},
                               {"fence", std::to_string(fence)},
                               {"outcome", std::string(duties::name_of(outcome))}});
-    calls_.ended(outcome);
+    calls_.record_outcome(outcome);
     Sending& sending = sending_[window.number];
-    sending.is_under_way = false;
+    sending.is_in_flight = false;
     if (outcome == PlatformOutcome::kFencedOff) fenced_off_ = std::max(fenced_off_, fence);
     if (outcome == PlatformOutcome::kRefused) refused(window.number, sending);
     if (outcome == PlatformOutcome::kAccepted && settled_.insert(window.number).second) ++acknowledged_;
@@ -118,7 +121,7 @@
 
 // A report that the platform will not have must not hold up what follows for ever.
 void UsageDuty::refused(std::int64_t window, Sending& sending) {
-    if (++sending.refusals < kMostRefusals) return;
+    if (++sending.refusals < kMaxRejections) return;
     log_line("usage_report_given_up",
              {{"window", std::to_string(window)}, {"refusals", std::to_string(sending.refusals)}});
     ++given_up_;
@@ -126,19 +129,21 @@
 }
 
 void UsageDuty::send_later(Sending& sending) const {
-    sending.not_before = reactor_.now() + sending.pause;
-    sending.pause = std::min(2 * sending.pause, kLongestPause);
+    sending.not_before = reactor_.now() + sending.backoff;
+    sending.backoff = std::min(2 * sending.backoff, kMaxBackoff);
 }
 
-UsageDuty::Standing UsageDuty::standing() const {
-    Standing seen;
+UsageDuty::Status UsageDuty::status() const {
+    Status seen;
     seen.fence = callbacks_.fence();
     seen.acknowledged = acknowledged_, seen.given_up = given_up_, seen.calls = calls_;
-    const auto agreed = callbacks_.agreed();
-    if (!agreed) return seen;
-    seen.next_window = agreed->next_window;
-    seen.due = static_cast<std::size_t>(std::ranges::count_if(
-        agreed->agreed, [this](const AgreedWindow& window) { return !settled_.contains(window.number); }));
+    const auto committed = callbacks_.committed();
+    if (!committed) return seen;
+    seen.next_window = committed->next_window;
+    seen.due = static_cast<std::size_t>(
+        std::ranges::count_if(committed->committed, [this](const CommittedWindow& window) {
+            return !settled_.contains(window.number);
+        }));
     return seen;
 }
 
--- a/src/control/usage_exchange.cpp
+++ b/src/control/usage_exchange.cpp
@@ -42,38 +42,38 @@
 }
 
 void UsageExchange::tick(Tenths now) {
-    clock_.sample(self_, time_of_day_(), now);
+    clock_.add_sample(self_, time_of_day_(), now);
     clock_.forget_old(now);
     if (const auto time = clock_.at(now)) tally_.advance(time->unix_ms, now);
 }
 
-void UsageExchange::fill(feed::PeerStatus& status, Tenths now) const {
+void UsageExchange::fill_status(feed::PeerStatus& status, Tenths now) const {
     status.unix_ms = time_of_day_();
     for (std::size_t place = 0; place < status.sessions.size(); ++place)
-        if (const auto unix_ms = clock_.wall_of(status.sessions[place].name, now))
+        if (const auto unix_ms = clock_.wall_clock_of(status.sessions[place].name, now))
             status.session_clocks.push_back({place, *unix_ms - status.unix_ms});
 }
 
-void UsageExchange::told(const std::string& peer, const feed::PeerStatus& status, Tenths now) {
+void UsageExchange::on_peer_status(const std::string& peer, const feed::PeerStatus& status, Tenths now) {
     if (!clock::is_plausible(status.unix_ms)) return;
-    clock_.sample(peer, status.unix_ms, now);
+    clock_.add_sample(peer, status.unix_ms, now);
     for (const feed::SessionClock& here : status.session_clocks)
         if (here.session < status.sessions.size() && clock::is_plausible(here.ahead_ms + status.unix_ms))
-            clock_.sample(status.sessions[here.session].name, status.unix_ms + here.ahead_ms, now);
+            clock_.add_sample(status.sessions[here.session].name, status.unix_ms + here.ahead_ms, now);
 }
 
-void UsageExchange::counted(const std::vector<model::ProcessUsage>& counts, Tenths now) {
+void UsageExchange::add_local_counts(const std::vector<model::ProcessUsage>& counts, Tenths now) {
     for (const model::ProcessUsage& here : counts) {
         tally_.merge(here, now);
         for_peers_.push_back(here);
     }
 }
 
-feed::WantUsage UsageExchange::merge(const feed::UsageCounts& passed_on, Tenths now) {
-    feed::WantUsage wanted;
+feed::UsageRequest UsageExchange::merge(const feed::UsageCounts& passed_on, Tenths now) {
+    feed::UsageRequest wanted;
     for (const model::ProcessUsage& here : passed_on.counts) {
         tally_.merge(here, now);
-        if (!tally_.lacks(here.process, here.window)) continue;
+        if (!tally_.is_missing_counts(here.process, here.window)) continue;
         if (std::ranges::find(wanted.processes, here.process) == wanted.processes.end())
             wanted.processes.push_back(here.process);
     }
--- a/src/control/usage_exchange.hpp
+++ b/src/control/usage_exchange.hpp
@@ -2,7 +2,7 @@
 // comes from its own sessions is passed on to its peers, what comes from peers is only merged. Free of I/O.
 #pragma once
 #include "clock/fleet_clock.hpp"
-#include "duties/usage_tally.hpp"
+#include "duties/usage_aggregator.hpp"
 #include "feed/messages.hpp"
 
 #include <cstdint>
@@ -15,27 +15,28 @@
 
 class UsageExchange {
   public:
-    UsageExchange(std::string self, clock::FleetClock& clock, duties::UsageTally& tally,
+    UsageExchange(std::string self, clock::FleetClock& clock, duties::UsageAggregator& tally,
                   std::function<std::int64_t()> time_of_day)
         : self_(std::move(self)), clock_(clock), tally_(tally), time_of_day_(std::move(time_of_day)) {}
 
     // Every so often: this node's own clock, and what has come by it.
     void tick(Tenths now);
-    void time_of_day(const std::string& node, std::int64_t unix_ms, Tenths now) {
-        clock_.sample(node, unix_ms, now);
+    void add_time_of_day(const std::string& node, std::int64_t unix_ms, Tenths now) {
+        clock_.add_sample(node, unix_ms, now);
     }
     // `status.sessions` is there already.
-    void fill(feed::PeerStatus& status, Tenths now) const;
-    void told(const std::string& peer, const feed::PeerStatus& status, Tenths now);
+    void fill_status(feed::PeerStatus& status, Tenths now) const;
+    void on_peer_status(const std::string& peer, const feed::PeerStatus& status, Tenths now);
 
-    void counted(const std::vector<model::ProcessUsage>& counts, Tenths now); // by this node's sessions
-    std::vector<feed::UsageCounts> take_for_peers() { return messages_of(std::exchange(for_peers_, {})); }
+    void add_local_counts(const std::vector<model::ProcessUsage>& counts,
+                          Tenths now); // by this node's sessions
+    std::vector<feed::UsageCounts> drain_for_peers() { return messages_of(std::exchange(for_peers_, {})); }
     // For a peer that is met anew; the newest windows where it would be too much.
     std::vector<feed::UsageCounts> recent() const { return newest_of(tally_.recent(kRecentMs)); }
     // Merges what a peer passed on; returns what to ask it for, if anything.
-    feed::WantUsage merge(const feed::UsageCounts& passed_on, Tenths now);
-    std::vector<feed::UsageCounts> answer(const feed::WantUsage& wanted) const {
-        return newest_of(tally_.recent_of(wanted.processes, kRecentMs));
+    feed::UsageRequest merge(const feed::UsageCounts& passed_on, Tenths now);
+    std::vector<feed::UsageCounts> answer(const feed::UsageRequest& wanted) const {
+        return newest_of(tally_.recent_from(wanted.processes, kRecentMs));
     }
 
   private:
@@ -48,7 +49,7 @@
 
     std::string self_;
     clock::FleetClock& clock_;
-    duties::UsageTally& tally_;
+    duties::UsageAggregator& tally_;
     std::function<std::int64_t()> time_of_day_;
     std::vector<model::ProcessUsage> for_peers_; // since the last take
 };
--- a/src/duties/count_controller.cpp
+++ b/src/duties/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "duties/count_controller.hpp"
+#include "duties/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -28,11 +28,11 @@
 Tenths tenths_of(double seconds) { return static_cast<Tenths>(seconds * kTenthsPerSecond); }
 
 // Zones in which servers are that were reported on, with how many of them.
-std::vector<ZoneCount> live_zones(const std::vector<StagedServer>& servers) {
-    std::vector<ZoneCount> zones;
+std::vector<ZoneServerCount> live_zones(const std::vector<StagedServer>& servers) {
+    std::vector<ZoneServerCount> zones;
     for (const StagedServer& server : servers) {
         if (!server.reported) continue;
-        const auto found = std::ranges::find(zones, server.zone, &ZoneCount::zone);
+        const auto found = std::ranges::find(zones, server.zone, &ZoneServerCount::zone);
         if (found == zones.end())
             zones.push_back({server.zone, 1});
         else
@@ -41,53 +41,53 @@
     return zones;
 }
 
-std::int64_t sum_of(const std::vector<ZoneCount>& zones) {
+std::int64_t sum_of(const std::vector<ZoneServerCount>& zones) {
     std::int64_t sum = 0;
-    for (const ZoneCount& zone : zones) sum += zone.servers;
+    for (const ZoneServerCount& zone : zones) sum += zone.servers;
     return sum;
 }
 
 // Where all are in one zone there is no other to live on.
-std::int64_t largest_of(const std::vector<ZoneCount>& zones) {
-    return zones.size() < 2 ? 0 : std::ranges::max_element(zones, {}, &ZoneCount::servers)->servers;
+std::int64_t largest_of(const std::vector<ZoneServerCount>& zones) {
+    return zones.size() < 2 ? 0 : std::ranges::max_element(zones, {}, &ZoneServerCount::servers)->servers;
 }
 
 // What waits grows faster than use does.
-double needed_readers(const StageSide& readers, double use) {
+double needed_readers(const StagePool& readers, double use) {
     const double times_well_used = use / kReadersWellUsed;
     return static_cast<double>(readers.count()) *
            std::max(times_well_used, times_well_used * times_well_used);
 }
 
-double needed_runners(const StageSide& runners, double use) {
+double needed_runners(const StagePool& runners, double use) {
     return static_cast<double>(runners.count()) * use / kRunnersWellUsed;
 }
 
 } // namespace
 
-CountController::CountController()
+Autoscaler::Autoscaler()
     : reader_use_(statistics::tag::rolling_window::window_size = kLooks),
       runner_use_(statistics::tag::rolling_window::window_size = kLooks),
       requests_(statistics::tag::rolling_window::window_size = kLooks) {}
 
-void CountController::look(const CountPicture& picture) {
-    const StageSide readers = side_of(picture.servers, Stage::kPrefill);
-    const StageSide runners = side_of(picture.servers, Stage::kDecode);
-    reader_use_(use_of_readers(readers, *picture.demand));
-    runner_use_(use_of_runners(runners, *picture.demand));
+void Autoscaler::look(const ScalingInput& picture) {
+    const StagePool readers = pool_of(picture.servers, Stage::kPrefill);
+    const StagePool runners = pool_of(picture.servers, Stage::kDecode);
+    reader_use_(utilization_of_prefill(readers, *picture.demand));
+    runner_use_(utilization_of_decode(runners, *picture.demand));
     requests_(picture.demand->requests);
     needed_ = needed_readers(readers, statistics::rolling_mean(reader_use_)) +
               needed_runners(runners, statistics::rolling_mean(runner_use_));
 }
 
-std::vector<ZoneCount> CountController::next(const CountPicture& picture, const model::Scaling& scaling,
-                                             Tenths now) {
-    if (!are_known(picture.servers) || !picture.demand) {
+std::vector<ZoneServerCount> Autoscaler::plan(const ScalingInput& picture, const model::Scaling& scaling,
+                                              Tenths now) {
+    if (!has_enough_reports(picture.servers) || !picture.demand) {
         looks_ = 0; // what was seen before may be long ago
         return {};
     }
     look(picture);
-    const std::vector<ZoneCount> zones = live_zones(picture.servers);
+    const std::vector<ZoneServerCount> zones = live_zones(picture.servers);
     if (!busy_at_ || !can_spare(zones)) busy_at_ = now;
     if (++looks_ < static_cast<int>(kLooks)) return {};
     const double needed_share = needed_ / static_cast<double>(sum_of(zones));
@@ -100,9 +100,9 @@
 }
 
 // What is missing comes in one step, the same in each zone that lives.
-std::vector<ZoneCount> CountController::grown(const CountPicture& picture,
-                                              const std::vector<ZoneCount>& zones,
-                                              const model::Scaling& scaling, Tenths now) {
+std::vector<ZoneServerCount> Autoscaler::grown(const ScalingInput& picture,
+                                               const std::vector<ZoneServerCount>& zones,
+                                               const model::Scaling& scaling, Tenths now) {
     if (changed_at_ && now - *changed_at_ < tenths_of(scaling.boot_time_s) + kSettleSpan) return {};
     const auto served = static_cast<double>(sum_of(zones));
     if (!requests_when_short_) requests_when_short_ = statistics::rolling_mean(requests_) / served;
@@ -114,10 +114,10 @@
 }
 
 // Nothing goes while servers are missing: they may be starting, or started anew.
-std::vector<ZoneCount> CountController::shrunk(const CountPicture& picture,
-                                               const std::vector<ZoneCount>& zones,
-                                               const model::Scaling& scaling, Tenths now) const {
-    const bool is_whole = sum_of(zones) >= sum_of(picture.standing);
+std::vector<ZoneServerCount> Autoscaler::shrunk(const ScalingInput& picture,
+                                                const std::vector<ZoneServerCount>& zones,
+                                                const model::Scaling& scaling, Tenths now) const {
+    const bool is_whole = sum_of(zones) >= sum_of(picture.target_counts);
     const bool has_settled = !changed_at_ || now - *changed_at_ >= kCalmSpan;
     if (!is_whole || !has_settled || now - *busy_at_ < kCalmSpan) return {};
     return changed_by(-1, picture, zones, scaling);
@@ -126,7 +126,7 @@
 // By what the servers report they are hardly used; or each would have much less to do than when they were
 // short. The latter counts as well because use hardly falls where more servers read at the same time: for the
 // same reason nothing grows beyond it.
-bool CountController::can_spare(const std::vector<ZoneCount>& zones) const {
+bool Autoscaler::can_spare(const std::vector<ZoneServerCount>& zones) const {
     const auto left = static_cast<double>(sum_of(zones)) - static_cast<double>(zones.size());
     const double without_zone = left - static_cast<double>(largest_of(zones));
     if (left < 1) return false;
@@ -136,12 +136,12 @@
     return is_idle || is_over;
 }
 
-std::vector<ZoneCount> CountController::changed_by(std::int64_t step, const CountPicture& picture,
-                                                   const std::vector<ZoneCount>& zones,
-                                                   const model::Scaling& scaling) {
-    std::vector<ZoneCount> changed;
-    for (const ZoneCount& zone : picture.standing) {
-        if (std::ranges::find(zones, zone.zone, &ZoneCount::zone) == zones.end()) continue;
+std::vector<ZoneServerCount> Autoscaler::changed_by(std::int64_t step, const ScalingInput& picture,
+                                                    const std::vector<ZoneServerCount>& zones,
+                                                    const model::Scaling& scaling) {
+    std::vector<ZoneServerCount> changed;
+    for (const ZoneServerCount& zone : picture.target_counts) {
+        if (std::ranges::find(zones, zone.zone, &ZoneServerCount::zone) == zones.end()) continue;
         const std::int64_t wanted = std::clamp(zone.servers + step, scaling.min_count, scaling.max_count);
         const bool goes_the_way = step > 0 ? wanted > zone.servers : wanted < zone.servers;
         if (goes_the_way) changed.push_back({zone.zone, wanted});
--- a/src/duties/count_controller.hpp
+++ b/src/duties/autoscaler.hpp
@@ -5,7 +5,7 @@
 // orders for the zones that it holds. Pure: reports, demand and clock are handed in.
 #pragma once
 #include "base/time.hpp"
-#include "duties/stage_use.hpp"
+#include "duties/stage_utilization.hpp"
 #include "model/configuration.hpp"
 
 #include <boost/accumulators/accumulators.hpp>
@@ -18,26 +18,27 @@
 
 namespace ivyrill::duties {
 
-struct ZoneCount {
+struct ZoneServerCount {
     std::string zone;
     std::int64_t servers = 0;
-    friend bool operator==(const ZoneCount&, const ZoneCount&) = default;
+    friend bool operator==(const ZoneServerCount&, const ZoneServerCount&) = default;
 };
 
 // A service's servers as they are now.
-struct CountPicture {
+struct ScalingInput {
     std::vector<StagedServer> servers; // that serve
-    std::vector<ZoneCount> standing;   // what was ordered, or is there where nothing was; every zone with any
+    std::vector<ZoneServerCount>
+        target_counts; // what was ordered, or is there where nothing was; every zone with any
     std::optional<model::ServiceDemand> demand; // of all edge nodes; none where nobody has told of any lately
 };
 
-class CountController {
+class Autoscaler {
   public:
-    CountController();
+    Autoscaler();
     // Called every kInterval; the zones whose count is to change now, most often none.
-    std::vector<ZoneCount> next(const CountPicture& picture, const model::Scaling& scaling, Tenths now);
+    std::vector<ZoneServerCount> plan(const ScalingInput& picture, const model::Scaling& scaling, Tenths now);
     // Servers that the load asks for: mean of the last looks.
-    double needed() const { return needed_; }
+    double needed_servers() const { return needed_; }
 
     static constexpr Tenths kInterval = 5'000;
 
@@ -45,15 +46,16 @@
     using Mean = boost::accumulators::accumulator_set<
         double, boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>;
 
-    void look(const CountPicture& picture);
-    std::vector<ZoneCount> grown(const CountPicture& picture, const std::vector<ZoneCount>& zones,
-                                 const model::Scaling& scaling, Tenths now);
-    std::vector<ZoneCount> shrunk(const CountPicture& picture, const std::vector<ZoneCount>& zones,
-                                  const model::Scaling& scaling, Tenths now) const;
-    bool can_spare(const std::vector<ZoneCount>& zones) const;
-    static std::vector<ZoneCount> changed_by(std::int64_t step, const CountPicture& picture,
-                                             const std::vector<ZoneCount>& zones,
-                                             const model::Scaling& scaling);
+    void look(const ScalingInput& picture);
+    std::vector<ZoneServerCount> grown(const ScalingInput& picture, const std::vector<ZoneServerCount>& zones,
+                                       const model::Scaling& scaling, Tenths now);
+    std::vector<ZoneServerCount> shrunk(const ScalingInput& picture,
+                                        const std::vector<ZoneServerCount>& zones,
+                                        const model::Scaling& scaling, Tenths now) const;
+    bool can_spare(const std::vector<ZoneServerCount>& zones) const;
+    static std::vector<ZoneServerCount> changed_by(std::int64_t step, const ScalingInput& picture,
+                                                   const std::vector<ZoneServerCount>& zones,
+                                                   const model::Scaling& scaling);
 
     Mean reader_use_, runner_use_, requests_; // shares; a second
     double needed_ = 0;
--- a/src/duties/demand_tally.cpp
+++ b/src/duties/demand_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "duties/demand_tally.hpp"
+#include "duties/demand_aggregator.hpp"
 
 namespace ivyrill::duties {
 
@@ -8,9 +8,9 @@
 
 } // namespace
 
-void DemandTally::add(std::map<std::string, Told>& told, Tenths now, Sums& sums) {
-    std::erase_if(told, [now](const auto& entry) { return now - entry.second.at > kDemandAge; });
-    for (const auto& [name, here] : told)
+void DemandAggregator::add(std::map<std::string, Update>& updates, Tenths now, Sums& sums) {
+    std::erase_if(updates, [now](const auto& entry) { return now - entry.second.at > kDemandAge; });
+    for (const auto& [name, here] : updates)
         for (const model::ServiceDemand& demand : here.demands) {
             model::ServiceDemand& sum = sums[demand.service];
             sum.service = demand.service;
@@ -18,7 +18,7 @@
         }
 }
 
-std::vector<model::ServiceDemand> DemandTally::here(Tenths now) {
+std::vector<model::ServiceDemand> DemandAggregator::local(Tenths now) {
     Sums sums;
     add(nodes_, now, sums);
     std::vector<model::ServiceDemand> demands;
@@ -26,7 +26,7 @@
     return demands;
 }
 
-std::optional<model::ServiceDemand> DemandTally::of(const std::string& service, Tenths now) {
+std::optional<model::ServiceDemand> DemandAggregator::total(const std::string& service, Tenths now) {
     Sums sums;
     add(nodes_, now, sums);
     add(peers_, now, sums);
--- a/src/duties/demand_tally.hpp
+++ b/src/duties/demand_aggregator.hpp
@@ -11,28 +11,30 @@
 
 namespace ivyrill::duties {
 
-class DemandTally {
+class DemandAggregator {
   public:
-    void told_by_node(const std::string& node, const std::vector<model::ServiceDemand>& demands, Tenths now) {
+    void update_from_node(const std::string& node, const std::vector<model::ServiceDemand>& demands,
+                          Tenths now) {
         nodes_[node] = {demands, now};
     }
-    void told_by_peer(const std::string& peer, const std::vector<model::ServiceDemand>& demands, Tenths now) {
+    void update_from_peer(const std::string& peer, const std::vector<model::ServiceDemand>& demands,
+                          Tenths now) {
         peers_[peer] = {demands, now};
     }
     // Of the nodes here, by service: what is told to peers.
-    std::vector<model::ServiceDemand> here(Tenths now);
+    std::vector<model::ServiceDemand> local(Tenths now);
     // Of all; none where nobody has told of that service lately.
-    std::optional<model::ServiceDemand> of(const std::string& service, Tenths now);
+    std::optional<model::ServiceDemand> total(const std::string& service, Tenths now);
 
   private:
-    struct Told {
+    struct Update {
         std::vector<model::ServiceDemand> demands;
         Tenths at = 0;
     };
     using Sums = std::map<std::string, model::ServiceDemand>;
-    static void add(std::map<std::string, Told>& told, Tenths now, Sums& sums);
+    static void add(std::map<std::string, Update>& updates, Tenths now, Sums& sums);
 
-    std::map<std::string, Told> nodes_, peers_; // by name; by address
+    std::map<std::string, Update> nodes_, peers_; // by name; by address
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/duty.cpp
+++ b/src/duties/duty.cpp
@@ -13,11 +13,12 @@
 
 } // namespace
 
-std::optional<PartState> read_part_state(std::string_view payload) {
-    if (auto read = wire::from_bytes<PartState>(payload); read.has_value()) return std::move(read.value());
+std::optional<PartitionState> read_partition_state(std::string_view payload) {
+    if (auto read = wire::from_bytes<PartitionState>(payload); read.has_value())
+        return std::move(read.value());
     const auto former = wire::from_bytes<PartStateWithoutLedger>(payload);
     if (former.has_error()) return std::nullopt;
-    return PartState{former.value().released_term, {}};
+    return PartitionState{former.value().released_term, {}};
 }
 
 } // namespace ivyrill::duties
--- a/src/duties/duty.hpp
+++ b/src/duties/duty.hpp
@@ -1,7 +1,7 @@
 // Duties: work that one node at a time does for the whole fleet. A duty is a kind and a subject; by their
-// hash it falls to one of the parts, each of which has a small group of its own (src/control/duty_parts.hpp)
-// whose leader holds all duties of the part. The leader's term is the fence: terms are never used twice and
-// never fall. Pure.
+// hash it falls to one of the parts, each of which has a small group of its own
+// (src/control/duty_partitions.hpp) whose leader holds all duties of the part. The leader's term is the
+// fence: terms are never used twice and never fall. Pure.
 #pragma once
 #include "base/hash.hpp"
 #include "duties/usage_ledger.hpp"
@@ -15,7 +15,7 @@
 
 namespace ivyrill::duties {
 
-inline constexpr std::size_t kDutyParts = 4;
+inline constexpr std::size_t kDutyPartitions = 4;
 
 enum class DutyKind : std::uint8_t {
     kServerStages, // subject: a service; which of its servers read prompts and which run them
@@ -34,12 +34,12 @@
     return {DutyKind::kServerCount, service + "/" + zone};
 }
 
-inline std::size_t part_of(const Duty& duty) {
-    return hash_text(duty.subject, static_cast<std::uint64_t>(duty.kind) + 1) % kDutyParts;
+inline std::size_t partition_of(const Duty& duty) {
+    return hash_text(duty.subject, static_cast<std::uint64_t>(duty.kind) + 1) % kDutyPartitions;
 }
 
 // What a part's group agrees on beside its leader.
-struct PartState {
+struct PartitionState {
     // A leader that ended by plan had stopped to act before it proposed this: whoever leads the next term
     // need not wait for its lease.
     std::uint64_t released_term = 0;
@@ -49,10 +49,10 @@
 
 // As it lies on the disk or is agreed on; also in the form without a ledger, which former versions wrote:
 // then nothing was ever reported, and the ledger has not begun. None where it has neither form.
-std::optional<PartState> read_part_state(std::string_view payload);
+std::optional<PartitionState> read_partition_state(std::string_view payload);
 
 // Whether the leader of `term` follows one that said that it acts no more.
-inline bool was_handed_over(const PartState& state, std::uint64_t term) {
+inline bool was_handed_over(const PartitionState& state, std::uint64_t term) {
     return state.released_term > 0 && state.released_term + 1 == term;
 }
 
--- a/src/duties/lease.hpp
+++ b/src/duties/lease.hpp
@@ -16,45 +16,45 @@
 
 class Lease {
   public:
-    struct Terms {
-        Tenths length = 0;     // `leaseMs`
-        Tenths hold = 0;       // since the last certain contact with a majority
-        Tenths on_its_way = 0; // so long at the most does an act take to come in, once it has left
+    struct Timing {
+        Tenths duration = 0;        // `leaseMs`
+        Tenths max_contact_age = 0; // since the last certain contact with a majority
+        Tenths max_in_flight = 0;   // so long at the most does an act take to come in, once it has left
     };
     // A process that starts may have held the duties just before it ended.
-    Lease(Terms terms, Tenths process_started)
-        : terms_(terms), not_before_(process_started + terms.length + terms.on_its_way) {}
+    Lease(Timing timing, Tenths process_started)
+        : timing_(timing), blocked_until_(process_started + timing.duration + timing.max_in_flight) {}
 
     // This node leads its part from `now` on; `handed_over`: by a leader that acts no more.
     void begin(bool handed_over, Tenths now) {
-        holds_ = true;
-        acts_from_ = now + (handed_over ? terms_.on_its_way : terms_.length);
-        if (planted(PlantedFault::kLeaseNotAwaited)) acts_from_ = now;
+        leads_ = true;
+        acts_after_ = now + (handed_over ? timing_.max_in_flight : timing_.duration);
+        if (planted(PlantedFault::kLeaseNotAwaited)) acts_after_ = now;
     }
     void end(Tenths now) {
         // Another one may act meanwhile: a lease has to lie between the last act that came in and the next.
-        if (holds_) not_before_ = now + terms_.length + terms_.on_its_way;
-        holds_ = false;
+        if (leads_) blocked_until_ = now + timing_.duration + timing_.max_in_flight;
+        leads_ = false;
     }
     // The wait for former holders is over, however the contact is now.
-    bool is_settled(Tenths now) const {
-        const bool may_return = now >= not_before_ || planted(PlantedFault::kHolderReturnsAtOnce);
-        return holds_ && now >= acts_from_ && may_return;
+    bool former_leases_expired(Tenths now) const {
+        const bool may_return = now >= blocked_until_ || planted(PlantedFault::kHolderReturnsAtOnce);
+        return leads_ && now >= acts_after_ && may_return;
     }
     // What binds no former holder may be done while one is waited for: this node leads, and has not held
     // the duties, nor started, within the lease's length.
-    bool may_prepare(Tenths now) const { return holds_ && now >= not_before_; }
+    bool may_prepare(Tenths now) const { return leads_ && now >= blocked_until_; }
     // `contact`: when this node sent what a majority has answered since.
     bool may_act(std::optional<Tenths> contact, Tenths now) const {
-        const bool in_contact = contact && now - *contact <= terms_.hold;
-        return is_settled(now) && (in_contact || planted(PlantedFault::kActsWithoutContact));
+        const bool in_contact = contact && now - *contact <= timing_.max_contact_age;
+        return former_leases_expired(now) && (in_contact || planted(PlantedFault::kActsWithoutContact));
     }
 
   private:
-    Terms terms_;
-    Tenths not_before_;
-    Tenths acts_from_ = 0;
-    bool holds_ = false;
+    Timing timing_;
+    Tenths blocked_until_;
+    Tenths acts_after_ = 0;
+    bool leads_ = false;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/order_link.hpp
+++ b/src/duties/order_client.hpp
@@ -1,25 +1,25 @@
 // How an order travels to a server, behind an interface: HTTP in the program, a simulated network in tests.
 #pragma once
-#include "duties/stage_orders.hpp"
+#include "duties/stage_order_tracker.hpp"
 
 #include <functional>
 #include <string>
 
 namespace ivyrill::duties {
 
-class OrderLink {
+class OrderClient {
   public:
-    OrderLink() = default;
-    virtual ~OrderLink() = default;
-    OrderLink(const OrderLink&) = delete;
-    OrderLink& operator=(const OrderLink&) = delete;
+    OrderClient() = default;
+    virtual ~OrderClient() = default;
+    OrderClient(const OrderClient&) = delete;
+    OrderClient& operator=(const OrderClient&) = delete;
 
     // Sends it once. `may_send` is asked in the moment in which it leaves; `done` is told once, in a later
     // turn and within kPatience, after which nothing of the order is on its way any more.
     virtual void send(const StageOrder& order, const std::string& holder, std::function<bool()> may_send,
                       std::function<void(OrderOutcome)> done) = 0;
 
-    static constexpr Tenths kPatience = 6'000;
+    static constexpr Tenths kTimeout = 6'000;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/platform_counts.hpp
+++ b/src/duties/platform_call_stats.hpp
@@ -1,6 +1,6 @@
 // What became of the calls of a duty to the platform: counted by cause, and its word for the log. Pure.
 #pragma once
-#include "duties/platform_link.hpp"
+#include "duties/platform_client.hpp"
 
 #include <array>
 #include <cstdint>
@@ -19,12 +19,12 @@
     return kNames[static_cast<std::size_t>(outcome)];
 }
 
-class PlatformCounts {
+class PlatformCallStats {
   public:
-    void sent() { ++sent_; }
-    void ended(PlatformOutcome outcome) { ++ended_[static_cast<std::size_t>(outcome)]; }
+    void record_sent() { ++sent_; }
+    void record_outcome(PlatformOutcome outcome) { ++ended_[static_cast<std::size_t>(outcome)]; }
     std::uint64_t calls() const { return sent_; } // begun, whatever became of them
-    std::uint64_t of(PlatformOutcome outcome) const { return ended_[static_cast<std::size_t>(outcome)]; }
+    std::uint64_t count(PlatformOutcome outcome) const { return ended_[static_cast<std::size_t>(outcome)]; }
 
   private:
     std::uint64_t sent_ = 0;
--- a/src/duties/platform_link.hpp
+++ b/src/duties/platform_client.hpp
@@ -25,21 +25,21 @@
     kUnanswered // it may have been taken
 };
 
-class PlatformLink {
+class PlatformClient {
   public:
-    PlatformLink() = default;
-    virtual ~PlatformLink() = default;
-    PlatformLink(const PlatformLink&) = delete;
-    PlatformLink& operator=(const PlatformLink&) = delete;
+    PlatformClient() = default;
+    virtual ~PlatformClient() = default;
+    PlatformClient(const PlatformClient&) = delete;
+    PlatformClient& operator=(const PlatformClient&) = delete;
 
     // Sends it once, in the name of `holder`. `may_send` is asked in the moment in which it leaves; `done` is
-    // told once, in a later turn and within kAnswerPatience.
+    // told once, in a later turn and within kResponseTimeout.
     virtual void send(const PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
                       std::function<void(PlatformOutcome)> done) = 0;
 
     // After it nothing of a call is on its way to the platform any more; its answer may still come.
-    static constexpr Tenths kDeliveryPatience = 6'000;
-    static constexpr Tenths kAnswerPatience = 30'000; // a slow platform takes seconds
+    static constexpr Tenths kDeliveryTimeout = 6'000;
+    static constexpr Tenths kResponseTimeout = 30'000; // a slow platform takes seconds
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/call_budget.hpp
+++ b/src/duties/platform_rate_limiter.hpp
@@ -11,17 +11,17 @@
 
 namespace ivyrill::duties {
 
-class CallBudget {
+class PlatformRateLimiter {
   public:
     // `calls_per_s`: of all nodes and duties together; 0: not stated.
     // A bucket is empty at first: whoever held the part before may have used it up.
-    CallBudget(double calls_per_s, Tenths now)
-        : refill_per_s_((calls_per_s > 0 ? calls_per_s : kCallsIfNotStated) / 2 / kDutyParts) {
+    PlatformRateLimiter(double calls_per_s, Tenths now)
+        : refill_per_s_((calls_per_s > 0 ? calls_per_s : kCallsIfNotStated) / 2 / kDutyPartitions) {
         for (Bucket& bucket : buckets_) bucket.filled_at = now;
     }
     // Whether a call for that duty may leave now; it then counts.
-    bool take(const Duty& duty, Tenths now) {
-        Bucket& bucket = buckets_[part_of(duty)];
+    bool try_acquire(const Duty& duty, Tenths now) {
+        Bucket& bucket = buckets_[partition_of(duty)];
         const double waited = static_cast<double>(now - bucket.filled_at) / kTenthsPerSecond;
         bucket.calls = std::min(std::max(1.0, refill_per_s_), bucket.calls + waited * refill_per_s_);
         bucket.filled_at = now;
@@ -37,7 +37,7 @@
     };
     static constexpr double kCallsIfNotStated = 8;
     double refill_per_s_;
-    std::array<Bucket, kDutyParts> buckets_;
+    std::array<Bucket, kDutyPartitions> buckets_;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/report_ages.hpp
+++ b/src/duties/report_freshness.hpp
@@ -1,4 +1,4 @@
-// Which servers were reported on lately. Reports come more seldom in a larger fleet (agent::ReportReader), so
+// Which servers were reported on lately. Reports come more seldom in a larger fleet (agent::ReportPoller), so
 // what is lately follows from how far apart they came. Pure: the clock is handed in.
 #pragma once
 #include "base/time.hpp"
@@ -9,28 +9,28 @@
 
 namespace ivyrill::duties {
 
-class ReportAges {
+class ReportFreshness {
   public:
-    void reported(const std::string& instance, Tenths now) {
+    void record_report(const std::string& instance, Tenths now) {
         const auto [place, fresh] = seen_.try_emplace(instance, Seen{now, 0});
-        if (!fresh) place->second = {now, now - place->second.at};
+        if (!fresh) place->second = {now, now - place->second.last};
     }
     void forget_old(Tenths now) {
-        std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.at > kForgotten; });
+        std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.last > kRetention; });
     }
     bool is_fresh(const std::string& instance, Tenths now) const {
         const auto found = seen_.find(instance);
         if (found == seen_.end()) return false;
-        return now - found->second.at <= std::max(kLeastAge, kMissed * found->second.gap);
+        return now - found->second.last <= std::max(kMinFreshAge, kMissedReports * found->second.interval);
     }
 
   private:
     struct Seen {
-        Tenths at = 0, gap = 0; // between the last two
+        Tenths last = 0, interval = 0; // between the last two
     };
-    static constexpr Tenths kLeastAge = 3 * kTenthsPerSecond;
-    static constexpr Tenths kMissed = 3; // reports that may fail to come
-    static constexpr Tenths kForgotten = 120 * kTenthsPerSecond;
+    static constexpr Tenths kMinFreshAge = 3 * kTenthsPerSecond;
+    static constexpr Tenths kMissedReports = 3; // reports that may fail to come
+    static constexpr Tenths kRetention = 120 * kTenthsPerSecond;
     std::map<std::string, Seen> seen_; // by instance
 };
 
--- a/src/duties/stage_controller.cpp
+++ b/src/duties/stage_controller.cpp
@@ -31,25 +31,25 @@
 
 } // namespace
 
-StageController::StageController(Tenths change_span)
-    : change_span_(change_span), reader_use_(statistics::tag::rolling_window::window_size = kLooks),
+StageController::StageController(Tenths stage_change_time)
+    : change_span_(stage_change_time), reader_use_(statistics::tag::rolling_window::window_size = kLooks),
       runner_use_(statistics::tag::rolling_window::window_size = kLooks) {}
 
-bool StageController::runners_can_spare(const StageSide& runners, const model::ServiceDemand& demand,
+bool StageController::runners_can_spare(const StagePool& runners, const model::ServiceDemand& demand,
                                         std::size_t step) const {
     if (runners.count() < kLeastOfEach + step) return false;
     const std::size_t left = runners.count() - step;
     const std::size_t without_zone =
-        runners.left_without_a_zone() > step ? runners.left_without_a_zone() - step : 0;
-    return asked_of_runners(runners, demand, left) <= kRunnersBusyAfter &&
-           asked_of_runners(runners, demand, without_zone) <= kBusyWithoutZone;
+        runners.count_after_zone_loss() > step ? runners.count_after_zone_loss() - step : 0;
+    return projected_decode_utilization(runners, demand, left) <= kRunnersBusyAfter &&
+           projected_decode_utilization(runners, demand, without_zone) <= kBusyWithoutZone;
 }
 
-bool StageController::readers_can_spare(const StageSide& readers, std::size_t step) const {
+bool StageController::readers_can_spare(const StagePool& readers, std::size_t step) const {
     if (readers.count() < kLeastOfEach + step) return false;
     const auto count = static_cast<double>(readers.count());
-    const double after = reader_use() * count / (count - static_cast<double>(step));
-    return after <= kReadersBusyAfter || after <= runner_use();
+    const double after = prefill_utilization() * count / (count - static_cast<double>(step));
+    return after <= kReadersBusyAfter || after <= decode_utilization();
 }
 
 bool StageController::may_change_to(Stage stage, Tenths now) const {
@@ -58,27 +58,27 @@
     return now - *changed_at_ >= span + change_span_;
 }
 
-std::vector<StageChange> StageController::next(const std::vector<StagedServer>& servers,
+std::vector<StageChange> StageController::plan(const std::vector<StagedServer>& servers,
                                                const std::optional<model::ServiceDemand>& demand,
                                                Tenths now) {
     const bool is_changing = std::ranges::any_of(servers, &StagedServer::changing);
-    const StageSide readers = side_of(servers, Stage::kPrefill), runners = side_of(servers, Stage::kDecode);
-    if (is_changing || !are_known(servers) || !demand) {
+    const StagePool readers = pool_of(servers, Stage::kPrefill), runners = pool_of(servers, Stage::kDecode);
+    if (is_changing || !has_enough_reports(servers) || !demand) {
         looks_ = 0; // what was seen before may be long ago
         return {};
     }
-    reader_use_(use_of_readers(readers, *demand));
-    runner_use_(use_of_runners(runners, *demand));
-    const double reading = reader_use(), running = runner_use();
+    reader_use_(utilization_of_prefill(readers, *demand));
+    runner_use_(utilization_of_decode(runners, *demand));
+    const double reading = prefill_utilization(), running = decode_utilization();
     const bool is_overwhelmed = std::max(reading, running) >= kOverwhelmed;
     if (++looks_ < (is_overwhelmed ? kLooksIfOverwhelmed : static_cast<int>(kLooks))) return {};
     const std::size_t most = std::max<std::size_t>(1, servers.size() / kMostStepShare);
-    if (running >= kShortOfServers && running > reading && may_change_to(Stage::kDecode, now))
-        for (std::size_t step = wanted_step(runners.count(), running / kShortOfServers, most); step > 0;
+    if (running >= kShortageThreshold && running > reading && may_change_to(Stage::kDecode, now))
+        for (std::size_t step = wanted_step(runners.count(), running / kShortageThreshold, most); step > 0;
              --step)
             if (readers_can_spare(readers, step)) return order(readers, runners, Stage::kDecode, step, now);
-    if (reading >= kShortOfServers && reading > running && may_change_to(Stage::kPrefill, now))
-        for (std::size_t step = wanted_step(readers.count(), reading / kShortOfServers, most); step > 0;
+    if (reading >= kShortageThreshold && reading > running && may_change_to(Stage::kPrefill, now))
+        for (std::size_t step = wanted_step(readers.count(), reading / kShortageThreshold, most); step > 0;
              --step)
             if (runners_can_spare(runners, *demand, step))
                 return order(runners, readers, Stage::kPrefill, step, now);
@@ -86,7 +86,7 @@
 }
 
 // Those with the least to do, from zones that have many of the one stage and few of the other.
-std::vector<StageChange> StageController::order(const StageSide& giving, const StageSide& taking, Stage to,
+std::vector<StageChange> StageController::order(const StagePool& giving, const StagePool& taking, Stage to,
                                                 std::size_t step, Tenths now) {
     std::map<std::string, int> surplus; // by zone
     for (const StagedServer* server : giving.servers) ++surplus[server->zone];
--- a/src/duties/stage_controller.hpp
+++ b/src/duties/stage_controller.hpp
@@ -3,7 +3,7 @@
 // them, also with its largest zone lost. Pure: reports, demand and clock are handed in.
 #pragma once
 #include "base/time.hpp"
-#include "duties/stage_use.hpp"
+#include "duties/stage_utilization.hpp"
 #include "model/instance.hpp"
 
 #include <boost/accumulators/accumulators.hpp>
@@ -22,17 +22,17 @@
 
 class StageController {
   public:
-    // `change_span`: how long a server takes to change (`roleSwitchS`).
-    explicit StageController(Tenths change_span = 0);
+    // `stage_change_time`: how long a server takes to change (`roleSwitchS`).
+    explicit StageController(Tenths stage_change_time = 0);
 
     // Called every kInterval; what is to be ordered now, most often nothing. `demand`: of all edge nodes,
     // none where nobody has told of any lately.
-    std::vector<StageChange> next(const std::vector<StagedServer>& servers,
+    std::vector<StageChange> plan(const std::vector<StagedServer>& servers,
                                   const std::optional<model::ServiceDemand>& demand, Tenths now);
-    void set_change_span(Tenths span) { change_span_ = span; }
-    // Means of the last looks: from kShortOfServers on that side is short.
-    double reader_use() const { return boost::accumulators::rolling_mean(reader_use_); }
-    double runner_use() const { return boost::accumulators::rolling_mean(runner_use_); }
+    void set_stage_change_time(Tenths span) { change_span_ = span; }
+    // Means of the last looks: from kShortageThreshold on that side is short.
+    double prefill_utilization() const { return boost::accumulators::rolling_mean(reader_use_); }
+    double decode_utilization() const { return boost::accumulators::rolling_mean(runner_use_); }
 
     static constexpr Tenths kInterval = 5'000;
 
@@ -40,11 +40,11 @@
     using Mean = boost::accumulators::accumulator_set<
         double, boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>;
 
-    bool runners_can_spare(const StageSide& runners, const model::ServiceDemand& demand,
+    bool runners_can_spare(const StagePool& runners, const model::ServiceDemand& demand,
                            std::size_t step) const;
-    bool readers_can_spare(const StageSide& readers, std::size_t step) const;
+    bool readers_can_spare(const StagePool& readers, std::size_t step) const;
     bool may_change_to(model::Stage stage, Tenths now) const;
-    std::vector<StageChange> order(const StageSide& giving, const StageSide& taking, model::Stage to,
+    std::vector<StageChange> order(const StagePool& giving, const StagePool& taking, model::Stage to,
                                    std::size_t step, Tenths now);
 
     Tenths change_span_;
--- a/src/duties/stage_orders.cpp
+++ b/src/duties/stage_order_tracker.cpp
@@ -1,4 +1,4 @@
-#include "duties/stage_orders.hpp"
+#include "duties/stage_order_tracker.hpp"
 
 #include "base/planted_fault.hpp"
 
@@ -18,9 +18,9 @@
 OrderOutcome outcome_of_status(int status) {
     switch (status) {
     case 202:
-        return OrderOutcome::kTaken;
+        return OrderOutcome::kAccepted;
     case 200:
-        return OrderOutcome::kHolds;
+        return OrderOutcome::kAlreadyInStage;
     case 409:
         return OrderOutcome::kConflict;
     case 412:
@@ -32,24 +32,24 @@
     }
 }
 
-void StageOrders::sent(const StageOrder& order, Tenths now) {
+void StageOrderTracker::sent(const StageOrder& order, Tenths now) {
     ++counts_.sent;
     orders_[order.instance] = {order, true, now, now + kChangePatience};
 }
 
-void StageOrders::answered(const std::string& instance, OrderOutcome outcome, Tenths now) {
+void StageOrderTracker::answered(const std::string& instance, OrderOutcome outcome, Tenths now) {
     const auto found = orders_.find(instance);
     if (found == orders_.end()) return;
     Order& here = found->second;
     const auto rest = [&](std::uint64_t& count) {
         ++count;
-        here.may_be_under_way = false, here.until = now + kRest;
+        here.may_be_pending = false, here.until = now + kRest;
     };
     switch (outcome) {
-    case OrderOutcome::kTaken:
+    case OrderOutcome::kAccepted:
         ++counts_.taken;
         return;
-    case OrderOutcome::kHolds:
+    case OrderOutcome::kAlreadyInStage:
         ++counts_.taken;
         orders_.erase(found);
         return;
@@ -72,30 +72,30 @@
 
 // Done: it has the stage that was ordered. Not taken: long after it was sent the server reports as many
 // orders as before.
-void StageOrders::reported(const model::Load& load, Tenths now) {
+void StageOrderTracker::reported(const model::Load& load, Tenths now) {
     const auto found = orders_.find(load.instance);
-    if (found == orders_.end() || !found->second.may_be_under_way || load.changing) return;
+    if (found == orders_.end() || !found->second.may_be_pending || load.changing) return;
     Order& here = found->second;
     if (load.stage == here.order.stage) {
         orders_.erase(found);
-    } else if (here.order.expected_count == load.orders_taken && now - here.sent_at >= kReportLag) {
-        here.may_be_under_way = false, here.until = now + kRest;
+    } else if (here.order.expected_count == load.orders_accepted && now - here.sent_at >= kReportLag) {
+        here.may_be_pending = false, here.until = now + kRest;
     }
 }
 
-std::optional<model::Stage> StageOrders::under_way(const std::string& instance, Tenths now) const {
+std::optional<model::Stage> StageOrderTracker::pending_stage(const std::string& instance, Tenths now) const {
     const auto found = orders_.find(instance);
-    if (found == orders_.end() || !found->second.may_be_under_way || now >= found->second.until)
+    if (found == orders_.end() || !found->second.may_be_pending || now >= found->second.until)
         return std::nullopt;
     return found->second.order.stage;
 }
 
-bool StageOrders::rests(const std::string& instance, Tenths now) const {
+bool StageOrderTracker::is_backing_off(const std::string& instance, Tenths now) const {
     const auto found = orders_.find(instance);
     return found != orders_.end() && now < found->second.until;
 }
 
-bool StageOrders::is_fenced_off(std::uint64_t fence) const {
+bool StageOrderTracker::is_fenced_off(std::uint64_t fence) const {
     return fence <= fenced_off_ && !planted(PlantedFault::kFencedOffIgnored);
 }
 
--- a/src/duties/stage_orders.hpp
+++ b/src/duties/stage_order_tracker.hpp
@@ -20,18 +20,18 @@
 };
 
 enum class OrderOutcome : std::uint8_t {
-    kTaken,       // 202
-    kHolds,       // 200: it has that stage already
-    kConflict,    // 409: another order is under way, or the server has taken more of them
-    kFencedOff,   // 412: the server has seen a higher fence
-    kOtherServer, // 421: another server has the address
-    kRefused,     // 400, or any other answer
-    kNotSent,     // no byte of it left, or the holder could no longer act
-    kUnanswered   // it may have been taken
+    kAccepted,       // 202
+    kAlreadyInStage, // 200: it has that stage already
+    kConflict,       // 409: another order is under way, or the server has taken more of them
+    kFencedOff,      // 412: the server has seen a higher fence
+    kOtherServer,    // 421: another server has the address
+    kRefused,        // 400, or any other answer
+    kNotSent,        // no byte of it left, or the holder could no longer act
+    kUnanswered      // it may have been taken
 };
 OrderOutcome outcome_of_status(int status);
 
-class StageOrders {
+class StageOrderTracker {
   public:
     struct Counts {
         std::uint64_t sent = 0, taken = 0, conflicts = 0, fenced_off = 0, other_server = 0, refused = 0,
@@ -40,12 +40,12 @@
     void sent(const StageOrder& order, Tenths now);
     void answered(const std::string& instance, OrderOutcome outcome, Tenths now);
     void reported(const model::Load& load, Tenths now); // by the server itself
-    void gone(const std::string& instance) { orders_.erase(instance); }
+    void forget(const std::string& instance) { orders_.erase(instance); }
 
     // The stage that the server changes to, while it may be changing by an order from here.
-    std::optional<model::Stage> under_way(const std::string& instance, Tenths now) const;
+    std::optional<model::Stage> pending_stage(const std::string& instance, Tenths now) const;
     // It turned the last order down, or did not answer it: it is left alone for a while.
-    bool rests(const std::string& instance, Tenths now) const;
+    bool is_backing_off(const std::string& instance, Tenths now) const;
     // A server has seen a higher fence than this: whoever holds it must not act under it any more.
     bool is_fenced_off(std::uint64_t fence) const;
     const Counts& counts() const { return counts_; }
@@ -53,7 +53,7 @@
   private:
     struct Order {
         StageOrder order;
-        bool may_be_under_way = true;
+        bool may_be_pending = true;
         Tenths sent_at = 0;
         Tenths until = 0; // under way, or at rest, until then at the latest
     };
--- a/src/duties/stage_use.cpp
+++ b/src/duties/stage_utilization.cpp
@@ -1,4 +1,4 @@
-#include "duties/stage_use.hpp"
+#include "duties/stage_utilization.hpp"
 
 #include <algorithm>
 #include <map>
@@ -16,8 +16,8 @@
 
 } // namespace
 
-StageSide side_of(const std::vector<StagedServer>& servers, Stage stage) {
-    StageSide made;
+StagePool pool_of(const std::vector<StagedServer>& servers, Stage stage) {
+    StagePool made;
     std::map<std::string, std::size_t> zones;
     for (const StagedServer& server : servers) {
         if (server.stage != stage || !server.reported) continue;
@@ -30,23 +30,23 @@
     return made;
 }
 
-bool are_known(const std::vector<StagedServer>& servers) {
+bool has_enough_reports(const std::vector<StagedServer>& servers) {
     const auto reported = static_cast<double>(std::ranges::count_if(servers, &StagedServer::reported));
     return reported >= kReportedShare * static_cast<double>(servers.size()) && reported > 0;
 }
 
 // A reader reads one prompt after another: it is busy or not, and what waits comes on top.
-double use_of_readers(const StageSide& readers, const model::ServiceDemand& demand) {
+double utilization_of_prefill(const StagePool& readers, const model::ServiceDemand& demand) {
     double busy = 0;
     for (const StagedServer* server : readers.servers)
         busy += (server->running > 0 ? 1 : 0) + kWaitingWeight * server->waiting;
     const double use = readers.count() == 0 ? 0 : busy / static_cast<double>(readers.count());
-    const bool turns_away = demand.turned_away > kTurnedAwayShare * demand.requests;
+    const bool turns_away = demand.rejected > kTurnedAwayShare * demand.requests;
     return turns_away ? std::max(use, 1.0) : use;
 }
 
 // Of what the runners are shortest of: slots, links or memory.
-double use_of_runners(const StageSide& runners, const model::ServiceDemand& demand) {
+double utilization_of_decode(const StagePool& runners, const model::ServiceDemand& demand) {
     if (runners.count() == 0) return kNoneLeft;
     double taken = 0, memory = 0;
     for (const StagedServer* server : runners.servers) {
@@ -57,11 +57,12 @@
     return std::max({taken / std::max(1.0, runners.slots), demand.links_busy / count, memory / count});
 }
 
-double asked_of_runners(const StageSide& runners, const model::ServiceDemand& demand, std::size_t left) {
+double projected_decode_utilization(const StagePool& runners, const model::ServiceDemand& demand,
+                                    std::size_t left) {
     const auto count = static_cast<double>(std::max<std::size_t>(1, runners.count()));
     const double remaining = std::max(0.5, static_cast<double>(left));
     const double slots = runners.slots / count * remaining;
-    return std::max(demand.answers / std::max(1.0, slots), demand.links_asked / remaining);
+    return std::max(demand.answers / std::max(1.0, slots), demand.links_required / remaining);
 }
 
 } // namespace ivyrill::duties
--- a/src/duties/usage_tally.cpp
+++ b/src/duties/usage_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "duties/usage_tally.hpp"
+#include "duties/usage_aggregator.hpp"
 
 #include <algorithm>
 
@@ -16,27 +16,27 @@
 
 } // namespace
 
-bool UsageTally::is_far(const model::ProcessUsage& usage) const {
+bool UsageAggregator::is_far(const model::ProcessUsage& usage) const {
     const std::int64_t newest = (unix_ms_ + kAheadMs) / options_.window_ms;
     const std::int64_t oldest = (unix_ms_ - options_.kept_ms) / options_.window_ms;
     return usage.window > newest || usage.window < oldest || usage.counted_until_ms > unix_ms_ + kAheadMs;
 }
 
-bool UsageTally::is_acceptable(const model::ProcessUsage& usage) {
+bool UsageAggregator::is_acceptable(const model::ProcessUsage& usage) {
     const bool is_known = processes_.contains(usage.process);
-    if (!is_known && processes_.size() >= kMostProcesses) return ++refused_.processes, false;
+    if (!is_known && processes_.size() >= kMostProcesses) return ++rejected_.processes, false;
     if (is_known && processes_.at(usage.process).windows.size() >= kMostWindows &&
         !processes_.at(usage.process).windows.contains(usage.window))
-        return ++refused_.far_window, false;
-    if (unix_ms_ != 0 && is_far(usage)) return ++refused_.far_window, false;
+        return ++rejected_.far_window, false;
+    if (unix_ms_ != 0 && is_far(usage)) return ++rejected_.far_window, false;
     const auto is_a_count = [](std::int64_t count) { return count >= 0 && count <= kMostCount; };
     if (!is_a_count(usage.total) ||
         !std::ranges::all_of(usage.counts, is_a_count, &model::TenantCount::count))
-        return ++refused_.negative, false;
+        return ++rejected_.negative, false;
     return true;
 }
 
-void UsageTally::merge(const model::ProcessUsage& usage, Tenths now) {
+void UsageAggregator::merge(const model::ProcessUsage& usage, Tenths now) {
     if (!is_acceptable(usage)) return;
     Process& process = processes_[usage.process];
     process.ended = process.ended || usage.ended;
@@ -44,21 +44,21 @@
         process.counted_until_ms = usage.counted_until_ms, process.heard_at = now;
     Window& window = process.windows[usage.window];
     window.total = std::max(window.total, usage.total);
-    for (const model::TenantCount& told : usage.counts) {
-        auto known = window.counts.find(told.tenant);
+    for (const model::TenantCount& usage_of : usage.counts) {
+        auto known = window.counts.find(usage_of.tenant);
         if (known == window.counts.end()) {
             if (window.counts.size() >= kMostTenants) {
-                ++refused_.tenants;
+                ++rejected_.tenants;
                 continue;
             }
-            known = window.counts.emplace(told.tenant, 0).first;
+            known = window.counts.emplace(usage_of.tenant, 0).first;
         }
-        const std::int64_t more = std::max<std::int64_t>(0, told.count - known->second);
+        const std::int64_t more = std::max<std::int64_t>(0, usage_of.count - known->second);
         known->second += more, window.sum += more;
     }
 }
 
-std::map<std::string, std::int64_t> UsageTally::counts(std::int64_t window) const {
+std::map<std::string, std::int64_t> UsageAggregator::counts(std::int64_t window) const {
     std::map<std::string, std::int64_t> sums;
     for (const auto& [id, process] : processes_) {
         const auto found = process.windows.find(window);
@@ -69,7 +69,7 @@
     return sums;
 }
 
-bool UsageTally::is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const {
+bool UsageAggregator::is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const {
     if (advanced_since_ && now - *advanced_since_ < kLately) return false;
     return std::ranges::all_of(processes_, [&](const auto& entry) {
         const Process& process = entry.second;
@@ -81,7 +81,7 @@
     });
 }
 
-void UsageTally::advance(std::int64_t unix_ms, Tenths now) {
+void UsageAggregator::advance(std::int64_t unix_ms, Tenths now) {
     unix_ms_ = unix_ms;
     if (!advanced_since_) advanced_since_ = now;
     const std::int64_t oldest = (unix_ms_ - options_.kept_ms) / options_.window_ms;
@@ -92,8 +92,8 @@
     });
 }
 
-model::ProcessUsage UsageTally::told(std::uint64_t id, const Process& process, std::int64_t number,
-                                     const Window& window) {
+model::ProcessUsage UsageAggregator::usage_of(std::uint64_t id, const Process& process, std::int64_t number,
+                                              const Window& window) {
     model::ProcessUsage usage;
     usage.process = id, usage.window = number, usage.total = window.total;
     usage.counted_until_ms = process.counted_until_ms, usage.ended = process.ended;
@@ -101,14 +101,14 @@
     return usage;
 }
 
-std::vector<model::ProcessUsage> UsageTally::recent(std::int64_t span_ms) const {
+std::vector<model::ProcessUsage> UsageAggregator::recent(std::int64_t span_ms) const {
     std::vector<model::ProcessUsage> known;
     for (const auto& [id, process] : processes_) append_recent(id, process, span_ms, known);
     return known;
 }
 
-std::vector<model::ProcessUsage> UsageTally::recent_of(const std::vector<std::uint64_t>& processes,
-                                                       std::int64_t span_ms) const {
+std::vector<model::ProcessUsage> UsageAggregator::recent_from(const std::vector<std::uint64_t>& processes,
+                                                              std::int64_t span_ms) const {
     std::vector<model::ProcessUsage> known;
     for (const std::uint64_t id : processes)
         if (const auto found = processes_.find(id); found != processes_.end())
@@ -116,14 +116,14 @@
     return known;
 }
 
-void UsageTally::append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
-                               std::vector<model::ProcessUsage>& into) const {
+void UsageAggregator::append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
+                                    std::vector<model::ProcessUsage>& into) const {
     const std::int64_t oldest = (unix_ms_ - span_ms) / options_.window_ms;
     for (auto next = process.windows.lower_bound(oldest); next != process.windows.end(); ++next)
-        into.push_back(told(id, process, next->first, next->second));
+        into.push_back(usage_of(id, process, next->first, next->second));
 }
 
-bool UsageTally::lacks(std::uint64_t process, std::int64_t window) const {
+bool UsageAggregator::is_missing_counts(std::uint64_t process, std::int64_t window) const {
     const auto known = processes_.find(process);
     if (known == processes_.end()) return false;
     const auto found = known->second.windows.find(window);
--- a/src/duties/usage_tally.hpp
+++ b/src/duties/usage_aggregator.hpp
@@ -13,20 +13,20 @@
 
 namespace ivyrill::duties {
 
-class UsageTally {
+class UsageAggregator {
   public:
     struct Options {
         std::int64_t window_ms = 5000;
         std::int64_t kept_ms = 60'000; // windows that ended longer ago are forgotten
     };
     // Entries that were passed over, by cause; they change nothing.
-    struct Refused {
+    struct Rejected {
         std::uint64_t far_window = 0; // older than is kept, or yet to come
         std::uint64_t tenants = 0;    // more in one window of one process than there may be
         std::uint64_t processes = 0;  // more than there may be
         std::uint64_t negative = 0;   // a count below zero, or one that no process reaches
     };
-    explicit UsageTally(Options options) : options_(options) {}
+    explicit UsageAggregator(Options options) : options_(options) {}
 
     void merge(const model::ProcessUsage& usage, Tenths now);
     // By tenant, over all processes; tenants without any are left out.
@@ -40,11 +40,11 @@
     void advance(std::int64_t unix_ms, Tenths now);
     // All that is known of windows that ended no longer ago than `span_ms`.
     std::vector<model::ProcessUsage> recent(std::int64_t span_ms) const;
-    std::vector<model::ProcessUsage> recent_of(const std::vector<std::uint64_t>& processes,
-                                               std::int64_t span_ms) const;
+    std::vector<model::ProcessUsage> recent_from(const std::vector<std::uint64_t>& processes,
+                                                 std::int64_t span_ms) const;
     // Whether a process has told of more in a window than has come here.
-    bool lacks(std::uint64_t process, std::int64_t window) const;
-    const Refused& refused() const { return refused_; }
+    bool is_missing_counts(std::uint64_t process, std::int64_t window) const;
+    const Rejected& rejected() const { return rejected_; }
 
   private:
     struct Window {
@@ -59,8 +59,8 @@
     };
     bool is_far(const model::ProcessUsage& usage) const;
     bool is_acceptable(const model::ProcessUsage& usage);
-    static model::ProcessUsage told(std::uint64_t id, const Process& process, std::int64_t number,
-                                    const Window& window);
+    static model::ProcessUsage usage_of(std::uint64_t id, const Process& process, std::int64_t number,
+                                        const Window& window);
     void append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
                        std::vector<model::ProcessUsage>& into) const;
 
@@ -68,7 +68,7 @@
     std::map<std::uint64_t, Process> processes_;
     std::int64_t unix_ms_ = 0; // 0: not known yet
     std::optional<Tenths> advanced_since_;
-    Refused refused_;
+    Rejected rejected_;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/usage_ledger.cpp
+++ b/src/duties/usage_ledger.cpp
@@ -17,14 +17,14 @@
 
 std::size_t bytes_of(const UsageLedger& ledger) {
     std::size_t bytes = 0;
-    for (const AgreedWindow& window : ledger.agreed) bytes += window.body.size();
+    for (const CommittedWindow& window : ledger.committed) bytes += window.body.size();
     return bytes;
 }
 
 bool is_due(std::int64_t window, const clock::FleetTime& now, std::int64_t window_ms,
-            const UsageSources& sources, CountsDue counts) {
+            const UsageSources& sources, CountRequirement counts) {
     const std::int64_t end_ms = (window + 1) * window_ms;
-    if (counts == CountsDue::kAsHeard && now.unix_ms >= end_ms + kPatienceMs) return true;
+    if (counts == CountRequirement::kAllowPartial && now.unix_ms >= end_ms + kPatienceMs) return true;
     return now.unix_ms - now.error_ms >= end_ms + kLeastAgeMs && sources.is_complete(window, end_ms);
 }
 
@@ -43,23 +43,24 @@
 
 std::optional<UsageLedger> next_ledger(const UsageLedger& ledger, const clock::FleetTime& now,
                                        std::int64_t window_ms, const UsageSources& sources,
-                                       const std::set<std::int64_t>& settled, CountsDue counts) {
+                                       const std::set<std::int64_t>& settled, CountRequirement counts) {
     // The window in which it is, where the clock is ahead as far as it may be.
     if (ledger.next_window == 0) return UsageLedger{(now.unix_ms - now.error_ms) / window_ms, {}};
     UsageLedger next = ledger;
-    std::erase_if(next.agreed, [&](const AgreedWindow& window) { return settled.contains(window.number); });
+    std::erase_if(next.committed,
+                  [&](const CommittedWindow& window) { return settled.contains(window.number); });
     if (planted(PlantedFault::kAgreedOnChanged))
-        for (AgreedWindow& window : next.agreed)
+        for (CommittedWindow& window : next.committed)
             window.body = usage_body(window.number, sources.counts(window.number));
     if (planted(PlantedFault::kWindowLeftOut))
         next.next_window = std::max(next.next_window, now.unix_ms / window_ms - 2);
     std::size_t bytes = bytes_of(next);
     for (std::size_t added = 0; added < kMostNewWindows; ++added) {
-        const bool is_full = next.agreed.size() >= kMostAgreedWindows || bytes >= kMostLedgerBytes;
+        const bool is_full = next.committed.size() >= kMaxCommittedWindows || bytes >= kMaxLedgerBytes;
         if (is_full || !is_due(next.next_window, now, window_ms, sources, counts)) break;
         std::string body = usage_body(next.next_window, sources.counts(next.next_window));
         bytes += body.size();
-        next.agreed.push_back({next.next_window++, std::move(body)});
+        next.committed.push_back({next.next_window++, std::move(body)});
     }
     if (next.next_window == ledger.next_window) return std::nullopt;
     return next;
--- a/src/duties/usage_ledger.hpp
+++ b/src/duties/usage_ledger.hpp
@@ -16,22 +16,22 @@
 
 namespace ivyrill::duties {
 
-struct AgreedWindow {
+struct CommittedWindow {
     std::int64_t number = 0; // k starts k windows after the start of 1970
     std::string body;        // of its report, byte for byte
     template <class Self> static auto tie(Self& s) { return std::tie(s.number, s.body); }
-    friend bool operator==(const AgreedWindow&, const AgreedWindow&) = default;
+    friend bool operator==(const CommittedWindow&, const CommittedWindow&) = default;
 };
 
 struct UsageLedger {
-    std::int64_t next_window = 0;     // to agree on; 0: not begun
-    std::vector<AgreedWindow> agreed; // and not known to be acknowledged, oldest first
-    template <class Self> static auto tie(Self& s) { return std::tie(s.next_window, s.agreed); }
+    std::int64_t next_window = 0;           // to agree on; 0: not begun
+    std::vector<CommittedWindow> committed; // and not known to be acknowledged, oldest first
+    template <class Self> static auto tie(Self& s) { return std::tie(s.next_window, s.committed); }
     friend bool operator==(const UsageLedger&, const UsageLedger&) = default;
 };
 
-inline constexpr std::size_t kMostAgreedWindows = 64;
-inline constexpr std::size_t kMostLedgerBytes = 1 << 20; // of bodies; one window always has room
+inline constexpr std::size_t kMaxCommittedWindows = 64;
+inline constexpr std::size_t kMaxLedgerBytes = 1 << 20; // of bodies; one window always has room
 
 struct UsageSources {
     // Whether every process that counts has told of all until the window's end, in ms since 1970.
@@ -43,13 +43,13 @@
 std::string usage_body(std::int64_t window, const std::map<std::string, std::int64_t>& counts);
 
 // With which counts a window is agreed on: with all of them, or after some patience with those that came.
-enum class CountsDue { kAsHeard, kComplete };
+enum class CountRequirement { kAllowPartial, kComplete };
 
 // The ledger that should follow, without what is `settled` (by window: acknowledged, or given up); none where
 // there is nothing to agree on. `window_ms`: the length of a window.
 std::optional<UsageLedger> next_ledger(const UsageLedger& ledger, const clock::FleetTime& now,
                                        std::int64_t window_ms, const UsageSources& sources,
                                        const std::set<std::int64_t>& settled,
-                                       CountsDue counts = CountsDue::kAsHeard);
+                                       CountRequirement counts = CountRequirement::kAllowPartial);
 
 } // namespace ivyrill::duties
--- a/src/feed/feed_log.cpp
+++ b/src/feed/feed_log.cpp
@@ -15,18 +15,20 @@
     std::string operator()(const model::Configuration&) const { return "configuration"; }
     std::string operator()(const ConfigurationChange&) const { return "configuration"; }
     std::string operator()(const model::Instance& instance) const { return "instance " + instance.id; }
-    std::string operator()(const Forgotten& forgotten) const { return "instance " + forgotten.instance; }
+    std::string operator()(const InstanceRemoved& forgotten) const {
+        return "instance " + forgotten.instance;
+    }
     std::string operator()(const model::Load& load) const { return "load " + load.instance; }
     std::string operator()(const EdgeNodes&) const { return "edge nodes"; }
     std::string operator()(const ControlNodes&) const { return "control nodes"; }
     std::string operator()(const StageOrdered& ordered) const { return "order " + ordered.instance; }
 };
 
-bool same_place(const model::Route& a, const model::Route& b) {
+bool same_route_key(const model::Route& a, const model::Route& b) {
     return a.host == b.host && a.path_prefix == b.path_prefix;
 }
 
-std::string place_of(const model::Route& route) { return route.host + " " + route.path_prefix; }
+std::string route_key(const model::Route& route) { return route.host + " " + route.path_prefix; }
 
 using Tenants = std::vector<model::Tenant>;
 
@@ -47,11 +49,11 @@
 template <class Named>
 void apply_by_name(std::vector<Named>& to, const std::vector<Named>& changed,
                    const std::vector<std::string>& removed) {
-    std::map<std::string, std::size_t> places;
-    for (std::size_t i = 0; i < to.size(); ++i) places[to[i].name] = i;
+    std::map<std::string, std::size_t> indices;
+    for (std::size_t i = 0; i < to.size(); ++i) indices[to[i].name] = i;
     for (const Named& item : changed) {
-        const auto known = places.find(item.name);
-        if (known == places.end())
+        const auto known = indices.find(item.name);
+        if (known == indices.end())
             to.push_back(item);
         else
             to[known->second] = item;
@@ -69,12 +71,12 @@
         last_change_.reset();
         if (before != nullptr) last_change_ = difference(*before, *configuration);
     }
-    const auto* forgotten = std::get_if<Forgotten>(&item);
+    const auto* forgotten = std::get_if<InstanceRemoved>(&item);
     if (forgotten != nullptr) bound_forgotten(forgotten->instance);
     erase(key);
-    ++place_;
-    order_[place_] = key;
-    items_[key] = {place_, std::move(item)};
+    ++sequence_;
+    order_[sequence_] = key;
+    items_[key] = {sequence_, std::move(item)};
 }
 
 // That an instance is forgotten is itself remembered for a while only: whoever was away for longer takes a
@@ -85,14 +87,14 @@
     const std::string oldest = std::move(forgotten_.front());
     forgotten_.pop_front();
     const auto known = items_.find("instance " + oldest);
-    if (known != items_.end() && std::holds_alternative<Forgotten>(known->second.item))
+    if (known != items_.end() && std::holds_alternative<InstanceRemoved>(known->second.item))
         forget_instance(oldest);
 }
 
 void FeedLog::erase(const std::string& key) {
     const auto known = items_.find(key);
     if (known == items_.end()) return;
-    order_.erase(known->second.place);
+    order_.erase(known->second.sequence);
     items_.erase(known);
 }
 
@@ -100,19 +102,19 @@
     for (const std::string& key : {"instance " + id, "load " + id, "order " + id}) {
         const auto known = items_.find(key);
         if (known == items_.end()) continue;
-        oldest_ = std::max(oldest_, known->second.place);
+        oldest_ = std::max(oldest_, known->second.sequence);
         erase(key);
     }
 }
 
-std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t place) const {
-    return since(place, false);
+std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t sequence) const {
+    return since(sequence, false);
 }
 
-std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t place, bool whole) const {
-    if (!whole && (place < oldest_ || place > place_)) return std::nullopt;
+std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t sequence, bool whole) const {
+    if (!whole && (sequence < oldest_ || sequence > sequence_)) return std::nullopt;
     std::vector<const Item*> items;
-    for (auto next = order_.upper_bound(place); next != order_.end(); ++next)
+    for (auto next = order_.upper_bound(sequence); next != order_.end(); ++next)
         items.push_back(&items_.at(next->second).item);
     return items;
 }
@@ -132,13 +134,13 @@
     ConfigurationChange change;
     change.base_version = from.version, change.version = to.version, change.limits = to.limits;
     std::map<std::string, const model::Route*> before;
-    for (const model::Route& route : from.routes) before[place_of(route)] = &route;
+    for (const model::Route& route : from.routes) before[route_key(route)] = &route;
     for (const model::Route& route : to.routes) {
-        const auto known = before.find(place_of(route));
+        const auto known = before.find(route_key(route));
         if (known == before.end() || *known->second != route) change.routes.push_back(route);
         if (known != before.end()) before.erase(known);
     }
-    for (const auto& [place, route] : before) {
+    for (const auto& [key, route] : before) {
         model::Route removed;
         removed.host = route->host, removed.path_prefix = route->path_prefix;
         change.removed_routes.push_back(removed);
@@ -156,18 +158,18 @@
     if (from.version != change.base_version) return std::nullopt;
     model::Configuration to = from;
     to.version = change.version, to.limits = change.limits;
-    std::map<std::string, std::size_t> places;
-    for (std::size_t i = 0; i < to.routes.size(); ++i) places[place_of(to.routes[i])] = i;
+    std::map<std::string, std::size_t> indices;
+    for (std::size_t i = 0; i < to.routes.size(); ++i) indices[route_key(to.routes[i])] = i;
     for (const model::Route& route : change.routes) {
-        const auto known = places.find(place_of(route));
-        if (known == places.end())
+        const auto known = indices.find(route_key(route));
+        if (known == indices.end())
             to.routes.push_back(route);
         else
             to.routes[known->second] = route;
     }
     std::erase_if(to.routes, [&](const model::Route& route) {
         return std::ranges::any_of(change.removed_routes,
-                                   [&](const auto& gone) { return same_place(gone, route); });
+                                   [&](const auto& gone) { return same_route_key(gone, route); });
     });
     apply_by_name(to.services, change.services, change.removed_services);
     if (!change.has_tenants) {
--- a/src/feed/feed_log.hpp
+++ b/src/feed/feed_log.hpp
@@ -14,15 +14,15 @@
 
 class FeedLog {
   public:
-    explicit FeedLog(std::uint64_t feed) : feed_(feed) {}
-    std::uint64_t feed() const { return feed_; } // drawn by the publisher when it starts; never 0
-    std::uint64_t place() const { return place_; }
+    explicit FeedLog(std::uint64_t feed_id) : feed_id_(feed_id) {}
+    std::uint64_t feed_id() const { return feed_id_; } // drawn by the publisher when it starts; never 0
+    std::uint64_t sequence() const { return sequence_; }
 
     void put(Item item); // ConfigurationChange is never put: it is derived
     void forget_instance(const std::string& id);
     // The items after a place, in order, until the log is changed; nothing where it no longer reaches back so
     // far.
-    std::optional<std::vector<const Item*>> since(std::uint64_t place) const;
+    std::optional<std::vector<const Item*>> since(std::uint64_t sequence) const;
     std::vector<const Item*> snapshot() const { return *since(0, true); }
     const model::Configuration* configuration() const;
     // The step from that version to the present one as an item, where it is the last one; else null.
@@ -30,14 +30,14 @@
 
   private:
     struct Kept {
-        std::uint64_t place = 0;
+        std::uint64_t sequence = 0;
         Item item;
     };
-    std::optional<std::vector<const Item*>> since(std::uint64_t place, bool whole) const;
+    std::optional<std::vector<const Item*>> since(std::uint64_t sequence, bool whole) const;
     void erase(const std::string& key);
     void bound_forgotten(const std::string& instance);
 
-    std::uint64_t feed_, place_ = 0, oldest_ = 0; // one may go on from `oldest_` or later
+    std::uint64_t feed_id_, sequence_ = 0, oldest_ = 0; // one may go on from `oldest_` or later
     std::map<std::string, Kept> items_;
     std::map<std::uint64_t, std::string> order_; // place to key
     std::deque<std::string> forgotten_;          // instances, oldest first
--- a/src/feed/flush_plan.hpp
+++ b/src/feed/flush_plan.hpp
@@ -10,19 +10,19 @@
 
 class FlushPlan {
   public:
-    FlushPlan(Tenths least_gap, Tenths delay) : least_gap_(least_gap), delay_(delay) {}
+    FlushPlan(Tenths min_interval, Tenths delay) : min_interval_(min_interval), delay_(delay) {}
     // After an item came; never later than what was planned before.
-    Tenths due(bool urgent, Tenths now) {
+    Tenths schedule(bool urgent, Tenths now) {
         Tenths at = urgent ? now : now + delay_;
-        if (urgent && last_) at = std::max(at, *last_ + least_gap_);
-        due_ = due_ ? std::min(*due_, at) : at;
-        return *due_;
+        if (urgent && last_flush_) at = std::max(at, *last_flush_ + min_interval_);
+        next_flush_ = next_flush_ ? std::min(*next_flush_, at) : at;
+        return *next_flush_;
     }
-    void flushed(Tenths now) { last_ = now, due_.reset(); }
+    void flushed(Tenths now) { last_flush_ = now, next_flush_.reset(); }
 
   private:
-    Tenths least_gap_, delay_;
-    std::optional<Tenths> last_, due_;
+    Tenths min_interval_, delay_;
+    std::optional<Tenths> last_flush_, next_flush_;
 };
 
 } // namespace ivyrill::feed
--- a/src/feed/instance_table.cpp
+++ b/src/feed/instance_table.cpp
@@ -66,7 +66,7 @@
     records_.erase(known);
 }
 
-std::vector<std::uint64_t> InstanceTable::differing(const Digests& mine, const Digests& theirs) {
+std::vector<std::uint64_t> InstanceTable::differing_ranges(const Digests& mine, const Digests& theirs) {
     std::vector<std::uint64_t> ranges;
     for (std::size_t range = 0; range < kDigestRanges; ++range) {
         const std::uint64_t here = range < mine.ranges.size() ? mine.ranges[range] : 0;
@@ -76,7 +76,7 @@
     return ranges;
 }
 
-std::vector<Instance> InstanceTable::in_ranges(const std::vector<std::uint64_t>& ranges) const {
+std::vector<Instance> InstanceTable::records_in_ranges(const std::vector<std::uint64_t>& ranges) const {
     std::vector<Instance> found;
     for (const auto& [id, record] : records_)
         if (std::ranges::find(ranges, range_of(id)) != ranges.end()) found.push_back(record);
@@ -88,7 +88,7 @@
     gone_since_.erase(id);
 }
 
-std::vector<std::string> InstanceTable::forget_gone(Tenths span, Tenths now) {
+std::vector<std::string> InstanceTable::remove_expired(Tenths span, Tenths now) {
     std::vector<std::string> forgotten;
     for (auto next = gone_since_.begin(); next != gone_since_.end();) {
         const auto here = next++;
--- a/src/feed/instance_table.hpp
+++ b/src/feed/instance_table.hpp
@@ -22,12 +22,12 @@
 
     const Digests& digests() const { return digests_; } // of the records that aren't gone
     static std::size_t range_of(const std::string& id);
-    static std::vector<std::uint64_t> differing(const Digests& mine, const Digests& theirs);
+    static std::vector<std::uint64_t> differing_ranges(const Digests& mine, const Digests& theirs);
     std::vector<model::Instance>
-    in_ranges(const std::vector<std::uint64_t>& ranges) const; // with those that are gone
+    records_in_ranges(const std::vector<std::uint64_t>& ranges) const; // with those that are gone
     void forget(const std::string& id);
     // Forgets what has been gone for longer than `span`; returns the ids.
-    std::vector<std::string> forget_gone(Tenths span, Tenths now);
+    std::vector<std::string> remove_expired(Tenths span, Tenths now);
 
   private:
     void count(const model::Instance& record); // into the digests, and out of them
--- a/src/feed/messages.cpp
+++ b/src/feed/messages.cpp
@@ -21,8 +21,8 @@
     out.list(2); // a variant: its index and what it holds
     out.unsigned_number(index_of<Batch>());
     out.list(std::tuple_size_v<decltype(Batch::tie(std::declval<Batch&>()))>);
-    out.unsigned_number(batch.feed);
-    out.unsigned_number(batch.place);
+    out.unsigned_number(batch.feed_id);
+    out.unsigned_number(batch.sequence);
     out.flag(batch.snapshot);
     out.list(batch.items.size());
     for (const Item* item : batch.items) wire::encode(out, *item);
--- a/src/feed/messages.hpp
+++ b/src/feed/messages.hpp
@@ -16,10 +16,10 @@
 
 // Names one question of one process, so that its answer is taken by that process alone: a process that
 // starts anew at the same address counts from 1 again, but draws another incarnation.
-struct CallId {
+struct RequestId {
     std::uint64_t incarnation = 0, number = 0; // number 0: no answer is wanted
     template <class Self> static auto tie(Self& s) { return std::tie(s.incarnation, s.number); }
-    friend auto operator<=>(const CallId&, const CallId&) = default;
+    friend auto operator<=>(const RequestId&, const RequestId&) = default;
 };
 
 // Items of a feed; each replaces what was there under its key.
@@ -50,20 +50,22 @@
                         s.limits, s.has_tenants, s.tenants, s.removed_tenants);
     }
 };
-struct Forgotten { // an instance that the publisher no longer knows of; it may be told of again
+struct InstanceRemoved { // an instance that the publisher no longer knows of; it may be told of again
     std::string instance;
     template <class Self> static auto tie(Self& s) { return std::tie(s.instance); }
-    friend bool operator==(const Forgotten&, const Forgotten&) = default;
+    friend bool operator==(const InstanceRemoved&, const InstanceRemoved&) = default;
 };
 struct StageOrdered { // a server has taken an order and is changing until it reports that count, or more
     std::string instance;
     model::Stage stage = model::Stage::kNone; // that it is to have
-    std::int64_t orders_taken = 0;
-    template <class Self> static auto tie(Self& s) { return std::tie(s.instance, s.stage, s.orders_taken); }
+    std::int64_t orders_accepted = 0;
+    template <class Self> static auto tie(Self& s) {
+        return std::tie(s.instance, s.stage, s.orders_accepted);
+    }
     friend bool operator==(const StageOrdered&, const StageOrdered&) = default;
 };
-using Item = std::variant<model::Configuration, ConfigurationChange, model::Instance, Forgotten, model::Load,
-                          EdgeNodes, ControlNodes, StageOrdered>;
+using Item = std::variant<model::Configuration, ConfigurationChange, model::Instance, InstanceRemoved,
+                          model::Load, EdgeNodes, ControlNodes, StageOrdered>;
 
 // How many ranges of instances are compared by digest; an instance's range follows from its id.
 inline constexpr std::size_t kDigestRanges = 32;
@@ -75,17 +77,17 @@
 // Subscriber to publisher.
 struct Subscribe { // the first message on a link of a feed
     model::EdgeNode node;
-    std::uint64_t feed = 0, place = 0; // where to go on; feed 0: from a snapshot
+    std::uint64_t feed_id = 0, sequence = 0; // where to go on; feed 0: from a snapshot
     std::int64_t configuration_version = 0;
     Digests instances;
     template <class Self> static auto tie(Self& s) {
-        return std::tie(s.node, s.feed, s.place, s.configuration_version, s.instances);
+        return std::tie(s.node, s.feed_id, s.sequence, s.configuration_version, s.instances);
     }
 };
 struct Instances { // records of the ranges that were asked for
     std::vector<model::Instance> records;
     bool last = true;
-    CallId answers; // between control nodes: the WantRanges that it answers
+    RequestId answers; // between control nodes: the RangeRequest that it answers
     template <class Self> static auto tie(Self& s) { return std::tie(s.records, s.last, s.answers); }
 };
 struct Loads { // what a reader has read
@@ -97,12 +99,12 @@
     template <class Self> static auto tie(Self& s) { return std::tie(s.demands); }
 };
 struct Heartbeat {
-    std::uint64_t place = 0; // of the publisher, or that the subscriber has applied
+    std::uint64_t sequence = 0; // of the publisher, or that the subscriber has applied
     // The fleet's time as the publisher knows it, or the subscriber's own time of day. Milliseconds since the
     // start of 1970; 0: not told.
     std::int64_t unix_ms = 0;
     std::int64_t error_ms = 0; // of the fleet's time
-    template <class Self> static auto tie(Self& s) { return std::tie(s.place, s.unix_ms, s.error_ms); }
+    template <class Self> static auto tie(Self& s) { return std::tie(s.sequence, s.unix_ms, s.error_ms); }
 };
 struct UsageCounts { // of processes, on their way to all control nodes; also between these
     std::vector<model::ProcessUsage> counts;
@@ -110,24 +112,26 @@
 };
 
 // Publisher to subscriber.
-struct WantRanges { // the subscriber's, or a peer's, records of these ranges differ: send them as Instances
+struct RangeRequest { // the subscriber's, or a peer's, records of these ranges differ: send them as Instances
     std::vector<std::uint64_t> ranges;
-    CallId id; // between control nodes
+    RequestId id; // between control nodes
     template <class Self> static auto tie(Self& s) { return std::tie(s.ranges, s.id); }
 };
 // As a publisher writes a Batch: the same bytes, of items that stay where they are.
 struct BatchView {
-    std::uint64_t feed = 0, place = 0;
+    std::uint64_t feed_id = 0, sequence = 0;
     bool snapshot = false;
     std::vector<const Item*> items;
 };
-struct Batch {                         // applied whole
-    std::uint64_t feed = 0, place = 0; // place after it
-    bool snapshot = false;             // replaces everything that was known
+struct Batch {                               // applied whole
+    std::uint64_t feed_id = 0, sequence = 0; // place after it
+    bool snapshot = false;                   // replaces everything that was known
     std::vector<Item> items;
-    template <class Self> static auto tie(Self& s) { return std::tie(s.feed, s.place, s.snapshot, s.items); }
+    template <class Self> static auto tie(Self& s) {
+        return std::tie(s.feed_id, s.sequence, s.snapshot, s.items);
+    }
 };
-struct Refused { // this publisher can't serve now; the subscriber goes elsewhere
+struct SubscriptionRefused { // this publisher can't serve now; the subscriber goes elsewhere
     std::string reason;
     template <class Self> static auto tie(Self& s) { return std::tie(s.reason); }
 };
@@ -162,37 +166,38 @@
                         s.session_clocks);
     }
 };
-struct Heard { // instances whose heartbeats came here since this was last told, though this node is not the
-               // owner
+struct HeartbeatsSeen { // instances whose heartbeats came here since this was last told, though this node is
+                        // not the
+                        // owner
     std::vector<std::string> instances;
     template <class Self> static auto tie(Self& s) { return std::tie(s.instances); }
 };
 struct Replicate { // merge, make durable, then acknowledge, where an answer is wanted
-    CallId id;
+    RequestId id;
     std::vector<model::Instance> instances;
     std::vector<model::Load> loads;
     template <class Self> static auto tie(Self& s) { return std::tie(s.id, s.instances, s.loads); }
 };
-struct Ordered { // what a holder has ordered, for all nodes
+struct StageOrderNotice { // what a holder has ordered, for all nodes
     std::vector<StageOrdered> orders;
     template <class Self> static auto tie(Self& s) { return std::tie(s.orders); }
 };
-struct WantUsage { // all that the peer has of these processes: something of it did not come here
+struct UsageRequest { // all that the peer has of these processes: something of it did not come here
     std::vector<std::uint64_t> processes;
     template <class Self> static auto tie(Self& s) { return std::tie(s.processes); }
 };
 struct Replicated { // the records are on this node's disk
-    CallId id;
+    RequestId id;
     template <class Self> static auto tie(Self& s) { return std::tie(s.id); }
 };
 // An operator's call that another control node has to decide.
 struct ForwardedCall {
-    CallId id;
+    RequestId id;
     std::string method, if_match, body;
     template <class Self> static auto tie(Self& s) { return std::tie(s.id, s.method, s.if_match, s.body); }
 };
 struct ForwardedAnswer {
-    CallId id;
+    RequestId id;
     std::int64_t status = 0;
     std::string body;
     template <class Self> static auto tie(Self& s) { return std::tie(s.id, s.status, s.body); }
@@ -205,9 +210,10 @@
     template <class Self> static auto tie(Self& s) { return std::tie(s.part, s.message); }
 };
 
-using Message = std::variant<Subscribe, Instances, Loads, Demands, Heartbeat, WantRanges, Batch, Refused,
-                             PeerHello, PeerStatus, Heard, Replicate, Ordered, Replicated, ForwardedCall,
-                             ForwardedAnswer, consensus::Message, DutyMessage, UsageCounts, WantUsage>;
+using Message =
+    std::variant<Subscribe, Instances, Loads, Demands, Heartbeat, RangeRequest, Batch, SubscriptionRefused,
+                 PeerHello, PeerStatus, HeartbeatsSeen, Replicate, StageOrderNotice, Replicated,
+                 ForwardedCall, ForwardedAnswer, consensus::Message, DutyMessage, UsageCounts, UsageRequest>;
 
 // The bytes of Message{Batch{...}}.
 std::string to_bytes(const BatchView& batch);
--- a/src/feed/publisher.cpp
+++ b/src/feed/publisher.cpp
@@ -22,7 +22,7 @@
 
 Publisher::Publisher(transport::Reactor& reactor, FeedLog& log, Options options, Callbacks callbacks)
     : reactor_(reactor), log_(log), options_(options), callbacks_(std::move(callbacks)),
-      plan_(options.least_gap, options.load_delay) {
+      plan_(options.min_flush_interval, options.batch_delay) {
     if (options_.heartbeat > 0) beat();
 }
 
@@ -31,7 +31,7 @@
     reactor_.cancel(beat_timer_);
 }
 
-void Publisher::take(const AcceptedLink& connection) {
+void Publisher::accept(const AcceptedLink& connection) {
     const std::uint64_t id = ++count_;
     Link::Callbacks callbacks;
     callbacks.received = [this, id](Message message) { received(id, std::move(message)); };
@@ -71,7 +71,7 @@
     Subscriber& subscriber = subscribers_.at(id);
     if (callbacks_.refuse) {
         if (const auto reason = callbacks_.refuse()) {
-            subscriber.link->send(Refused{*reason});
+            subscriber.link->send(SubscriptionRefused{*reason});
             return;
         }
     }
@@ -81,17 +81,17 @@
     }
     const bool fresh = !std::exchange(subscriber.subscribed, true);
     subscriber.node = std::move(message.node);
-    subscriber.feed = message.feed, subscriber.place = message.place;
+    subscriber.feed_id = message.feed_id, subscriber.sequence = message.sequence;
     subscriber.configuration_version = message.configuration_version;
     if (fresh) {
-        log_line("session_up", {{"node", subscriber.node.name}, {"place", std::to_string(message.place)}});
+        log_line("session_up", {{"node", subscriber.node.name}, {"place", std::to_string(message.sequence)}});
         if (callbacks_.sessions_changed) callbacks_.sessions_changed();
     }
     if (callbacks_.digests) {
-        auto ranges = InstanceTable::differing(callbacks_.digests(), message.instances);
+        auto ranges = InstanceTable::differing_ranges(callbacks_.digests(), message.instances);
         if (!ranges.empty() && !message.instances.ranges.empty()) {
             subscriber.waits_for_records = true;
-            subscriber.link->send(WantRanges{std::move(ranges), {}});
+            subscriber.link->send(RangeRequest{std::move(ranges), {}});
             return;
         }
     }
@@ -99,7 +99,7 @@
     tell_time_to(id);
 }
 
-void Publisher::serve_waiting() {
+void Publisher::serve_deferred() {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, subscriber] : subscribers_)
         if (subscriber.waits) ids.push_back(id);
@@ -113,33 +113,33 @@
 }
 
 void Publisher::bring_up_to_date(Subscriber& subscriber) {
-    auto items = subscriber.feed == log_.feed() ? log_.since(subscriber.place) : std::nullopt;
-    subscriber.feed = log_.feed();
+    auto items = subscriber.feed_id == log_.feed_id() ? log_.since(subscriber.sequence) : std::nullopt;
+    subscriber.feed_id = log_.feed_id();
     if (!items) return send_snapshot(subscriber);
-    send_batch(subscriber, {log_.feed(), log_.place(), false, std::move(*items)});
+    send_batch(subscriber, {log_.feed_id(), log_.sequence(), false, std::move(*items)});
 }
 
 // Many nodes may start together, and a snapshot of a large fleet takes long to encode: it is encoded once for
 // them.
 void Publisher::send_snapshot(Subscriber& subscriber) {
     const bool is_young = !snapshot_.empty() && reactor_.now() - snapshot_at_ < kSnapshotAge;
-    if (!is_young || !log_.since(snapshot_place_)) {
+    if (!is_young || !log_.since(snapshot_sequence_)) {
         const model::Configuration* configuration = log_.configuration();
-        snapshot_ = wire::frame(to_bytes(BatchView{log_.feed(), log_.place(), true, log_.snapshot()}));
-        snapshot_place_ = log_.place(), snapshot_at_ = reactor_.now();
+        snapshot_ = wire::frame(to_bytes(BatchView{log_.feed_id(), log_.sequence(), true, log_.snapshot()}));
+        snapshot_sequence_ = log_.sequence(), snapshot_at_ = reactor_.now();
         snapshot_version_ = configuration == nullptr ? 0 : configuration->version;
     }
-    subscriber.place = snapshot_place_, subscriber.configuration_version = snapshot_version_;
+    subscriber.sequence = snapshot_sequence_, subscriber.configuration_version = snapshot_version_;
     subscriber.last_sent = reactor_.now();
     if (!subscriber.link->send_frame(snapshot_)) return; // the subscriber is gone with its link
-    if (snapshot_place_ == log_.place()) return;
-    if (auto later = log_.since(snapshot_place_))
-        send_batch(subscriber, {log_.feed(), log_.place(), false, std::move(*later)});
+    if (snapshot_sequence_ == log_.sequence()) return;
+    if (auto later = log_.since(snapshot_sequence_))
+        send_batch(subscriber, {log_.feed_id(), log_.sequence(), false, std::move(*later)});
 }
 
 void Publisher::send_batch(Subscriber& subscriber, BatchView batch) {
     subscriber.configuration_version = shorten_configuration(batch, subscriber.configuration_version);
-    subscriber.place = batch.place;
+    subscriber.sequence = batch.sequence;
     subscriber.last_sent = reactor_.now();
     subscriber.link->send_frame(wire::frame(to_bytes(batch)));
 }
@@ -158,14 +158,14 @@
 }
 
 void Publisher::publish() {
-    if (flushed_ == log_.place()) return;
+    if (flushed_ == log_.sequence()) return;
     bool urgent = false;
     const auto items = log_.since(flushed_);
     if (!items)
         urgent = true;
     else
         urgent = !std::ranges::all_of(*items, waits_for_company);
-    const Tenths at = plan_.due(urgent, reactor_.now());
+    const Tenths at = plan_.schedule(urgent, reactor_.now());
     if (at <= reactor_.now()) return flush();
     reactor_.cancel(flush_timer_);
     flush_timer_ = reactor_.call_at(at, [this] { flush(); });
@@ -174,7 +174,7 @@
 // Most subscribers stand at the same place: they are sent the same bytes.
 void Publisher::flush() {
     reactor_.cancel(flush_timer_);
-    flushed_ = log_.place();
+    flushed_ = log_.sequence();
     plan_.flushed(reactor_.now());
     if (reactor_.now() - snapshot_at_ >= kSnapshotAge) snapshot_ = {};
     std::string frame;
@@ -186,24 +186,25 @@
         const auto found = subscribers_.find(id);
         if (found == subscribers_.end()) continue;
         Subscriber& subscriber = found->second;
-        if (!subscriber.subscribed || subscriber.waits_for_records || subscriber.place == flushed_) continue;
-        if (!frame.empty() && subscriber.place == frame_from &&
+        if (!subscriber.subscribed || subscriber.waits_for_records || subscriber.sequence == flushed_)
+            continue;
+        if (!frame.empty() && subscriber.sequence == frame_from &&
             subscriber.configuration_version == frame_version) {
-            subscriber.place = flushed_, subscriber.last_sent = reactor_.now();
+            subscriber.sequence = flushed_, subscriber.last_sent = reactor_.now();
             subscriber.configuration_version = frame_version_after;
             subscriber.link->send_frame(frame);
             continue;
         }
-        auto items = log_.since(subscriber.place);
+        auto items = log_.since(subscriber.sequence);
         if (!items) {
             bring_up_to_date(subscriber);
             continue;
         }
-        BatchView batch{log_.feed(), flushed_, false, std::move(*items)};
-        frame_from = subscriber.place, frame_version = subscriber.configuration_version;
+        BatchView batch{log_.feed_id(), flushed_, false, std::move(*items)};
+        frame_from = subscriber.sequence, frame_version = subscriber.configuration_version;
         frame_version_after = subscriber.configuration_version = shorten_configuration(batch, frame_version);
         frame = wire::frame(to_bytes(batch));
-        subscriber.place = flushed_, subscriber.last_sent = reactor_.now();
+        subscriber.sequence = flushed_, subscriber.last_sent = reactor_.now();
         subscriber.link->send_frame(frame);
     }
 }
@@ -220,7 +221,7 @@
 }
 
 Heartbeat Publisher::heartbeat() const {
-    Heartbeat told{log_.place()};
+    Heartbeat told{log_.sequence()};
     if (const auto time = callbacks_.fleet_time ? callbacks_.fleet_time() : std::nullopt)
         told.unix_ms = time->unix_ms, told.error_ms = time->error_ms;
     return told;
@@ -239,7 +240,7 @@
     if (told.unix_ms != 0) send_heartbeat(id, told);
 }
 
-void Publisher::tell_time() {
+void Publisher::publish_time() {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, subscriber] : subscribers_)
         if (subscriber.subscribed && !subscriber.waits_for_records) ids.push_back(id);
@@ -257,14 +258,14 @@
     if (subscribed && callbacks_.sessions_changed) callbacks_.sessions_changed();
 }
 
-void Publisher::end_all(const std::string& reason) {
+void Publisher::close_all(const std::string& reason) {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, subscriber] : subscribers_) ids.push_back(id);
     for (const std::uint64_t id : ids) {
         const auto found = subscribers_.find(id);
         if (found == subscribers_.end()) continue;
         // To send may end the link itself, and with it the subscriber.
-        if (found->second.link->send(Refused{reason})) found->second.link->end(reason);
+        if (found->second.link->send(SubscriptionRefused{reason})) found->second.link->end(reason);
     }
 }
 
