--- a/src/feed/publisher.hpp
+++ b/src/feed/publisher.hpp
@@ -22,14 +22,14 @@
     struct Options {
         Tenths heartbeat =
             0; // between heartbeats; 0 for none, where a dead peer shows itself by its closed link
-        Tenths silence = 0;       // after which a subscriber counts as gone
-        Tenths load_delay = 1000; // loads and lists of nodes wait so long for company
-        Tenths least_gap =
+        Tenths silence = 0;        // after which a subscriber counts as gone
+        Tenths batch_delay = 1000; // loads and lists of nodes wait so long for company
+        Tenths min_flush_interval =
             300; // everything else goes at once, but so long after what went before at the least
     };
     struct Callbacks {
         std::function<std::optional<std::string>()> refuse; // why no subscriber is taken now, or nothing
-        std::function<bool()> ready; // else a subscriber waits for `serve_waiting`; none: always
+        std::function<bool()> ready; // else a subscriber waits for `serve_deferred`; none: always
         std::function<void()> sessions_changed;
         std::function<Digests()> digests;                                   // of the instances known here
         std::function<void(const std::vector<model::Instance>&)> instances; // that a subscriber knows
@@ -44,11 +44,11 @@
     ~Publisher();
 
     // A connection whose first message was Subscribe is handed over with that message.
-    void take(const AcceptedLink& connection); // a fresh one, of a subscriber
-    void publish();                            // after items were put
-    void tell_time();                          // to all, at once
-    void serve_waiting();                      // those that came before all was ready
-    void end_all(const std::string& reason);
+    void accept(const AcceptedLink& connection); // a fresh one, of a subscriber
+    void publish();                              // after items were put
+    void publish_time();                         // to all, at once
+    void serve_deferred();                       // those that came before all was ready
+    void close_all(const std::string& reason);
     std::vector<model::EdgeNode> sessions() const;
 
   private:
@@ -57,7 +57,7 @@
         std::unique_ptr<Link> link;
         model::EdgeNode node;
         bool subscribed = false, waits_for_records = false;
-        std::uint64_t feed = 0, place = 0; // as it asked, then as it was sent
+        std::uint64_t feed_id = 0, sequence = 0; // as it asked, then as it was sent
         std::int64_t configuration_version = 0;
         Tenths last_sent = 0, time_told = 0;
     };
@@ -83,7 +83,7 @@
     std::uint64_t flushed_ = 0; // place up to which `flush` has gone
     std::string
         snapshot_; // one frame for all who start within a moment; what came after it follows by itself
-    std::uint64_t snapshot_place_ = 0;
+    std::uint64_t snapshot_sequence_ = 0;
     std::int64_t snapshot_version_ = 0; // of its configuration
     Tenths snapshot_at_ = 0;
     transport::Reactor::TimerId flush_timer_{}, beat_timer_{};
--- a/src/feed/socket_link.cpp
+++ b/src/feed/socket_link.cpp
@@ -96,7 +96,7 @@
     }
 }
 
-AcceptedLink accepted_socket(transport::Reactor& reactor, int descriptor) {
+AcceptedLink accept_socket(transport::Reactor& reactor, int descriptor) {
     return [&reactor, descriptor](Tenths silence, Link::Callbacks callbacks) -> std::unique_ptr<Link> {
         return std::make_unique<SocketLink>(reactor, descriptor, transport::Stream::Start::kConnected,
                                             silence, std::move(callbacks));
@@ -118,7 +118,7 @@
     SocketListener(transport::Reactor& reactor, const std::string& address,
                    std::function<void(AcceptedLink)> accepted)
         : listener_(reactor, address, [&reactor, accepted = std::move(accepted)](int descriptor) {
-              accepted(accepted_socket(reactor, descriptor));
+              accepted(accept_socket(reactor, descriptor));
           }) {}
 
   private:
--- a/src/feed/socket_link.hpp
+++ b/src/feed/socket_link.hpp
@@ -41,7 +41,7 @@
 };
 
 // For a connection whose descriptor is at hand.
-AcceptedLink accepted_socket(transport::Reactor& reactor, int descriptor);
+AcceptedLink accept_socket(transport::Reactor& reactor, int descriptor);
 
 class SocketNetwork : public LinkNetwork {
   public:
--- a/src/feed/subscriber.cpp
+++ b/src/feed/subscriber.cpp
@@ -10,7 +10,7 @@
 Subscriber::Subscriber(transport::Reactor& reactor, LinkNetwork& network, Options options,
                        Callbacks callbacks)
     : reactor_(reactor), network_(network), options_(std::move(options)), callbacks_(std::move(callbacks)),
-      pause_(options_.first_pause) {}
+      backoff_(options_.initial_backoff) {}
 
 Subscriber::~Subscriber() {
     reactor_.cancel(timer_);
@@ -38,7 +38,7 @@
     link_ = network_.connect(address_, options_.silence, std::move(callbacks));
     if (!link_) return to_try_.empty() ? try_later() : try_next();
     reactor_.cancel(timer_);
-    timer_ = reactor_.call_after(options_.connect_patience, [this] {
+    timer_ = reactor_.call_after(options_.connect_timeout, [this] {
         if (!in_step_ && link_ != nullptr) link_->end("no answer in time");
     });
     link_->start();
@@ -46,14 +46,14 @@
 
 void Subscriber::try_later() {
     reactor_.cancel(timer_);
-    timer_ = reactor_.call_after(pause_, [this] { try_next(); });
-    pause_ = std::min(pause_ * 2, options_.longest_pause);
+    timer_ = reactor_.call_after(backoff_, [this] { try_next(); });
+    backoff_ = std::min(backoff_ * 2, options_.max_backoff);
 }
 
 void Subscriber::subscribe() {
     Subscribe message;
     message.node = options_.node;
-    message.feed = tables_.feed(), message.place = tables_.place();
+    message.feed_id = tables_.feed_id(), message.sequence = tables_.sequence();
     if (tables_.configuration()) message.configuration_version = tables_.configuration()->version;
     if (options_.offers_records) message.instances = tables_.instances().digests();
     link_->send(std::move(message));
@@ -62,9 +62,9 @@
 void Subscriber::received(Message message) {
     if (const auto* batch = std::get_if<Batch>(&message)) {
         apply(*batch);
-    } else if (const auto* wanted = std::get_if<WantRanges>(&message)) {
-        link_->send(Instances{tables_.instances().in_ranges(wanted->ranges), true, {}});
-    } else if (const auto* refused = std::get_if<Refused>(&message)) {
+    } else if (const auto* wanted = std::get_if<RangeRequest>(&message)) {
+        link_->send(Instances{tables_.instances().records_in_ranges(wanted->ranges), true, {}});
+    } else if (const auto* refused = std::get_if<SubscriptionRefused>(&message)) {
         link_->end("refused: " + refused->reason);
     } else if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
         if (callbacks_.fleet_time && heartbeat->unix_ms != 0)
@@ -77,12 +77,12 @@
 void Subscriber::apply(const Batch& batch) {
     const Tables::Applied applied = tables_.apply(batch, reactor_.now());
     if (!applied.fits) {
-        tables_.forget_place();
+        tables_.forget_sequence();
         return subscribe();
     }
     if (!std::exchange(in_step_, true)) {
-        log_line("feed_up", {{"publisher", address_}, {"place", std::to_string(batch.place)}});
-        pause_ = options_.first_pause;
+        log_line("feed_up", {{"publisher", address_}, {"place", std::to_string(batch.sequence)}});
+        backoff_ = options_.initial_backoff;
         to_try_.clear();
         if (callbacks_.began) callbacks_.began();
     }
@@ -103,13 +103,13 @@
         try_later();
 }
 
-void Subscriber::leave(const std::string& reason) {
+void Subscriber::disconnect(const std::string& reason) {
     if (link_ != nullptr) link_->end(reason);
 }
 
 void Subscriber::beat() {
     const std::int64_t unix_ms = callbacks_.time_of_day ? callbacks_.time_of_day() : 0;
-    if (connected()) send(Heartbeat{tables_.place(), unix_ms, 0});
+    if (connected()) send(Heartbeat{tables_.sequence(), unix_ms, 0});
     beat_timer_ = reactor_.call_after(options_.heartbeat, [this] { beat(); });
 }
 
--- a/src/feed/subscriber.hpp
+++ b/src/feed/subscriber.hpp
@@ -18,11 +18,11 @@
   public:
     struct Options {
         model::EdgeNode node;
-        Tenths heartbeat = 0;                           // 0: none is sent
-        Tenths silence = 0;                             // 0: the link ends only when it is closed
-        Tenths connect_patience = 5000;                 // for a connection, and for the first batch after it
-        Tenths first_pause = 500, longest_pause = 5000; // between rounds over all publishers
-        bool offers_records = false;                    // of instances that the publisher lacks
+        Tenths heartbeat = 0;          // 0: none is sent
+        Tenths silence = 0;            // 0: the link ends only when it is closed
+        Tenths connect_timeout = 5000; // for a connection, and for the first batch after it
+        Tenths initial_backoff = 500, max_backoff = 5000; // between rounds over all publishers
+        bool offers_records = false;                      // of instances that the publisher lacks
     };
     struct Callbacks {
         std::function<std::vector<std::string>()> publishers; // addresses, in the order to try
@@ -40,7 +40,7 @@
     bool connected() const { return link_ != nullptr && in_step_; }
     const std::string& publisher() const { return address_; }
     bool send(const Message& message) { return connected() && link_->send(message); }
-    void leave(const std::string& reason); // this publisher; the next in order is tried
+    void disconnect(const std::string& reason); // this publisher; the next in order is tried
 
   private:
     void try_next();
@@ -60,7 +60,7 @@
     std::string address_;
     std::vector<std::string> to_try_;
     bool in_step_ = false; // a batch has come over this link
-    Tenths pause_, last_sent_ = 0;
+    Tenths backoff_, last_sent_ = 0;
     transport::Reactor::TimerId timer_{}, beat_timer_{};
 };
 
--- a/src/feed/tables.cpp
+++ b/src/feed/tables.cpp
@@ -14,7 +14,7 @@
 
 Tables::Applied Tables::apply(const Batch& batch, Tenths now) {
     Applied applied;
-    if (!batch.snapshot && batch.feed != feed_) return applied.fits = false, applied;
+    if (!batch.snapshot && batch.feed_id != feed_id_) return applied.fits = false, applied;
     // The only item that may not fit: looked at before anything is changed.
     for (const Item& item : batch.items)
         if (const auto* change = std::get_if<ConfigurationChange>(&item))
@@ -23,8 +23,8 @@
                 return applied.fits = false, applied;
     for (const Item& item : batch.items) apply_item(item, applied, now);
     if (batch.snapshot) drop_unnamed(batch, applied, now);
-    feed_ = batch.feed, place_ = batch.place;
-    applied.expired = instances_.forget_gone(kGoneSpan, now);
+    feed_id_ = batch.feed_id, sequence_ = batch.sequence;
+    applied.expired = instances_.remove_expired(kGoneSpan, now);
     for (const std::string& id : applied.expired) loads_.erase(id);
     return applied;
 }
@@ -45,7 +45,7 @@
         if (!instances_.merge(*instance, now)) return;
         applied.instances = true;
         applied.news.push_back(item);
-    } else if (const auto* forgotten = std::get_if<Forgotten>(&item)) {
+    } else if (const auto* forgotten = std::get_if<InstanceRemoved>(&item)) {
         if (instances_.find(forgotten->instance) == nullptr) return;
         instances_.forget(forgotten->instance);
         loads_.erase(forgotten->instance);
@@ -76,10 +76,10 @@
     std::set<std::string> named;
     for (const Item& item : batch.items)
         if (const auto* instance = std::get_if<model::Instance>(&item)) named.insert(instance->id);
-    std::vector<Forgotten> unnamed;
+    std::vector<InstanceRemoved> unnamed;
     for (const auto& [id, record] : instances_.records())
         if (!named.contains(id)) unnamed.push_back({id});
-    for (const Forgotten& forgotten : unnamed) apply_item(forgotten, applied, now);
+    for (const InstanceRemoved& forgotten : unnamed) apply_item(forgotten, applied, now);
 }
 
 } // namespace ivyrill::feed
--- a/src/feed/tables.hpp
+++ b/src/feed/tables.hpp
@@ -23,9 +23,9 @@
     };
     Applied apply(const Batch& batch, Tenths now);
 
-    std::uint64_t feed() const { return feed_; }
-    std::uint64_t place() const { return place_; }
-    void forget_place() { feed_ = place_ = 0; } // the next subscription starts from a snapshot
+    std::uint64_t feed_id() const { return feed_id_; }
+    std::uint64_t sequence() const { return sequence_; }
+    void forget_sequence() { feed_id_ = sequence_ = 0; } // the next subscription starts from a snapshot
     const std::shared_ptr<const model::Configuration>& configuration() const {
         return configuration_;
     } // or null
@@ -39,7 +39,7 @@
     void apply_item(const Item& item, Applied& applied, Tenths now);
     void drop_unnamed(const Batch& batch, Applied& applied, Tenths now);
 
-    std::uint64_t feed_ = 0, place_ = 0;
+    std::uint64_t feed_id_ = 0, sequence_ = 0;
     std::shared_ptr<const model::Configuration> configuration_;
     InstanceTable instances_;
     std::map<std::string, model::Load> loads_;
--- a/src/model/instance.hpp
+++ b/src/model/instance.hpp
@@ -12,7 +12,7 @@
 enum class Stage : std::uint8_t { kNone, kPrefill, kDecode };
 constexpr Stage last_of(Stage) { return Stage::kDecode; }
 // As PROTOCOL names them; kNone for any other word.
-constexpr Stage stage_named(std::string_view word) {
+constexpr Stage stage_from_name(std::string_view word) {
     if (word == "prefill") return Stage::kPrefill;
     return word == "decode" ? Stage::kDecode : Stage::kNone;
 }
@@ -53,9 +53,7 @@
                         s.models, s.revision);
     }
     friend bool operator==(const Instance&, const Instance&) = default;
-    bool may_be_sent_to() const {
-        return state == InstanceState::kServing || state == InstanceState::kSilent;
-    }
+    bool is_routable() const { return state == InstanceState::kServing || state == InstanceState::kSilent; }
 };
 
 // Whether `fresh` replaces `known` (of the same id).
@@ -68,11 +66,11 @@
 struct Load {
     std::string instance;
     std::int64_t waiting = 0, running = 0, memory_used = 0, memory_total = 0; // requests; tokens
-    std::int64_t orders_taken = 0; // since it started; its `callSeq`
-    Stage stage = Stage::kNone;    // kNone: it did not say
-    bool changing = false;         // an order is under way: what has not begun there is turned away
+    std::int64_t orders_accepted = 0; // since it started; its `callSeq`
+    Stage stage = Stage::kNone;       // kNone: it did not say
+    bool changing = false;            // an order is under way: what has not begun there is turned away
     template <class Self> static auto tie(Self& s) {
-        return std::tie(s.instance, s.waiting, s.running, s.memory_used, s.memory_total, s.orders_taken,
+        return std::tie(s.instance, s.waiting, s.running, s.memory_used, s.memory_total, s.orders_accepted,
                         s.stage, s.changing);
     }
     friend bool operator==(const Load&, const Load&) = default;
@@ -81,23 +79,23 @@
 // Whether `fresh` replaces `known` (of the same instance): a report from before an order that is known tells
 // of a stage that was.
 inline bool supersedes(const Load& fresh, const Load& known) {
-    return fresh.orders_taken >= known.orders_taken;
+    return fresh.orders_accepted >= known.orders_accepted;
 }
 
 // What the requests for one service asked for of late, as one edge node or several saw it.
 struct ServiceDemand {
     std::string service;
-    double requests = 0, turned_away = 0; // a second; of them, as reading them would have taken too long
-    double answers = 0;                   // that are being made at this time
-    double links_busy = 0;                // links between servers, kept busy by moves of prompts
-    double links_asked = 0;               // ... if every short answer's prompt were moved once
+    double requests = 0, rejected = 0; // a second; of them, as reading them would have taken too long
+    double answers = 0;                // that are being made at this time
+    double links_busy = 0;             // links between servers, kept busy by moves of prompts
+    double links_required = 0;         // ... if every short answer's prompt were moved once
     template <class Self> static auto tie(Self& s) {
-        return std::tie(s.service, s.requests, s.turned_away, s.answers, s.links_busy, s.links_asked);
+        return std::tie(s.service, s.requests, s.rejected, s.answers, s.links_busy, s.links_required);
     }
     friend bool operator==(const ServiceDemand&, const ServiceDemand&) = default;
     ServiceDemand& operator+=(const ServiceDemand& other) {
-        requests += other.requests, turned_away += other.turned_away, answers += other.answers;
-        links_busy += other.links_busy, links_asked += other.links_asked;
+        requests += other.requests, rejected += other.rejected, answers += other.answers;
+        links_busy += other.links_busy, links_required += other.links_required;
         return *this;
     }
 };
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -70,7 +70,7 @@
     }
     // While the connection came up the server may have asked for no more.
     record = context_.selector.instance(instance);
-    if (record == nullptr || !record->may_be_sent_to()) {
+    if (record == nullptr || !record->is_routable()) {
         end_call(false);
         co_return CallEnd::kNeverSent;
     }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -66,7 +66,7 @@
 void Proxy::open_feed() {
     feed::Subscriber::Options options;
     options.node = {settings_.node_name, settings_.zone, settings_.ip, draw()};
-    options.first_pause = kTenthsPerSecond / 10, options.longest_pause = kTenthsPerSecond / 4;
+    options.initial_backoff = kTenthsPerSecond / 10, options.max_backoff = kTenthsPerSecond / 4;
     feed::Subscriber::Callbacks callbacks;
     callbacks.publishers = [this] { return std::vector<std::string>{feed::local_feed_address(settings_)}; };
     callbacks.applied = [this](const feed::Tables::Applied& applied) { this->applied(applied); };
@@ -121,7 +121,7 @@
         context_.selector.set_instances(tables.instances().records(), reactor_.now());
         context_.connections.keep_only([this](const std::string& id) {
             const model::Instance* known = context_.selector.instance(id);
-            return known != nullptr && known->may_be_sent_to();
+            return known != nullptr && known->is_routable();
         });
     }
     if (applied.loads)
@@ -129,7 +129,7 @@
             if (const auto* load = std::get_if<model::Load>(&item))
                 context_.selector.set_load(*load, reactor_.now());
             else if (const auto* order = std::get_if<feed::StageOrdered>(&item))
-                context_.selector.set_ordered(order->instance, order->orders_taken, reactor_.now());
+                context_.selector.set_ordered(order->instance, order->orders_accepted, reactor_.now());
         }
     if (applied.nodes) {
         context_.selector.set_edge_nodes(tables.edge_nodes().size());
--- a/src/proxy/usage_meter.hpp
+++ b/src/proxy/usage_meter.hpp
@@ -3,7 +3,7 @@
 // the steady clock is handed in, the fleet's time as it is told.
 #pragma once
 #include "base/time.hpp"
-#include "clock/followed_clock.hpp"
+#include "clock/synced_clock.hpp"
 #include "model/usage.hpp"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     UsageMeter(std::uint64_t process, std::int64_t window_ms) : process_(process), window_ms_(window_ms) {}
 
     bool counts() const { return window_ms_ > 0; }
-    void time_told(const clock::FleetTime& time, Tenths now) { clock_.told(time, now); }
+    void time_told(const clock::FleetTime& time, Tenths now) { clock_.update(time, now); }
 
     // The first token of a request of that tenant has come; once for each request. An empty name is of none.
     void began(const std::string& tenant, Tenths now) {
@@ -103,7 +103,7 @@
 
     std::uint64_t process_;
     std::int64_t window_ms_;
-    clock::FollowedClock clock_;
+    clock::SyncedClock clock_;
     std::map<std::int64_t, Window> windows_;
     std::int64_t counted_until_ms_ = 0; // as told
     Tenths progress_at_ = 0;
--- a/src/replica_selection/candidates.cpp
+++ b/src/replica_selection/candidates.cpp
@@ -21,7 +21,7 @@
 constexpr double kSlowShare = 0.4; // of the latency target, expected for the reading alone
 
 bool serves(const model::Instance& instance, const Request& request) {
-    if (instance.service != request.service || !instance.may_be_sent_to()) return false;
+    if (instance.service != request.service || !instance.is_routable()) return false;
     if (instance.models.empty() || request.model.empty()) return true;
     return std::ranges::any_of(instance.models,
                                [&](const auto& served) { return served.name == request.model; });
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -86,21 +86,21 @@
 
 void PairSelector::set_load(const model::Load& load, Tenths now) {
     Server* server = find(load.instance);
-    if (server == nullptr || load.orders_taken < server->orders_taken) return;
-    server->orders_taken = load.orders_taken;
+    if (server == nullptr || load.orders_accepted < server->orders_accepted) return;
+    server->orders_accepted = load.orders_accepted;
     server->changing_until = load.changing ? now + kChangePatience : 0;
     // Without an order the heartbeats tell all there is to know.
-    const bool was_ordered = load.orders_taken > 0 && load.stage != model::Stage::kNone;
+    const bool was_ordered = load.orders_accepted > 0 && load.stage != model::Stage::kNone;
     if (was_ordered && !load.changing) set_stage(*server, load.stage);
     server->queue = static_cast<double>(load.waiting);
     server->running_there = static_cast<double>(load.running);
     mix(server->reading_share, load.running > 0 ? 1 : 0, kFreshReport);
 }
 
-void PairSelector::set_ordered(const std::string& instance, std::int64_t orders_taken, Tenths now) {
+void PairSelector::set_ordered(const std::string& instance, std::int64_t orders_accepted, Tenths now) {
     Server* server = find(instance);
-    if (server == nullptr || orders_taken <= server->orders_taken) return;
-    server->orders_taken = orders_taken;
+    if (server == nullptr || orders_accepted <= server->orders_accepted) return;
+    server->orders_accepted = orders_accepted;
     server->changing_until = now + kChangePatience;
 }
 
--- a/src/replica_selection/pair_selector.hpp
+++ b/src/replica_selection/pair_selector.hpp
@@ -64,7 +64,7 @@
     void set_load(const model::Load& load, Tenths now);
     // The server has taken an order, and turns away what it is sent until it has changed its stage; reports
     // that count so many orders, or more, tell how it stands.
-    void set_ordered(const std::string& instance, std::int64_t orders_taken, Tenths now);
+    void set_ordered(const std::string& instance, std::int64_t orders_accepted, Tenths now);
     void set_edge_nodes(std::size_t count) { edge_nodes_ = count == 0 ? 1 : static_cast<double>(count); }
     void set_services(const std::vector<model::Service>& services);
 
@@ -111,7 +111,7 @@
         int refusals = 0, failures = 0;      // in a row
         Tenths last_answer = 0, avoided_until = 0, relaxed = 0;
         model::Stage told_stage = model::Stage::kNone; // by its last heartbeat
-        std::int64_t orders_taken = 0;                 // of which a report or an order told
+        std::int64_t orders_accepted = 0;              // of which a report or an order told
         Tenths changing_until = 0; // it turns away what it is sent, at the most until then
     };
     struct Attempt {
--- a/tests/api_key_tests.cpp
+++ b/tests/api_key_tests.cpp
@@ -111,8 +111,8 @@
         tenants.push_back({"t" + std::to_string(i), {"k" + std::to_string(i)}, std::nullopt});
     const model::TenantTable table(configuration);
     for (const int i : {0, 1, 4711, 9999})
-        BOOST_TEST(table.holder("k" + std::to_string(i))->name == "t" + std::to_string(i));
-    BOOST_TEST((table.holder("k10000") == nullptr));
+        BOOST_TEST(table.find("k" + std::to_string(i))->name == "t" + std::to_string(i));
+    BOOST_TEST((table.find("k10000") == nullptr));
 }
 
 BOOST_AUTO_TEST_CASE(a_server_is_told_the_tenant_and_never_the_key_whatever_the_client_sent) {
--- a/tests/count_tests.cpp
+++ b/tests/autoscaler_tests.cpp
@@ -1,8 +1,8 @@
 // Numbers of servers: what is wanted as the load changes, how an order is followed up, and what a holder
 // sends to the platform. Clock, picture and the platform's answers are handed in.
-#define BOOST_TEST_MODULE count
-#include "control/count_duty.hpp"
-#include "duties/call_budget.hpp"
+#define BOOST_TEST_MODULE autoscaler
+#include "control/autoscale_duty.hpp"
+#include "duties/platform_rate_limiter.hpp"
 
 #include <algorithm>
 #include <boost/test/included/unit_test.hpp>
@@ -21,16 +21,16 @@
 // ---- a service's servers, as many in each of four zones
 
 struct Fleet {
-    CountPicture picture;
+    ScalingInput picture;
     explicit Fleet(std::int64_t in_each_zone) {
-        for (const std::string& zone : kZones) picture.standing.push_back({zone, in_each_zone});
+        for (const std::string& zone : kZones) picture.target_counts.push_back({zone, in_each_zone});
         picture.demand = model::ServiceDemand{"model", 100, 0, 2, 0, 0.2};
         start_all();
     }
     // All that was ordered serves.
     void start_all() {
         picture.servers.clear();
-        for (const ZoneCount& zone : picture.standing)
+        for (const ZoneServerCount& zone : picture.target_counts)
             for (std::int64_t i = 0; i < zone.servers; ++i) add(zone.zone, i);
     }
     void add(const std::string& zone, std::int64_t number) {
@@ -53,30 +53,31 @@
     }
     std::int64_t ordered() const {
         std::int64_t sum = 0;
-        for (const ZoneCount& zone : picture.standing) sum += zone.servers;
+        for (const ZoneServerCount& zone : picture.target_counts) sum += zone.servers;
         return sum;
     }
-    void take(const std::vector<ZoneCount>& wanted) {
-        for (const ZoneCount& zone : wanted)
-            std::ranges::find(picture.standing, zone.zone, &ZoneCount::zone)->servers = zone.servers;
+    void take(const std::vector<ZoneServerCount>& wanted) {
+        for (const ZoneServerCount& zone : wanted)
+            std::ranges::find(picture.target_counts, zone.zone, &ZoneServerCount::zone)->servers =
+                zone.servers;
     }
 };
 
 // Work for so many servers: what each has of it follows from how many serve. Orders are carried out at once,
 // servers serve after the boot time.
 struct CountLoop {
-    CountController controller;
+    Autoscaler controller;
     Tenths now = kStart, serve_at = 0;
     int changes = 0, turns = 0;
     std::int64_t last_step = 0;
     void run(Fleet& fleet, Tenths span, double work, const std::string& lost = {}) {
-        for (const Tenths end = now + span; now < end; now += CountController::kInterval) {
+        for (const Tenths end = now + span; now < end; now += Autoscaler::kInterval) {
             if (now >= serve_at) fleet.start_all();
             if (!lost.empty()) fleet.lose(lost);
             fleet.load(work / static_cast<double>(fleet.picture.servers.size()));
             fleet.picture.demand->requests = 10 * work;
             const std::int64_t before = fleet.ordered();
-            fleet.take(controller.next(fleet.picture, kScaling, now));
+            fleet.take(controller.plan(fleet.picture, kScaling, now));
             const std::int64_t step = fleet.ordered() - before;
             if (step == 0) continue;
             ++changes, serve_at = now + (step > 0 ? 4 * kSecond : 0);
@@ -129,7 +130,7 @@
     loop.run(fleet, 5 * kSecond, 14);
     loop.run(fleet, 5 * kSecond, 14, "c");
     BOOST_TEST(loop.changes == 1);
-    for (const ZoneCount& zone : fleet.picture.standing)
+    for (const ZoneServerCount& zone : fleet.picture.target_counts)
         BOOST_TEST((zone.zone == "c" ? zone.servers == 8 : zone.servers > 8), zone.zone);
 }
 
@@ -137,9 +138,9 @@
     Fleet fleet(8);
     CountLoop loop;
     for (int i = 1; i <= 20; ++i) loop.run(fleet, 10 * kSecond, 15 * i);
-    for (const ZoneCount& zone : fleet.picture.standing) BOOST_TEST(zone.servers == 24);
+    for (const ZoneServerCount& zone : fleet.picture.target_counts) BOOST_TEST(zone.servers == 24);
     loop.run(fleet, 600 * kSecond, 0);
-    for (const ZoneCount& zone : fleet.picture.standing) BOOST_TEST(zone.servers == 2);
+    for (const ZoneServerCount& zone : fleet.picture.target_counts) BOOST_TEST(zone.servers == 2);
 }
 
 // As many as there are may be outside of what may be ordered: such a zone is not ordered back by itself.
@@ -156,7 +157,7 @@
         CountLoop loop;
         loop.run(fleet, 12 * kSecond, servers == 30 ? 0 : 3);
         BOOST_TEST(loop.changes == 1);
-        for (const ZoneCount& zone : fleet.picture.standing) {
+        for (const ZoneServerCount& zone : fleet.picture.target_counts) {
             BOOST_TEST(zone.servers >= kScaling.min_count);
             BOOST_TEST(zone.servers <= kScaling.max_count);
         }
@@ -185,24 +186,24 @@
 BOOST_AUTO_TEST_CASE(nothing_is_ordered_without_reports_or_demand) {
     Fleet fleet(8);
     fleet.load(3);
-    CountController controller;
-    CountPicture untold = fleet.picture, unasked = fleet.picture;
+    Autoscaler controller;
+    ScalingInput untold = fleet.picture, unasked = fleet.picture;
     for (std::size_t i = 0; i < untold.servers.size() / 2; ++i) untold.servers[i].reported = false;
     unasked.demand.reset();
-    for (Tenths at = kStart; at < kStart + 20 * kSecond; at += CountController::kInterval) {
-        BOOST_TEST(controller.next(untold, kScaling, at).empty());
-        BOOST_TEST(controller.next(unasked, kScaling, at).empty());
-        BOOST_TEST(controller.next(CountPicture{}, kScaling, at).empty());
+    for (Tenths at = kStart; at < kStart + 20 * kSecond; at += Autoscaler::kInterval) {
+        BOOST_TEST(controller.plan(untold, kScaling, at).empty());
+        BOOST_TEST(controller.plan(unasked, kScaling, at).empty());
+        BOOST_TEST(controller.plan(ScalingInput{}, kScaling, at).empty());
     }
 }
 
 // Use falls little where more servers read at the same time: what is enough follows from requests as well.
 BOOST_AUTO_TEST_CASE(use_that_does_not_fall_makes_nothing_grow_without_end) {
-    CountController controller;
+    Autoscaler controller;
     Fleet busy(8);
-    for (Tenths at = kStart; at < kStart + 200 * kSecond; at += CountController::kInterval) {
+    for (Tenths at = kStart; at < kStart + 200 * kSecond; at += Autoscaler::kInterval) {
         busy.start_all(), busy.load(0.7);
-        busy.take(controller.next(busy.picture, kScaling, at));
+        busy.take(controller.plan(busy.picture, kScaling, at));
     }
     BOOST_TEST(busy.ordered() > 32);
     BOOST_TEST(busy.ordered() <= 56); // 32 were short, 54 have 0.6 of their requests each
@@ -211,7 +212,7 @@
 // ---- the order
 
 BOOST_AUTO_TEST_CASE(an_order_goes_out_once_until_it_is_answered) {
-    CountOrder order(7);
+    ScaleOrder order(7);
     BOOST_TEST(!order.due(kStart).has_value());
     order.want(12, kStart);
     BOOST_TEST((order.due(kStart) == 12));
@@ -225,7 +226,7 @@
 BOOST_AUTO_TEST_CASE(an_order_that_the_platform_did_not_take_is_sent_later_and_later) {
     for (const auto outcome : {PlatformOutcome::kBusy, PlatformOutcome::kFailed, PlatformOutcome::kUnanswered,
                                PlatformOutcome::kNotSent}) {
-        CountOrder order(7);
+        ScaleOrder order(7);
         Tenths now = kStart, last_pause = 0;
         for (int tries = 0; tries < 3; ++tries) {
             order.want(12, now);
@@ -241,23 +242,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_order_that_nobody_takes_is_dropped_as_the_load_is_another_by_then) {
-    CountOrder order(7);
+    ScaleOrder order(7);
     order.want(12, kStart);
-    BOOST_TEST(order.due(kStart + CountOrder::kWantedFor - 1).has_value());
-    BOOST_TEST(!order.due(kStart + CountOrder::kWantedFor).has_value());
+    BOOST_TEST(order.due(kStart + ScaleOrder::kOrderValidity - 1).has_value());
+    BOOST_TEST(!order.due(kStart + ScaleOrder::kOrderValidity).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_refusal_of_an_older_count_does_not_drop_the_one_wanted_since) {
-    CountOrder order(12);
+    ScaleOrder order(12);
     order.want(3, kStart);
     order.sent();
     order.want(5, kStart);
     order.answered(3, PlatformOutcome::kRefused, kStart);
-    BOOST_TEST((order.due(kStart + CountOrder::kFirstPause) == 5));
+    BOOST_TEST((order.due(kStart + ScaleOrder::kInitialBackoff) == 5));
 }
 
 BOOST_AUTO_TEST_CASE(a_refused_order_is_not_repeated_and_a_fenced_off_holder_sends_no_more) {
-    CountOrder refused(7), fenced_off(7);
+    ScaleOrder refused(7), fenced_off(7);
     refused.want(12, kStart), fenced_off.want(12, kStart);
     refused.answered(12, PlatformOutcome::kRefused, kStart);
     fenced_off.answered(12, PlatformOutcome::kFencedOff, kStart);
@@ -279,7 +280,7 @@
     std::function<void(PlatformOutcome)> done;
 };
 
-class FakePlatform : public PlatformLink {
+class FakePlatform : public PlatformClient {
   public:
     std::vector<SentCall> calls;
     void send(const PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
@@ -298,7 +299,7 @@
     std::string held = "a";
     std::optional<std::uint64_t> fence = 5;
     bool has_room = true;
-    std::unique_ptr<control::CountDuty> duty;
+    std::unique_ptr<control::AutoscaleDuty> duty;
 
     Holder() {
         model::Service service;
@@ -306,7 +307,7 @@
         configuration.services.push_back(service);
         fleet.load(2);
         for (const StagedServer& server : fleet.picture.servers) add(server);
-        control::CountDuty::Callbacks callbacks;
+        control::AutoscaleDuty::Callbacks callbacks;
         callbacks.fence = [this](const Duty& asked) {
             return asked == server_count_duty("model", held) ? fence : std::nullopt;
         };
@@ -315,8 +316,8 @@
         callbacks.instances = [this]() -> const feed::InstanceTable& { return table; };
         callbacks.servers = [this](const std::string&) { return fleet.picture.servers; };
         callbacks.demand = [this](const std::string&) { return fleet.picture.demand; };
-        callbacks.take_call = [this](const Duty&) { return has_room; };
-        duty = std::make_unique<control::CountDuty>(reactor, platform, "core-1", std::move(callbacks));
+        callbacks.acquire_call = [this](const Duty&) { return has_room; };
+        duty = std::make_unique<control::AutoscaleDuty>(reactor, platform, "core-1", std::move(callbacks));
     }
     void add(const StagedServer& server) {
         model::Instance record;
@@ -326,7 +327,7 @@
     }
     void run(Tenths span) {
         for (const Tenths end = reactor.now() + span; reactor.now() < end;)
-            reactor.turn(reactor.now() + CountController::kInterval, 0);
+            reactor.turn(reactor.now() + Autoscaler::kInterval, 0);
     }
     void answer_all(PlatformOutcome outcome) {
         for (const SentCall& call : std::exchange(platform.calls, {})) call.done(outcome);
@@ -356,7 +357,7 @@
     holder.run(12 * kSecond);
     BOOST_REQUIRE(holder.platform.calls.size() == 1U);
     holder.answer_all(PlatformOutcome::kAccepted);
-    BOOST_TEST((holder.duty->standings().front().accepted == 12));
+    BOOST_TEST((holder.duty->zone_statuses().front().accepted == 12));
     holder.fleet.load(0.4);
     holder.run(5 * kSecond);
     BOOST_TEST(holder.platform.calls.empty());
@@ -372,7 +373,7 @@
     }
     BOOST_TEST(calls >= 8); // it is followed up as long as it is wanted
     BOOST_TEST(calls <= 40);
-    BOOST_TEST(!holder.duty->standings().front().accepted.has_value());
+    BOOST_TEST(!holder.duty->zone_statuses().front().accepted.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_holder_that_is_fenced_off_waits_for_its_next_fence) {
@@ -392,7 +393,7 @@
     holder.fence.reset();
     holder.run(20 * kSecond);
     BOOST_TEST(holder.platform.calls.empty());
-    BOOST_TEST(holder.duty->standings().empty());
+    BOOST_TEST(holder.duty->zone_statuses().empty());
     holder.fence = 6, holder.has_room = false;
     holder.run(20 * kSecond);
     BOOST_TEST(holder.platform.calls.empty());
@@ -420,7 +421,7 @@
     holder.fence = 8;
     holder.run(kSecond);
     former.front().done(PlatformOutcome::kAccepted);
-    BOOST_TEST(!holder.duty->standings().front().accepted.has_value());
+    BOOST_TEST(!holder.duty->zone_statuses().front().accepted.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_service_without_numbers_is_never_ordered) {
@@ -434,7 +435,7 @@
     holder.configuration.services.clear();
     holder.run(12 * kSecond);
     holder.answer_all(PlatformOutcome::kAccepted); // of a service that is gone by now
-    BOOST_TEST(holder.duty->standings().empty());
+    BOOST_TEST(holder.duty->zone_statuses().empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_name_that_json_must_escape_is_escaped) {
--- a/tests/control_parts_tests.cpp
+++ b/tests/control_parts_tests.cpp
@@ -2,7 +2,7 @@
 // opens, hellos of peers, and who it is on a disk.
 #define BOOST_TEST_MODULE control_parts
 #include "base/hash.hpp"
-#include "control/duty_parts.hpp"
+#include "control/duty_partitions.hpp"
 #include "control/feed_gate.hpp"
 #include "control/known_state.hpp"
 #include "control/operator_calls.hpp"
@@ -198,7 +198,7 @@
     node.ask();
     BOOST_REQUIRE(node.asked.size() == 1U);
     BOOST_TEST(node.asked[0].member == Group::founder(kLeader).value);
-    const feed::CallId id = node.asked[0].call.id;
+    const feed::RequestId id = node.asked[0].call.id;
     BOOST_TEST(id.incarnation == kIncarnation);
     node.calls.answered(Asking::peer(kLeader), {{id.incarnation + 1, id.number}, 200, ""});
     node.calls.answered(Asking::peer(kLeader), {{id.incarnation, id.number + 1}, 200, ""});
@@ -510,11 +510,11 @@
     MemberState stored{
         self, {kFormerTerm, self.id, consensus::Entry{{kFormerTerm, 3}, {self}, {}, former_payload}}};
     transport::Reactor reactor{kS};
-    DutyParts::Options options;
+    DutyPartitions::Options options;
     options.voters = 1, options.lease = 3 * kS;
     options.draw = [] { return std::uint64_t{9}; };
     auto parts = std::move(
-        DutyParts::open(
+        DutyPartitions::open(
             reactor,
             [&](const std::string&) { return std::make_unique<QuickFile>(reactor, wire::to_bytes(stored)); },
             options, [](std::size_t, const consensus::Send&) {})
@@ -528,11 +528,11 @@
     pass(60 * kS);
     BOOST_REQUIRE(parts->fence(duty).has_value());
     BOOST_TEST(*parts->fence(duty) > kFormerTerm);
-    parts->propose(duty, [](duties::PartState newest) {
+    parts->propose(duty, [](duties::PartitionState newest) {
         newest.usage.next_window = 12;
         return std::optional(newest);
     });
     pass(kS);
-    BOOST_REQUIRE(parts->agreed(duty).has_value());
-    BOOST_TEST(parts->agreed(duty)->usage.next_window == 12);
+    BOOST_REQUIRE(parts->committed(duty).has_value());
+    BOOST_TEST(parts->committed(duty)->usage.next_window == 12);
 }
--- a/tests/duty_history_tests.cpp
+++ b/tests/duty_history_tests.cpp
@@ -23,7 +23,7 @@
         ControlWorld world(duty_plan_of_seed(seed));
         world.play();
         for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
-        orders += world.counts().orders_to_servers, taken += world.counts().orders_taken;
+        orders += world.counts().orders_to_servers, taken += world.counts().orders_accepted;
         calls += world.counts().platform_calls, reports += world.counts().reports_accepted;
         counts += world.counts().counts_accepted;
     }
--- a/tests/feed_tests.cpp
+++ b/tests/feed_tests.cpp
@@ -93,7 +93,7 @@
 BOOST_AUTO_TEST_CASE(the_log_goes_on_from_any_place_with_what_came_after_it) {
     FeedLog log(kFeed);
     for (int i = 1; i <= 5; ++i) log.put(instance("i-" + std::to_string(i)));
-    BOOST_TEST(log.place() == 5U);
+    BOOST_TEST(log.sequence() == 5U);
     for (std::uint64_t place = 0; place <= 5; ++place) {
         const auto items = log.since(place);
         BOOST_REQUIRE(items.has_value());
@@ -145,12 +145,12 @@
         if (i % 10 == 0) log.put(configuration(i + 1));
         // One more subscriber stays behind at each step.
         Tables fresh;
-        BOOST_REQUIRE(fresh.apply(batch(log.place(), copies(log.snapshot()), true), 0).fits);
+        BOOST_REQUIRE(fresh.apply(batch(log.sequence(), copies(log.snapshot()), true), 0).fits);
         subscribers.push_back(fresh);
     }
-    subscribers.front().apply(batch(log.place(), copies(log.snapshot()), true), 0);
+    subscribers.front().apply(batch(log.sequence(), copies(log.snapshot()), true), 0);
     for (Tables& tables : subscribers) {
-        BOOST_REQUIRE(tables.apply(batch(log.place(), copies(*log.since(tables.place()))), 0).fits);
+        BOOST_REQUIRE(tables.apply(batch(log.sequence(), copies(*log.since(tables.sequence()))), 0).fits);
         BOOST_TEST((tables.instances().records() == subscribers.front().instances().records()));
         BOOST_TEST((tables.loads() == subscribers.front().loads()));
         BOOST_TEST(tables.configuration()->version == 31);
@@ -244,8 +244,8 @@
         const Tables::Applied applied = tables.apply(wrong, 0);
         BOOST_TEST(!applied.fits);
         BOOST_TEST((applied.news.empty() && !applied.instances && !applied.configuration));
-        BOOST_TEST(tables.place() == 3U);
-        BOOST_TEST(tables.feed() == kFeed);
+        BOOST_TEST(tables.sequence() == 3U);
+        BOOST_TEST(tables.feed_id() == kFeed);
         BOOST_TEST(tables.instances().records().size() == 1U);
         BOOST_TEST(tables.loads().empty());
         BOOST_TEST(tables.configuration()->version == 2);
@@ -279,13 +279,13 @@
     const Tables::Applied applied = tables.apply({kFeed + 1, 9, true, {instance("i-1", 4)}}, 0);
     BOOST_TEST(applied.instances);
     BOOST_REQUIRE(applied.news.size() == 1U);
-    BOOST_TEST(std::get<Forgotten>(applied.news[0]).instance == "i-2");
+    BOOST_TEST(std::get<InstanceRemoved>(applied.news[0]).instance == "i-2");
     BOOST_TEST(tables.instances().find("i-2") == nullptr);
     BOOST_TEST(tables.loads().empty());
-    BOOST_TEST(tables.feed() == kFeed + 1);
+    BOOST_TEST(tables.feed_id() == kFeed + 1);
     BOOST_TEST(tables.apply({kFeed + 1, 10, false, {instance("i-2", 4)}}, 0).instances);
     BOOST_REQUIRE(tables.instances().find("i-2") != nullptr);
-    BOOST_TEST(tables.instances().find("i-2")->may_be_sent_to());
+    BOOST_TEST(tables.instances().find("i-2")->is_routable());
 }
 
 BOOST_AUTO_TEST_CASE(records_that_come_late_change_nothing) {
@@ -298,7 +298,7 @@
         BOOST_TEST((applied.fits && !applied.instances && applied.news.empty()));
         BOOST_TEST((tables.instances().find("i-1")->state == InstanceState::kDraining));
     }
-    BOOST_TEST(tables.place() == 2U);
+    BOOST_TEST(tables.sequence() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(what_is_gone_is_remembered_for_a_minute_and_then_forgotten) {
@@ -315,10 +315,10 @@
 BOOST_AUTO_TEST_CASE(an_instance_told_as_forgotten_goes_with_its_load) {
     Tables tables;
     tables.apply(batch(1, {instance("i-1"), load("i-1", 2)}, true), 0);
-    BOOST_TEST(tables.apply(batch(2, {Forgotten{"i-1"}}), 0).news.size() == 1U);
+    BOOST_TEST(tables.apply(batch(2, {InstanceRemoved{"i-1"}}), 0).news.size() == 1U);
     BOOST_TEST(tables.instances().records().empty());
     BOOST_TEST(tables.loads().empty());
-    BOOST_TEST(tables.apply(batch(3, {Forgotten{"i-1"}}), 0).news.empty());
+    BOOST_TEST(tables.apply(batch(3, {InstanceRemoved{"i-1"}}), 0).news.empty());
 }
 
 // An agent's log lives as long as its process: what is forgotten must not pile up in it.
@@ -329,25 +329,25 @@
         ivyrill::model::Instance instance;
         instance.id = id;
         log.put(instance);
-        log.put(ivyrill::feed::Forgotten{id});
+        log.put(ivyrill::feed::InstanceRemoved{id});
     }
     BOOST_TEST(log.snapshot().size() <= 1100U);
     BOOST_TEST(!log.since(1).has_value()); // what the log no longer reaches back to asks for a snapshot
-    BOOST_TEST(log.since(log.place()).has_value());
+    BOOST_TEST(log.since(log.sequence()).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(publishers_told_of_before_are_tried_one_a_round_after_all_others) {
     PublisherList list(3);
     const std::vector<std::string> seeds{"seed-1", "seed-2"};
-    BOOST_TEST(list.next_round(seeds).size() == 2U);
-    list.told({"a", "b", "c", "seed-1"}, 1000);
-    const auto all = list.next_round(seeds);
+    BOOST_TEST(list.next_candidates(seeds).size() == 2U);
+    list.update({"a", "b", "c", "seed-1"}, 1000);
+    const auto all = list.next_candidates(seeds);
     BOOST_REQUIRE(all.size() == 5U);
     BOOST_TEST(all.back() == "seed-2");
-    list.told({"seed-1", "a"}, 2000); // by one that is cut off with the smaller half
+    list.update({"seed-1", "a"}, 2000); // by one that is cut off with the smaller half
     std::set<std::string> last;
     for (int round = 0; round < 2; ++round) {
-        const auto addresses = list.next_round(seeds);
+        const auto addresses = list.next_candidates(seeds);
         BOOST_REQUIRE(addresses.size() == 4U);
         BOOST_TEST((std::set<std::string>(addresses.begin(), addresses.begin() + 2) ==
                     std::set<std::string>{"a", "seed-1"}));
@@ -355,16 +355,16 @@
         last.insert(addresses[3]);
     }
     BOOST_TEST((last == std::set<std::string>{"b", "c"}));
-    list.told({"a"}, 2000 + 3601 * kTenthsPerSecond); // the others are gone for long
-    BOOST_TEST(list.next_round(seeds).size() == 3U);
+    list.update({"a"}, 2000 + 3601 * kTenthsPerSecond); // the others are gone for long
+    BOOST_TEST(list.next_candidates(seeds).size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(subscribers_spread_over_the_publishers) {
     std::set<std::string> first;
     for (std::uint64_t key = 0; key < 40; ++key) {
         PublisherList list(key);
-        list.told({"a", "b", "c"}, 0);
-        first.insert(list.next_round({}).front());
+        list.update({"a", "b", "c"}, 0);
+        first.insert(list.next_candidates({}).front());
     }
     BOOST_TEST(first.size() == 3U);
 }
@@ -379,10 +379,11 @@
         log.put(random_configuration(random, i + 1));
         log.put(EdgeNodes{{{"a", "z", "1", draw(random, 5)}}});
         for (const bool snapshot : {false, true}) {
-            const std::uint64_t from = snapshot ? 0 : log.place() - draw(random, 3);
+            const std::uint64_t from = snapshot ? 0 : log.sequence() - draw(random, 3);
             const auto items = snapshot ? log.snapshot() : *log.since(from);
-            const Message copied{Batch{kFeed, log.place(), snapshot, copies(items)}};
-            BOOST_TEST((to_bytes(BatchView{kFeed, log.place(), snapshot, items}) == wire::to_bytes(copied)));
+            const Message copied{Batch{kFeed, log.sequence(), snapshot, copies(items)}};
+            BOOST_TEST(
+                (to_bytes(BatchView{kFeed, log.sequence(), snapshot, items}) == wire::to_bytes(copied)));
         }
     }
 }
@@ -402,13 +403,13 @@
 BOOST_AUTO_TEST_CASE(a_report_from_before_an_order_changes_nothing) {
     Tables tables;
     model::Load ordered = load("i-1", 2);
-    ordered.orders_taken = 1, ordered.changing = true;
+    ordered.orders_accepted = 1, ordered.changing = true;
     model::Load before = load("i-1", 9);
     tables.apply(batch(1, {instance("i-1"), ordered}, true), 0);
     tables.apply(batch(2, {before}), 0);
     BOOST_TEST((tables.loads().at("i-1") == ordered));
     model::Load after = load("i-1", 1);
-    after.orders_taken = 1;
+    after.orders_accepted = 1;
     tables.apply(batch(3, {after}), 0);
     BOOST_TEST((tables.loads().at("i-1") == after));
 }
--- a/tests/flush_tests.cpp
+++ b/tests/flush_tests.cpp
@@ -30,21 +30,21 @@
 
 BOOST_AUTO_TEST_CASE(one_change_goes_at_once_and_those_of_one_gap_together) {
     feed::FlushPlan plan(kGap, kDelay);
-    BOOST_TEST(plan.due(true, kStart) == kStart);
+    BOOST_TEST(plan.schedule(true, kStart) == kStart);
     plan.flushed(kStart);
-    BOOST_TEST(plan.due(true, kStart + 1) == kStart + kGap);
-    BOOST_TEST(plan.due(true, kStart + 200) == kStart + kGap);
+    BOOST_TEST(plan.schedule(true, kStart + 1) == kStart + kGap);
+    BOOST_TEST(plan.schedule(true, kStart + 200) == kStart + kGap);
     plan.flushed(kStart + kGap);
-    BOOST_TEST(plan.due(true, kStart + 10 * kGap) == kStart + 10 * kGap);
+    BOOST_TEST(plan.schedule(true, kStart + 10 * kGap) == kStart + 10 * kGap);
 }
 
 BOOST_AUTO_TEST_CASE(what_may_wait_waits_and_goes_with_what_may_not) {
     feed::FlushPlan plan(kGap, kDelay);
     plan.flushed(kStart);
-    BOOST_TEST(plan.due(false, kStart + 50) == kStart + 50 + kDelay);
-    BOOST_TEST(plan.due(false, kStart + 90) == kStart + 50 + kDelay); // not put off by what comes after
-    BOOST_TEST(plan.due(true, kStart + 100) == kStart + kGap);
-    BOOST_TEST(plan.due(false, kStart + 110) == kStart + kGap);
+    BOOST_TEST(plan.schedule(false, kStart + 50) == kStart + 50 + kDelay);
+    BOOST_TEST(plan.schedule(false, kStart + 90) == kStart + 50 + kDelay); // not put off by what comes after
+    BOOST_TEST(plan.schedule(true, kStart + 100) == kStart + kGap);
+    BOOST_TEST(plan.schedule(false, kStart + 110) == kStart + kGap);
 }
 
 BOOST_AUTO_TEST_CASE(digests_kept_up_are_those_of_the_same_records_found_anew) {
@@ -58,7 +58,7 @@
             table.forget(record.id);
         else
             table.merge(record, round);
-        if (random.next() % 50 == 0) table.forget_gone(100, round);
+        if (random.next() % 50 == 0) table.remove_expired(100, round);
         feed::InstanceTable anew;
         for (const auto& [id, known] : table.records()) anew.merge(known, round);
         BOOST_REQUIRE(table.digests().ranges == anew.digests().ranges);
@@ -71,7 +71,7 @@
     for (int i = 0; i < 50; ++i) log.put(server(i));
     feed::Publisher publisher(reactor, log, {}, {});
     transport::Listener listener(reactor, "127.0.0.1:0", [&](int descriptor) {
-        publisher.take(feed::accepted_socket(reactor, descriptor));
+        publisher.accept(feed::accept_socket(reactor, descriptor));
     });
     feed::SocketNetwork network(reactor);
     const std::string address = "127.0.0.1:" + std::to_string(listener.port());
@@ -85,7 +85,7 @@
     second.emplace(reactor, network, options("second"),
                    feed::Subscriber::Callbacks{publishers,
                                                [&](const auto&) {
-                                                   if (second->tables().place() == log.place())
+                                                   if (second->tables().sequence() == log.sequence())
                                                        reactor.stop();
                                                },
                                                {},
@@ -110,5 +110,5 @@
     BOOST_TEST(records.size() == 51U);
     BOOST_REQUIRE(records.contains("i-7"));
     BOOST_TEST(records.at("i-7").revision == 2U);
-    BOOST_TEST(second->tables().place() == log.place());
+    BOOST_TEST(second->tables().sequence() == log.sequence());
 }
--- a/tests/frame_tests.cpp
+++ b/tests/frame_tests.cpp
@@ -47,13 +47,14 @@
     change.base_version = 6, change.version = 7, change.routes = configuration().routes;
     change.removed_services = {"old"};
     Subscribe subscribe;
-    subscribe.node = edge, subscribe.feed = 5, subscribe.place = 300;
+    subscribe.node = edge, subscribe.feed_id = 5, subscribe.sequence = 300;
     subscribe.instances.ranges = {1, 0, 1ULL << 40U};
     const model::Load load{"i-1", 3, 8, 41'000, 90'000, 12, model::Stage::kPrefill, true};
     const model::ServiceDemand demand{"model", 110.5, 3, 7.25, 0.5, 1.5};
     const StageOrdered ordered{"i-1", model::Stage::kDecode, 13};
     Batch batch{5, 301, true, {}};
-    batch.items = {configuration(),         change, instance(), Forgotten{"i-2"}, load, EdgeNodes{{edge}},
+    batch.items = {configuration(),         change, instance(),
+                   InstanceRemoved{"i-2"},  load,   EdgeNodes{{edge}},
                    ControlNodes{{control}}, ordered};
     const consensus::Message vote{consensus::MemberId{1}, consensus::MemberId{2},
                                   consensus::VoteRequest{9, {7, 300}, true}};
@@ -62,21 +63,21 @@
             Loads{{load}},
             Demands{{demand}},
             Heartbeat{300, 1'767'226'500'000, 12},
-            WantRanges{{0, 31}, {8, 2}},
+            RangeRequest{{0, 31}, {8, 2}},
             batch,
-            Refused{"this node ends"},
+            SubscriptionRefused{"this node ends"},
             PeerHello{control, 8, 3, {control}},
             PeerStatus{{control}, {edge}, {{4, 5}}, {demand}, true, true, 1'767'226'500'000, {{0, -2500}}},
-            Heard{{"i-1"}},
+            HeartbeatsSeen{{"i-1"}},
             Replicate{{8, 4}, {instance()}, {load}},
-            Ordered{{ordered}},
+            StageOrderNotice{{ordered}},
             Replicated{{8, 4}},
             ForwardedCall{{8, 6}, "PUT", "12", "{}"},
             ForwardedAnswer{{8, 6}, 412, "{}"},
             vote,
             DutyMessage{3, vote},
             UsageCounts{{{77, 353'445'120, {{"nowu640", 412}}, 500, 1'767'225'600'123, true}}},
-            WantUsage{{77, 78}}};
+            UsageRequest{{77, 78}}};
 }
 
 bool enums_are_known(const model::Instance& record) {
@@ -93,7 +94,7 @@
     if (const auto* loads = std::get_if<Loads>(&message))
         return std::ranges::all_of(loads->loads,
                                    [](const model::Load& load) { return is_known(load.stage); });
-    if (const auto* ordered = std::get_if<Ordered>(&message))
+    if (const auto* ordered = std::get_if<StageOrderNotice>(&message))
         return std::ranges::all_of(ordered->orders, is_known, &StageOrdered::stage);
     const auto* batch = std::get_if<Batch>(&message);
     if (batch == nullptr) return true;
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -109,9 +109,9 @@
 }
 
 // The question that the node has just asked that peer for all its records; fails where it asked none.
-feed::CallId copy_question(const Node& node) {
+feed::RequestId copy_question(const Node& node) {
     const auto* asked =
-        node.sent.empty() ? nullptr : std::get_if<feed::WantRanges>(&node.sent.back().message);
+        node.sent.empty() ? nullptr : std::get_if<feed::RangeRequest>(&node.sent.back().message);
     BOOST_REQUIRE(asked != nullptr);
     BOOST_TEST(asked->ranges.size() == feed::kDigestRanges);
     return asked->id;
@@ -180,7 +180,7 @@
         BOOST_TEST(message.id.number != 0U);
         BOOST_REQUIRE(message.instances.size() == 1U);
         BOOST_TEST((message.instances[0].state == InstanceState::kDraining));
-        const feed::CallId id = message.id;
+        const feed::RequestId id = message.id;
         node.registry.replicated(kPeerNode, {id});
         node.registry.replicated(kPeerNode, {id}); // the same peer doesn't count twice
         node.registry.replicated(kThirdNode,
@@ -250,7 +250,7 @@
         BOOST_TEST((node.state("i-1") == InstanceState::kGone));
         const auto* told = std::get_if<Replicated>(&node.sent.back().message);
         BOOST_REQUIRE(told != nullptr);
-        BOOST_TEST((told->id == feed::CallId{9, 4} && node.sent.back().peer == kPeer));
+        BOOST_TEST((told->id == feed::RequestId{9, 4} && node.sent.back().peer == kPeer));
         co_await node.beat(server("i-1", 9));
         BOOST_TEST((node.state("i-1") == InstanceState::kGone));
         co_return Done{};
@@ -291,7 +291,7 @@
         // What was heard for the owner is told to it, once.
         const auto times_told = [&] {
             return std::ranges::count_if(node.sent, [](const Sent& one) {
-                const auto* heard = std::get_if<feed::Heard>(&one.message);
+                const auto* heard = std::get_if<feed::HeartbeatsSeen>(&one.message);
                 return heard != nullptr && one.peer == kPeer &&
                        heard->instances == std::vector<std::string>{"i-2"};
             });
@@ -352,7 +352,7 @@
         co_await node.beat(server("i-1"));
         const int checks = node.asked + 3;
         const bool holds = co_await script.until([&] {
-            node.registry.heard_elsewhere(feed::Heard{{"i-1"}});
+            node.registry.heard_elsewhere(feed::HeartbeatsSeen{{"i-1"}});
             return node.asked >= checks;
         });
         BOOST_TEST(holds);
@@ -421,7 +421,7 @@
         node.registry.compare(kPeerNode, lacks);
         BOOST_REQUIRE(node.sent.size() == 1U);
         BOOST_TEST(node.sent[0].peer == kPeer);
-        const auto wanted = std::get<feed::WantRanges>(node.sent[0].message);
+        const auto wanted = std::get<feed::RangeRequest>(node.sent[0].message);
         BOOST_TEST((wanted.ranges == std::vector<std::uint64_t>{feed::InstanceTable::range_of("i-1")}));
         node.registry.send_ranges(kPeerNode, wanted);
         BOOST_TEST(std::get<feed::Instances>(node.sent.back().message).records.size() == 1U);
@@ -482,7 +482,7 @@
     };
     script.run([&]() -> ReactorScript::Step {
         script.reactor.spawn(drain());
-        const feed::CallId id = std::get<Replicate>(node.sent.back().message).id;
+        const feed::RequestId id = std::get<Replicate>(node.sent.back().message).id;
         node.registry.replicated(kPeerNode, {{id.incarnation + 1, id.number}});
         BOOST_TEST(node.registry.refused().other_process == 1U);
         int looks = 0;
@@ -532,7 +532,7 @@
     BOOST_REQUIRE(node.waiting.size() == 2U);
     node.waiting[1](true);
     BOOST_REQUIRE(node.sent.size() == 1U);
-    BOOST_TEST((std::get<Replicated>(node.sent[0].message).id == feed::CallId{9, 5}));
+    BOOST_TEST((std::get<Replicated>(node.sent[0].message).id == feed::RequestId{9, 5}));
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_is_cut_off_uses_what_it_hears_and_confirms_nothing) {
@@ -572,7 +572,7 @@
     ReactorScript script;
     Node node(script);
     node.registry.ask_for_copy(kPeerNode);
-    const feed::CallId question = copy_question(node);
+    const feed::RequestId question = copy_question(node);
     node.registry.ask_for_copy(kPeerNode); // it was asked just now
     BOOST_TEST(node.sent.size() == 1U);
     Instance left = server("i-1", 4, InstanceState::kGone);
--- a/tests/instance_table_tests.cpp
+++ b/tests/instance_table_tests.cpp
@@ -104,26 +104,26 @@
             if (random.next() % 8 != 0) one.merge(record, 0);
             if (random.next() % 8 != 0) other.merge(record, 0);
         }
-        const auto ranges = InstanceTable::differing(one.digests(), other.digests());
-        BOOST_TEST((ranges == InstanceTable::differing(other.digests(), one.digests())));
-        const auto mine = one.in_ranges(ranges), theirs = other.in_ranges(ranges);
+        const auto ranges = InstanceTable::differing_ranges(one.digests(), other.digests());
+        BOOST_TEST((ranges == InstanceTable::differing_ranges(other.digests(), one.digests())));
+        const auto mine = one.records_in_ranges(ranges), theirs = other.records_in_ranges(ranges);
         for (const Instance& record : theirs) one.merge(record, 0);
         for (const Instance& record : mine) other.merge(record, 0);
         BOOST_REQUIRE((one.records() == other.records()));
-        BOOST_REQUIRE(InstanceTable::differing(one.digests(), other.digests()).empty());
+        BOOST_REQUIRE(InstanceTable::differing_ranges(one.digests(), other.digests()).empty());
     }
 }
 
 BOOST_AUTO_TEST_CASE(digests_of_another_size_differ_only_where_something_is) {
     InstanceTable table;
-    BOOST_TEST(InstanceTable::differing(table.digests(), {}).empty());
+    BOOST_TEST(InstanceTable::differing_ranges(table.digests(), {}).empty());
     table.merge(said("i-1", 1), 0);
-    const auto ranges = InstanceTable::differing(table.digests(), {});
+    const auto ranges = InstanceTable::differing_ranges(table.digests(), {});
     BOOST_REQUIRE(ranges.size() == 1U);
     BOOST_TEST(ranges[0] == InstanceTable::range_of("i-1"));
     feed::Digests longer = table.digests();
     longer.ranges.push_back(7);
-    BOOST_TEST(InstanceTable::differing(table.digests(), longer).empty());
+    BOOST_TEST(InstanceTable::differing_ranges(table.digests(), longer).empty());
 }
 
 BOOST_AUTO_TEST_CASE(what_said_itself_that_it_leaves_stays_gone) {
@@ -154,7 +154,7 @@
         BOOST_TEST(table.merge(said("i-1", 4), 0));
         BOOST_TEST((table.find("i-1")->state == InstanceState::kServing));
         // It is no longer counted as gone, so nothing forgets it.
-        BOOST_TEST(table.forget_gone(1, 1000).empty());
+        BOOST_TEST(table.remove_expired(1, 1000).empty());
     }
 }
 
@@ -163,8 +163,8 @@
     table.merge(said("i-1", 1, InstanceState::kGone), 100);
     table.merge(left("i-1"), 150);
     table.merge(said("i-2", 1), 0);
-    BOOST_TEST(table.forget_gone(100, 199).empty());
-    BOOST_TEST((table.forget_gone(100, 200) == std::vector<std::string>{"i-1"}));
+    BOOST_TEST(table.remove_expired(100, 199).empty());
+    BOOST_TEST((table.remove_expired(100, 200) == std::vector<std::string>{"i-1"}));
     BOOST_TEST(table.find("i-1") == nullptr);
     BOOST_TEST(table.find("i-2") != nullptr);
     table.forget("i-2");
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -63,7 +63,7 @@
         const bool was_acknowledged =
             server.leaving_acknowledged && network_.now() - *server.leaving_acknowledged > kJoiningBound;
         const model::Instance* known = node(machine)->registry().table().find(server.id);
-        if (was_acknowledged && known != nullptr && known->may_be_sent_to())
+        if (was_acknowledged && known != nullptr && known->is_routable())
             promise_broken("machine " + std::to_string(machine) + " votes and does not know that " +
                            server.id + " left");
     }
@@ -207,7 +207,7 @@
         if (known == network_.disk(machine).values.end() || !known->second.durable) continue;
         const auto state = wire::from_bytes<control::KnownState>(*known->second.durable);
         const auto record = std::ranges::find(state.value().instances, server, &model::Instance::id);
-        const bool holds = record != state.value().instances.end() && !record->may_be_sent_to();
+        const bool holds = record != state.value().instances.end() && !record->is_routable();
         copies += holds ? 1 : 0;
     }
     const auto down = static_cast<std::size_t>(std::ranges::count_if(control_, [this](MachineNumber machine) {
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -2,7 +2,7 @@
 // that moves the duties between nodes.
 #include "lab/control_world.hpp"
 
-#include "control/http_order_link.hpp"
+#include "control/http_order_client.hpp"
 #include "protocol/http.hpp"
 #include "protocol/json.hpp"
 
@@ -31,7 +31,7 @@
 } // namespace
 
 // Carries a node's orders to the world's servers; each process of a machine uses the same one.
-class ControlWorld::WorldOrderLink : public duties::OrderLink {
+class ControlWorld::WorldOrderLink : public duties::OrderClient {
   public:
     WorldOrderLink(ControlWorld& world, MachineNumber machine) : world_(world), machine_(machine) {}
     void send(const duties::StageOrder& order, const std::string& holder, std::function<bool()> may_send,
@@ -44,8 +44,8 @@
     MachineNumber machine_;
 };
 
-duties::OrderLink& ControlWorld::order_link(MachineNumber machine) {
-    std::unique_ptr<duties::OrderLink>& link = order_links_[machine];
+duties::OrderClient& ControlWorld::order_link(MachineNumber machine) {
+    std::unique_ptr<duties::OrderClient>& link = order_links_[machine];
     if (!link) link = std::make_unique<WorldOrderLink>(*this, machine);
     return *link;
 }
@@ -83,7 +83,7 @@
             done(outcome);
         });
     };
-    const Tenths patience = duties::OrderLink::kPatience;
+    const Tenths patience = duties::OrderClient::kTimeout;
     if (is_lost)
         return network_.schedule(network_.now() + patience,
                                  [answer] { answer(duties::OrderOutcome::kUnanswered); });
@@ -117,13 +117,13 @@
     const protocol::Json* expected = body.find("expectedCount");
     if (expected == nullptr) promise_broken("an order does not say how many the server should have taken");
     const bool is_as_expected =
-        expected == nullptr || expected->as_integer("expectedCount") == engine.orders_taken;
+        expected == nullptr || expected->as_integer("expectedCount") == engine.orders_accepted;
     if (network_.now() < engine.changing_until || !is_as_expected) return 409;
-    const model::Stage stage = model::stage_named(body.at("stage").as_text("stage"));
+    const model::Stage stage = model::stage_from_name(body.at("stage").as_text("stage"));
     if (stage == engine.stage) return 200;
     if (!engine.taken.insert({fence, order.expected_count.value_or(-1)}).second)
         promise_broken("an order is taken twice by " + engine.id);
-    ++engine.orders_taken, ++counts_.orders_taken;
+    ++engine.orders_accepted, ++counts_.orders_accepted;
     engine.stage = stage;
     engine.changing_until = network_.now() + network_.between(5'000, 15'000);
     tell(fmt::format("{} takes an order of machine {} under {}", engine.id, sender, fence));
@@ -221,7 +221,7 @@
         if (!engine.is_up) continue;
         const bool is_short = (engine.stage == model::Stage::kPrefill) == readers_are_short;
         model::Load load;
-        load.instance = engine.id, load.stage = engine.stage, load.orders_taken = engine.orders_taken;
+        load.instance = engine.id, load.stage = engine.stage, load.orders_accepted = engine.orders_accepted;
         load.running = is_short ? kSlots : 0, load.waiting = is_short ? 2 : 0, load.memory_total = 1000;
         load.changing = network_.now() < engine.changing_until;
         told.loads.push_back(load);
@@ -247,11 +247,11 @@
 }
 
 void ControlWorld::act_once(MachineNumber machine) {
-    const control::DutyParts* parts = node(machine)->duty_parts();
+    const control::DutyPartitions* parts = node(machine)->duty_parts();
     const auto fence = parts->fence(kStages);
     if (!fence) return;
     const Engine& engine = engines_[static_cast<std::size_t>(network_.any(kEngines))];
-    const duties::StageOrder order{engine.id, engine.address, engine.stage, *fence, engine.orders_taken};
+    const duties::StageOrder order{engine.id, engine.address, engine.stage, *fence, engine.orders_accepted};
     order_link(machine).send(
         order, actor_of(machine),
         [this, machine, fence] { return node(machine)->duty_parts()->may_act_under(kStages, *fence); },
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -309,7 +309,7 @@
             const bool serves = known != nullptr && known->state == model::InstanceState::kServing;
             if (!server.drains && !server.ended && !serves)
                 promise_broken("an agent does not know " + server.id + ", which serves");
-            if (server.leaving_acknowledged && known != nullptr && known->may_be_sent_to())
+            if (server.leaving_acknowledged && known != nullptr && known->is_routable())
                 promise_broken("an agent is told to use " + server.id + ", which left");
         }
     }
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -116,7 +116,7 @@
         run_for(kDrainBound);
         for (const Agent& agent : agents_) {
             const model::Instance* known = agent.process->tables().instances().find(id);
-            if (known != nullptr && known->may_be_sent_to())
+            if (known != nullptr && known->is_routable())
                 promise_broken("an agent does not know in time that " + id + " left");
         }
     }
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -2,7 +2,7 @@
 // or answer what is no answer; what comes to it is judged whatever it answers.
 #include "lab/control_world.hpp"
 
-#include "control/http_platform_link.hpp"
+#include "control/http_platform_client.hpp"
 #include "protocol/http.hpp"
 #include "protocol/json.hpp"
 
@@ -15,7 +15,7 @@
 namespace {
 
 using duties::PlatformCall;
-using duties::PlatformLink;
+using duties::PlatformClient;
 using duties::PlatformOutcome;
 
 const std::string kAddress = "10.0.9.1:8168";
@@ -29,7 +29,7 @@
 } // namespace
 
 // Carries a node's calls to the world's platform; each process of a machine uses the same one.
-class ControlWorld::WorldPlatformLink : public PlatformLink {
+class ControlWorld::WorldPlatformLink : public PlatformClient {
   public:
     WorldPlatformLink(ControlWorld& world, MachineNumber machine) : world_(world), machine_(machine) {}
     void send(const PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
@@ -42,8 +42,8 @@
     MachineNumber machine_;
 };
 
-PlatformLink& ControlWorld::platform_link(MachineNumber machine) {
-    std::unique_ptr<PlatformLink>& link = platform_links_[machine];
+PlatformClient& ControlWorld::platform_link(MachineNumber machine) {
+    std::unique_ptr<PlatformClient>& link = platform_links_[machine];
     if (!link) link = std::make_unique<WorldPlatformLink>(*this, machine);
     return *link;
 }
@@ -66,10 +66,10 @@
 
 // By the group, as far as the sender's replica knows.
 void ControlWorld::check_is_agreed(MachineNumber machine, const PlatformCall& call) {
-    const auto state = node(machine)->duty_parts()->agreed(duties::usage_report_duty());
+    const auto state = node(machine)->duty_parts()->committed(duties::usage_report_duty());
     const bool is_agreed =
-        state && std::ranges::find(state->usage.agreed, call.body, &duties::AgreedWindow::body) !=
-                     state->usage.agreed.end();
+        state && std::ranges::find(state->usage.committed, call.body, &duties::CommittedWindow::body) !=
+                     state->usage.committed.end();
     if (!is_agreed) promise_broken(fmt::format("machine {} sends what is not agreed on", machine));
 }
 
@@ -98,11 +98,11 @@
             });
         });
     };
-    if (is_lost) return answer(PlatformLink::kDeliveryPatience, PlatformOutcome::kUnanswered);
+    if (is_lost) return answer(PlatformClient::kDeliveryTimeout, PlatformOutcome::kUnanswered);
     network_.schedule(network_.now() + way, [=, this] {
         const PlatformOutcome outcome = take_platform_call(machine, request);
         const bool is_unanswered = answer_is_lost || outcome == PlatformOutcome::kUnanswered;
-        if (is_unanswered) return answer(PlatformLink::kAnswerPatience, PlatformOutcome::kUnanswered);
+        if (is_unanswered) return answer(PlatformClient::kResponseTimeout, PlatformOutcome::kUnanswered);
         const bool is_slow = platform_.mood == PlatformMood::kSlow;
         answer(is_slow ? network_.between(5'000, 25'000) : network_.between(5, 20), outcome);
     });
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -25,7 +25,7 @@
     agents_[number].usage = std::make_unique<agent::UsageRelay>(window_ms());
     callbacks.time_of_day = [this, machine = agents_[number].machine] { return time_of_day(machine); };
     callbacks.fleet_time = [this, number](const clock::FleetTime& time) {
-        agents_[number].usage->time_told(time, network_.now());
+        agents_[number].usage->update_fleet_time(time, network_.now());
     };
     callbacks.began = [this, number] {
         auto counts = agents_[number].usage->recent();
@@ -61,7 +61,7 @@
 void ControlWorld::hand_to_agent(std::size_t number, std::vector<model::ProcessUsage> counts) {
     if (counts.empty()) return;
     network_.run_on(agents_[number].machine, [this, number, counts = std::move(counts)] {
-        agents_[number].usage->counted(counts, network_.now());
+        agents_[number].usage->add_counts(counts, network_.now());
         agents_[number].process->send(feed::UsageCounts{counts});
     });
 }
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -139,7 +139,7 @@
             feed::Subscriber::Options options;
             options.node = {"edge-" + std::to_string(number), "zone-0", SimulatedNetwork::ip_of(here.machine),
                             network_.random().next()};
-            options.heartbeat = feed::kSessionHeartbeat, options.silence = feed::kSessionSilence;
+            options.heartbeat = feed::kSessionHeartbeat, options.silence = feed::kSessionTimeout;
             options.offers_records = true;
             feed::Subscriber::Callbacks callbacks;
             callbacks.publishers = [this, number] { return feed_addresses(agents_[number]); };
@@ -166,7 +166,7 @@
 std::vector<std::string> ControlWorld::feed_addresses(Agent& agent) {
     std::vector<std::string> seeds;
     std::ranges::transform(seeds_, std::back_inserter(seeds), feed_address);
-    return agent.control_nodes.next_round(std::move(seeds));
+    return agent.control_nodes.next_candidates(std::move(seeds));
 }
 
 // Of one process: no version back, nothing of a refused order, no server that left is there again.
@@ -183,7 +183,7 @@
         std::vector<std::string> addresses;
         for (const model::ControlNode& node : tables.control_nodes())
             addresses.push_back(feed_address(node.address));
-        agent.control_nodes.told(addresses, network_.now());
+        agent.control_nodes.update(addresses, network_.now());
     }
     if (applied.configuration) {
         const std::int64_t version = tables.configuration()->version;
@@ -197,7 +197,7 @@
     }
     for (const Server& server : servers_) {
         const model::Instance* known = tables.instances().find(server.id);
-        const bool serves = known != nullptr && known->may_be_sent_to();
+        const bool serves = known != nullptr && known->is_routable();
         if (known != nullptr && !serves && server.drains) agent.known_leaving.insert(server.id);
         if (!serves || !server.drains) continue;
         if (agent.known_leaving.contains(server.id))
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -56,7 +56,7 @@
 struct ControlCounts {
     std::uint64_t faults = 0, acknowledged = 0, refused = 0, sent_again = 0, reads = 0, leavings = 0,
                   disks_lost = 0, batches = 0, late_answers_passed_over = 0, orders_to_servers = 0,
-                  orders_taken = 0, platform_calls = 0, reports_accepted = 0, reports_acknowledged = 0,
+                  orders_accepted = 0, platform_calls = 0, reports_accepted = 0, reports_acknowledged = 0,
                   count_calls = 0, counts_accepted = 0;
     std::array<bool, 5> five{}; // which of the five were brought about, in the order of ControlPlanKind
 };
@@ -157,7 +157,7 @@
         model::Stage stage = model::Stage::kDecode;
         bool is_up = false;
         std::uint64_t sequence = 0;
-        std::int64_t orders_taken = 0;
+        std::int64_t orders_accepted = 0;
         Tenths changing_until = 0;
         std::uint64_t fence_by_hand = 0; // lower ones are refused: of an order that no node gave
         std::vector<Act> acts;
@@ -249,7 +249,7 @@
     void note_call_of_cut_off(MachineNumber machine, Tenths asked_at, int status, const std::string& what);
 
     // control_duties.cpp: servers that take orders, and who acts
-    duties::OrderLink& order_link(MachineNumber machine);
+    duties::OrderClient& order_link(MachineNumber machine);
     void open_order_connection(MachineNumber machine, const duties::StageOrder& order,
                                const std::string& holder, std::function<bool()> may_send,
                                std::function<void(duties::OrderOutcome)> done);
@@ -271,7 +271,7 @@
     void check_duties_calm();
 
     // control_platform.cpp: the platform that usage is reported to
-    duties::PlatformLink& platform_link(MachineNumber machine);
+    duties::PlatformClient& platform_link(MachineNumber machine);
     void open_platform_connection(MachineNumber machine, const PlatformRequest& request,
                                   std::function<bool()> may_send,
                                   std::function<void(duties::PlatformOutcome)> done);
@@ -342,8 +342,8 @@
     std::vector<Operator> operators_;
     std::vector<Engine> engines_;
     std::uint64_t engine_count_ = 0;
-    std::map<MachineNumber, std::unique_ptr<duties::OrderLink>> order_links_;
-    std::map<MachineNumber, std::unique_ptr<duties::PlatformLink>> platform_links_;
+    std::map<MachineNumber, std::unique_ptr<duties::OrderClient>> order_links_;
+    std::map<MachineNumber, std::unique_ptr<duties::PlatformClient>> platform_links_;
     Platform platform_;
     std::optional<MachineNumber> stepped_; // whose time of day has jumped
     ConfigurationHistory history_;
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -22,7 +22,7 @@
 
 std::string_view name_of(ServerStage stage) { return stage == ServerStage::kPrefill ? "prefill" : "decode"; }
 
-std::optional<ServerStage> stage_named(std::string_view name) {
+std::optional<ServerStage> stage_from_name(std::string_view name) {
     if (name == "prefill") return ServerStage::kPrefill;
     if (name == "decode") return ServerStage::kDecode;
     return std::nullopt;
@@ -161,7 +161,7 @@
 int ModelServerCore::judge_order(const std::string& body) {
     try {
         const protocol::Json order = protocol::read_json(body);
-        const auto stage = stage_named(order.at("stage").as_text("stage"));
+        const auto stage = stage_from_name(order.at("stage").as_text("stage"));
         if (order.at("op").as_text("op") != "stage" || order.at("holder").as_text("holder").empty())
             return 400;
         const std::int64_t fence = order.at("fenceToken").as_integer("fenceToken");
--- a/tests/lab/model_server_core.hpp
+++ b/tests/lab/model_server_core.hpp
@@ -22,7 +22,7 @@
 
 enum class ServerStage : std::uint8_t { kPrefill, kDecode };
 std::string_view name_of(ServerStage stage);
-std::optional<ServerStage> stage_named(std::string_view name);
+std::optional<ServerStage> stage_from_name(std::string_view name);
 
 struct ModelServerPlan {
     std::string id = "i-00000001", service = "model", address = "127.0.0.1:0", zone = "a", software = "v1";
--- a/tests/link_tests.cpp
+++ b/tests/link_tests.cpp
@@ -35,7 +35,7 @@
         : log(feed), publisher(reactor, log, options, std::move(callbacks)),
           listener(reactor, "127.0.0.1:0", [this, &reactor](int descriptor) {
               ++connections;
-              publisher.take(accepted_socket(reactor, descriptor));
+              publisher.accept(accept_socket(reactor, descriptor));
           }) {}
     std::string address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
     void put(Item item) {
@@ -62,7 +62,7 @@
     }
     static Subscriber::Options named(Subscriber::Options options) {
         options.node = {"edge-1", "a", "127.0.0.1", 1};
-        options.first_pause = options.longest_pause = 20;
+        options.initial_backoff = options.max_backoff = 20;
         return options;
     }
     bool knows(const std::string& id) { return subscriber.tables().instances().find(id) != nullptr; }
@@ -98,7 +98,7 @@
 Subscribe subscription(std::uint64_t feed = 0, std::uint64_t place = 0) {
     Subscribe message;
     message.node = {"edge-2", "a", "127.0.0.1", 2};
-    message.feed = feed, message.place = place;
+    message.feed_id = feed, message.sequence = place;
     return message;
 }
 
@@ -122,7 +122,7 @@
     Publisher publisher(script.reactor, log, {}, {});
     int other = -1;
     const std::string first = wire::frame(wire::to_bytes(Message{subscription()}));
-    publisher.take(accepted_socket(script.reactor, connection_with(first, other)));
+    publisher.accept(accept_socket(script.reactor, connection_with(first, other)));
     script.run([&]() -> ReactorScript::Step {
         const bool member =
             co_await script.until([&] { return !publisher.sessions().empty(); }, kTenthsPerSecond);
@@ -206,7 +206,7 @@
     script.run([&]() -> ReactorScript::Step {
         bool holds = co_await script.until([&] { return follower.knows("i-1"); });
         BOOST_TEST(holds);
-        BOOST_TEST(follower.subscriber.tables().feed() == 7U);
+        BOOST_TEST(follower.subscriber.tables().feed_id() == 7U);
         for (std::int64_t version = 1; version <= 3; ++version) {
             model::Configuration configuration;
             configuration.version = version;
@@ -217,7 +217,7 @@
             return held && held->version == 3;
         });
         BOOST_TEST(holds);
-        BOOST_TEST(follower.subscriber.tables().place() == node.log.place());
+        BOOST_TEST(follower.subscriber.tables().sequence() == node.log.sequence());
         BOOST_TEST(node.publisher.sessions().size() == 1U);
         co_return Done{};
     });
@@ -231,7 +231,7 @@
     script.run([&]() -> ReactorScript::Step {
         bool holds = co_await script.until([&] { return follower.knows("i-19"); });
         BOOST_TEST(holds);
-        node.publisher.end_all("test");
+        node.publisher.close_all("test");
         node.log.put(instance("i-20"));
         follower.batches.clear();
         holds = co_await script.until([&] { return follower.knows("i-20"); });
@@ -275,7 +275,7 @@
         BOOST_TEST((cut.snapshot && cut.items.size() == 4U));
         BOOST_TEST((other.snapshot && other.items.size() == 4U));
         for (const Batch* batch : {&step, &cut, &other})
-            BOOST_TEST((batch->feed == 7U && batch->place == 5U));
+            BOOST_TEST((batch->feed_id == 7U && batch->sequence == 5U));
         co_return Done{};
     });
 }
@@ -301,15 +301,15 @@
     script.run([&]() -> ReactorScript::Step {
         bool holds = co_await script.until([&] { return follower.knows("i-39"); });
         BOOST_TEST(holds);
-        BOOST_TEST(follower.subscriber.tables().feed() == 7U);
+        BOOST_TEST(follower.subscriber.tables().feed_id() == 7U);
         former.reset();
-        holds = co_await script.until([&] { return follower.subscriber.tables().feed() == 8U; });
+        holds = co_await script.until([&] { return follower.subscriber.tables().feed_id() == 8U; });
         BOOST_TEST(holds);
         BOOST_TEST(known.records().size() == 40U);
         // The snapshot of the fresh publisher names them all, so that the subscriber never loses one.
         for (int i = 0; i < 40; ++i) BOOST_TEST(follower.knows("i-" + std::to_string(i)));
         for (const auto& batch : follower.batches)
-            for (const Item& item : batch.news) BOOST_TEST(!std::holds_alternative<Forgotten>(item));
+            for (const Item& item : batch.news) BOOST_TEST(!std::holds_alternative<InstanceRemoved>(item));
         co_return Done{};
     });
 }
@@ -408,8 +408,8 @@
         BOOST_TEST(follower.subscriber.publisher() == second.address());
         BOOST_TEST(first.publisher.sessions().empty());
         refuses = false;
-        second.publisher.end_all("test");
-        holds = co_await script.until([&] { return follower.subscriber.tables().feed() == 7U; });
+        second.publisher.close_all("test");
+        holds = co_await script.until([&] { return follower.subscriber.tables().feed_id() == 7U; });
         BOOST_TEST(holds);
         co_return Done{};
     });
@@ -427,7 +427,7 @@
     });
     RawPeer peer(script.reactor, node.address());
     Subscriber::Options patience;
-    patience.silence = kSilence, patience.connect_patience = kLongSilence;
+    patience.silence = kSilence, patience.connect_timeout = kLongSilence;
     FollowingNode follower(script.reactor, {"127.0.0.1:" + std::to_string(mute.port())}, patience);
     script.run([&]() -> ReactorScript::Step {
         bool holds = co_await script.until([&] { return peer.up(); });
@@ -493,7 +493,7 @@
         BOOST_TEST(holds);
         BOOST_TEST(!follower.knows("i-2"));
         BOOST_REQUIRE(asked.size() == 2U);
-        BOOST_TEST((asked[1].feed == 0U && asked[1].place == 0U));
+        BOOST_TEST((asked[1].feed_id == 0U && asked[1].sequence == 0U));
         BOOST_TEST(follower.ended == 0);
         co_return Done{};
     });
@@ -507,13 +507,13 @@
     Publisher publisher(script.reactor, log, {}, {});
     int one = -1, other = -1;
     const std::string first = wire::frame(wire::to_bytes(Message{subscription()}));
-    publisher.take(accepted_socket(script.reactor, connection_with(first, one)));
-    publisher.take(accepted_socket(script.reactor, connection_with(first, other)));
+    publisher.accept(accept_socket(script.reactor, connection_with(first, one)));
+    publisher.accept(accept_socket(script.reactor, connection_with(first, other)));
     script.run([&]() -> ReactorScript::Step {
         const bool members = co_await script.until([&] { return publisher.sessions().size() == 2; });
         BOOST_TEST(members);
         const std::string reason(40 * 1024 * 1024, 'x');
-        publisher.end_all(reason);
+        publisher.close_all(reason);
         BOOST_TEST(publisher.sessions().empty());
         const bool goes_on = co_await script.until([&] { return publisher.sessions().empty(); });
         BOOST_TEST(goes_on);
--- a/tests/pair_selector_tests.cpp
+++ b/tests/pair_selector_tests.cpp
@@ -566,9 +566,9 @@
 
 namespace {
 
-model::Load ordered(const std::string& id, std::int64_t orders_taken, Stage stage, bool changing = false) {
+model::Load ordered(const std::string& id, std::int64_t orders_accepted, Stage stage, bool changing = false) {
     model::Load made = load(id, 0);
-    made.orders_taken = orders_taken, made.stage = stage, made.changing = changing;
+    made.orders_accepted = orders_accepted, made.stage = stage, made.changing = changing;
     return made;
 }
 
--- a/tests/platform_link_tests.cpp
+++ b/tests/platform_client_tests.cpp
@@ -1,6 +1,6 @@
 // Calls to the platform over loopback sockets: what leaves, and what each kind of answer means.
-#define BOOST_TEST_MODULE platform_link
-#include "control/http_platform_link.hpp"
+#define BOOST_TEST_MODULE platform_client
+#include "control/http_platform_client.hpp"
 #include "lab/reactor_script.hpp"
 #include "protocol/http.hpp"
 #include "transport/listener.hpp"
@@ -16,7 +16,7 @@
 
 using namespace ivyrill;
 using duties::PlatformCall;
-using duties::PlatformLink;
+using duties::PlatformClient;
 using duties::PlatformOutcome;
 using lab::ReactorScript;
 using transport::Done;
@@ -82,7 +82,7 @@
 Called call(const Setting& setting) {
     ReactorScript script;
     Platform platform(script.reactor, setting.answer, setting.closes, setting.reads);
-    control::HttpPlatformLink link(script.reactor, platform.address());
+    control::HttpPlatformClient link(script.reactor, platform.address());
     Called called;
     script.run([&]() -> ReactorScript::Step {
         const Tenths begun = script.reactor.now();
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(nothing_is_sent_where_nobody_listens_or_no_address_is_known) {
     for (const char* address : {"127.0.0.1:1", ""}) {
         ReactorScript script;
-        control::HttpPlatformLink link(script.reactor, address);
+        control::HttpPlatformClient link(script.reactor, address);
         std::optional<PlatformOutcome> outcome;
         script.run([&]() -> ReactorScript::Step {
             link.send(
@@ -174,5 +174,5 @@
     const Called called = call(setting);
     BOOST_TEST(called.connections == 1);
     BOOST_TEST((called.outcome == PlatformOutcome::kUnanswered));
-    BOOST_TEST(called.took < PlatformLink::kAnswerPatience);
+    BOOST_TEST(called.took < PlatformClient::kResponseTimeout);
 }
--- a/tests/report_duty_tests.cpp
+++ b/tests/report_assignment_tests.cpp
@@ -1,7 +1,7 @@
 // Which node reads which server's report, and that keeping it up gives the same as finding it anew.
-#define BOOST_TEST_MODULE report_duties
-#include "agent/report_duties.hpp"
-#include "agent/report_reader.hpp"
+#define BOOST_TEST_MODULE report_assignment
+#include "agent/report_assignment.hpp"
+#include "agent/report_poller.hpp"
 #include "base/pcg.hpp"
 
 #include <boost/test/included/unit_test.hpp>
@@ -24,7 +24,7 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(every_server_has_one_reader_and_every_node_reads_some) {
-    agent::ReportDuties duties;
+    agent::ReportAssignment duties;
     duties.set_nodes(nodes(0, 10));
     std::map<std::string, int> read;
     for (std::size_t i = 0; i < 500; ++i) ++read[duties.reader(server(i))];
@@ -33,7 +33,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(kept_up_over_joins_and_losses_it_is_what_is_found_anew) {
-    agent::ReportDuties kept;
+    agent::ReportAssignment kept;
     Pcg random(7);
     std::vector<model::EdgeNode> present = nodes(0, 5);
     for (std::size_t round = 0; round < 60; ++round) {
@@ -44,12 +44,12 @@
             present.push_back({"joined-" + std::to_string(round), "zone", "", round});
         kept.set_nodes(present);
         for (std::size_t i = 0; i < 100; ++i)
-            BOOST_TEST(kept.reader(server(i)) == agent::reader_of(server(i), present));
+            BOOST_TEST(kept.reader(server(i)) == agent::poller_of(server(i), present));
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_leaves_moves_only_its_own_servers) {
-    agent::ReportDuties duties;
+    agent::ReportAssignment duties;
     duties.set_nodes(nodes(0, 10));
     std::vector<std::string> before;
     for (std::size_t i = 0; i < 200; ++i) before.push_back(duties.reader(server(i)));
@@ -61,7 +61,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(without_nodes_nobody_reads_until_one_joins) {
-    agent::ReportDuties duties;
+    agent::ReportAssignment duties;
     BOOST_TEST(duties.reader(server(1)).empty());
     duties.set_nodes(nodes(0, 1));
     BOOST_TEST(duties.reader(server(1)) == "edge-0");
@@ -72,7 +72,7 @@
 // 3,000 servers read twice a second by 300 nodes and told to all held a control node's processor and link.
 BOOST_AUTO_TEST_CASE(reports_come_in_proportion_more_rarely_in_a_large_fleet) {
     transport::Reactor reactor;
-    agent::ReportReader reader(reactor, {"edge-0", 5000, 150}, [](const model::Load&) {});
+    agent::ReportPoller reader(reactor, {"edge-0", 5000, 150}, [](const model::Load&) {});
     std::map<std::string, model::Instance> instances;
     const auto grow = [&](std::size_t count) {
         for (std::size_t i = instances.size(); i < count; ++i) instances[server(i)].id = server(i);
@@ -113,10 +113,11 @@
     };
     const auto whole = report(R"(,"stage":"prefill","busy":true,"callSeq":2)");
     BOOST_REQUIRE(whole.has_value());
-    BOOST_TEST((whole->stage == model::Stage::kPrefill && whole->changing && whole->orders_taken == 2));
+    BOOST_TEST((whole->stage == model::Stage::kPrefill && whole->changing && whole->orders_accepted == 2));
     const auto without = report("");
     BOOST_REQUIRE(without.has_value());
-    BOOST_TEST((without->stage == model::Stage::kNone && !without->changing && without->orders_taken == 0));
+    BOOST_TEST(
+        (without->stage == model::Stage::kNone && !without->changing && without->orders_accepted == 0));
     for (const char* spoilt : {R"(,"callSeq":-1)", R"(,"callSeq":"two")", R"(,"busy":1)", R"(,"stage":3)"})
         BOOST_TEST(!report(spoilt).has_value(), spoilt);
 }
--- a/tests/usage_duty_tests.cpp
+++ b/tests/usage_duty_tests.cpp
@@ -24,7 +24,7 @@
     std::function<void(PlatformOutcome)> done;
 };
 
-class FakeLink : public duties::PlatformLink {
+class FakeLink : public duties::PlatformClient {
   public:
     void send(const PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
               std::function<void(PlatformOutcome)> done) override {
@@ -57,7 +57,7 @@
         callbacks.fence = [this] { return fence; };
         callbacks.may_propose = [this] { return fence || waits_for_lease; };
         callbacks.may_act_under = [this](std::uint64_t asked) { return fence == asked; };
-        callbacks.agreed = [this] { return std::optional(ledger); };
+        callbacks.committed = [this] { return std::optional(ledger); };
         callbacks.propose = [this](UsageDuty::ChangeLedger change) {
             proposals.push_back(std::move(change));
             if (agrees_at_once) agree();
@@ -69,7 +69,7 @@
         callbacks.sources.counts = [this](std::int64_t) {
             return std::map<std::string, std::int64_t>{{"a", count}};
         };
-        callbacks.take_call = [this] { return has_room; };
+        callbacks.acquire_call = [this] { return has_room; };
         duty = std::make_unique<UsageDuty>(reactor, link, UsageDuty::Options{"core-1", kWindowMs},
                                            std::move(callbacks));
     }
@@ -113,17 +113,17 @@
     here.fence.reset();
     here.run(3 * kSecond);
     BOOST_TEST(here.link.calls.empty());
-    BOOST_TEST(here.ledger.agreed.empty());
+    BOOST_TEST(here.ledger.committed.empty());
     here.fence = 12, here.knows_time = false;
     here.run(3 * kSecond);
-    BOOST_TEST(here.ledger.agreed.empty());
+    BOOST_TEST(here.ledger.committed.empty());
 }
 
 BOOST_AUTO_TEST_CASE(a_window_is_agreed_on_while_a_former_holder_is_waited_for_and_sent_only_after) {
     Setting here;
     here.fence.reset(), here.waits_for_lease = true;
     here.run(3 * kSecond);
-    BOOST_TEST(here.ledger.agreed.size() == 1U);
+    BOOST_TEST(here.ledger.committed.size() == 1U);
     BOOST_TEST(here.link.calls.empty());
     here.fence = 13;
     here.run(kSecond / 2);
@@ -135,10 +135,10 @@
     Setting here;
     here.fence.reset(), here.waits_for_lease = true, here.is_complete = false;
     here.run(20 * kSecond);
-    BOOST_TEST(here.ledger.agreed.empty());
+    BOOST_TEST(here.ledger.committed.empty());
     here.fence = 13;
     here.run(kSecond / 2);
-    BOOST_TEST(!here.ledger.agreed.empty());
+    BOOST_TEST(!here.ledger.committed.empty());
 }
 
 // Asked by the link in the moment in which the call leaves.
@@ -186,8 +186,8 @@
         here.answer(PlatformOutcome::kAccepted);
         here.run(5 * kSecond);
         BOOST_TEST(here.link.calls.empty());
-        BOOST_TEST(here.duty->standing().acknowledged == 1U);
-        BOOST_TEST(here.duty->standing().due == 0U);
+        BOOST_TEST(here.duty->status().acknowledged == 1U);
+        BOOST_TEST(here.duty->status().due == 0U);
     }
 }
 
@@ -196,8 +196,8 @@
     here.run(kSecond);
     here.answer(PlatformOutcome::kAccepted);
     here.run(5 * kSecond);
-    BOOST_REQUIRE(here.ledger.agreed.size() == 1U);
-    BOOST_TEST(here.ledger.agreed.front().number == kFirst + 1);
+    BOOST_REQUIRE(here.ledger.committed.size() == 1U);
+    BOOST_TEST(here.ledger.committed.front().number == kFirst + 1);
     BOOST_REQUIRE(here.link.calls.size() == 1U);
     BOOST_TEST(here.link.calls.front().call.body == here.body(kFirst + 1));
 }
@@ -241,15 +241,15 @@
     int tries = 0;
     for (const Tenths end = here.now + 30 * kSecond; here.now < end; here.run(500))
         if (!here.link.calls.empty()) here.answer(PlatformOutcome::kRefused), ++tries;
-    BOOST_TEST(tries == UsageDuty::kMostRefusals);
-    BOOST_TEST(here.duty->standing().given_up == 1U);
+    BOOST_TEST(tries == UsageDuty::kMaxRejections);
+    BOOST_TEST(here.duty->status().given_up == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(the_oldest_goes_first_and_few_are_under_way_at_once) {
     Setting here;
     here.time_ms = (kFirst + 10) * kWindowMs;
     here.run(kSecond);
-    BOOST_REQUIRE(here.link.calls.size() == UsageDuty::kMostUnderWay);
+    BOOST_REQUIRE(here.link.calls.size() == UsageDuty::kMaxInFlight);
     for (std::size_t i = 0; i < here.link.calls.size(); ++i)
         BOOST_TEST(here.link.calls[i].call.body == here.body(kFirst + static_cast<std::int64_t>(i)));
 }
@@ -273,10 +273,10 @@
         here.run(2 * kSecond);
         here.answer(outcome);
     }
-    const UsageDuty::Standing seen = here.duty->standing();
+    const UsageDuty::Status seen = here.duty->status();
     BOOST_TEST(seen.calls.calls() == 6U);
     for (const PlatformOutcome outcome : duties::kPlatformOutcomes)
-        BOOST_TEST(seen.calls.of(outcome) == (outcome == PlatformOutcome::kFencedOff ? 0U : 1U),
+        BOOST_TEST(seen.calls.count(outcome) == (outcome == PlatformOutcome::kFencedOff ? 0U : 1U),
                    duties::name_of(outcome));
     BOOST_TEST(seen.next_window == kFirst + 100);
 }
--- a/tests/usage_ledger_tests.cpp
+++ b/tests/usage_ledger_tests.cpp
@@ -1,7 +1,7 @@
 // What is agreed on of usage, when, and in which bytes. Time, counts and acknowledgements are handed in.
 #define BOOST_TEST_MODULE usage_ledger
-#include "duties/call_budget.hpp"
 #include "duties/duty.hpp"
+#include "duties/platform_rate_limiter.hpp"
 #include "duties/usage_ledger.hpp"
 #include "protocol/json.hpp"
 #include "wire/cbor.hpp"
@@ -37,7 +37,7 @@
 
 std::vector<std::int64_t> numbers_of(const UsageLedger& ledger) {
     std::vector<std::int64_t> numbers;
-    for (const AgreedWindow& window : ledger.agreed) numbers.push_back(window.number);
+    for (const CommittedWindow& window : ledger.committed) numbers.push_back(window.number);
     return numbers;
 }
 
@@ -88,17 +88,17 @@
     const std::int64_t later = end_ms(kFirst + 50'000);
     std::size_t entries = 0;
     for (auto next = next_of(ledger, {}, later); next; next = next_of(ledger, {}, later)) {
-        BOOST_TEST(next->agreed.size() - ledger.agreed.size() <= 16U);
+        BOOST_TEST(next->committed.size() - ledger.committed.size() <= 16U);
         ledger = *next, ++entries;
     }
-    BOOST_TEST(ledger.agreed.size() == kMostAgreedWindows);
+    BOOST_TEST(ledger.committed.size() == kMaxCommittedWindows);
     BOOST_TEST(entries == 4U);
     const std::set<std::int64_t> settled{kFirst, kFirst + 1};
     const auto next = next_of(ledger, {}, later, 0, settled);
     BOOST_REQUIRE(next.has_value());
-    BOOST_TEST(next->agreed.size() == kMostAgreedWindows);
-    BOOST_TEST(next->agreed.front().number == kFirst + 2);
-    BOOST_TEST(next->next_window == kFirst + static_cast<std::int64_t>(kMostAgreedWindows) + 2);
+    BOOST_TEST(next->committed.size() == kMaxCommittedWindows);
+    BOOST_TEST(next->committed.front().number == kFirst + 2);
+    BOOST_TEST(next->next_window == kFirst + static_cast<std::int64_t>(kMaxCommittedWindows) + 2);
 }
 
 BOOST_AUTO_TEST_CASE(ten_thousand_tenants_do_not_grow_the_ledger_without_bound) {
@@ -111,8 +111,8 @@
     for (auto next = next_ledger(ledger, later, kWindowMs, sources, {}); next;
          next = next_ledger(ledger, later, kWindowMs, sources, {}))
         ledger = *next;
-    BOOST_TEST(ledger.agreed.size() >= 1U);
-    BOOST_TEST(ledger.agreed.size() <= 3U);
+    BOOST_TEST(ledger.committed.size() >= 1U);
+    BOOST_TEST(ledger.committed.size() <= 3U);
 }
 
 // Whatever is counted later.
@@ -123,8 +123,8 @@
     counted.count = 100;
     const auto second = next_of(*first, counted, end_ms(kFirst + 1) + 500);
     BOOST_REQUIRE(second.has_value());
-    BOOST_REQUIRE(second->agreed.size() == 2U);
-    BOOST_TEST((second->agreed.front() == first->agreed.front()));
+    BOOST_REQUIRE(second->committed.size() == 2U);
+    BOOST_TEST((second->committed.front() == first->committed.front()));
 }
 
 BOOST_AUTO_TEST_CASE(what_is_settled_leaves_the_ledger_with_the_next_window_only) {
@@ -155,9 +155,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_part_keeps_its_ledger_on_the_disk) {
-    PartState state;
+    PartitionState state;
     state.released_term = 7, state.usage = {kFirst + 1, {{kFirst, usage_body(kFirst, {{"a", 1}})}}};
-    const auto read = read_part_state(wire::to_bytes(state));
+    const auto read = read_partition_state(wire::to_bytes(state));
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read->released_term == 7U);
     BOOST_TEST((read->usage == state.usage));
@@ -165,7 +165,7 @@
 
 BOOST_AUTO_TEST_CASE(a_part_written_before_there_was_a_ledger_is_read_and_reports_from_now_on) {
     const std::string former{"\x81\x07"}; // an array of one: released in term 7
-    const auto read = read_part_state(former);
+    const auto read = read_partition_state(former);
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read->released_term == 7U);
     BOOST_TEST(was_handed_over(*read, 8));
@@ -173,12 +173,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_spoilt_part_is_not_taken_for_one_without_reports) {
-    PartState state;
+    PartitionState state;
     state.usage = {kFirst + 1, {{kFirst, usage_body(kFirst, {{"a", 1}})}}};
     const std::string whole = wire::to_bytes(state);
     for (std::size_t size = 0; size < whole.size(); ++size)
-        BOOST_TEST(!read_part_state(whole.substr(0, size)).has_value(), size);
-    BOOST_TEST(!read_part_state(whole + "x").has_value());
+        BOOST_TEST(!read_partition_state(whole.substr(0, size)).has_value(), size);
+    BOOST_TEST(!read_partition_state(whole + "x").has_value());
 }
 
 // ---- calls to the platform, of all duties
@@ -186,13 +186,13 @@
 BOOST_AUTO_TEST_CASE(all_parts_together_make_no_more_calls_a_second_than_the_platform_takes) {
     constexpr Tenths kStart = 1'000'000;
     for (const double per_s : {0.0, 8.0, 50.0, 51.0}) {
-        CallBudget budget(per_s, kStart - 100 * kTenthsPerSecond); // all that can be saved up is
+        PlatformRateLimiter limiter(per_s, kStart - 100 * kTenthsPerSecond); // all that can be saved up is
         std::vector<Tenths> calls;
         for (Tenths now = kStart; now < kStart + 4 * kTenthsPerSecond; now += 10)
-            for (std::size_t part = 0; part < kDutyParts; ++part)
+            for (std::size_t part = 0; part < kDutyPartitions; ++part)
                 for (int subject = 0; subject < 50; ++subject) {
                     const Duty duty = server_count_duty("s" + std::to_string(subject), "z");
-                    if (part_of(duty) == part && budget.take(duty, now)) calls.push_back(now);
+                    if (partition_of(duty) == part && limiter.try_acquire(duty, now)) calls.push_back(now);
                 }
         const double most = per_s > 0 ? per_s : 8;
         for (std::size_t i = 0; i < calls.size(); ++i) {
@@ -200,12 +200,12 @@
             while (last < calls.size() && calls[last] - calls[i] < kTenthsPerSecond) ++last;
             BOOST_TEST(static_cast<double>(last - i) <= most);
         }
-        BOOST_TEST(static_cast<double>(calls.size()) >= 4 * most / 2 - kDutyParts);
+        BOOST_TEST(static_cast<double>(calls.size()) >= 4 * most / 2 - kDutyPartitions);
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_process_that_starts_has_nothing_saved_up) {
-    CallBudget budget(50, 1'000'000);
-    BOOST_TEST(!budget.take(usage_report_duty(), 1'000'000));
-    BOOST_TEST(budget.take(usage_report_duty(), 1'000'000 + kTenthsPerSecond));
+    PlatformRateLimiter limiter(50, 1'000'000);
+    BOOST_TEST(!limiter.try_acquire(usage_report_duty(), 1'000'000));
+    BOOST_TEST(limiter.try_acquire(usage_report_duty(), 1'000'000 + kTenthsPerSecond));
 }
