--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Tenths kReportInterval = 5000; // a report is some hundred ms old when it comes, and is priced
-constexpr Tenths kFlushInterval = 1000;  // what was read within it travels together
-constexpr Tenths kEndSpan = 100;
-constexpr Tenths kTimeInterval = kTenthsPerSecond; // between two words of the fleet's time to the proxy
+constexpr Tenths kPollInterval = 5000;  // reports are some hundred ms old when received, and each has a cost
+constexpr Tenths kFlushInterval = 1000; // loads read within it are sent together
+constexpr Tenths kShutdownDelay = 100;
+constexpr Tenths kTimeInterval = kTenthsPerSecond; // between updates of the fleet's time to the proxy
 
 std::uint64_t draw() {
     std::random_device device;
@@ -30,23 +30,23 @@
 Agent::Agent(transport::Reactor& reactor, const settings::Settings& settings)
     : reactor_(reactor), settings_(settings), network_(reactor), log_(draw()),
       control_nodes_(hash_text(settings.node_name)) {
-    feed::Publisher::Callbacks of_proxy;
-    feed::Publisher::Options to_proxy;
+    feed::Publisher::Callbacks proxy_callbacks;
+    feed::Publisher::Options proxy_options;
     feed::Subscriber::Callbacks callbacks;
     if (settings_.bounds.usage_window_ms() > 0) {
-        usage_.emplace(settings_.bounds.usage_window_ms());
-        to_proxy.heartbeat = kTimeInterval;
-        report_usage(of_proxy, callbacks);
+        usage_relay_.emplace(settings_.bounds.usage_window_ms());
+        proxy_options.heartbeat = kTimeInterval;
+        relay_usage(proxy_callbacks, callbacks);
     }
-    of_proxy.demands = [this](const std::string&, const std::vector<model::ServiceDemand>& demands) {
+    proxy_callbacks.demands = [this](const std::string&, const std::vector<model::ServiceDemand>& demands) {
         subscriber_->send(feed::Demands{demands});
     };
-    publisher_ = std::make_unique<feed::Publisher>(reactor_, log_, to_proxy, std::move(of_proxy));
+    publisher_ = std::make_unique<feed::Publisher>(reactor_, log_, proxy_options, std::move(proxy_callbacks));
     listener_ = network_.listen(feed::local_feed_address(settings_),
                                 [this](feed::AcceptedLink connection) { publisher_->accept(connection); });
-    reader_ =
-        std::make_unique<ReportPoller>(reactor_, ReportPoller::Options{settings_.node_name, kReportInterval},
-                                       [this](model::Load load) { read_.push_back(std::move(load)); });
+    report_poller_ = std::make_unique<ReportPoller>(
+        reactor_, ReportPoller::Options{settings_.node_name, kPollInterval},
+        [this](model::Load load) { pending_loads_.push_back(std::move(load)); });
     feed::Subscriber::Options options;
     options.node = {settings_.node_name, settings_.zone, settings_.ip, draw()};
     options.heartbeat = feed::kSessionHeartbeat, options.silence = feed::kSessionTimeout;
@@ -62,18 +62,19 @@
 
 void Agent::use_settings(const settings::Settings& settings) { settings_ = settings; }
 
-void Agent::report_usage(feed::Publisher::Callbacks& of_proxy, feed::Subscriber::Callbacks& of_control) {
-    of_proxy.fleet_time = [this] { return usage_->time(reactor_.now()); };
-    of_proxy.usage = [this](const std::vector<model::ProcessUsage>& counts) {
-        usage_->add_counts(counts, reactor_.now());
+void Agent::relay_usage(feed::Publisher::Callbacks& proxy_callbacks,
+                        feed::Subscriber::Callbacks& control_callbacks) {
+    proxy_callbacks.fleet_time = [this] { return usage_relay_->time(reactor_.now()); };
+    proxy_callbacks.usage = [this](const std::vector<model::ProcessUsage>& counts) {
+        usage_relay_->add_counts(counts, reactor_.now());
         subscriber_->send(feed::UsageCounts{counts});
     };
-    of_control.time_of_day = clock::time_of_day;
-    of_control.fleet_time = [this](const clock::FleetTime& time) {
-        if (usage_->update_fleet_time(time, reactor_.now())) publisher_->publish_time();
+    control_callbacks.time_of_day = clock::time_of_day;
+    control_callbacks.fleet_time = [this](const clock::FleetTime& time) {
+        if (usage_relay_->update_fleet_time(time, reactor_.now())) publisher_->publish_time();
     };
-    of_control.began = [this] { // what went over the former link may be lost
-        auto counts = usage_->recent();
+    control_callbacks.synchronized = [this] { // anything sent over the previous link may be lost
+        auto counts = usage_relay_->recent();
         if (!counts.empty()) subscriber_->send(feed::UsageCounts{std::move(counts)});
     };
 }
@@ -93,24 +94,25 @@
 }
 
 void Agent::applied(const feed::Tables::Applied& applied) {
-    for (const feed::Item& item : applied.news) log_.put(item);
+    for (const feed::Item& item : applied.changes) log_.put(item);
     for (const std::string& id : applied.expired) log_.forget_instance(id);
     publisher_->publish();
     if (applied.nodes) learn_control_nodes();
     if (applied.instances || applied.nodes)
-        reader_->assign(subscriber_->tables().instances().records(), subscriber_->tables().edge_nodes());
+        report_poller_->assign(subscriber_->tables().instances().records(),
+                               subscriber_->tables().edge_nodes());
 }
 
-// The proxy is told at once; the others by way of control.
+// Sends the loads to the control node, which passes them on to all nodes.
 void Agent::flush_loads() {
     timer_ = reactor_.call_after(kFlushInterval, [this] { flush_loads(); });
-    if (read_.empty()) return;
-    subscriber_->send(feed::Loads{std::exchange(read_, {})});
+    if (pending_loads_.empty()) return;
+    subscriber_->send(feed::Loads{std::exchange(pending_loads_, {})});
 }
 
 void Agent::begin_end() {
     log_line("ending");
-    reactor_.call_after(kEndSpan, [this] { reactor_.stop(); });
+    reactor_.call_after(kShutdownDelay, [this] { reactor_.stop(); });
 }
 
 } // namespace ivyrill::agent
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,6 +1,6 @@
-// The program `agent`, beside each proxy: keeps the machine's session with a control node, follows its feed,
-// and hands it to the proxy over loopback, so that the proxy's own time goes to requests. It reads the load
-// of its share of the servers for all nodes.
+// The `agent` program, one beside each proxy: keeps the machine's session with a control node, follows its
+// feed and relays it to the proxy over loopback, so that the proxy spends its time on requests only. It also
+// polls the load of its share of the servers on behalf of all nodes.
 #pragma once
 #include "agent/report_poller.hpp"
 #include "agent/usage_relay.hpp"
@@ -19,9 +19,9 @@
 
 class Agent {
   public:
-    Agent(transport::Reactor& reactor, const settings::Settings& settings); // throws where it can't listen
+    Agent(transport::Reactor& reactor, const settings::Settings& settings); // throws if it can't listen
     ~Agent();
-    void use_settings(const settings::Settings& settings); // read anew
+    void use_settings(const settings::Settings& settings); // reloaded settings
     void begin_end();
 
   private:
@@ -29,19 +29,20 @@
     void learn_control_nodes();
     void applied(const feed::Tables::Applied& applied);
     void flush_loads();
-    void report_usage(feed::Publisher::Callbacks& of_proxy, feed::Subscriber::Callbacks& of_control);
+    void relay_usage(feed::Publisher::Callbacks& proxy_callbacks,
+                     feed::Subscriber::Callbacks& control_callbacks);
 
     transport::Reactor& reactor_;
     settings::Settings settings_;
-    std::optional<UsageRelay> usage_; // none where nothing is reported
+    std::optional<UsageRelay> usage_relay_; // none if usage reports are disabled
     feed::SocketNetwork network_;
     feed::FeedLog log_;
     std::unique_ptr<feed::Publisher> publisher_;
     feed::PublisherList control_nodes_;
     std::unique_ptr<feed::Subscriber> subscriber_;
-    std::unique_ptr<ReportPoller> reader_;
+    std::unique_ptr<ReportPoller> report_poller_;
     std::unique_ptr<feed::LinkListener> listener_;
-    std::vector<model::Load> read_; // to be told with the next flush
+    std::vector<model::Load> pending_loads_; // loads to send with the next flush
     transport::Reactor::TimerId timer_{};
 };
 
--- a/src/agent/report_assignment.cpp
+++ b/src/agent/report_assignment.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kSpareReaders = 100;
+constexpr std::size_t kMinCacheSize = 100;
 
 std::uint64_t weight_of(const std::string& node, const std::string& instance) {
     return hash_text(node, hash_text(instance));
@@ -20,7 +20,7 @@
 std::string poller_of(const std::string& instance, const std::vector<model::EdgeNode>& nodes) {
     ReportAssignment duties;
     duties.set_nodes(nodes);
-    return duties.reader(instance);
+    return duties.poller(instance);
 }
 
 void ReportAssignment::set_nodes(const std::vector<model::EdgeNode>& nodes) {
@@ -31,20 +31,20 @@
     std::ranges::set_difference(nodes_, names, std::back_inserter(left));
     nodes_ = std::move(names);
     if (joined.empty() && left.empty()) return;
-    for (auto& [instance, reader] : readers_) {
-        if (reader.node.empty() || std::ranges::binary_search(left, reader.node)) {
-            reader = among_all(instance);
+    for (auto& [instance, poller] : pollers_) {
+        if (poller.node.empty() || std::ranges::binary_search(left, poller.node)) {
+            poller = best_of_all_nodes(instance);
             continue;
         }
         for (const std::string& node : joined) {
             const std::uint64_t weight = weight_of(node, instance);
-            if (weight > reader.weight) reader = {node, weight};
+            if (weight > poller.weight) poller = {node, weight};
         }
     }
 }
 
-ReportAssignment::Reader ReportAssignment::among_all(const std::string& instance) const {
-    Reader best;
+ReportAssignment::Poller ReportAssignment::best_of_all_nodes(const std::string& instance) const {
+    Poller best;
     for (const std::string& node : nodes_) {
         const std::uint64_t weight = weight_of(node, instance);
         if (best.node.empty() || weight > best.weight) best = {node, weight};
@@ -52,14 +52,14 @@
     return best;
 }
 
-const std::string& ReportAssignment::reader(const std::string& instance) {
-    const auto known = readers_.find(instance);
-    if (known != readers_.end()) return known->second.node;
-    return readers_.emplace(instance, among_all(instance)).first->second.node;
+const std::string& ReportAssignment::poller(const std::string& instance) {
+    const auto known = pollers_.find(instance);
+    if (known != pollers_.end()) return known->second.node;
+    return pollers_.emplace(instance, best_of_all_nodes(instance)).first->second.node;
 }
 
-void ReportAssignment::bound(std::size_t instances) {
-    if (readers_.size() > 2 * instances + kSpareReaders) readers_.clear();
+void ReportAssignment::limit_cache(std::size_t instances) {
+    if (pollers_.size() > 2 * instances + kMinCacheSize) pollers_.clear();
 }
 
 } // namespace ivyrill::agent
--- a/src/agent/report_assignment.hpp
+++ b/src/agent/report_assignment.hpp
@@ -1,6 +1,6 @@
-// Which edge node reads each server's report: the live node with the highest rendezvous hash of the server's
-// id. Kept up by what changes: a node that joins is weighed against each server's reader, and only the
-// servers of a node that has left are given anew. Pure.
+// Assigns each server's report to one edge node: the live node with the highest rendezvous hash for the
+// server's id. Updated incrementally: a node that joins is compared with each server's current poller, and
+// only the servers of a node that left are reassigned. Pure.
 #pragma once
 #include "model/instance.hpp"
 
@@ -16,19 +16,19 @@
 class ReportAssignment {
   public:
     void set_nodes(const std::vector<model::EdgeNode>& nodes);
-    const std::string& reader(const std::string& instance); // empty while no node is known
-    // Forgets readers once there are more than twice `instances` of them.
-    void bound(std::size_t instances);
+    const std::string& poller(const std::string& instance); // empty while no node is known
+    // Clears the cache once it holds more than twice `instances` entries.
+    void limit_cache(std::size_t instances);
 
   private:
-    struct Reader {
+    struct Poller {
         std::string node;
         std::uint64_t weight = 0;
     };
-    Reader among_all(const std::string& instance) const;
+    Poller best_of_all_nodes(const std::string& instance) const;
 
     std::vector<std::string> nodes_; // sorted
-    std::unordered_map<std::string, Reader> readers_;
+    std::unordered_map<std::string, Poller> pollers_;
 };
 
 } // namespace ivyrill::agent
--- a/src/agent/usage_relay.hpp
+++ b/src/agent/usage_relay.hpp
@@ -1,5 +1,6 @@
-// What an agent knows of the fleet's time and of its proxies' counts: the time for the proxy, the counts of
-// the last windows for whichever control node it turns to next. Pure: the steady clock is handed in.
+// An agent's copy of the fleet's time and of its proxies' counts: the time is passed on to the proxy, the
+// counts of the last windows to the control node the agent connects to next. Pure: the steady clock is a
+// parameter.
 #pragma once
 #include "clock/synced_clock.hpp"
 #include "duties/usage_aggregator.hpp"
@@ -14,7 +15,7 @@
   public:
     explicit UsageRelay(std::int64_t window_ms) : tally_({window_ms, kKeptMs}) {}
 
-    // Whether the time was not known before.
+    // Returns whether the time was unknown before.
     bool update_fleet_time(const clock::FleetTime& time, Tenths now) {
         const bool is_first = !clock_.at(now);
         clock_.update(time, now);
--- a/src/clock/fleet_clock.hpp
+++ b/src/clock/fleet_clock.hpp
@@ -1,7 +1,7 @@
-// True time as the fleet knows it: the median over many machines' times of day. A machine's time of day may
-// jump by seconds, the steady clock doesn't: what is kept of a machine is how far its time of day is ahead of
-// this process's steady clock. Right while most of the machines have not jumped. Pure: both
-// clocks are handed in.
+// Estimate of the true time: the median of the wall clocks of many machines. A wall clock may jump by
+// seconds, the steady clock does not; so for each machine the offset of its wall clock from this process's
+// steady clock is stored. Correct while most of the machines have not jumped. Pure: both clocks are
+// parameters.
 #pragma once
 #include "base/time.hpp"
 
@@ -15,25 +15,25 @@
 namespace ivyrill::clock {
 
 struct FleetTime {
-    std::int64_t unix_ms = 0;  // since the start of 1970
-    std::int64_t error_ms = 0; // the true time is as near as this, by all that is known
+    std::int64_t unix_ms = 0;  // since the Unix epoch
+    std::int64_t error_ms = 0; // bound on the distance from the true time
 };
 
 inline constexpr std::int64_t kTenthsPerMs = kTenthsPerSecond / 1000;
 
-// No time of day of a machine that works: what is told beyond is passed over.
+// Upper bound of plausible wall clock times; others are ignored.
 inline constexpr std::int64_t kLastUnixMs = 253'402'300'800'000; // the year 10000
 constexpr bool is_plausible(std::int64_t unix_ms) { return unix_ms > 0 && unix_ms < kLastUnixMs; }
 
-// Whole milliseconds, rounded down.
+// In whole milliseconds, rounded down.
 constexpr std::int64_t to_unix_ms(Tenths time) {
     return time >= 0 ? time / kTenthsPerMs : -((-time + kTenthsPerMs - 1) / kTenthsPerMs);
 }
 
 class FleetClock {
   public:
-    // The time of day of a machine, seen at a moment of this process's steady clock. What was on its way
-    // makes the machine appear behind by so much.
+    // Adds a machine's wall clock time, received at `seen_at` of this process's steady clock. Transit time
+    // makes the machine appear late.
     void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Tenths seen_at) {
         if (!is_plausible(time_of_day_ms)) return;
         Sample& known = samples_[machine];
@@ -41,7 +41,7 @@
         known = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
     }
 
-    // A machine's time of day by its last sample; nothing where that is too old.
+    // A machine's wall clock time extrapolated from its last sample; none if that is too old.
     std::optional<std::int64_t> wall_clock_of(const std::string& machine, Tenths steady_now) const {
         const auto found = samples_.find(machine);
         if (found == samples_.end() || !is_fresh(found->second, steady_now)) return std::nullopt;
@@ -65,18 +65,19 @@
 
   private:
     struct Sample {
-        Tenths offset = 0; // of the steady clock
+        Tenths offset = 0; // of the wall clock from the steady clock
         Tenths seen_at = INT64_MIN;
     };
     static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
-    static constexpr std::size_t kMinMajoritySamples = 3;     // so many machines outvote one that has jumped
-    static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a machine's time of day may jump
-    static constexpr std::int64_t kMaxTransitMs = 10;         // that a sample may have been on its way
+    static constexpr std::size_t kMinMajoritySamples =
+        3; // number of machines from which a single wrong clock is outvoted
+    static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a wall clock may jump
+    static constexpr std::int64_t kMaxTransitMs = 10;         // of a sample
 
     static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleMaxAge; }
 
-    // Most are right, so the shortest span that holds most of them is no longer than theirs and holds one of
-    // them; the median lies in every such span.
+    // A majority is correct, so the shortest interval that holds a majority is no longer than theirs and
+    // contains a correct one; the median lies in every such interval.
     static std::int64_t error_bound(Tenths middle, const std::vector<Tenths>& sorted) {
         if (sorted.size() < kMinMajoritySamples) return kUnconfirmedErrorMs;
         const std::size_t most = sorted.size() / 2 + 1;
--- a/src/clock/synced_clock.hpp
+++ b/src/clock/synced_clock.hpp
@@ -1,5 +1,6 @@
-// The fleet's time in a process that is told it by another one. Being on its way only makes what was told
-// older, so the latest of what came lately is the nearest. Without news it goes on by the steady clock. Pure.
+// The fleet's time in a process that receives it from another one. Transit delay only makes a received time
+// late, so the latest of the recent samples is the most accurate. Without new samples the clock advances with
+// the steady clock. Pure.
 #pragma once
 #include "clock/fleet_clock.hpp"
 
@@ -17,7 +18,7 @@
         samples_.push_back({time.unix_ms * kTenthsPerMs - now, time.error_ms, now});
         while (samples_.size() > kMaxSamples || now - samples_.front().at > kSampleMaxAge)
             samples_.pop_front();
-        choose();
+        choose_offset();
     }
     std::optional<FleetTime> at(Tenths now) const {
         if (samples_.empty()) return std::nullopt;
@@ -26,20 +27,21 @@
 
   private:
     struct Sample {
-        Tenths offset = 0; // of this process's steady clock
+        Tenths offset = 0; // of the fleet's time from this process's steady clock
         std::int64_t error_ms = 0;
         Tenths at = 0;
     };
     static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
     static constexpr std::size_t kMaxSamples = 32;
-    static constexpr std::int64_t kMaxErrorExcessMs = 100; // what may be off by so much more is passed over
+    static constexpr std::int64_t kMaxErrorExcessMs =
+        100; // samples with an error larger by more than this are ignored
 
-    void choose() {
+    void choose_offset() {
         const auto least = std::ranges::min_element(samples_, {}, &Sample::error_ms)->error_ms;
         std::optional<Tenths> latest;
-        for (const Sample& here : samples_) {
-            if (here.error_ms > least + kMaxErrorExcessMs || (latest && here.offset <= *latest)) continue;
-            latest = here.offset, error_ms_ = here.error_ms;
+        for (const Sample& sample : samples_) {
+            if (sample.error_ms > least + kMaxErrorExcessMs || (latest && sample.offset <= *latest)) continue;
+            latest = sample.offset, error_ms_ = sample.error_ms;
         }
         offset_ = *latest;
     }
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -1,6 +1,6 @@
-// Three steps: the text is bounded and becomes a tree, the tree becomes the types of the model, and what
-// holds across routes and services is checked. The tree knows text only, so `null` counts as missing and "5"
-// as the number 5.
+// Three steps: the text is parsed into a tree within size limits, the tree is converted to the model types,
+// and constraints across routes and services are checked. The tree stores text only, so `null` counts as
+// missing and "5" as the number 5.
 #include "configuration/parse.hpp"
 
 #include <boost/property_tree/json_parser.hpp>
@@ -21,33 +21,33 @@
 
 using Tree = boost::property_tree::ptree;
 
-constexpr std::size_t kLargestText = 8 * 1024 * 1024; // bytes
-constexpr int kDeepestNesting = 32;                   // maps and lists within each other
-constexpr double kLargestNumber = 1e15;               // every whole number up to it has a double of its own
+constexpr std::size_t kMaxTextBytes = 8 * 1024 * 1024; // bytes
+constexpr int kMaxNesting = 32;                        // nesting depth of maps and lists
+constexpr double kMaxNumber = 1e15;                    // integers up to it are exact in a double
 
 Error invalid(std::string_view where, std::string_view what, std::string_view remedy) {
     return error(ErrorKind::kInvalidInput, fmt::format("configuration: {} {}; {}", where, what, remedy));
 }
 
 Error unreadable(std::string_view why) {
-    return invalid("the text", fmt::format("is not JSON that can be read whole ({})", why), "send it whole");
+    return invalid("the text", fmt::format("is not valid JSON ({})", why), "send valid JSON");
 }
 
-// The parser calls itself for each level, so its depth is bounded before it begins.
-bool too_deep(std::string_view json) {
+// The parser is recursive, so the depth is checked before parsing.
+bool is_too_deep(std::string_view json) {
     int depth = 0;
-    bool in_text = false;
+    bool in_string = false;
     for (std::size_t i = 0; i < json.size(); ++i) {
         const char c = json[i];
-        if (in_text && c == '\\')
+        if (in_string && c == '\\')
             ++i;
         else if (c == '"')
-            in_text = !in_text;
-        else if (!in_text && (c == '{' || c == '['))
+            in_string = !in_string;
+        else if (!in_string && (c == '{' || c == '['))
             ++depth;
-        else if (!in_text && (c == '}' || c == ']'))
+        else if (!in_string && (c == '}' || c == ']'))
             --depth;
-        if (depth > kDeepestNesting) return true;
+        if (depth > kMaxNesting) return true;
     }
     return false;
 }
@@ -78,8 +78,8 @@
     return text;
 }
 
-// One map of the text. The first problem met is kept in what all maps of the text share; a key in trouble
-// leaves its value as it was.
+// One map of the text. Only the first problem is kept, shared by all maps; a key with a problem leaves its
+// target unchanged.
 class Section {
   public:
     Section(const Tree& tree, std::string path, std::optional<Error>& problem)
@@ -91,15 +91,15 @@
         if (problem_.has_value()) return;
         const std::string dot = path_.empty() || key.empty() ? "" : ".";
         const std::string where = path_ + dot + key;
-        problem_ = invalid(where.empty() ? "the whole" : where, what, remedy);
+        problem_ = invalid(where.empty() ? "the document" : where, what, remedy);
     }
 
     void require(const std::string& key) {
-        if (find(key) == nullptr) report(key, "is missing", "send it");
+        if (find(key) == nullptr) report(key, "is missing", "add the key");
     }
 
     bool has(const std::string& key) const { return find(key) != nullptr; }
-    bool states_null(const std::string& key) const { return tree_.count(key) > 0 && !has(key); }
+    bool is_explicit_null(const std::string& key) const { return tree_.count(key) > 0 && !has(key); }
 
     Section section(const std::string& key) {
         static const Tree kEmpty;
@@ -107,8 +107,8 @@
         return {found == nullptr ? kEmpty : *found, path_.empty() ? key : path_ + "." + key, problem_};
     }
 
-    // Calls `read` with a section for each item.
-    template <class Read> void each(const std::string& key, Read read) {
+    // Calls `read` with a section for each list item.
+    template <class Read> void for_each(const std::string& key, Read read) {
         const Tree* found = find(key);
         if (found == nullptr) return;
         if (!is_list(*found)) return report(key, "is not a list", "send a list of maps");
@@ -120,58 +120,57 @@
         }
     }
 
-    void text(const std::string& key, std::string& into) {
+    void text(const std::string& key, std::string& out) {
         const Tree* found = find(key);
         if (found == nullptr) return;
-        if (!found->empty() || found->data().empty()) return report(key, "is not a text", "send one");
-        into = found->data();
+        if (!found->empty() || found->data().empty()) return report(key, "is not a string", "send a string");
+        out = found->data();
     }
 
-    void texts(const std::string& key, std::vector<std::string>& into) {
+    void texts(const std::string& key, std::vector<std::string>& out) {
         const Tree* found = find(key);
         if (found == nullptr) return;
         const auto is_text = [](const auto& item) {
             return item.first.empty() && item.second.empty() && !is_null(item.second);
         };
         if (!is_list(*found) || !std::ranges::all_of(*found, is_text))
-            return report(key, "is not a list of texts", "send one");
-        for (const auto& [name, item] : *found) into.push_back(item.data());
+            return report(key, "is not a list of strings", "send a list of strings");
+        for (const auto& [name, item] : *found) out.push_back(item.data());
     }
 
-    void flag(const std::string& key, bool& into) {
+    void flag(const std::string& key, bool& out) {
         const Tree* found = find(key);
         if (found == nullptr) return;
         if (!found->empty() || (found->data() != "true" && found->data() != "false"))
-            return report(key, "is neither true nor false", "send one of the two");
-        into = found->data() == "true";
+            return report(key, "is neither true nor false", "send true or false");
+        out = found->data() == "true";
     }
 
-    void number(const std::string& key, double& into, double least = 0) {
+    void number(const std::string& key, double& out, double min = 0) {
         const Tree* found = find(key);
         if (found == nullptr) return;
         const auto value = found->empty() ? number_of(found->data()) : std::nullopt;
         if (!value.has_value()) return report(key, "is not a number", "send a number");
-        if (*value < least || *value > kLargestNumber) {
-            const std::string remedy =
-                fmt::format("send a number from {:.0f} to {:.0f}", least, kLargestNumber);
+        if (*value < min || *value > kMaxNumber) {
+            const std::string remedy = fmt::format("send a number from {:.0f} to {:.0f}", min, kMaxNumber);
             return report(key, "is out of range", remedy);
         }
-        into = *value;
+        out = *value;
     }
 
-    // A fraction is rounded up.
-    void number(const std::string& key, std::int64_t& into, double least = 0) {
-        double value = static_cast<double>(into);
-        number(key, value, least);
-        into = static_cast<std::int64_t>(std::ceil(value));
+    // Fractions are rounded up.
+    void number(const std::string& key, std::int64_t& out, double min = 0) {
+        double value = static_cast<double>(out);
+        number(key, value, min);
+        out = static_cast<std::int64_t>(std::ceil(value));
     }
 
-    // As above, and refused at 0.
-    void positive(const std::string& key, std::int64_t& into) {
-        double value = static_cast<double>(into);
-        number(key, value, -kLargestNumber);
+    // As above, but 0 is rejected.
+    void positive(const std::string& key, std::int64_t& out) {
+        double value = static_cast<double>(out);
+        number(key, value, -kMaxNumber);
         if (has(key) && value <= 0) report(key, "is 0 or less", "send a number above 0");
-        into = static_cast<std::int64_t>(std::ceil(value));
+        out = static_cast<std::int64_t>(std::ceil(value));
     }
 
   private:
@@ -186,42 +185,41 @@
     std::optional<Error>& problem_;
 };
 
-model::RouteKind
-kind_of(const std::string& text) { // keyed ones and those of a later day may run once at most
+model::RouteKind kind_of(const std::string& text) { // `keyed` and unknown kinds must not be retried
     if (text == "safe") return model::RouteKind::kSafe;
     return text == "streaming" ? model::RouteKind::kStreaming : model::RouteKind::kUnsafe;
 }
 
 void read_split(Section& section, model::Route& route) {
     double sum = 0;
-    section.each("trafficSplit", [&](Section item) {
-        model::WeightedService& share = route.services.emplace_back();
+    section.for_each("trafficSplit", [&](Section item) {
+        model::WeightedService& weighted = route.services.emplace_back();
         item.require("service");
         item.require("weight");
-        item.text("service", share.service);
-        item.number("weight", share.weight);
-        sum += share.weight;
+        item.text("service", weighted.service);
+        item.number("weight", weighted.weight);
+        sum += weighted.weight;
     });
-    const bool idle = !route.services.empty() && sum <= 0;
-    if (idle)
+    const bool has_no_weight = !route.services.empty() && sum <= 0;
+    if (has_no_weight)
         section.report("trafficSplit", "has weights that add up to 0", "give a service a weight above 0");
 }
 
 void read_services_of(Section& section, model::Route& route) {
     read_split(section, route);
     if (!route.services.empty()) return;
-    model::WeightedService only;
-    section.text("service", only.service);
-    if (only.service.empty())
+    model::WeightedService single;
+    section.text("service", single.service);
+    if (single.service.empty())
         section.report("service", "is missing, and so is trafficSplit", "name the route's service");
-    route.services.push_back(std::move(only));
+    route.services.push_back(std::move(single));
 }
 
-void read_prefix(Section& section, std::string& into) {
+void read_prefix(Section& section, std::string& out) {
     section.require("pathPrefix");
-    section.text("pathPrefix", into);
-    if (!into.empty() && (into.front() != '/' || into.back() != '/'))
-        section.report("pathPrefix", "does not begin and end with a slash", "send one such as /path/");
+    section.text("pathPrefix", out);
+    if (!out.empty() && (out.front() != '/' || out.back() != '/'))
+        section.report("pathPrefix", "does not begin and end with a slash", "use a prefix such as /path/");
 }
 
 model::Route read_route(Section section) {
@@ -256,7 +254,7 @@
     section.number("stride", engine.stride, 1);
     section.number("handleHoldS", engine.handle_hold_s);
     section.number("roleSwitchS", engine.role_switch_s);
-    section.each("models", [&](Section item) {
+    section.for_each("models", [&](Section item) {
         item.require("name");
         item.text("name", engine.models.emplace_back());
     });
@@ -270,7 +268,7 @@
     section.number("maxCount", scaling.max_count);
     section.number("bootTimeS", scaling.boot_time_s);
     if (scaling.max_count < scaling.min_count)
-        section.report("maxCount", "is below minCount", "send one that is not");
+        section.report("maxCount", "is below minCount", "use a maxCount of at least minCount");
     return scaling;
 }
 
@@ -294,8 +292,8 @@
     return limits;
 }
 
-// What a header can carry as its value: visible ASCII, with spaces inside.
-bool fits_header(std::string_view text) {
+// Valid as a header value: visible ASCII, with spaces only inside.
+bool is_header_value(std::string_view text) {
     const bool is_visible = std::ranges::all_of(text, [](char c) { return c >= ' ' && c <= '~'; });
     return is_visible && !text.empty() && text.front() != ' ' && text.back() != ' ';
 }
@@ -305,55 +303,57 @@
     section.require("name");
     section.text("name", tenant.name);
     section.texts("apiKeys", tenant.api_keys);
-    if (!fits_header(tenant.name))
-        section.report("name", "can't stand in a header", "send visible characters of ASCII");
-    if (!std::ranges::all_of(tenant.api_keys, fits_header))
-        section.report("apiKeys", "holds what can't stand in a header", "send visible characters of ASCII");
+    if (!is_header_value(tenant.name))
+        section.report("name", "is not a valid header value", "use visible ASCII characters");
+    if (!std::ranges::all_of(tenant.api_keys, is_header_value))
+        section.report("apiKeys", "contains a key that is not a valid header value",
+                       "use visible ASCII characters");
     if (section.has("priority")) section.number("priority", tenant.priority.emplace());
     return tenant;
 }
 
-// Messages name no key: they go into logs and answers.
+// Error messages don't contain keys, because they go into logs and responses.
 void check_tenants(Section& root, const std::vector<model::Tenant>& tenants) {
     std::unordered_set<std::string_view> names;
     std::unordered_map<std::string_view, const model::Tenant*> holders; // by key
     for (const model::Tenant& tenant : tenants) {
         if (!names.insert(tenant.name).second)
-            root.report("tenants", "name one twice: " + tenant.name, "give each a name of its own");
+            root.report("tenants", "have a duplicate name: " + tenant.name, "use unique names");
         for (const std::string& key : tenant.api_keys) {
             const auto holder = holders.emplace(key, &tenant).first->second;
             if (holder != &tenant)
                 root.report("tenants", fmt::format("share a key: {} and {}", holder->name, tenant.name),
-                            "give each tenant keys of its own");
+                            "use different keys for each tenant");
         }
     }
 }
 
 void read_tenants(Section& root, model::Configuration& configuration) {
-    // Not as if it were missing: nobody would need a key.
-    if (root.states_null("tenants")) root.report("tenants", "is not a list", "send a list of maps");
+    // null is not treated as missing: no request would need a key then.
+    if (root.is_explicit_null("tenants")) root.report("tenants", "is not a list", "send a list of maps");
     if (!root.has("tenants")) return;
     std::vector<model::Tenant>& tenants = configuration.tenants.emplace();
-    root.each("tenants", [&](Section item) { tenants.push_back(read_tenant(std::move(item))); });
+    root.for_each("tenants", [&](Section item) { tenants.push_back(read_tenant(std::move(item))); });
     check_tenants(root, tenants);
 }
 
-void read_version(Section& root, std::int64_t& into) {
+void read_version(Section& root, std::int64_t& out) {
     double version = 0;
     root.require("version");
     root.number("version", version);
     if (version < 1 || version != std::floor(version))
-        root.report("version", "is not a whole number above 0", "send one above the current version");
-    into = static_cast<std::int64_t>(version);
+        root.report("version", "is not a whole number above 0", "send a version above the current one");
+    out = static_cast<std::int64_t>(version);
 }
 
 model::Configuration read_root(Section root) {
     model::Configuration configuration;
     for (const char* key : {"routes", "services"}) root.require(key);
     read_version(root, configuration.version);
-    root.each("routes", [&](Section item) { configuration.routes.push_back(read_route(std::move(item))); });
-    root.each("services",
-              [&](Section item) { configuration.services.push_back(read_service(std::move(item))); });
+    root.for_each("routes",
+                  [&](Section item) { configuration.routes.push_back(read_route(std::move(item))); });
+    root.for_each("services",
+                  [&](Section item) { configuration.services.push_back(read_service(std::move(item))); });
     if (root.has("limits")) configuration.limits = read_limits(root.section("limits"));
     read_tenants(root, configuration);
     return configuration;
@@ -363,14 +363,15 @@
     std::unordered_set<std::string_view> names;
     for (const model::Service& service : configuration.services)
         if (!names.insert(service.name).second)
-            return invalid("services", "name one twice: " + service.name, "give each a name of its own");
-    std::set<std::pair<std::string_view, std::string_view>> places;
+            return invalid("services", "have a duplicate name: " + service.name, "use unique names");
+    std::set<std::pair<std::string_view, std::string_view>> route_keys;
     for (const model::Route& route : configuration.routes) {
-        if (!places.emplace(route.host, route.path_prefix).second)
-            return invalid("routes", "share host and pathPrefix: " + route.name, "keep one of them");
-        for (const model::WeightedService& share : route.services)
-            if (!names.contains(share.service))
-                return invalid("routes", "name an unknown service: " + share.service, "add it to services");
+        if (!route_keys.emplace(route.host, route.path_prefix).second)
+            return invalid("routes", "share host and pathPrefix: " + route.name, "remove one of them");
+        for (const model::WeightedService& weighted : route.services)
+            if (!names.contains(weighted.service))
+                return invalid("routes", "name an unknown service: " + weighted.service,
+                               "add it to services");
     }
     return std::nullopt;
 }
@@ -386,8 +387,8 @@
 } // namespace
 
 Result<model::Configuration> parse(std::string_view json) {
-    if (json.size() > kLargestText) return unreadable("it is larger than 8 MB");
-    if (too_deep(json)) return unreadable("it is nested more than 32 deep");
+    if (json.size() > kMaxTextBytes) return unreadable("it is larger than 8 MB");
+    if (is_too_deep(json)) return unreadable("it is nested more than 32 deep");
     try {
         Tree tree;
         std::istringstream stream{std::string(json)};
--- a/src/configuration/parse.hpp
+++ b/src/configuration/parse.hpp
@@ -1,5 +1,5 @@
-// The operator's `PUT /config` body, read by Boost.PropertyTree and checked whole. Nothing here asks which
-// version is current: that is the owner's to decide.
+// Parses and validates the operator's `PUT /config` body. Whether the version may replace the current one is
+// not checked here but by the owner of the configuration.
 #pragma once
 #include "base/result.hpp"
 #include "model/configuration.hpp"
@@ -9,10 +9,9 @@
 
 namespace ivyrill::configuration {
 
-// An error for what can't be read whole, a route that names an unknown service, two routes that share host
-// and prefix, weights that add up to 0 or less, a time-out of 0 or less, a missing or non-positive version,
-// two tenants (if any are named) that share a key, or two services of one name. Fields that aren't known are
-// left aside.
+// Returns an error if the text can't be parsed, a route names an unknown service, two routes share host and
+// prefix, weights add up to 0 or less, a timeout is 0 or less, the version is missing or not positive, two
+// tenants (if any are given) share a key, or two services have the same name. Unknown fields are ignored.
 Result<model::Configuration> parse(std::string_view json);
 
 } // namespace ivyrill::configuration
--- a/src/control/autoscale_duty.cpp
+++ b/src/control/autoscale_duty.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-// A server that starts anew is missed for so long: the number of its zone is the same.
-constexpr Tenths kMissingSpan = 8 * kTenthsPerSecond;
+// A restarting server is missing for up to this long; the count of its zone stays the same meanwhile.
+constexpr Tenths kRestartGrace = 8 * kTenthsPerSecond;
 
-// Only servers with stages tell what they are asked for.
-bool has_numbers(const model::Service& service) { return service.engine && service.scaling; }
+// Only servers with stages report their load.
+bool is_autoscaled(const model::Service& service) { return service.engine && service.scaling; }
 
-bool has_numbers(const model::Configuration& configuration, const std::string& name) {
+bool is_autoscaled(const model::Configuration& configuration, const std::string& name) {
     const auto found = std::ranges::find(configuration.services, name, &model::Service::name);
-    return found != configuration.services.end() && has_numbers(*found);
+    return found != configuration.services.end() && is_autoscaled(*found);
 }
 
 } // namespace
@@ -36,35 +36,35 @@
     return body + fmt::format(R"(,"desiredCount":{}}})", ordered.servers);
 }
 
-AutoscaleDuty::AutoscaleDuty(transport::Reactor& reactor, duties::PlatformClient& link, std::string holder,
+AutoscaleDuty::AutoscaleDuty(transport::Reactor& reactor, duties::PlatformClient& client, std::string holder,
                              Callbacks callbacks)
-    : reactor_(reactor), link_(link), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
-    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { look(); });
+    : reactor_(reactor), client_(client), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
+    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { run(); });
 }
 
 AutoscaleDuty::~AutoscaleDuty() { reactor_.cancel(timer_); }
 
-void AutoscaleDuty::look() {
-    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { look(); });
+void AutoscaleDuty::run() {
+    timer_ = reactor_.call_after(duties::Autoscaler::kInterval, [this] { run(); });
     const model::Configuration* configuration = callbacks_.configuration();
     if (configuration == nullptr) return;
-    std::erase_if(services_, [&](const auto& known) { return !has_numbers(*configuration, known.first); });
+    std::erase_if(services_, [&](const auto& known) { return !is_autoscaled(*configuration, known.first); });
     for (const model::Service& service : configuration->services)
-        if (has_numbers(service)) look_at(service);
+        if (is_autoscaled(service)) run_service(service);
 }
 
-void AutoscaleDuty::look_at(const model::Service& service) {
+void AutoscaleDuty::run_service(const model::Service& service) {
     ServiceCounts& counts = services_[service.name];
     count_servers(service.name, counts);
-    update_holding(service.name, counts);
-    forget_taken_away(counts, static_cast<Tenths>(service.scaling->boot_time_s * kTenthsPerSecond));
+    update_held_zones(service.name, counts);
+    clear_outdated_orders(counts, static_cast<Tenths>(service.scaling->boot_time_s * kTenthsPerSecond));
     const auto wanted =
-        counts.controller.plan(picture(service.name, counts), *service.scaling, reactor_.now());
-    want(service.name, counts, wanted);
-    for (auto& [zone, state] : counts.zones) send_due(service.name, zone, state);
+        counts.controller.plan(scaling_input(service.name, counts), *service.scaling, reactor_.now());
+    request_counts(service.name, counts, wanted);
+    for (auto& [zone, state] : counts.zones) send_pending(service.name, zone, state);
 }
 
-// Silent ones count: they may be cut off, or start anew.
+// Silent servers count as well: they may be partitioned or restarting.
 void AutoscaleDuty::count_servers(const std::string& service, ServiceCounts& counts) const {
     std::map<std::string, std::int64_t> present; // by zone
     for (const auto& [id, instance] : callbacks_.instances().records())
@@ -72,12 +72,12 @@
     for (const auto& [zone, servers] : present) counts.zones[zone];
     for (auto& [zone, state] : counts.zones) {
         const std::int64_t servers = present[zone];
-        const bool is_old = reactor_.now() - state.at > kMissingSpan;
-        if (servers >= state.most || is_old) state.most = servers, state.at = reactor_.now();
+        const bool is_outdated = reactor_.now() - state.at > kRestartGrace;
+        if (servers >= state.servers || is_outdated) state.servers = servers, state.at = reactor_.now();
     }
 }
 
-void AutoscaleDuty::update_holding(const std::string& service, ServiceCounts& counts) const {
+void AutoscaleDuty::update_held_zones(const std::string& service, ServiceCounts& counts) const {
     for (auto& [zone, state] : counts.zones) {
         const auto fence = callbacks_.fence(duties::server_count_duty(service, zone));
         if (fence && !state.holds) state.held_since = reactor_.now();
@@ -88,40 +88,41 @@
     }
 }
 
-// Fewer than ordered for so long were not only started anew.
-void AutoscaleDuty::forget_taken_away(ServiceCounts& counts, Tenths boot_time) const {
+// Fewer servers than ordered for this long means that some were removed, not only restarted.
+void AutoscaleDuty::clear_outdated_orders(ServiceCounts& counts, Tenths boot_time) const {
     for (auto& [zone, state] : counts.zones) {
         if (!state.holds || !state.order->accepted()) continue;
-        const bool should_serve = reactor_.now() - state.order->accepted_at() > boot_time + kMissingSpan;
-        if (should_serve && state.most < *state.order->accepted()) state.order->clear_accepted();
+        const bool should_serve = reactor_.now() - state.order->accepted_at() > boot_time + kRestartGrace;
+        if (should_serve && state.servers < *state.order->accepted()) state.order->clear_accepted();
     }
 }
 
-duties::ScalingInput AutoscaleDuty::picture(const std::string& service, const ServiceCounts& counts) const {
-    duties::ScalingInput seen{callbacks_.servers(service), {}, callbacks_.demand(service)};
+duties::ScalingInput AutoscaleDuty::scaling_input(const std::string& service,
+                                                  const ServiceCounts& counts) const {
+    duties::ScalingInput result{callbacks_.servers(service), {}, callbacks_.demand(service)};
     for (const auto& [zone, state] : counts.zones) {
         const auto accepted = state.holds ? state.order->accepted() : std::nullopt;
-        seen.target_counts.push_back({zone, accepted.value_or(state.most)});
+        result.target_counts.push_back({zone, accepted.value_or(state.servers)});
     }
-    return seen;
+    return result;
 }
 
-void AutoscaleDuty::want(const std::string& service, ServiceCounts& counts,
-                         const std::vector<ZoneServerCount>& wanted) const {
+void AutoscaleDuty::request_counts(const std::string& service, ServiceCounts& counts,
+                                   const std::vector<ZoneServerCount>& wanted) const {
     for (const ZoneServerCount& count : wanted) {
         Zone& state = counts.zones.at(count.zone);
-        const bool has_looked = reactor_.now() - state.held_since >= kObservationTime;
-        if (!state.holds || !has_looked || state.order->is_fenced_off()) continue;
+        const bool has_observed = reactor_.now() - state.held_since >= kObservationTime;
+        if (!state.holds || !has_observed || state.order->is_fenced_off()) continue;
         log_line("count", {{"service", service},
                            {"zone", count.zone},
-                           {"servers", std::to_string(state.most)},
+                           {"servers", std::to_string(state.servers)},
                            {"wanted", std::to_string(count.servers)},
                            {"needed", fmt::format("{:.1f}", counts.controller.needed_servers())}});
         state.order->want(count.servers, reactor_.now());
     }
 }
 
-void AutoscaleDuty::send_due(const std::string& service, const std::string& zone, Zone& state) {
+void AutoscaleDuty::send_pending(const std::string& service, const std::string& zone, Zone& state) {
     if (!state.holds) return;
     const auto servers = state.order->due(reactor_.now());
     const Duty duty = duties::server_count_duty(service, zone);
@@ -129,7 +130,7 @@
     state.order->sent(), calls_.record_sent();
     const ZoneServerCount ordered{zone, *servers};
     const std::uint64_t fence = state.order->fence();
-    link_.send(
+    client_.send(
         {"/scale", scale_body(service, ordered), fence}, holder_,
         [this, duty, fence] { return callbacks_.may_act_under(duty, fence); },
         [this, service, ordered, fence](PlatformOutcome outcome) {
@@ -154,12 +155,13 @@
 }
 
 std::vector<AutoscaleDuty::ZoneStatus> AutoscaleDuty::zone_statuses() const {
-    std::vector<ZoneStatus> seen;
+    std::vector<ZoneStatus> result;
     for (const auto& [service, counts] : services_)
         for (const auto& [zone, state] : counts.zones)
             if (state.holds)
-                seen.push_back({service, zone, state.order->fence(), state.most, state.order->accepted()});
-    return seen;
+                result.push_back(
+                    {service, zone, state.order->fence(), state.servers, state.order->accepted()});
+    return result;
 }
 
 } // namespace ivyrill::control
--- a/src/control/autoscale_duty.hpp
+++ b/src/control/autoscale_duty.hpp
@@ -1,6 +1,6 @@
-// The duty to order how many servers of a service run in a zone (duties::DutyKind::kServerCount), one subject
-// for each service and zone. Every node looks at all services with numbers to order, so that whoever becomes
-// the holder knows what was there; where this node holds the duty, calls go to the platform.
+// The duty to order the number of servers of a service in a zone (duties::DutyKind::kServerCount), one
+// subject per service and zone. Every node runs the autoscaler for all services with scaling limits, so that
+// a new holder already knows the recent counts; only the holder sends calls to the platform.
 #pragma once
 #include "duties/autoscaler.hpp"
 #include "duties/duty.hpp"
@@ -23,25 +23,26 @@
 class AutoscaleDuty {
   public:
     struct Callbacks {
-        // Under which this node may act for the duty at this moment; none where it may not.
+        // Fencing token under which this node may act for the duty now; none if it may not.
         std::function<std::optional<std::uint64_t>(const duties::Duty&)> fence;
         std::function<bool(const duties::Duty&, std::uint64_t fence)> may_act_under;
-        std::function<const model::Configuration*()> configuration; // null where none is known
+        std::function<const model::Configuration*()> configuration; // null if unknown
         std::function<const feed::InstanceTable&()> instances;
-        std::function<std::vector<duties::StagedServer>(const std::string& service)> servers; // that serve
+        std::function<std::vector<duties::StagedServer>(const std::string& service)>
+            servers; // in state serving
         std::function<std::optional<model::ServiceDemand>(const std::string& service)> demand;
-        // Whether the platform has room for a call now; it then counts.
+        // Consumes a token of the platform's rate limit; false if none is left.
         std::function<bool(const duties::Duty&)> acquire_call;
     };
-    // Of one zone, where this node holds its duty.
+    // State of one zone whose duty this node holds.
     struct ZoneStatus {
         std::string service, zone;
         std::uint64_t fence = 0;
-        std::int64_t there = 0;               // servers, of late
-        std::optional<std::int64_t> accepted; // the last order of this holder that the platform took
+        std::int64_t servers = 0;             // number of servers recently observed
+        std::optional<std::int64_t> accepted; // last count ordered by this holder that the platform accepted
     };
-    // `holder`: this node's name, told with each call. `link` must outlive it.
-    AutoscaleDuty(transport::Reactor& reactor, duties::PlatformClient& link, std::string holder,
+    // `holder`: this node's name, sent with each call. `client` must outlive this object.
+    AutoscaleDuty(transport::Reactor& reactor, duties::PlatformClient& client, std::string holder,
                   Callbacks callbacks);
     ~AutoscaleDuty();
     AutoscaleDuty(const AutoscaleDuty&) = delete;
@@ -50,39 +51,39 @@
     std::vector<ZoneStatus> zone_statuses() const;
     const duties::PlatformCallStats& calls() const { return calls_; } // of this process
 
-    // A holder looks at what is there for so long before it orders anything.
+    // A new holder observes the zone for this long before it orders anything.
     static constexpr Tenths kObservationTime = 3 * kTenthsPerSecond;
 
   private:
     struct Zone {
-        Tenths at = 0;         // when `most` was last there
-        std::int64_t most = 0; // servers there of late
-        bool holds = false;    // this node may act for the duty
+        Tenths at = 0;            // when `servers` was last reached
+        std::int64_t servers = 0; // highest recent number of servers
+        bool holds = false;       // this node may act for the duty
         Tenths held_since = 0;
-        std::optional<duties::ScaleOrder> order; // under the last fence that this node held
+        std::optional<duties::ScaleOrder> order; // under the latest fencing token of this node
     };
     struct ServiceCounts {
         duties::Autoscaler controller;
         std::map<std::string, Zone> zones;
     };
 
-    void look();
-    void look_at(const model::Service& service);
+    void run();
+    void run_service(const model::Service& service);
     void count_servers(const std::string& service, ServiceCounts& counts) const;
-    void update_holding(const std::string& service, ServiceCounts& counts) const;
-    void forget_taken_away(ServiceCounts& counts, Tenths boot_time) const;
-    duties::ScalingInput picture(const std::string& service, const ServiceCounts& counts) const;
-    void want(const std::string& service, ServiceCounts& counts,
-              const std::vector<duties::ZoneServerCount>& wanted) const;
-    void send_due(const std::string& service, const std::string& zone, Zone& state);
+    void update_held_zones(const std::string& service, ServiceCounts& counts) const;
+    void clear_outdated_orders(ServiceCounts& counts, Tenths boot_time) const;
+    duties::ScalingInput scaling_input(const std::string& service, const ServiceCounts& counts) const;
+    void request_counts(const std::string& service, ServiceCounts& counts,
+                        const std::vector<duties::ZoneServerCount>& wanted) const;
+    void send_pending(const std::string& service, const std::string& zone, Zone& state);
     void answered(const std::string& service, const duties::ZoneServerCount& ordered, std::uint64_t fence,
                   duties::PlatformOutcome outcome);
 
     transport::Reactor& reactor_;
-    duties::PlatformClient& link_;
+    duties::PlatformClient& client_;
     std::string holder_;
     Callbacks callbacks_;
-    std::map<std::string, ServiceCounts> services_; // by name
+    std::map<std::string, ServiceCounts> services_; // by service name
     duties::PlatformCallStats calls_;
     transport::Reactor::TimerId timer_{};
 };
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -403,7 +403,7 @@
         for (feed::UsageCounts& counts : usage_exchange_->answer(*lacking))
             peers_->send(peer.address, std::move(counts));
     } else if (const auto* duty = std::get_if<feed::DutyMessage>(&message)) {
-        if (duty_parts_) duty_parts_->receive(duty->part, duty->message);
+        if (duty_parts_) duty_parts_->receive(duty->partition, duty->message);
     } else if (const auto* ordered = std::get_if<feed::StageOrderNotice>(&message)) {
         put_orders(ordered->orders);
     } else if (const auto* heard = std::get_if<feed::HeartbeatsSeen>(&message)) {
--- a/src/control/duty_partitions.cpp
+++ b/src/control/duty_partitions.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Slower than the configuration's group: whoever follows waits for `leaseMs` anyway.
+// Slower than the configuration's group, because a new holder waits for `leaseMs` anyway.
 constexpr Tenths kHeartbeat = 3'000;
-constexpr Tenths kElectionTimeout = 12'000; // four heartbeats; the longest is twice as long
-constexpr Tenths kHoldShare = 3;            // of a lease: for so much of it a holder acts without an answer
+constexpr Tenths kElectionTimeout = 12'000; // four heartbeats; randomized up to twice as long
+constexpr Tenths kContactAgeDivisor = 3; // a holder acts without contact to a majority for 1/3 of the lease
 
-std::optional<duties::PartitionState> state_of(const consensus::Replica& replica) {
+std::optional<duties::PartitionState> committed_state(const consensus::Replica& replica) {
     return replica.committed() ? duties::read_partition_state(replica.committed()->payload) : std::nullopt;
 }
 
-// What can't be read is never replaced.
-consensus::Replica::MakePayload payload_by(DutyPartitions::ChangeState change) {
+// State that can't be decoded is never replaced.
+consensus::Replica::MakePayload make_payload(DutyPartitions::ChangeState change) {
     return [change = std::move(change)](const std::string& newest) -> std::optional<std::string> {
         const auto state = duties::read_partition_state(newest);
         const auto changed = state ? change(*state) : std::nullopt;
@@ -37,23 +37,24 @@
 Result<std::unique_ptr<DutyPartitions>> DutyPartitions::open(transport::Reactor& reactor,
                                                              const OpenStateFile& open_file, Options options,
                                                              SendToMember send) {
-    std::unique_ptr<DutyPartitions> parts(new DutyPartitions(reactor, std::move(options), std::move(send)));
-    BOOST_OUTCOME_TRYV(parts->load(open_file));
-    return parts;
+    std::unique_ptr<DutyPartitions> partitions(
+        new DutyPartitions(reactor, std::move(options), std::move(send)));
+    BOOST_OUTCOME_TRYV(partitions->load(open_file));
+    return partitions;
 }
 
 DutyPartitions::DutyPartitions(transport::Reactor& reactor, Options options, SendToMember send)
     : reactor_(reactor), options_(std::move(options)), send_(std::move(send)), opened_at_(reactor.now()) {}
 
 Result<void> DutyPartitions::load(const OpenStateFile& open_file) {
-    for (std::size_t number = 0; number < parts_.size(); ++number) {
-        Part& part = parts_[number];
-        part.disk = open_file("duties-" + std::to_string(number));
-        BOOST_OUTCOME_TRY(loaded, part.disk->load());
+    for (std::size_t number = 0; number < partitions_.size(); ++number) {
+        Partition& partition = partitions_[number];
+        partition.disk = open_file("duties-" + std::to_string(number));
+        BOOST_OUTCOME_TRY(loaded, partition.disk->load());
         has_lost_state_ = has_lost_state_ || loaded.newest_is_spoilt;
         if (!loaded.bytes || loaded.newest_is_spoilt) continue;
         BOOST_OUTCOME_TRY(read, wire::from_bytes<MemberState>(*loaded.bytes));
-        part.loaded = std::move(read);
+        partition.loaded = std::move(read);
     }
     return boost::outcome_v2::success();
 }
@@ -61,15 +62,17 @@
 void DutyPartitions::join(const consensus::Member& self) {
     if (has_joined()) return;
     self_ = self;
-    for (std::size_t number = 0; number < parts_.size(); ++number) open_member(number, self);
+    for (std::size_t number = 0; number < partitions_.size(); ++number) open_member(number, self);
     if (!founders_.empty()) found(founders_);
 }
 
 void DutyPartitions::open_member(std::size_t number, const consensus::Member& self) {
-    Part& part = parts_[number];
-    // What another disk's member had accepted or voted here is not this one's.
-    const bool is_own = part.loaded.self.id == self.id && !planted(PlantedFault::kDutiesForgotten);
-    const consensus::DurableState durable = is_own ? part.loaded.state : consensus::DurableState{};
+    Partition& partition = partitions_[number];
+    // Votes and entries accepted by a member on another disk don't belong to this member.
+    const bool is_same_member =
+        partition.loaded.self.id == self.id && !planted(PlantedFault::kDutiesForgotten);
+    const consensus::DurableState durable =
+        is_same_member ? partition.loaded.state : consensus::DurableState{};
     consensus::Options options;
     options.self = self, options.seed = options_.draw();
     options.heartbeat_interval = kHeartbeat, options.election_timeout = kElectionTimeout;
@@ -77,65 +80,69 @@
     ReplicatedGroup::Callbacks callbacks;
     callbacks.send = [this, number](const consensus::Send& sent) { send_(number, sent); };
     callbacks.committed = [](const consensus::Entry&) {};
-    callbacks.role_changed = [this, &part](const consensus::RoleChanged& role) { role_changed(part, role); };
-    const Tenths hold = std::min(options_.lease / kHoldShare, kElectionTimeout);
-    const duties::Lease::Timing timing{options_.lease, hold, duties::OrderClient::kTimeout};
-    part.lease = std::make_unique<duties::Lease>(timing, opened_at_);
-    part.member = std::make_unique<ReplicatedGroup>(reactor_, *part.disk, std::move(options), durable,
-                                                    std::move(callbacks));
-    part.member->step();
+    callbacks.role_changed = [this, &partition](const consensus::RoleChanged& role) {
+        role_changed(partition, role);
+    };
+    const Tenths max_contact_age = std::min(options_.lease / kContactAgeDivisor, kElectionTimeout);
+    const duties::Lease::Timing timing{options_.lease, max_contact_age, duties::OrderClient::kTimeout};
+    partition.lease = std::make_unique<duties::Lease>(timing, opened_at_);
+    partition.member = std::make_unique<ReplicatedGroup>(reactor_, *partition.disk, std::move(options),
+                                                         durable, std::move(callbacks));
+    partition.member->step();
 }
 
-// A disk that has been empty since is another member, and founds nothing: the founders are known by the
-// identities of their disks, which are drawn anew.
+// A disk that has been emptied since is a different member and founds nothing: founders are identified by the
+// random ids of their disks.
 void DutyPartitions::found(const std::vector<consensus::Member>& founders) {
     founders_ = founders;
     if (!has_joined() || std::ranges::find(founders, self_.id, &consensus::Member::id) == founders.end())
         return;
-    for (Part& part : parts_)
-        if (!part.member->replica().newest())
-            part.member->found(founders, wire::to_bytes(duties::PartitionState{}));
+    for (Partition& partition : partitions_)
+        if (!partition.member->replica().newest())
+            partition.member->found(founders, wire::to_bytes(duties::PartitionState{}));
 }
 
-void DutyPartitions::receive(std::size_t part, const consensus::Message& message) {
-    if (part < parts_.size() && has_joined()) parts_[part].member->receive(message);
+void DutyPartitions::receive(std::size_t partition, const consensus::Message& message) {
+    if (partition < partitions_.size() && has_joined()) partitions_[partition].member->receive(message);
 }
 
 void DutyPartitions::set_candidates(const std::vector<consensus::Candidate>& candidates) {
     if (!has_joined()) return;
-    for (Part& part : parts_) part.member->set_candidates(candidates, options_.voters, options_.voters);
+    for (Partition& partition : partitions_)
+        partition.member->set_candidates(candidates, options_.voters, options_.voters);
 }
 
-void DutyPartitions::role_changed(Part& part, const consensus::RoleChanged& role) {
-    const std::size_t number = static_cast<std::size_t>(&part - parts_.data());
+void DutyPartitions::role_changed(Partition& partition, const consensus::RoleChanged& role) {
+    const std::size_t number = static_cast<std::size_t>(&partition - partitions_.data());
     log_line("duties", {{"part", std::to_string(number)},
                         {"leads", role.leads ? "yes" : "no"},
                         {"fence", std::to_string(role.term)}});
-    const bool acts_on = ending_ && planted(PlantedFault::kActsAfterRelease);
-    if (!role.leads && acts_on) return;
-    if (!role.leads) return part.lease->end(reactor_.now());
-    ++part.times_led;
-    part.led_since = reactor_.now();
-    if (ending_) return;
-    const auto state = state_of(part.member->replica());
-    part.lease->begin(state && duties::was_handed_over(*state, role.term), reactor_.now());
+    const bool keeps_acting = resigning_ && planted(PlantedFault::kActsAfterRelease);
+    if (!role.leads && keeps_acting) return;
+    if (!role.leads) return partition.lease->end(reactor_.now());
+    ++partition.times_elected;
+    partition.led_since = reactor_.now();
+    if (resigning_) return;
+    const auto state = committed_state(partition.member->replica());
+    partition.lease->begin(state && duties::was_handed_over(*state, role.term), reactor_.now());
 }
 
 void DutyPartitions::resign() {
-    if (std::exchange(ending_, true) || !has_joined()) return;
-    for (Part& part : parts_) {
-        release(part);
-        part.member->resign();
+    if (std::exchange(resigning_, true) || !has_joined()) return;
+    for (Partition& partition : partitions_) {
+        release(partition);
+        partition.member->resign();
     }
 }
 
-// Only who has waited out all former holders may say that nobody acts any more.
-void DutyPartitions::release(Part& part) {
-    const bool says_so = part.member->replica().leads() && part.lease->former_leases_expired(reactor_.now());
-    if (!planted(PlantedFault::kActsAfterRelease)) part.lease->end(reactor_.now());
-    if (!says_so) return;
-    const std::uint64_t term = part.member->replica().term();
-    part.member->propose_unawaited(payload_by([term](const duties::PartitionState& newest) {
+// Only a holder for which all former leases have expired may announce that nobody acts any more.
+void DutyPartitions::release(Partition& partition) {
+    const bool may_release =
+        partition.member->replica().leads() && partition.lease->former_leases_expired(reactor_.now());
+    if (!planted(PlantedFault::kActsAfterRelease)) partition.lease->end(reactor_.now());
+    if (!may_release) return;
+    const std::uint64_t term = partition.member->replica().term();
+    partition.member->propose_unawaited(make_payload([term](const duties::PartitionState& newest) {
         duties::PartitionState released =
             planted(PlantedFault::kLedgerForgotten) ? duties::PartitionState{} : newest;
         released.released_term = term;
@@ -143,24 +150,25 @@
     }));
 }
 
-bool DutyPartitions::may_act(const Part& part) const {
-    const consensus::Replica& replica = part.member->replica();
+bool DutyPartitions::may_act(const Partition& partition) const {
+    const consensus::Replica& replica = partition.member->replica();
     const bool leads = replica.leads() || planted(PlantedFault::kActsAfterRelease);
-    return leads && part.lease->may_act(replica.contact_at(), reactor_.now());
+    return leads && partition.lease->may_act(replica.contact_at(), reactor_.now());
 }
 
 std::optional<std::uint64_t> DutyPartitions::fence(const duties::Duty& duty) const {
     if (!has_joined()) return std::nullopt;
-    const Part& part = parts_[duties::partition_of(duty)];
-    if (!may_act(part)) return std::nullopt;
-    return planted(PlantedFault::kFenceFromMemory) ? part.times_led : part.member->replica().term();
+    const Partition& partition = partitions_[duties::partition_of(duty)];
+    if (!may_act(partition)) return std::nullopt;
+    return planted(PlantedFault::kFenceFromMemory) ? partition.times_elected
+                                                   : partition.member->replica().term();
 }
 
 bool DutyPartitions::may_propose(const duties::Duty& duty) const {
     if (fence(duty)) return true;
-    if (!has_joined() || ending_) return false;
-    const Part& part = parts_[duties::partition_of(duty)];
-    return part.member->replica().leads() && part.lease->may_prepare(reactor_.now());
+    if (!has_joined() || resigning_) return false;
+    const Partition& partition = partitions_[duties::partition_of(duty)];
+    return partition.member->replica().leads() && partition.lease->may_prepare(reactor_.now());
 }
 
 bool DutyPartitions::may_act_under(const duties::Duty& duty, std::uint64_t fence) const {
@@ -168,22 +176,24 @@
 }
 
 std::optional<duties::PartitionState> DutyPartitions::committed(const duties::Duty& duty) const {
-    return has_joined() ? state_of(parts_[duties::partition_of(duty)].member->replica()) : std::nullopt;
+    return has_joined() ? committed_state(partitions_[duties::partition_of(duty)].member->replica())
+                        : std::nullopt;
 }
 
 void DutyPartitions::propose(const duties::Duty& duty, ChangeState change) {
     if (may_propose(duty))
-        parts_[duties::partition_of(duty)].member->propose_unawaited(payload_by(std::move(change)));
+        partitions_[duties::partition_of(duty)].member->propose_unawaited(make_payload(std::move(change)));
 }
 
 std::array<DutyPartitions::Status, duties::kDutyPartitions> DutyPartitions::statuses() const {
-    std::array<Status, duties::kDutyPartitions> seen;
-    for (std::size_t number = 0; has_joined() && number < parts_.size(); ++number) {
-        const consensus::Replica& replica = parts_[number].member->replica();
-        const Tenths led_for = replica.leads() ? reactor_.now() - parts_[number].led_since : 0;
-        seen[number] = {replica.leads(), may_act(parts_[number]), replica.term(), replica.leader(), led_for};
+    std::array<Status, duties::kDutyPartitions> result;
+    for (std::size_t number = 0; has_joined() && number < partitions_.size(); ++number) {
+        const consensus::Replica& replica = partitions_[number].member->replica();
+        const Tenths led_for = replica.leads() ? reactor_.now() - partitions_[number].led_since : 0;
+        result[number] = {replica.leads(), may_act(partitions_[number]), replica.term(), replica.leader(),
+                          led_for};
     }
-    return seen;
+    return result;
 }
 
 } // namespace ivyrill::control
--- a/src/control/duty_partitions.hpp
+++ b/src/control/duty_partitions.hpp
@@ -1,6 +1,6 @@
-// This node's member in the group of each part of the duties (src/duties/duty.hpp): on its disk and links,
-// and whether it may act for a duty now, under which fence. The groups are founded by voters of the
-// configuration's group, which agrees on them once.
+// This node's members of the consensus groups of the duties' partitions (src/duties/duty.hpp): persistence,
+// message transport, and whether this node may act for a duty now and under which fencing token. The groups
+// are founded by voters of the configuration's group, which agrees on the founders once.
 #pragma once
 #include "base/result.hpp"
 #include "control/replicated_group.hpp"
@@ -19,73 +19,75 @@
 class DutyPartitions {
   public:
     struct Options {
-        std::size_t least_copies = 1; // disks, of voters that stay, that hold what is agreed on
-        std::size_t voters = 3;       // of each part
-        Tenths lease = 0;             // `leaseMs`
+        std::size_t least_copies =
+            1;                  // number of disks, of voters that remain, that must hold a committed entry
+        std::size_t voters = 3; // per partition
+        Tenths lease = 0;       // `leaseMs`
         std::function<std::uint64_t()> draw;
     };
-    using SendToMember = std::function<void(std::size_t part, const consensus::Send&)>;
-    struct Status { // of one part, as this node sees it
+    using SendToMember = std::function<void(std::size_t partition, const consensus::Send&)>;
+    struct Status { // state of one partition as seen by this node
         bool leads = false, acts = false;
         std::uint64_t fence = 0;
         std::optional<consensus::MemberId> leader;
-        Tenths led_for = 0; // since this node was elected
+        Tenths led_for = 0; // time since this node was elected
     };
-    // The state that should follow; none where nothing is to change.
+    // Computes the next state; none if nothing should change.
     using ChangeState =
         std::function<std::optional<duties::PartitionState>(const duties::PartitionState& newest)>;
 
-    // Reads the disk. An error where it holds what can't be served with.
+    // Loads the state from disk. Fails if it is not usable.
     static Result<std::unique_ptr<DutyPartitions>>
     open(transport::Reactor& reactor, const OpenStateFile& open_file, Options options, SendToMember send);
-    // The disk has lost what was durable here: this node's member is lost with it, in every group.
+    // The disk has lost durable state: this node's member is lost in every group.
     bool has_lost_state() const { return has_lost_state_; }
 
-    bool has_joined() const { return parts_.front().member != nullptr; }
-    void join(const consensus::Member& self); // once it is certain whose disk this is
+    bool has_joined() const { return partitions_.front().member != nullptr; }
+    void join(const consensus::Member& self); // to be called once the owner of the disk is known
     void found(const std::vector<consensus::Member>& founders);
-    void receive(std::size_t part, const consensus::Message& message);
+    void receive(std::size_t partition, const consensus::Message& message);
     void set_candidates(const std::vector<consensus::Candidate>& candidates);
-    void resign(); // before a planned end: acts no more, says so, and hands over
+    void resign(); // before a graceful shutdown: stops acting, releases the leases and hands over leadership
 
-    // The fence under which this node may act for the duty at this moment; none where it may not.
+    // The fencing token under which this node may act for the duty now; none if it may not.
     std::optional<std::uint64_t> fence(const duties::Duty& duty) const;
-    // Whether this node may propose for the duty: it acts, or will once former holders are waited for.
+    // Whether this node may propose for the duty: it may act, or will be able to once the leases of former
+    // holders have expired.
     bool may_propose(const duties::Duty& duty) const;
-    // In the moment in which something leaves that was begun under that fence.
+    // To be checked just before sending a call that was started under that fence.
     bool may_act_under(const duties::Duty& duty, std::uint64_t fence) const;
     std::array<Status, duties::kDutyPartitions> statuses() const;
-    // What the duty's part has agreed on, as far as this node knows; whoever may act knows all of it. None
-    // where it can't be read.
+    // State committed in the duty's partition as far as this node knows; complete on a node that may act.
+    // None if it can't be decoded.
     std::optional<duties::PartitionState> committed(const duties::Duty& duty) const;
-    // Where this node may propose for the duty: `change` is asked once at its turn, never after that fence.
-    // What became of it shows in `agreed`.
+    // Proposes a change if this node may propose for the duty: `change` is evaluated once, and never after
+    // the fence has changed. The result shows in `committed`.
     void propose(const duties::Duty& duty, ChangeState change);
 
   private:
-    struct Part {
+    struct Partition {
         std::unique_ptr<StateFile> disk;
         MemberState loaded;
-        std::unique_ptr<ReplicatedGroup> member; // after its disk, which it writes to
+        std::unique_ptr<ReplicatedGroup> member; // declared after the disk that it writes to
         std::unique_ptr<duties::Lease> lease;
-        std::uint64_t times_led = 0; // by this process
+        std::uint64_t times_elected = 0; // by this process
         Tenths led_since = 0;
     };
     DutyPartitions(transport::Reactor& reactor, Options options, SendToMember send);
     Result<void> load(const OpenStateFile& open_file);
     void open_member(std::size_t number, const consensus::Member& self);
-    void role_changed(Part& part, const consensus::RoleChanged& role);
-    void release(Part& part);
-    bool may_act(const Part& part) const;
+    void role_changed(Partition& partition, const consensus::RoleChanged& role);
+    void release(Partition& partition);
+    bool may_act(const Partition& partition) const;
 
     transport::Reactor& reactor_;
     Options options_;
     SendToMember send_;
     Tenths opened_at_;
-    std::array<Part, duties::kDutyPartitions> parts_;
+    std::array<Partition, duties::kDutyPartitions> partitions_;
     std::vector<consensus::Member> founders_;
     consensus::Member self_;
-    bool has_lost_state_ = false, ending_ = false;
+    bool has_lost_state_ = false, resigning_ = false;
 };
 
 } // namespace ivyrill::control
--- a/src/control/http_order_client.cpp
+++ b/src/control/http_order_client.cpp
@@ -24,21 +24,20 @@
 
 void HttpOrderClient::send(const duties::StageOrder& order, const std::string& holder,
                            std::function<bool()> may_send, std::function<void(OrderOutcome)> done) {
-    reactor_.spawn(carry(order, holder, std::move(may_send), std::move(done)));
+    reactor_.spawn(run(order, holder, std::move(may_send), std::move(done)));
 }
 
-transport::Task HttpOrderClient::carry(duties::StageOrder order, std::string holder,
-                                       std::function<bool()> may_send,
-                                       std::function<void(OrderOutcome)> done) {
-    const OrderOutcome outcome = co_await call(order, holder, may_send);
+transport::Task HttpOrderClient::run(duties::StageOrder order, std::string holder,
+                                     std::function<bool()> may_send, std::function<void(OrderOutcome)> done) {
+    const OrderOutcome outcome = co_await execute(order, holder, may_send);
     done(outcome);
 }
 
-transport::Async<OrderOutcome> HttpOrderClient::call(const duties::StageOrder& order,
-                                                     const std::string& holder,
-                                                     const std::function<bool()>& may_send) {
-    OneShotRequest call{order.address, order_request(order, holder), kTimeout, kTimeout};
-    const OneShotResult end = co_await send_one_shot(reactor_, std::move(call), may_send);
+transport::Async<OrderOutcome> HttpOrderClient::execute(const duties::StageOrder& order,
+                                                        const std::string& holder,
+                                                        const std::function<bool()>& may_send) {
+    OneShotRequest request{order.address, order_request(order, holder), kTimeout, kTimeout};
+    const OneShotResult end = co_await send_one_shot(reactor_, std::move(request), may_send);
     if (end.kind == OneShotResult::Kind::kNotSent) co_return OrderOutcome::kNotSent;
     if (end.kind != OneShotResult::Kind::kAnswered) co_return OrderOutcome::kUnanswered;
     co_return duties::outcome_of_status(end.status);
--- a/src/control/http_order_client.hpp
+++ b/src/control/http_order_client.hpp
@@ -1,5 +1,5 @@
-// Orders to servers over HTTP/1.1, each on a connection of its own that is reset at its end: what a cut holds
-// up of it is then lost, and reaches nobody after the holder's lease.
+// Sends orders to servers over HTTP/1.1, each on its own connection that is reset afterwards: data held up by
+// a network partition is then lost instead of arriving after the holder's lease.
 #pragma once
 #include "duties/order_client.hpp"
 #include "transport/async.hpp"
@@ -11,7 +11,7 @@
 
 namespace ivyrill::control {
 
-// The request as it goes out.
+// The encoded request.
 std::string order_request(const duties::StageOrder& order, const std::string& holder);
 
 class HttpOrderClient : public duties::OrderClient {
@@ -21,10 +21,10 @@
               std::function<void(duties::OrderOutcome)> done) override;
 
   private:
-    transport::Task carry(duties::StageOrder order, std::string holder, std::function<bool()> may_send,
-                          std::function<void(duties::OrderOutcome)> done);
-    transport::Async<duties::OrderOutcome> call(const duties::StageOrder& order, const std::string& holder,
-                                                const std::function<bool()>& may_send);
+    transport::Task run(duties::StageOrder order, std::string holder, std::function<bool()> may_send,
+                        std::function<void(duties::OrderOutcome)> done);
+    transport::Async<duties::OrderOutcome> execute(const duties::StageOrder& order, const std::string& holder,
+                                                   const std::function<bool()>& may_send);
 
     transport::Reactor& reactor_;
 };
--- a/src/control/http_platform_client.cpp
+++ b/src/control/http_platform_client.cpp
@@ -17,7 +17,7 @@
         return PlatformOutcome::kNotSent;
     case OneShotResult::Kind::kUnanswered:
         return PlatformOutcome::kUnanswered;
-    case OneShotResult::Kind::kNoAnswer:
+    case OneShotResult::Kind::kInvalidResponse:
         return PlatformOutcome::kFailed;
     case OneShotResult::Kind::kAnswered:
         return platform_outcome_of_status(end.status);
@@ -34,7 +34,7 @@
                        call.path, address, holder, call.fence, call.body.size(), call.body);
 }
 
-// 408: the platform did not wait for the whole call; the same one will do.
+// 408: the platform did not wait for the whole request; a retry may succeed.
 PlatformOutcome platform_outcome_of_status(int status) {
     if (status >= 200 && status < 300) return PlatformOutcome::kAccepted;
     if (status == 429) return PlatformOutcome::kBusy;
@@ -45,12 +45,12 @@
 
 void HttpPlatformClient::send(const duties::PlatformCall& call, const std::string& holder,
                               std::function<bool()> may_send, std::function<void(PlatformOutcome)> done) {
-    reactor_.spawn(carry(platform_request(call, holder, address_), std::move(may_send), std::move(done)));
+    reactor_.spawn(run(platform_request(call, holder, address_), std::move(may_send), std::move(done)));
 }
 
-// `done` is told in a later turn, also where nothing could be begun.
-transport::Task HttpPlatformClient::carry(std::string request, std::function<bool()> may_send,
-                                          std::function<void(PlatformOutcome)> done) {
+// `done` is called from a later turn of the event loop even if no connection could be opened.
+transport::Task HttpPlatformClient::run(std::string request, std::function<bool()> may_send,
+                                        std::function<void(PlatformOutcome)> done) {
     OneShotRequest call{address_, std::move(request), kDeliveryTimeout, kResponseTimeout};
     const OneShotResult end = co_await send_one_shot(reactor_, std::move(call), may_send);
     reactor_.call_at(reactor_.now(), [done = std::move(done), outcome = outcome_of(end)] { done(outcome); });
--- a/src/control/inspection.cpp
+++ b/src/control/inspection.cpp
@@ -101,7 +101,7 @@
     const std::string zones = list_of(seen.server_counts, [](const AutoscaleDuty::ZoneStatus& zone) {
         const std::string accepted = zone.accepted ? std::to_string(*zone.accepted) : "null";
         return fmt::format(R"({{"service":"{}","zone":"{}","fence":{},"there":{},"accepted":{}}})",
-                           zone.service, zone.zone, zone.fence, zone.there, accepted);
+                           zone.service, zone.zone, zone.fence, zone.servers, accepted);
     });
     return fmt::format(R"({{"zones":{},"calls":{}}})", zones, calls_of(seen.count_calls));
 }
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -200,7 +200,7 @@
 
 void InstanceRegistry::take_copy(const model::ControlNode& peer, const feed::Instances& records) {
     if (merge(records.records)) callbacks_.changed();
-    copies_.answered(peer.member, records.answers);
+    copies_.answered(peer.member, records.in_reply_to);
 }
 
 void InstanceRegistry::merge_known(const std::vector<Instance>& records) {
--- a/src/control/one_shot_request.hpp
+++ b/src/control/one_shot_request.hpp
@@ -1,6 +1,6 @@
-// One HTTP/1.1 call of a duty on a connection of its own, which is reset at its end: what a cut holds up of
-// it is then lost, and reaches nobody after the holder's lease. The system drops it as well, so that it is
-// lost also where this process stands still meanwhile.
+// An HTTP/1.1 request of a duty on its own connection, which is reset afterwards: data held up by a network
+// partition is then lost instead of arriving after the holder's lease. The kernel enforces the timeout as
+// well, so that this holds even if the process is suspended meanwhile.
 #pragma once
 #include "transport/async.hpp"
 #include "transport/reactor.hpp"
@@ -13,24 +13,24 @@
 
 struct OneShotRequest {
     std::string address; // IP:PORT
-    std::string request; // as it goes out
-    Tenths delivery_patience = 0;
-    Tenths answer_patience = 0; // since the connection was begun
+    std::string request; // encoded request
+    Tenths delivery_timeout = 0;
+    Tenths response_timeout = 0; // since the start of the connection attempt
 };
 
 struct OneShotResult {
     enum class Kind : std::uint8_t {
-        kNotSent,    // no byte of it left, or it was no longer to be sent
-        kUnanswered, // it may have been taken
-        kNoAnswer,   // what came is no HTTP answer
+        kNotSent,         // no byte was sent, or it was no longer allowed
+        kUnanswered,      // the server may have processed it
+        kInvalidResponse, // the response is not valid HTTP
         kAnswered
     };
     Kind kind = Kind::kNotSent;
-    int status = 0; // where it was answered
+    int status = 0; // if answered
 };
 
-// `may_send` is asked in the moment in which the call leaves. An answer counts by its status, whatever
-// follows it.
+// `may_send` is called just before the request is written. Once a status line has arrived the status counts,
+// whatever follows.
 transport::Async<OneShotResult> send_one_shot(transport::Reactor& reactor, OneShotRequest call,
                                               const std::function<bool()>& may_send);
 
--- a/src/control/stage_duty.cpp
+++ b/src/control/stage_duty.cpp
@@ -41,10 +41,10 @@
 
 } // namespace
 
-StageDuty::StageDuty(transport::Reactor& reactor, duties::OrderClient& link, std::string holder,
+StageDuty::StageDuty(transport::Reactor& reactor, duties::OrderClient& client, std::string holder,
                      Callbacks callbacks)
-    : reactor_(reactor), link_(link), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
-    timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { look(); });
+    : reactor_(reactor), client_(client), holder_(std::move(holder)), callbacks_(std::move(callbacks)) {
+    timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { run(); });
 }
 
 StageDuty::~StageDuty() { reactor_.cancel(timer_); }
@@ -56,17 +56,17 @@
     }
 }
 
-void StageDuty::look() {
-    timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { look(); });
+void StageDuty::run() {
+    timer_ = reactor_.call_after(duties::StageController::kInterval, [this] { run(); });
     report_freshness_.forget_old(reactor_.now());
     const model::Configuration* configuration = callbacks_.configuration();
     if (configuration == nullptr) return;
     for (const model::Service& service : configuration->services)
-        if (service.engine) look_at(service);
+        if (service.engine) run_service(service);
 }
 
-// A holder begins with what it sees itself: the means of the one before are not handed over.
-void StageDuty::look_at(const model::Service& service) {
+// A new holder starts with its own observations: the means of the previous holder are not handed over.
+void StageDuty::run_service(const model::Service& service) {
     const Duty duty{DutyKind::kServerStages, service.name};
     const auto fence = callbacks_.fence(duty);
     if (!fence || orders_.is_fenced_off(*fence)) {
@@ -100,8 +100,8 @@
 
 void StageDuty::send(const Duty& duty, const StageOrder& order) {
     const auto may_send = [this, duty, fence = order.fence] { return callbacks_.may_act_under(duty, fence); };
-    link_.send(order, holder_, may_send,
-               [this, duty, order](OrderOutcome outcome) { answered(duty, order, outcome); });
+    client_.send(order, holder_, may_send,
+                 [this, duty, order](OrderOutcome outcome) { answered(duty, order, outcome); });
 }
 
 void StageDuty::answered(const Duty& duty, const StageOrder& order, OrderOutcome outcome) {
@@ -124,13 +124,13 @@
     for (const auto& [id, instance] : callbacks_.instances().records()) {
         const bool counts = instance.service == service && instance.stage != model::Stage::kNone &&
                             instance.state == model::InstanceState::kServing;
-        if (counts) servers.push_back(staged(instance));
+        if (counts) servers.push_back(staged_server(instance));
     }
     return servers;
 }
 
-// A report tells of its stage sooner than a heartbeat does.
-StagedServer StageDuty::staged(const model::Instance& instance) const {
+// A report shows a changed stage sooner than a heartbeat does.
+StagedServer StageDuty::staged_server(const model::Instance& instance) const {
     StagedServer server;
     server.id = instance.id, server.address = instance.address, server.zone = instance.zone;
     server.stage = instance.stage, server.slots = static_cast<double>(instance.slots);
--- a/src/control/stage_duty.hpp
+++ b/src/control/stage_duty.hpp
@@ -1,5 +1,5 @@
-// The duty to give a service's servers their parts (duties::DutyKind::kServerStages), one subject a service:
-// looks at reports and demand every so often, and where this node holds the duty has orders sent.
+// The duty to assign stages to a service's servers (duties::DutyKind::kServerStages), one subject per
+// service: evaluates reports and demand periodically, and sends orders if this node holds the duty.
 #pragma once
 #include "duties/demand_aggregator.hpp"
 #include "duties/duty.hpp"
@@ -24,35 +24,36 @@
 class StageDuty {
   public:
     struct Callbacks {
-        // Under which this node may act for the duty at this moment; none where it may not.
+        // Fencing token under which this node may act for the duty now; none if it may not.
         std::function<std::optional<std::uint64_t>(const duties::Duty&)> fence;
         std::function<bool(const duties::Duty&, std::uint64_t fence)> may_act_under;
-        std::function<const model::Configuration*()> configuration; // null where none is known
+        std::function<const model::Configuration*()> configuration; // null if unknown
         std::function<const feed::InstanceTable&()> instances;
-        std::function<const std::map<std::string, model::Load>&()> loads; // by instance
-        std::function<void(const feed::StageOrdered&)> ordered;           // all nodes are to know
+        std::function<const std::map<std::string, model::Load>&()> loads; // by instance id
+        std::function<void(const feed::StageOrdered&)>
+            ordered; // called for each accepted order, to notify all nodes
     };
-    // `holder`: this node's name, told with each order. `link` must outlive it.
-    StageDuty(transport::Reactor& reactor, duties::OrderClient& link, std::string holder,
+    // `holder`: this node's name, sent with each order. `client` must outlive this object.
+    StageDuty(transport::Reactor& reactor, duties::OrderClient& client, std::string holder,
               Callbacks callbacks);
     ~StageDuty();
 
     duties::DemandAggregator& demand() { return demand_; }
-    void reported(const std::vector<model::Load>& loads); // by servers, as they come
-    std::vector<duties::StagedServer> servers_of(const std::string& service) const; // that serve
+    void reported(const std::vector<model::Load>& loads); // new loads reported by servers
+    std::vector<duties::StagedServer> servers_of(const std::string& service) const; // in state serving
     const duties::StageOrderTracker::Counts& counts() const { return orders_.counts(); }
 
   private:
-    void look();
-    void look_at(const model::Service& service);
+    void run();
+    void run_service(const model::Service& service);
     void order(const duties::Duty& duty, std::uint64_t fence, const duties::StageChange& change,
                const duties::StagedServer& server);
     void send(const duties::Duty& duty, const duties::StageOrder& order);
     void answered(const duties::Duty& duty, const duties::StageOrder& order, duties::OrderOutcome outcome);
-    duties::StagedServer staged(const model::Instance& instance) const;
+    duties::StagedServer staged_server(const model::Instance& instance) const;
 
     transport::Reactor& reactor_;
-    duties::OrderClient& link_;
+    duties::OrderClient& client_;
     std::string holder_;
     Callbacks callbacks_;
     duties::DemandAggregator demand_;
--- a/src/control/usage_duty.cpp
+++ b/src/control/usage_duty.cpp
@@ -14,34 +14,34 @@
 
 namespace {
 
-constexpr Tenths kProposeAgain = kTenthsPerSecond; // a proposal of which nothing shows
+constexpr Tenths kProposeRetryDelay = kTenthsPerSecond; // if the effect of a proposal has not shown
 
 } // namespace
 
-UsageDuty::UsageDuty(transport::Reactor& reactor, duties::PlatformClient& link, Options options,
+UsageDuty::UsageDuty(transport::Reactor& reactor, duties::PlatformClient& client, Options options,
                      Callbacks callbacks)
-    : reactor_(reactor), link_(link), options_(std::move(options)), callbacks_(std::move(callbacks)) {
-    timer_ = reactor_.call_after(kCheckInterval, [this] { look(); });
+    : reactor_(reactor), client_(client), options_(std::move(options)), callbacks_(std::move(callbacks)) {
+    timer_ = reactor_.call_after(kCheckInterval, [this] { run(); });
 }
 
 UsageDuty::~UsageDuty() { reactor_.cancel(timer_); }
 
-void UsageDuty::look() {
-    timer_ = reactor_.call_after(kCheckInterval, [this] { look(); });
+void UsageDuty::run() {
+    timer_ = reactor_.call_after(kCheckInterval, [this] { run(); });
     const auto fence = callbacks_.fence();
     const auto committed = callbacks_.committed();
     if (!committed || !callbacks_.may_propose()) return;
     propose_next(*committed);
     if (!fence) return;
     forget_settled(*committed);
-    const auto early = planted(PlantedFault::kSentBeforeAgreed) ? next(*committed) : std::nullopt;
-    send_due(early ? *early : *committed, *fence);
+    const auto uncommitted = planted(PlantedFault::kSentBeforeAgreed) ? next(*committed) : std::nullopt;
+    send_pending(uncommitted ? *uncommitted : *committed, *fence);
 }
 
-// What is proposed is worked out at its turn, from the newest ledger: a proposal that was made twice changes
-// nothing the second time.
+// The proposal is computed when its turn comes, from the newest ledger, so a duplicate proposal changes
+// nothing.
 void UsageDuty::propose_next(const UsageLedger& committed) {
-    const bool waits = proposed_at_ && reactor_.now() - *proposed_at_ < kProposeAgain;
+    const bool waits = proposed_at_ && reactor_.now() - *proposed_at_ < kProposeRetryDelay;
     if (waits || !next(committed)) return;
     proposed_at_ = reactor_.now();
     callbacks_.propose([this](const UsageLedger& newest) { return next(newest); });
@@ -50,22 +50,23 @@
 std::optional<UsageLedger> UsageDuty::next(const UsageLedger& newest) const {
     const auto now = callbacks_.time();
     if (!now) return std::nullopt;
-    // Who follows may only just have begun to hear of counts: without all of them it waits until it acts.
+    // A new leader may have received only part of the counts: until it may act it commits complete windows
+    // only.
     const auto counts =
         callbacks_.fence() ? duties::CountRequirement::kAllowPartial : duties::CountRequirement::kComplete;
     return duties::next_ledger(newest, *now, options_.window_ms, callbacks_.sources, settled_, counts);
 }
 
 void UsageDuty::forget_settled(const UsageLedger& committed) {
-    const auto is_gone = [&](std::int64_t window) {
+    const auto is_removed = [&](std::int64_t window) {
         return std::ranges::find(committed.committed, window, &CommittedWindow::number) ==
                committed.committed.end();
     };
-    std::erase_if(settled_, is_gone);
-    std::erase_if(sending_, [&](const auto& entry) { return is_gone(entry.first); });
+    std::erase_if(settled_, is_removed);
+    std::erase_if(sending_, [&](const auto& entry) { return is_removed(entry.first); });
 }
 
-void UsageDuty::send_due(const UsageLedger& committed, std::uint64_t fence) {
+void UsageDuty::send_pending(const UsageLedger& committed, std::uint64_t fence) {
     if (is_fenced_off(fence)) return;
     for (const CommittedWindow& window : committed.committed) {
         const Sending& sending = sending_[window.number];
@@ -98,8 +99,8 @@
     const auto may_send = [this, fence, is_unchecked] {
         return is_unchecked || (callbacks_.may_act_under(fence) && !is_fenced_off(fence));
     };
-    link_.send(call, options_.holder, may_send,
-               [this, window, fence](PlatformOutcome outcome) { answered(window, fence, outcome); });
+    client_.send(call, options_.holder, may_send,
+                 [this, window, fence](PlatformOutcome outcome) { answered(window, fence, outcome); });
 }
 
 void UsageDuty::answered(const CommittedWindow& window, std::uint64_t fence, PlatformOutcome outcome) {
@@ -115,36 +116,36 @@
     if (outcome == PlatformOutcome::kBusy && planted(PlantedFault::kGivenUpWhenBusy))
         settled_.insert(window.number);
     if (settled_.contains(window.number)) return;
-    send_later(sending);
+    schedule_retry(sending);
     if (planted(PlantedFault::kRetriedWithoutLease)) send(window, fence);
 }
 
-// A report that the platform will not have must not hold up what follows for ever.
+// A report that the platform keeps refusing must not block the following ones forever.
 void UsageDuty::refused(std::int64_t window, Sending& sending) {
-    if (++sending.refusals < kMaxRejections) return;
+    if (++sending.refusals < kMaxRefusals) return;
     log_line("usage_report_given_up",
              {{"window", std::to_string(window)}, {"refusals", std::to_string(sending.refusals)}});
     ++given_up_;
     settled_.insert(window);
 }
 
-void UsageDuty::send_later(Sending& sending) const {
+void UsageDuty::schedule_retry(Sending& sending) const {
     sending.not_before = reactor_.now() + sending.backoff;
     sending.backoff = std::min(2 * sending.backoff, kMaxBackoff);
 }
 
 UsageDuty::Status UsageDuty::status() const {
-    Status seen;
-    seen.fence = callbacks_.fence();
-    seen.acknowledged = acknowledged_, seen.given_up = given_up_, seen.calls = calls_;
+    Status result;
+    result.fence = callbacks_.fence();
+    result.acknowledged = acknowledged_, result.given_up = given_up_, result.calls = calls_;
     const auto committed = callbacks_.committed();
-    if (!committed) return seen;
-    seen.next_window = committed->next_window;
-    seen.due = static_cast<std::size_t>(
+    if (!committed) return result;
+    result.next_window = committed->next_window;
+    result.due = static_cast<std::size_t>(
         std::ranges::count_if(committed->committed, [this](const CommittedWindow& window) {
             return !settled_.contains(window.number);
         }));
-    return seen;
+    return result;
 }
 
 } // namespace ivyrill::control
--- a/src/duties/autoscaler.hpp
+++ b/src/duties/autoscaler.hpp
@@ -1,8 +1,9 @@
-// How many servers of a service are to run in each zone. A closed loop beside the StageController, on the
-// same figures: what its readers and its runners are asked for, each in servers. It grows early and by what
-// is missing at once, as new servers serve only after `bootTimeS`; it shrinks late and by one server a zone,
-// never below what outlives the loss of the largest zone. All nodes plan the same from the same picture; each
-// orders for the zones that it holds. Pure: reports, demand and clock are handed in.
+// Autoscaler: decides how many servers of a service run in each zone. A closed loop beside the
+// StageController on the same inputs: the load of the prefill servers and of the decode servers, each
+// expressed as a number of servers. It scales up early and by the whole shortfall, because new servers take
+// `bootTimeS` to start, and scales down late and by one server per zone, never below what survives the loss
+// of the largest zone. All nodes compute the same plan from the same input; each orders only for the zones
+// whose duty it holds. Pure: reports, demand and the current time are parameters.
 #pragma once
 #include "base/time.hpp"
 #include "duties/stage_utilization.hpp"
@@ -24,20 +25,20 @@
     friend bool operator==(const ZoneServerCount&, const ZoneServerCount&) = default;
 };
 
-// A service's servers as they are now.
+// A service's servers at one moment.
 struct ScalingInput {
-    std::vector<StagedServer> servers; // that serve
-    std::vector<ZoneServerCount>
-        target_counts; // what was ordered, or is there where nothing was; every zone with any
-    std::optional<model::ServiceDemand> demand; // of all edge nodes; none where nobody has told of any lately
+    std::vector<StagedServer> servers;          // in state serving
+    std::vector<ZoneServerCount> target_counts; // per zone with any servers: the last ordered count, or the
+                                                // observed one if none was ordered
+    std::optional<model::ServiceDemand> demand; // of all edge nodes; none without recent reports
 };
 
 class Autoscaler {
   public:
     Autoscaler();
-    // Called every kInterval; the zones whose count is to change now, most often none.
-    std::vector<ZoneServerCount> plan(const ScalingInput& picture, const model::Scaling& scaling, Tenths now);
-    // Servers that the load asks for: mean of the last looks.
+    // To be called every kInterval. Returns the zones whose count should change now; usually none.
+    std::vector<ZoneServerCount> plan(const ScalingInput& input, const model::Scaling& scaling, Tenths now);
+    // Number of servers that the load requires: mean over the last samples.
     double needed_servers() const { return needed_; }
 
     static constexpr Tenths kInterval = 5'000;
@@ -46,23 +47,25 @@
     using Mean = boost::accumulators::accumulator_set<
         double, boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>;
 
-    void look(const ScalingInput& picture);
-    std::vector<ZoneServerCount> grown(const ScalingInput& picture, const std::vector<ZoneServerCount>& zones,
-                                       const model::Scaling& scaling, Tenths now);
-    std::vector<ZoneServerCount> shrunk(const ScalingInput& picture,
-                                        const std::vector<ZoneServerCount>& zones,
-                                        const model::Scaling& scaling, Tenths now) const;
-    bool can_spare(const std::vector<ZoneServerCount>& zones) const;
-    static std::vector<ZoneServerCount> changed_by(std::int64_t step, const ScalingInput& picture,
-                                                   const std::vector<ZoneServerCount>& zones,
-                                                   const model::Scaling& scaling);
+    void sample(const ScalingInput& input);
+    std::vector<ZoneServerCount> scale_up(const ScalingInput& input,
+                                          const std::vector<ZoneServerCount>& zones,
+                                          const model::Scaling& scaling, Tenths now);
+    std::vector<ZoneServerCount> scale_down(const ScalingInput& input,
+                                            const std::vector<ZoneServerCount>& zones,
+                                            const model::Scaling& scaling, Tenths now) const;
+    bool can_scale_down(const std::vector<ZoneServerCount>& zones) const;
+    static std::vector<ZoneServerCount> changed_counts(std::int64_t step, const ScalingInput& input,
+                                                       const std::vector<ZoneServerCount>& zones,
+                                                       const model::Scaling& scaling);
 
-    Mean reader_use_, runner_use_, requests_; // shares; a second
+    Mean prefill_utilization_, decode_utilization_, request_rate_; // utilization; requests per second
     double needed_ = 0;
-    int short_looks_ = 0, very_short_looks_ = 0; // one after the other, up to the last
-    int looks_ = 0;                              // since the picture was last incomplete
-    std::optional<Tenths> changed_at_, busy_at_; // busy: too much so for servers to go
-    std::optional<double> requests_when_short_;  // a second and server, when servers were first short
+    int short_samples_ = 0, very_short_samples_ = 0; // consecutive, up to the latest
+    int samples_ = 0;                                // since the input was last incomplete
+    std::optional<Tenths> changed_at_, busy_at_;     // busy: too much load to scale down
+    std::optional<double>
+        requests_per_server_when_short_; // per second and server, when a shortage was first seen
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/demand_aggregator.cpp
+++ b/src/duties/demand_aggregator.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr Tenths kDemandAge = 3 * kTenthsPerSecond; // older words no longer count
+constexpr Tenths kMaxAge = 3 * kTenthsPerSecond; // older reports are dropped
 
 } // namespace
 
 void DemandAggregator::add(std::map<std::string, Update>& updates, Tenths now, Sums& sums) {
-    std::erase_if(updates, [now](const auto& entry) { return now - entry.second.at > kDemandAge; });
-    for (const auto& [name, here] : updates)
-        for (const model::ServiceDemand& demand : here.demands) {
+    std::erase_if(updates, [now](const auto& entry) { return now - entry.second.received_at > kMaxAge; });
+    for (const auto& [name, update] : updates)
+        for (const model::ServiceDemand& demand : update.demands) {
             model::ServiceDemand& sum = sums[demand.service];
             sum.service = demand.service;
             sum += demand;
--- a/src/duties/demand_aggregator.hpp
+++ b/src/duties/demand_aggregator.hpp
@@ -1,5 +1,5 @@
-// What all edge nodes ask of each service, added up: from the nodes whose sessions stand at this control
-// node, and from the sums that its peers tell of theirs. Pure.
+// Sums the demand of all edge nodes for each service: from the nodes with a session at this control node and
+// from the sums that its peers report for theirs. Pure.
 #pragma once
 #include "base/time.hpp"
 #include "model/instance.hpp"
@@ -21,20 +21,20 @@
                           Tenths now) {
         peers_[peer] = {demands, now};
     }
-    // Of the nodes here, by service: what is told to peers.
+    // By service, from the nodes with a session here; sent to peers.
     std::vector<model::ServiceDemand> local(Tenths now);
-    // Of all; none where nobody has told of that service lately.
+    // Of all nodes; none without a recent report of that service.
     std::optional<model::ServiceDemand> total(const std::string& service, Tenths now);
 
   private:
     struct Update {
         std::vector<model::ServiceDemand> demands;
-        Tenths at = 0;
+        Tenths received_at = 0;
     };
     using Sums = std::map<std::string, model::ServiceDemand>;
     static void add(std::map<std::string, Update>& updates, Tenths now, Sums& sums);
 
-    std::map<std::string, Update> nodes_, peers_; // by name; by address
+    std::map<std::string, Update> nodes_, peers_; // keyed by node name; by peer address
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/duty.cpp
+++ b/src/duties/duty.cpp
@@ -16,9 +16,9 @@
 std::optional<PartitionState> read_partition_state(std::string_view payload) {
     if (auto read = wire::from_bytes<PartitionState>(payload); read.has_value())
         return std::move(read.value());
-    const auto former = wire::from_bytes<PartStateWithoutLedger>(payload);
-    if (former.has_error()) return std::nullopt;
-    return PartitionState{former.value().released_term, {}};
+    const auto legacy = wire::from_bytes<PartStateWithoutLedger>(payload);
+    if (legacy.has_error()) return std::nullopt;
+    return PartitionState{legacy.value().released_term, {}};
 }
 
 } // namespace ivyrill::duties
--- a/src/duties/duty.hpp
+++ b/src/duties/duty.hpp
@@ -1,7 +1,7 @@
-// Duties: work that one node at a time does for the whole fleet. A duty is a kind and a subject; by their
-// hash it falls to one of the parts, each of which has a small group of its own
-// (src/control/duty_partitions.hpp) whose leader holds all duties of the part. The leader's term is the
-// fence: terms are never used twice and never fall. Pure.
+// Duties: tasks that one node at a time performs for the whole fleet. A duty is a kind and a subject. A hash
+// of both maps it to one of the partitions; each partition has a small consensus group of its own
+// (src/control/duty_partitions.hpp) whose leader holds all duties of the partition. The leader's term is the
+// fencing token: terms are never reused and only increase. Pure.
 #pragma once
 #include "base/hash.hpp"
 #include "duties/usage_ledger.hpp"
@@ -18,9 +18,9 @@
 inline constexpr std::size_t kDutyPartitions = 4;
 
 enum class DutyKind : std::uint8_t {
-    kServerStages, // subject: a service; which of its servers read prompts and which run them
-    kUsageReport,  // one subject, the empty one: each tenant's requests in each window (`POST /usage`)
-    kServerCount   // subject: a service and a zone; how many of its servers run there (`POST /scale`)
+    kServerStages, // subject: a service; which of its servers do prefill and which do decode
+    kUsageReport,  // single, empty subject: requests of each tenant in each window (`POST /usage`)
+    kServerCount   // subject: a service and a zone; number of its servers there (`POST /scale`)
 };
 
 struct Duty {
@@ -38,20 +38,20 @@
     return hash_text(duty.subject, static_cast<std::uint64_t>(duty.kind) + 1) % kDutyPartitions;
 }
 
-// What a part's group agrees on beside its leader.
+// Replicated state of a partition's group.
 struct PartitionState {
-    // A leader that ended by plan had stopped to act before it proposed this: whoever leads the next term
-    // need not wait for its lease.
+    // Term of the last leader that shut down gracefully: it had stopped acting before it proposed this, so
+    // the leader of the next term need not wait for its lease to expire.
     std::uint64_t released_term = 0;
-    UsageLedger usage = {}; // of the part that the usage report falls to
+    UsageLedger usage = {}; // used only in the partition of the usage report
     template <class Self> static auto tie(Self& s) { return std::tie(s.released_term, s.usage); }
 };
 
-// As it lies on the disk or is agreed on; also in the form without a ledger, which former versions wrote:
-// then nothing was ever reported, and the ledger has not begun. None where it has neither form.
+// Decodes the stored or replicated state. Also accepts the format of earlier versions, without a ledger; the
+// ledger then starts empty. None if the payload has neither format.
 std::optional<PartitionState> read_partition_state(std::string_view payload);
 
-// Whether the leader of `term` follows one that said that it acts no more.
+// Whether the leader of `term` follows a leader that released its lease.
 inline bool was_handed_over(const PartitionState& state, std::uint64_t term) {
     return state.released_term > 0 && state.released_term + 1 == term;
 }
--- a/src/duties/lease.hpp
+++ b/src/duties/lease.hpp
@@ -1,10 +1,10 @@
-// Whether a node may act for the duties that it holds, by its own steady clock. Pure.
+// Decides by the node's own steady clock whether it may act for the duties it holds. Pure.
 //
-// A holder acts until `hold` after it sent what a majority has answered. Whoever is elected next had the vote
-// of a member that answered before it voted, so the former holder's last act comes no later than `hold` after
-// the election; the next holder acts from `length` after it. Between the two lies `length` less `hold`, in
-// which what a call of the former holder still has on its way comes in or is reset. After a planned hand-over
-// only that is waited for.
+// A holder acts until `max_contact_age` after it sent the latest message that a majority has answered. A
+// newly elected leader has the vote of a member that answered before it voted, so the former holder's last
+// action comes no later than `max_contact_age` after the election, and the new holder acts only from
+// `duration` after it. In the remaining `duration - max_contact_age`, calls of the former holder that are
+// still in flight arrive or are reset. After a graceful handover the new holder waits only for those.
 #pragma once
 #include "base/planted_fault.hpp"
 #include "base/time.hpp"
@@ -18,33 +18,34 @@
   public:
     struct Timing {
         Tenths duration = 0;        // `leaseMs`
-        Tenths max_contact_age = 0; // since the last certain contact with a majority
-        Tenths max_in_flight = 0;   // so long at the most does an act take to come in, once it has left
+        Tenths max_contact_age = 0; // since the last confirmed contact with a majority
+        Tenths max_in_flight = 0;   // upper bound on the delivery time of a call
     };
-    // A process that starts may have held the duties just before it ended.
+    // A restarted process may have held the duties just before it stopped.
     Lease(Timing timing, Tenths process_started)
         : timing_(timing), blocked_until_(process_started + timing.duration + timing.max_in_flight) {}
 
-    // This node leads its part from `now` on; `handed_over`: by a leader that acts no more.
+    // This node leads its partition from `now` on; `handed_over`: the former leader released its lease.
     void begin(bool handed_over, Tenths now) {
         leads_ = true;
         acts_after_ = now + (handed_over ? timing_.max_in_flight : timing_.duration);
         if (planted(PlantedFault::kLeaseNotAwaited)) acts_after_ = now;
     }
     void end(Tenths now) {
-        // Another one may act meanwhile: a lease has to lie between the last act that came in and the next.
+        // Another node may act in the meantime; a lease must pass between its last call and the next one
+        // here.
         if (leads_) blocked_until_ = now + timing_.duration + timing_.max_in_flight;
         leads_ = false;
     }
-    // The wait for former holders is over, however the contact is now.
+    // All leases of former holders have expired, whatever the current contact is.
     bool former_leases_expired(Tenths now) const {
-        const bool may_return = now >= blocked_until_ || planted(PlantedFault::kHolderReturnsAtOnce);
-        return leads_ && now >= acts_after_ && may_return;
+        const bool may_act_again = now >= blocked_until_ || planted(PlantedFault::kHolderReturnsAtOnce);
+        return leads_ && now >= acts_after_ && may_act_again;
     }
-    // What binds no former holder may be done while one is waited for: this node leads, and has not held
-    // the duties, nor started, within the lease's length.
+    // Allows preparations that can't conflict with a former holder while its lease runs out: this node leads,
+    // and has neither held the duties nor started within the lease duration.
     bool may_prepare(Tenths now) const { return leads_ && now >= blocked_until_; }
-    // `contact`: when this node sent what a majority has answered since.
+    // `contact`: send time of the latest message that a majority has answered.
     bool may_act(std::optional<Tenths> contact, Tenths now) const {
         const bool in_contact = contact && now - *contact <= timing_.max_contact_age;
         return former_leases_expired(now) && (in_contact || planted(PlantedFault::kActsWithoutContact));
--- a/src/duties/order_client.hpp
+++ b/src/duties/order_client.hpp
@@ -1,4 +1,4 @@
-// How an order travels to a server, behind an interface: HTTP in the program, a simulated network in tests.
+// Interface for sending orders to servers: HTTP in the program, a simulated network in tests.
 #pragma once
 #include "duties/stage_order_tracker.hpp"
 
@@ -14,8 +14,8 @@
     OrderClient(const OrderClient&) = delete;
     OrderClient& operator=(const OrderClient&) = delete;
 
-    // Sends it once. `may_send` is asked in the moment in which it leaves; `done` is told once, in a later
-    // turn and within kPatience, after which nothing of the order is on its way any more.
+    // Sends the order once. `may_send` is called just before the request is written; `done` is called once,
+    // from a later turn of the event loop and within kTimeout, after which nothing of the order is in flight.
     virtual void send(const StageOrder& order, const std::string& holder, std::function<bool()> may_send,
                       std::function<void(OrderOutcome)> done) = 0;
 
--- a/src/duties/platform_call_stats.hpp
+++ b/src/duties/platform_call_stats.hpp
@@ -1,4 +1,4 @@
-// What became of the calls of a duty to the platform: counted by cause, and its word for the log. Pure.
+// Counts the outcomes of a duty's calls to the platform, and names them for the log. Pure.
 #pragma once
 #include "duties/platform_client.hpp"
 
@@ -22,13 +22,15 @@
 class PlatformCallStats {
   public:
     void record_sent() { ++sent_; }
-    void record_outcome(PlatformOutcome outcome) { ++ended_[static_cast<std::size_t>(outcome)]; }
-    std::uint64_t calls() const { return sent_; } // begun, whatever became of them
-    std::uint64_t count(PlatformOutcome outcome) const { return ended_[static_cast<std::size_t>(outcome)]; }
+    void record_outcome(PlatformOutcome outcome) { ++outcomes_[static_cast<std::size_t>(outcome)]; }
+    std::uint64_t calls() const { return sent_; } // started, whatever the outcome
+    std::uint64_t count(PlatformOutcome outcome) const {
+        return outcomes_[static_cast<std::size_t>(outcome)];
+    }
 
   private:
     std::uint64_t sent_ = 0;
-    std::array<std::uint64_t, kPlatformOutcomes.size()> ended_{};
+    std::array<std::uint64_t, kPlatformOutcomes.size()> outcomes_{};
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/platform_client.hpp
+++ b/src/duties/platform_client.hpp
@@ -1,5 +1,5 @@
-// How a call of a duty travels to the platform's API (`cloudApi`), behind an interface: HTTP in the program,
-// a simulated network in tests.
+// Interface for a duty's calls to the platform's API (`cloudApi`): HTTP in the program, a simulated network
+// in tests.
 #pragma once
 #include "base/time.hpp"
 
@@ -18,11 +18,11 @@
 enum class PlatformOutcome : std::uint8_t {
     kAccepted,  // 2xx
     kBusy,      // 429
-    kFencedOff, // 412: the platform has seen a higher fence
-    kRefused,   // any other 4xx: the same call will not do
-    kFailed,    // 3xx, 5xx, or what is no answer
-    kNotSent,   // no byte of it left, or the holder could no longer act
-    kUnanswered // it may have been taken
+    kFencedOff, // 412: the platform has seen a higher fencing token
+    kRefused,   // any other 4xx: retrying the same call is useless
+    kFailed,    // 3xx, 5xx, or not a valid HTTP response
+    kNotSent,   // no byte was sent, or the lease had expired
+    kUnanswered // the platform may have processed it
 };
 
 class PlatformClient {
@@ -32,12 +32,12 @@
     PlatformClient(const PlatformClient&) = delete;
     PlatformClient& operator=(const PlatformClient&) = delete;
 
-    // Sends it once, in the name of `holder`. `may_send` is asked in the moment in which it leaves; `done` is
-    // told once, in a later turn and within kResponseTimeout.
+    // Sends the call once on behalf of `holder`. `may_send` is called just before the request is written;
+    // `done` is called once, from a later turn of the event loop and within kResponseTimeout.
     virtual void send(const PlatformCall& call, const std::string& holder, std::function<bool()> may_send,
                       std::function<void(PlatformOutcome)> done) = 0;
 
-    // After it nothing of a call is on its way to the platform any more; its answer may still come.
+    // After kDeliveryTimeout nothing of a call is in flight to the platform; the response may still follow.
     static constexpr Tenths kDeliveryTimeout = 6'000;
     static constexpr Tenths kResponseTimeout = 30'000; // a slow platform takes seconds
 };
--- a/src/duties/platform_rate_limiter.hpp
+++ b/src/duties/platform_rate_limiter.hpp
@@ -1,7 +1,7 @@
-// How many calls to the platform whoever holds a part of the duties may make: an equal share of what the
-// platform takes from all nodes together (`dutyPerS`), so that nobody has to ask anybody. A token bucket for
-// each part; half of the share refills it, half may be saved up, so that no second has more than the share.
-// Pure: the clock is handed in.
+// Rate limiter for calls to the platform. The platform's limit for all nodes together (`dutyPerS`) is divided
+// equally among the partitions of the duties, so that holders need no coordination. One token bucket per
+// partition: half of the share is the refill rate and the other half the bucket's capacity, so that a
+// partition never exceeds its share in any second. Pure: the current time is a parameter.
 #pragma once
 #include "base/time.hpp"
 #include "duties/duty.hpp"
@@ -13,29 +13,29 @@
 
 class PlatformRateLimiter {
   public:
-    // `calls_per_s`: of all nodes and duties together; 0: not stated.
-    // A bucket is empty at first: whoever held the part before may have used it up.
+    // `calls_per_s`: limit for all nodes and duties together; 0: not configured. Buckets start empty, because
+    // the previous holder of a partition may have used up its tokens.
     PlatformRateLimiter(double calls_per_s, Tenths now)
-        : refill_per_s_((calls_per_s > 0 ? calls_per_s : kCallsIfNotStated) / 2 / kDutyPartitions) {
+        : refill_per_s_((calls_per_s > 0 ? calls_per_s : kDefaultCallsPerS) / 2 / kDutyPartitions) {
         for (Bucket& bucket : buckets_) bucket.filled_at = now;
     }
-    // Whether a call for that duty may leave now; it then counts.
+    // Consumes a token for one call of the duty; false if none is left.
     bool try_acquire(const Duty& duty, Tenths now) {
         Bucket& bucket = buckets_[partition_of(duty)];
-        const double waited = static_cast<double>(now - bucket.filled_at) / kTenthsPerSecond;
-        bucket.calls = std::min(std::max(1.0, refill_per_s_), bucket.calls + waited * refill_per_s_);
+        const double elapsed_s = static_cast<double>(now - bucket.filled_at) / kTenthsPerSecond;
+        bucket.tokens = std::min(std::max(1.0, refill_per_s_), bucket.tokens + elapsed_s * refill_per_s_);
         bucket.filled_at = now;
-        if (bucket.calls < 1) return false;
-        bucket.calls -= 1;
+        if (bucket.tokens < 1) return false;
+        bucket.tokens -= 1;
         return true;
     }
 
   private:
     struct Bucket {
-        double calls = 0;
+        double tokens = 0;
         Tenths filled_at = 0;
     };
-    static constexpr double kCallsIfNotStated = 8;
+    static constexpr double kDefaultCallsPerS = 8;
     double refill_per_s_;
     std::array<Bucket, kDutyPartitions> buckets_;
 };
--- a/src/duties/report_freshness.hpp
+++ b/src/duties/report_freshness.hpp
@@ -1,5 +1,6 @@
-// Which servers were reported on lately. Reports come more seldom in a larger fleet (agent::ReportPoller), so
-// what is lately follows from how far apart they came. Pure: the clock is handed in.
+// Tracks which servers have reported recently. The report interval grows with the fleet
+// (agent::ReportPoller), so the limit follows from the observed interval. Pure: the current time is a
+// parameter.
 #pragma once
 #include "base/time.hpp"
 
@@ -12,8 +13,8 @@
 class ReportFreshness {
   public:
     void record_report(const std::string& instance, Tenths now) {
-        const auto [place, fresh] = seen_.try_emplace(instance, Seen{now, 0});
-        if (!fresh) place->second = {now, now - place->second.last};
+        const auto [place, inserted] = seen_.try_emplace(instance, Seen{now, 0});
+        if (!inserted) place->second = {now, now - place->second.last};
     }
     void forget_old(Tenths now) {
         std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.last > kRetention; });
@@ -26,12 +27,12 @@
 
   private:
     struct Seen {
-        Tenths last = 0, interval = 0; // between the last two
+        Tenths last = 0, interval = 0; // between the last two reports
     };
     static constexpr Tenths kMinFreshAge = 3 * kTenthsPerSecond;
-    static constexpr Tenths kMissedReports = 3; // reports that may fail to come
+    static constexpr Tenths kMissedReports = 3; // reports that may be missed
     static constexpr Tenths kRetention = 120 * kTenthsPerSecond;
-    std::map<std::string, Seen> seen_; // by instance
+    std::map<std::string, Seen> seen_; // by instance id
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/scale_order.hpp
+++ b/src/duties/scale_order.hpp
@@ -1,6 +1,6 @@
-// The order for the number of servers in one zone of one service (`POST /scale`) as its holder follows it up.
-// An order is a count, not a difference: sent again it changes nothing, and one without an answer is sent
-// again until the platform takes it or another follows. Pure: the clock is handed in.
+// Tracks the order for the number of servers in one zone of one service (`POST /scale`) while the duty is
+// held. An order carries an absolute count, so it is idempotent: an unanswered order is retried until the
+// platform accepts it or a newer order replaces it. Pure: the current time is a parameter.
 #pragma once
 #include "base/time.hpp"
 #include "duties/platform_client.hpp"
@@ -12,26 +12,27 @@
 
 class ScaleOrder {
   public:
-    // `fence`: under which the order is held.
+    // `fence`: fencing token under which the duty is held.
     explicit ScaleOrder(std::uint64_t fence) : fence_(fence) {}
 
-    // Wanted from now on, for a while: what the platform does not take by then is dropped, as the load is
-    // another one.
+    // Requests a count. The request expires after kOrderValidity, because the load has changed by then.
     void want(std::int64_t servers, Tenths now);
-    // What the platform took no longer stands: servers were taken away since.
+    // The accepted count is outdated: servers have been removed since.
     void clear_accepted() { accepted_.reset(); }
-    // What is to be sent now: one call at a time, later and later while the platform takes none.
+    // The count to send now, if any: one call at a time, with exponential backoff between attempts.
     std::optional<std::int64_t> due(Tenths now);
     void sent();
     void answered(std::int64_t servers, PlatformOutcome outcome, Tenths now);
 
     std::uint64_t fence() const { return fence_; }
-    bool is_fenced_off() const { return fenced_off_; } // nothing more may be sent under this fence
-    std::optional<std::int64_t> accepted() const { return accepted_; } // the last one that the platform took
+    bool is_fenced_off() const { return fenced_off_; } // nothing may be sent under this fence any more
+    std::optional<std::int64_t> accepted() const {
+        return accepted_;
+    } // last count that the platform accepted
     Tenths accepted_at() const { return accepted_at_; }
 
     static constexpr Tenths kOrderValidity = 8 * kTenthsPerSecond;
-    static constexpr Tenths kInitialBackoff = 3'000, kMaxBackoff = 24'000; // before it is sent again
+    static constexpr Tenths kInitialBackoff = 3'000, kMaxBackoff = 24'000; // before a retry
 
   private:
     std::uint64_t fence_;
--- a/src/duties/stage_controller.cpp
+++ b/src/duties/stage_controller.cpp
@@ -12,86 +12,91 @@
 
 namespace statistics = boost::accumulators;
 
-constexpr std::size_t kLooks = 4;         // that a mean is of, and that are wanted before a change
-constexpr double kReadersBusyAfter = 0.6; // at the most, where they give one away
-constexpr double kRunnersBusyAfter = 0.2; // at the most, where they give one away
-constexpr double kBusyWithoutZone = 0.35; // at the most, where the zone with the most of them is lost as well
-constexpr std::size_t kMostStepShare = 6; // one of so many servers changes at a time, at the most
-constexpr double kOverwhelmed = 1;        // use from which a side is not only short
-constexpr int kLooksIfOverwhelmed = 2;    // ... and half the looks are enough
-constexpr std::size_t kLeastOfEach = 2;   // servers of each stage that stay
-constexpr Tenths kSettleSpan = 2 * kTenthsPerSecond; // after a change: memory is cold, means are old
-constexpr Tenths kTurnSpan = 8 * kTenthsPerSecond;   // before a change the other way
+constexpr std::size_t kSamples = 4;                 // window of the means, and samples needed before a change
+constexpr double kMaxPrefillUtilizationAfter = 0.6; // at most, after giving one away
+constexpr double kMaxDecodeUtilizationAfter = 0.2;  // at most, after giving one away
+constexpr double kMaxUtilizationAfterZoneLoss = 0.35; // at most, with the pool's largest zone lost
+constexpr std::size_t kMinServersPerChange = 6;       // at most one in this many servers changes at a time
+constexpr double kOverloadUtilization =
+    1; // utilization from which a pool is overloaded, not only short of servers
+constexpr int kSamplesIfOverloaded = 2;              // half the samples suffice then
+constexpr std::size_t kMinServersPerStage = 2;       // servers of each stage that must remain
+constexpr Tenths kSettleTime = 2 * kTenthsPerSecond; // after a change: caches are cold and the means outdated
+constexpr Tenths kReversalDelay = 8 * kTenthsPerSecond; // before a change in the opposite direction
 
-// So many more that each has as much to do as it should, bounded: what is seen is some seconds old.
-std::size_t wanted_step(std::size_t count, double times_too_busy, std::size_t most) {
-    const double wanted = std::ceil(static_cast<double>(count) * (times_too_busy - 1));
-    return std::clamp<std::size_t>(static_cast<std::size_t>(std::max(1.0, wanted)), 1, most);
+// Number of servers that brings the load of each back to the target; bounded, because the input is some
+// seconds old.
+std::size_t wanted_step(std::size_t count, double overload_ratio, std::size_t max_step) {
+    const double wanted = std::ceil(static_cast<double>(count) * (overload_ratio - 1));
+    return std::clamp<std::size_t>(static_cast<std::size_t>(std::max(1.0, wanted)), 1, max_step);
 }
 
 } // namespace
 
 StageController::StageController(Tenths stage_change_time)
-    : change_span_(stage_change_time), reader_use_(statistics::tag::rolling_window::window_size = kLooks),
-      runner_use_(statistics::tag::rolling_window::window_size = kLooks) {}
+    : stage_change_time_(stage_change_time),
+      prefill_utilization_(statistics::tag::rolling_window::window_size = kSamples),
+      decode_utilization_(statistics::tag::rolling_window::window_size = kSamples) {}
 
-bool StageController::runners_can_spare(const StagePool& runners, const model::ServiceDemand& demand,
-                                        std::size_t step) const {
-    if (runners.count() < kLeastOfEach + step) return false;
-    const std::size_t left = runners.count() - step;
+bool StageController::decode_can_spare(const StagePool& decode, const model::ServiceDemand& demand,
+                                       std::size_t step) const {
+    if (decode.count() < kMinServersPerStage + step) return false;
+    const std::size_t left = decode.count() - step;
     const std::size_t without_zone =
-        runners.count_after_zone_loss() > step ? runners.count_after_zone_loss() - step : 0;
-    return projected_decode_utilization(runners, demand, left) <= kRunnersBusyAfter &&
-           projected_decode_utilization(runners, demand, without_zone) <= kBusyWithoutZone;
+        decode.count_after_zone_loss() > step ? decode.count_after_zone_loss() - step : 0;
+    return projected_decode_utilization(decode, demand, left) <= kMaxDecodeUtilizationAfter &&
+           projected_decode_utilization(decode, demand, without_zone) <= kMaxUtilizationAfterZoneLoss;
 }
 
-bool StageController::readers_can_spare(const StagePool& readers, std::size_t step) const {
-    if (readers.count() < kLeastOfEach + step) return false;
-    const auto count = static_cast<double>(readers.count());
+bool StageController::prefill_can_spare(const StagePool& prefill, std::size_t step) const {
+    if (prefill.count() < kMinServersPerStage + step) return false;
+    const auto count = static_cast<double>(prefill.count());
     const double after = prefill_utilization() * count / (count - static_cast<double>(step));
-    return after <= kReadersBusyAfter || after <= decode_utilization();
+    return after <= kMaxPrefillUtilizationAfter || after <= decode_utilization();
 }
 
 bool StageController::may_change_to(Stage stage, Tenths now) const {
     if (!changed_at_) return true;
-    const Tenths span = stage == changed_to_ ? kSettleSpan : kTurnSpan;
-    return now - *changed_at_ >= span + change_span_;
+    const Tenths delay = stage == changed_to_ ? kSettleTime : kReversalDelay;
+    return now - *changed_at_ >= delay + stage_change_time_;
 }
 
 std::vector<StageChange> StageController::plan(const std::vector<StagedServer>& servers,
                                                const std::optional<model::ServiceDemand>& demand,
                                                Tenths now) {
     const bool is_changing = std::ranges::any_of(servers, &StagedServer::changing);
-    const StagePool readers = pool_of(servers, Stage::kPrefill), runners = pool_of(servers, Stage::kDecode);
+    const StagePool prefill = pool_of(servers, Stage::kPrefill), decode = pool_of(servers, Stage::kDecode);
     if (is_changing || !has_enough_reports(servers) || !demand) {
-        looks_ = 0; // what was seen before may be long ago
+        samples_ = 0; // earlier samples may be outdated
         return {};
     }
-    reader_use_(utilization_of_prefill(readers, *demand));
-    runner_use_(utilization_of_decode(runners, *demand));
-    const double reading = prefill_utilization(), running = decode_utilization();
-    const bool is_overwhelmed = std::max(reading, running) >= kOverwhelmed;
-    if (++looks_ < (is_overwhelmed ? kLooksIfOverwhelmed : static_cast<int>(kLooks))) return {};
-    const std::size_t most = std::max<std::size_t>(1, servers.size() / kMostStepShare);
-    if (running >= kShortageThreshold && running > reading && may_change_to(Stage::kDecode, now))
-        for (std::size_t step = wanted_step(runners.count(), running / kShortageThreshold, most); step > 0;
-             --step)
-            if (readers_can_spare(readers, step)) return order(readers, runners, Stage::kDecode, step, now);
-    if (reading >= kShortageThreshold && reading > running && may_change_to(Stage::kPrefill, now))
-        for (std::size_t step = wanted_step(readers.count(), reading / kShortageThreshold, most); step > 0;
-             --step)
-            if (runners_can_spare(runners, *demand, step))
-                return order(runners, readers, Stage::kPrefill, step, now);
+    prefill_utilization_(utilization_of_prefill(prefill, *demand));
+    decode_utilization_(utilization_of_decode(decode, *demand));
+    const double prefill_load = prefill_utilization(), decode_load = decode_utilization();
+    const bool is_overloaded = std::max(prefill_load, decode_load) >= kOverloadUtilization;
+    if (++samples_ < (is_overloaded ? kSamplesIfOverloaded : static_cast<int>(kSamples))) return {};
+    const std::size_t max_step = std::max<std::size_t>(1, servers.size() / kMinServersPerChange);
+    if (decode_load >= kShortageThreshold && decode_load > prefill_load && may_change_to(Stage::kDecode, now))
+        for (std::size_t step = wanted_step(decode.count(), decode_load / kShortageThreshold, max_step);
+             step > 0; --step)
+            if (prefill_can_spare(prefill, step))
+                return select_changes(prefill, decode, Stage::kDecode, step, now);
+    if (prefill_load >= kShortageThreshold && prefill_load > decode_load &&
+        may_change_to(Stage::kPrefill, now))
+        for (std::size_t step = wanted_step(prefill.count(), prefill_load / kShortageThreshold, max_step);
+             step > 0; --step)
+            if (decode_can_spare(decode, *demand, step))
+                return select_changes(decode, prefill, Stage::kPrefill, step, now);
     return {};
 }
 
-// Those with the least to do, from zones that have many of the one stage and few of the other.
-std::vector<StageChange> StageController::order(const StagePool& giving, const StagePool& taking, Stage to,
-                                                std::size_t step, Tenths now) {
+// Picks the least loaded donors, from zones with many donors and few receivers.
+std::vector<StageChange> StageController::select_changes(const StagePool& donors, const StagePool& receivers,
+                                                         Stage to, std::size_t step, Tenths now) {
     std::map<std::string, int> surplus; // by zone
-    for (const StagedServer* server : giving.servers) ++surplus[server->zone];
-    for (const StagedServer* server : taking.servers) --surplus[server->zone];
-    std::vector<const StagedServer*> left = giving.servers;
+    for (const StagedServer* server : donors.servers) ++surplus[server->zone];
+    for (const StagedServer* server : receivers.servers) --surplus[server->zone];
+    std::vector<const StagedServer*> left = donors.servers;
     std::vector<StageChange> changes;
     while (changes.size() < step && !left.empty()) {
         const auto chosen = std::ranges::max_element(left, [&](const StagedServer* a, const StagedServer* b) {
@@ -104,7 +109,7 @@
         changes.push_back({(*chosen)->id, to});
         left.erase(chosen);
     }
-    looks_ = 0, changed_at_ = now, changed_to_ = to;
+    samples_ = 0, changed_at_ = now, changed_to_ = to;
     return changes;
 }
 
--- a/src/duties/stage_controller.hpp
+++ b/src/duties/stage_controller.hpp
@@ -1,6 +1,6 @@
-// How many of a service's servers read prompts and how many run them, as the traffic asks for it. A closed
-// loop in small steps: one side gives servers to the other where that one is short of them and it can spare
-// them, also with its largest zone lost. Pure: reports, demand and clock are handed in.
+// Decides how many of a service's servers do prefill and how many do decode, according to the traffic. A
+// closed loop in small steps: one pool gives servers to the other if that one has a shortage and the first
+// can spare them, even with its largest zone lost. Pure: reports, demand and the current time are parameters.
 #pragma once
 #include "base/time.hpp"
 #include "duties/stage_utilization.hpp"
@@ -22,17 +22,17 @@
 
 class StageController {
   public:
-    // `stage_change_time`: how long a server takes to change (`roleSwitchS`).
+    // `stage_change_time`: how long a server takes to change its stage (`roleSwitchS`).
     explicit StageController(Tenths stage_change_time = 0);
 
-    // Called every kInterval; what is to be ordered now, most often nothing. `demand`: of all edge nodes,
-    // none where nobody has told of any lately.
+    // To be called every kInterval. Returns the changes to order now; usually none. `demand`: of all edge
+    // nodes, none without recent reports.
     std::vector<StageChange> plan(const std::vector<StagedServer>& servers,
                                   const std::optional<model::ServiceDemand>& demand, Tenths now);
-    void set_stage_change_time(Tenths span) { change_span_ = span; }
-    // Means of the last looks: from kShortageThreshold on that side is short.
-    double prefill_utilization() const { return boost::accumulators::rolling_mean(reader_use_); }
-    double decode_utilization() const { return boost::accumulators::rolling_mean(runner_use_); }
+    void set_stage_change_time(Tenths delay) { stage_change_time_ = delay; }
+    // Means over the last samples; from kShortageThreshold on there is a shortage of servers.
+    double prefill_utilization() const { return boost::accumulators::rolling_mean(prefill_utilization_); }
+    double decode_utilization() const { return boost::accumulators::rolling_mean(decode_utilization_); }
 
     static constexpr Tenths kInterval = 5'000;
 
@@ -40,16 +40,16 @@
     using Mean = boost::accumulators::accumulator_set<
         double, boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>;
 
-    bool runners_can_spare(const StagePool& runners, const model::ServiceDemand& demand,
-                           std::size_t step) const;
-    bool readers_can_spare(const StagePool& readers, std::size_t step) const;
+    bool decode_can_spare(const StagePool& decode, const model::ServiceDemand& demand,
+                          std::size_t step) const;
+    bool prefill_can_spare(const StagePool& prefill, std::size_t step) const;
     bool may_change_to(model::Stage stage, Tenths now) const;
-    std::vector<StageChange> order(const StagePool& giving, const StagePool& taking, model::Stage to,
-                                   std::size_t step, Tenths now);
+    std::vector<StageChange> select_changes(const StagePool& donors, const StagePool& receivers,
+                                            model::Stage to, std::size_t step, Tenths now);
 
-    Tenths change_span_;
-    Mean reader_use_, runner_use_;
-    int looks_ = 0; // since the last change
+    Tenths stage_change_time_;
+    Mean prefill_utilization_, decode_utilization_;
+    int samples_ = 0; // since the last change
     std::optional<Tenths> changed_at_;
     model::Stage changed_to_ = model::Stage::kNone;
 };
--- a/src/duties/stage_order_tracker.cpp
+++ b/src/duties/stage_order_tracker.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// What runs at a server comes to its end before it changes, and the longest answers take so long.
-constexpr Tenths kChangePatience = 15 * kTenthsPerSecond;
-constexpr Tenths kRest = 5 * kTenthsPerSecond;
-constexpr Tenths kReportLag = 2 * kTenthsPerSecond; // reports are some hundred ms old, and come by others
+// A server finishes its running requests before it changes; the longest take this long.
+constexpr Tenths kStageChangeTimeout = 15 * kTenthsPerSecond;
+constexpr Tenths kBackoff = 5 * kTenthsPerSecond;
+constexpr Tenths kReportLag = 2 * kTenthsPerSecond; // reports are some hundred ms old and may be relayed
 
 } // namespace
 
@@ -34,16 +34,16 @@
 
 void StageOrderTracker::sent(const StageOrder& order, Tenths now) {
     ++counts_.sent;
-    orders_[order.instance] = {order, true, now, now + kChangePatience};
+    orders_[order.instance] = {order, true, now, now + kStageChangeTimeout};
 }
 
 void StageOrderTracker::answered(const std::string& instance, OrderOutcome outcome, Tenths now) {
     const auto found = orders_.find(instance);
     if (found == orders_.end()) return;
-    Order& here = found->second;
-    const auto rest = [&](std::uint64_t& count) {
+    Order& entry = found->second;
+    const auto back_off = [&](std::uint64_t& count) {
         ++count;
-        here.may_be_pending = false, here.until = now + kRest;
+        entry.may_be_pending = false, entry.until = now + kBackoff;
     };
     switch (outcome) {
     case OrderOutcome::kAccepted:
@@ -54,32 +54,32 @@
         orders_.erase(found);
         return;
     case OrderOutcome::kConflict:
-        return rest(counts_.conflicts);
+        return back_off(counts_.conflicts);
     case OrderOutcome::kFencedOff:
-        fenced_off_ = std::max(fenced_off_, here.order.fence);
-        return rest(counts_.fenced_off);
+        fenced_off_ = std::max(fenced_off_, entry.order.fence);
+        return back_off(counts_.fenced_off);
     case OrderOutcome::kOtherServer:
-        return rest(counts_.other_server);
+        return back_off(counts_.other_server);
     case OrderOutcome::kRefused:
-        return rest(counts_.refused);
+        return back_off(counts_.refused);
     case OrderOutcome::kNotSent:
-        return rest(counts_.not_sent);
+        return back_off(counts_.not_sent);
     case OrderOutcome::kUnanswered:
         ++counts_.unanswered;
         return;
     }
 }
 
-// Done: it has the stage that was ordered. Not taken: long after it was sent the server reports as many
-// orders as before.
+// Completed: the server reports the ordered stage. Not accepted: some time after the order the server still
+// reports the same number of orders.
 void StageOrderTracker::reported(const model::Load& load, Tenths now) {
     const auto found = orders_.find(load.instance);
     if (found == orders_.end() || !found->second.may_be_pending || load.changing) return;
-    Order& here = found->second;
-    if (load.stage == here.order.stage) {
+    Order& entry = found->second;
+    if (load.stage == entry.order.stage) {
         orders_.erase(found);
-    } else if (here.order.expected_count == load.orders_accepted && now - here.sent_at >= kReportLag) {
-        here.may_be_pending = false, here.until = now + kRest;
+    } else if (entry.order.expected_count == load.orders_accepted && now - entry.sent_at >= kReportLag) {
+        entry.may_be_pending = false, entry.until = now + kBackoff;
     }
 }
 
--- a/src/duties/stage_order_tracker.hpp
+++ b/src/duties/stage_order_tracker.hpp
@@ -1,6 +1,6 @@
-// The orders to servers that a holder has under way (PROTOCOL, `POST /order`), and what their answers mean.
-// An order goes out once: one without an answer may have been taken, and what the server reports later tells.
-// Pure: the clock is handed in.
+// Tracks a holder's outstanding orders to servers (PROTOCOL, `POST /order`) and interprets the answers. An
+// order is sent only once: if it is not answered it may still have been accepted, which the server's later
+// reports show. Pure: the current time is a parameter.
 #pragma once
 #include "base/time.hpp"
 #include "model/instance.hpp"
@@ -16,18 +16,19 @@
     std::string instance, address;
     model::Stage stage = model::Stage::kNone;
     std::uint64_t fence = 0;
-    std::optional<std::int64_t> expected_count; // orders that the server has taken; another count: 409
+    std::optional<std::int64_t>
+        expected_count; // number of orders the server has accepted; a different number: 409
 };
 
 enum class OrderOutcome : std::uint8_t {
     kAccepted,       // 202
-    kAlreadyInStage, // 200: it has that stage already
-    kConflict,       // 409: another order is under way, or the server has taken more of them
-    kFencedOff,      // 412: the server has seen a higher fence
-    kOtherServer,    // 421: another server has the address
+    kAlreadyInStage, // 200: the server already has that stage
+    kConflict,       // 409: another order is being executed, or the server has accepted more orders
+    kFencedOff,      // 412: the server has seen a higher fencing token
+    kOtherServer,    // 421: another server now has the address
     kRefused,        // 400, or any other answer
-    kNotSent,        // no byte of it left, or the holder could no longer act
-    kUnanswered      // it may have been taken
+    kNotSent,        // no byte was sent, or the lease had expired
+    kUnanswered      // the server may have accepted it
 };
 OrderOutcome outcome_of_status(int status);
 
@@ -39,14 +40,14 @@
     };
     void sent(const StageOrder& order, Tenths now);
     void answered(const std::string& instance, OrderOutcome outcome, Tenths now);
-    void reported(const model::Load& load, Tenths now); // by the server itself
+    void reported(const model::Load& load, Tenths now); // reported by the server itself
     void forget(const std::string& instance) { orders_.erase(instance); }
 
-    // The stage that the server changes to, while it may be changing by an order from here.
+    // Target stage of an order from here that the server may still be executing.
     std::optional<model::Stage> pending_stage(const std::string& instance, Tenths now) const;
-    // It turned the last order down, or did not answer it: it is left alone for a while.
+    // The last order was refused or not answered: the server gets no orders for a while.
     bool is_backing_off(const std::string& instance, Tenths now) const;
-    // A server has seen a higher fence than this: whoever holds it must not act under it any more.
+    // A server has seen a higher fencing token: the holder of this one must not act under it.
     bool is_fenced_off(std::uint64_t fence) const;
     const Counts& counts() const { return counts_; }
 
@@ -55,10 +56,10 @@
         StageOrder order;
         bool may_be_pending = true;
         Tenths sent_at = 0;
-        Tenths until = 0; // under way, or at rest, until then at the latest
+        Tenths until = 0; // latest end of the pending state or of the backoff
     };
-    std::map<std::string, Order> orders_; // by instance
-    std::uint64_t fenced_off_ = 0;        // the highest fence that was refused
+    std::map<std::string, Order> orders_; // by instance id
+    std::uint64_t fenced_off_ = 0;        // highest fence that was refused
     Counts counts_;
 };
 
--- a/src/duties/stage_utilization.hpp
+++ b/src/duties/stage_utilization.hpp
@@ -1,5 +1,5 @@
-// How much is asked of a service's servers that read prompts and of those that run them, from their reports
-// and from the demand of all edge nodes. What is short, and of what, is judged by these figures alone. Pure.
+// Utilization of a service's prefill and decode servers, from their reports and from the demand of all edge
+// nodes. A shortage is judged by these figures alone. Pure.
 #pragma once
 #include "model/instance.hpp"
 
@@ -10,38 +10,38 @@
 
 namespace ivyrill::duties {
 
-// One server of a service with stages, as it is now.
+// State of one server of a service with stages.
 struct StagedServer {
     std::string id, address, zone;
-    model::Stage stage = model::Stage::kNone; // that it has, or that it changes to
+    model::Stage stage = model::Stage::kNone; // current stage, or the one it is changing to
     bool changing = false;
-    bool reported = false; // its load is not too old (ReportFreshness)
+    bool reported = false; // its load is recent (ReportFreshness)
     double slots = 1, running = 0, waiting = 0;
-    double memory_share = 0; // that can't give way
+    double memory_share = 0; // share of memory in use that can't be evicted
     std::int64_t orders_accepted = 0;
 };
 
-// The servers of one stage that were reported on.
+// The servers of one stage with recent reports.
 struct StagePool {
     std::vector<const StagedServer*> servers;
     double slots = 0;
-    std::size_t largest_zone = 0; // servers in it; 0 where all are in one zone
+    std::size_t largest_zone = 0; // its number of servers; 0 if all are in one zone
     std::size_t count() const { return servers.size(); }
     std::size_t count_after_zone_loss() const { return servers.size() - largest_zone; }
 };
 
 // The result points into `servers`.
 StagePool pool_of(const std::vector<StagedServer>& servers, model::Stage stage);
-// Whether enough of them are reported on to judge by.
+// Whether enough servers have recent reports to decide on them.
 bool has_enough_reports(const std::vector<StagedServer>& servers);
 
-// Shares of what the side can do; above 1 where more waits. From kShortageThreshold on it is short of
-// servers.
-double utilization_of_prefill(const StagePool& readers, const model::ServiceDemand& demand);
-double utilization_of_decode(const StagePool& runners, const model::ServiceDemand& demand);
-// What would be asked of `left` runners if they read no prompt themselves.
-double projected_decode_utilization(const StagePool& runners, const model::ServiceDemand& demand,
-                                    std::size_t left);
+// Relative to the pool's capacity; above 1 if requests are queued. From kShortageThreshold on the pool has a
+// shortage of servers.
+double utilization_of_prefill(const StagePool& prefill, const model::ServiceDemand& demand);
+double utilization_of_decode(const StagePool& decode, const model::ServiceDemand& demand);
+// Decode utilization if `remaining` servers were left and none of them did prefill.
+double projected_decode_utilization(const StagePool& decode, const model::ServiceDemand& demand,
+                                    std::size_t remaining);
 
 inline constexpr double kShortageThreshold = 0.5;
 
--- a/src/duties/usage_aggregator.cpp
+++ b/src/duties/usage_aggregator.cpp
@@ -6,32 +6,32 @@
 
 namespace {
 
-constexpr std::size_t kMostTenants = 20'000;   // of one process in one window
-constexpr std::size_t kMostProcesses = 20'000; // within the time that is kept
-constexpr std::size_t kMostWindows = 100;      // of one process
-constexpr std::int64_t kMostCount = 1'000'000'000;
-constexpr std::int64_t kAheadMs = 10'000;             // that a process's time may be ahead of this one's
-constexpr Tenths kLately = 4 * kTenthsPerSecond;      // processes tell something each second
-constexpr Tenths kForgotten = 120 * kTenthsPerSecond; // processes that were silent for so long
+constexpr std::size_t kMaxTenants = 20'000;   // per process and window
+constexpr std::size_t kMaxProcesses = 20'000; // within the kept time
+constexpr std::size_t kMaxWindows = 100;      // per process
+constexpr std::int64_t kMaxCount = 1'000'000'000;
+constexpr std::int64_t kMaxAheadMs = 10'000; // how far a process's clock may be ahead of this node's
+constexpr Tenths kReportTimeout = 4 * kTenthsPerSecond;      // processes report every second
+constexpr Tenths kProcessRetention = 120 * kTenthsPerSecond; // after which a silent process is dropped
 
 } // namespace
 
-bool UsageAggregator::is_far(const model::ProcessUsage& usage) const {
-    const std::int64_t newest = (unix_ms_ + kAheadMs) / options_.window_ms;
+bool UsageAggregator::is_out_of_range(const model::ProcessUsage& usage) const {
+    const std::int64_t newest = (unix_ms_ + kMaxAheadMs) / options_.window_ms;
     const std::int64_t oldest = (unix_ms_ - options_.kept_ms) / options_.window_ms;
-    return usage.window > newest || usage.window < oldest || usage.counted_until_ms > unix_ms_ + kAheadMs;
+    return usage.window > newest || usage.window < oldest || usage.counted_until_ms > unix_ms_ + kMaxAheadMs;
 }
 
 bool UsageAggregator::is_acceptable(const model::ProcessUsage& usage) {
     const bool is_known = processes_.contains(usage.process);
-    if (!is_known && processes_.size() >= kMostProcesses) return ++rejected_.processes, false;
-    if (is_known && processes_.at(usage.process).windows.size() >= kMostWindows &&
+    if (!is_known && processes_.size() >= kMaxProcesses) return ++rejected_.processes, false;
+    if (is_known && processes_.at(usage.process).windows.size() >= kMaxWindows &&
         !processes_.at(usage.process).windows.contains(usage.window))
         return ++rejected_.far_window, false;
-    if (unix_ms_ != 0 && is_far(usage)) return ++rejected_.far_window, false;
-    const auto is_a_count = [](std::int64_t count) { return count >= 0 && count <= kMostCount; };
-    if (!is_a_count(usage.total) ||
-        !std::ranges::all_of(usage.counts, is_a_count, &model::TenantCount::count))
+    if (unix_ms_ != 0 && is_out_of_range(usage)) return ++rejected_.far_window, false;
+    const auto is_valid_count = [](std::int64_t count) { return count >= 0 && count <= kMaxCount; };
+    if (!is_valid_count(usage.total) ||
+        !std::ranges::all_of(usage.counts, is_valid_count, &model::TenantCount::count))
         return ++rejected_.negative, false;
     return true;
 }
@@ -40,21 +40,21 @@
     if (!is_acceptable(usage)) return;
     Process& process = processes_[usage.process];
     process.ended = process.ended || usage.ended;
-    if (usage.counted_until_ms > process.counted_until_ms) // else it is told again by others
-        process.counted_until_ms = usage.counted_until_ms, process.heard_at = now;
+    if (usage.counted_until_ms > process.counted_until_ms) // otherwise a repetition relayed by other nodes
+        process.counted_until_ms = usage.counted_until_ms, process.last_report_at = now;
     Window& window = process.windows[usage.window];
     window.total = std::max(window.total, usage.total);
-    for (const model::TenantCount& usage_of : usage.counts) {
-        auto known = window.counts.find(usage_of.tenant);
+    for (const model::TenantCount& entry : usage.counts) {
+        auto known = window.counts.find(entry.tenant);
         if (known == window.counts.end()) {
-            if (window.counts.size() >= kMostTenants) {
+            if (window.counts.size() >= kMaxTenants) {
                 ++rejected_.tenants;
                 continue;
             }
-            known = window.counts.emplace(usage_of.tenant, 0).first;
+            known = window.counts.emplace(entry.tenant, 0).first;
         }
-        const std::int64_t more = std::max<std::int64_t>(0, usage_of.count - known->second);
-        known->second += more, window.sum += more;
+        const std::int64_t increase = std::max<std::int64_t>(0, entry.count - known->second);
+        known->second += increase, window.sum += increase;
     }
 }
 
@@ -70,14 +70,14 @@
 }
 
 bool UsageAggregator::is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const {
-    if (advanced_since_ && now - *advanced_since_ < kLately) return false;
+    if (advanced_since_ && now - *advanced_since_ < kReportTimeout) return false;
     return std::ranges::all_of(processes_, [&](const auto& entry) {
         const Process& process = entry.second;
-        const bool counts_on = !process.ended && now - process.heard_at <= kLately;
-        if (counts_on && process.counted_until_ms < window_end_ms) return false;
+        const bool is_counting = !process.ended && now - process.last_report_at <= kReportTimeout;
+        if (is_counting && process.counted_until_ms < window_end_ms) return false;
         const auto found = process.windows.find(window);
         if (found == process.windows.end()) return true;
-        return !counts_on || found->second.sum >= found->second.total;
+        return !is_counting || found->second.sum >= found->second.total;
     });
 }
 
@@ -88,7 +88,7 @@
     for (auto& [id, process] : processes_)
         std::erase_if(process.windows, [oldest](const auto& entry) { return entry.first < oldest; });
     std::erase_if(processes_, [now](const auto& entry) {
-        return entry.second.windows.empty() && now - entry.second.heard_at > kForgotten;
+        return entry.second.windows.empty() && now - entry.second.last_report_at > kProcessRetention;
     });
 }
 
@@ -117,10 +117,10 @@
 }
 
 void UsageAggregator::append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
-                                    std::vector<model::ProcessUsage>& into) const {
+                                    std::vector<model::ProcessUsage>& out) const {
     const std::int64_t oldest = (unix_ms_ - span_ms) / options_.window_ms;
     for (auto next = process.windows.lower_bound(oldest); next != process.windows.end(); ++next)
-        into.push_back(usage_of(id, process, next->first, next->second));
+        out.push_back(usage_of(id, process, next->first, next->second));
 }
 
 bool UsageAggregator::is_missing_counts(std::uint64_t process, std::int64_t window) const {
--- a/src/duties/usage_aggregator.hpp
+++ b/src/duties/usage_aggregator.hpp
@@ -1,5 +1,6 @@
-// What the proxies have counted, merged: by window and process the highest count of each tenant. Says whether
-// all that is known to count has told all of a window. Pure: both clocks are handed in.
+// Merges the counts of the proxies: for each window and process the highest count of each tenant. Knows
+// whether all known processes have reported a window completely. Pure: the fleet's time and the steady time
+// are parameters.
 #pragma once
 #include "base/time.hpp"
 #include "model/usage.hpp"
@@ -17,52 +18,52 @@
   public:
     struct Options {
         std::int64_t window_ms = 5000;
-        std::int64_t kept_ms = 60'000; // windows that ended longer ago are forgotten
+        std::int64_t kept_ms = 60'000; // windows that ended longer ago are dropped
     };
-    // Entries that were passed over, by cause; they change nothing.
+    // Entries that were rejected, by cause; they change nothing.
     struct Rejected {
-        std::uint64_t far_window = 0; // older than is kept, or yet to come
-        std::uint64_t tenants = 0;    // more in one window of one process than there may be
-        std::uint64_t processes = 0;  // more than there may be
-        std::uint64_t negative = 0;   // a count below zero, or one that no process reaches
+        std::uint64_t far_window = 0; // older than kept_ms, or in the future
+        std::uint64_t tenants = 0;    // above the limit per window and process
+        std::uint64_t processes = 0;  // above the limit
+        std::uint64_t negative = 0;   // a negative count, or one above the limit
     };
     explicit UsageAggregator(Options options) : options_(options) {}
 
     void merge(const model::ProcessUsage& usage, Tenths now);
-    // By tenant, over all processes; tenants without any are left out.
+    // By tenant, over all processes; tenants with no requests are left out.
     std::map<std::string, std::int64_t> counts(std::int64_t window) const;
-    // Whether every process that was heard of lately, and has not ended, has told of all until the window's
-    // end, and nothing that it told of is missing here. Not before each has had the time to tell something
-    // since this tally's clock was first advanced.
+    // Whether every process that reported recently and has not ended has reported everything up to the
+    // window's end, with no part missing here. False until each process has had time to report since the
+    // first call of `advance`.
     bool is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const;
 
-    // The fleet's time has come so far: what is too old is forgotten, what is far ahead is refused.
+    // Sets the fleet's time: drops old windows; windows too far in the future are rejected from now on.
     void advance(std::int64_t unix_ms, Tenths now);
-    // All that is known of windows that ended no longer ago than `span_ms`.
+    // All counts of windows that ended at most `span_ms` ago.
     std::vector<model::ProcessUsage> recent(std::int64_t span_ms) const;
     std::vector<model::ProcessUsage> recent_from(const std::vector<std::uint64_t>& processes,
                                                  std::int64_t span_ms) const;
-    // Whether a process has told of more in a window than has come here.
+    // Whether a process has announced a higher total for a window than has arrived here.
     bool is_missing_counts(std::uint64_t process, std::int64_t window) const;
     const Rejected& rejected() const { return rejected_; }
 
   private:
     struct Window {
         std::map<std::string, std::int64_t, std::less<>> counts; // by tenant
-        std::int64_t sum = 0, total = 0;                         // here; as the process says
+        std::int64_t sum = 0, total = 0; // received here; total announced by the process
     };
     struct Process {
         std::map<std::int64_t, Window> windows;
         std::int64_t counted_until_ms = 0;
         bool ended = false;
-        Tenths heard_at = 0;
+        Tenths last_report_at = 0;
     };
-    bool is_far(const model::ProcessUsage& usage) const;
+    bool is_out_of_range(const model::ProcessUsage& usage) const;
     bool is_acceptable(const model::ProcessUsage& usage);
     static model::ProcessUsage usage_of(std::uint64_t id, const Process& process, std::int64_t number,
                                         const Window& window);
     void append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
-                       std::vector<model::ProcessUsage>& into) const;
+                       std::vector<model::ProcessUsage>& out) const;
 
     Options options_;
     std::map<std::uint64_t, Process> processes_;
--- a/src/duties/usage_ledger.cpp
+++ b/src/duties/usage_ledger.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr std::int64_t kLeastAgeMs = 500;   // after a window's end: for what its last requests still tell
-constexpr std::int64_t kPatienceMs = 4'000; // after it a report goes without those that are not heard
-constexpr std::size_t kMostNewWindows = 16; // in one entry
+constexpr std::int64_t kMinAgeMs =
+    500; // after a window's end: time for the counts of its last requests to arrive
+constexpr std::int64_t kMaxWaitMs = 4'000; // after which a report omits processes that have not reported
+constexpr std::size_t kMaxNewWindows = 16; // per log entry
 
 std::size_t bytes_of(const UsageLedger& ledger) {
     std::size_t bytes = 0;
@@ -24,8 +25,8 @@
 bool is_due(std::int64_t window, const clock::FleetTime& now, std::int64_t window_ms,
             const UsageSources& sources, CountRequirement counts) {
     const std::int64_t end_ms = (window + 1) * window_ms;
-    if (counts == CountRequirement::kAllowPartial && now.unix_ms >= end_ms + kPatienceMs) return true;
-    return now.unix_ms - now.error_ms >= end_ms + kLeastAgeMs && sources.is_complete(window, end_ms);
+    if (counts == CountRequirement::kAllowPartial && now.unix_ms >= end_ms + kMaxWaitMs) return true;
+    return now.unix_ms - now.error_ms >= end_ms + kMinAgeMs && sources.is_complete(window, end_ms);
 }
 
 } // namespace
@@ -44,7 +45,7 @@
 std::optional<UsageLedger> next_ledger(const UsageLedger& ledger, const clock::FleetTime& now,
                                        std::int64_t window_ms, const UsageSources& sources,
                                        const std::set<std::int64_t>& settled, CountRequirement counts) {
-    // The window in which it is, where the clock is ahead as far as it may be.
+    // Starts at the current window, assuming the largest possible clock error.
     if (ledger.next_window == 0) return UsageLedger{(now.unix_ms - now.error_ms) / window_ms, {}};
     UsageLedger next = ledger;
     std::erase_if(next.committed,
@@ -55,7 +56,7 @@
     if (planted(PlantedFault::kWindowLeftOut))
         next.next_window = std::max(next.next_window, now.unix_ms / window_ms - 2);
     std::size_t bytes = bytes_of(next);
-    for (std::size_t added = 0; added < kMostNewWindows; ++added) {
+    for (std::size_t added = 0; added < kMaxNewWindows; ++added) {
         const bool is_full = next.committed.size() >= kMaxCommittedWindows || bytes >= kMaxLedgerBytes;
         if (is_full || !is_due(next.next_window, now, window_ms, sources, counts)) break;
         std::string body = usage_body(next.next_window, sources.counts(next.next_window));
--- a/src/feed/feed_log.cpp
+++ b/src/feed/feed_log.cpp
@@ -9,15 +9,13 @@
 
 namespace {
 
-constexpr std::size_t kMostForgotten = 1024;
+constexpr std::size_t kMaxRemoved = 1024;
 
 struct KeyOf {
     std::string operator()(const model::Configuration&) const { return "configuration"; }
     std::string operator()(const ConfigurationChange&) const { return "configuration"; }
     std::string operator()(const model::Instance& instance) const { return "instance " + instance.id; }
-    std::string operator()(const InstanceRemoved& forgotten) const {
-        return "instance " + forgotten.instance;
-    }
+    std::string operator()(const InstanceRemoved& removal) const { return "instance " + removal.instance; }
     std::string operator()(const model::Load& load) const { return "load " + load.instance; }
     std::string operator()(const EdgeNodes&) const { return "edge nodes"; }
     std::string operator()(const ControlNodes&) const { return "control nodes"; }
@@ -32,7 +30,7 @@
 
 using Tenants = std::vector<model::Tenant>;
 
-// Items known by `name`: those of `to` that are new or have changed, and the names that it no longer has.
+// Items identified by `name`: those of `to` that are new or changed, and the removed names.
 template <class Named>
 void difference_by_name(const std::vector<Named>& from, const std::vector<Named>& to,
                         std::vector<Named>& changed, std::vector<std::string>& removed) {
@@ -71,21 +69,20 @@
         last_change_.reset();
         if (before != nullptr) last_change_ = difference(*before, *configuration);
     }
-    const auto* forgotten = std::get_if<InstanceRemoved>(&item);
-    if (forgotten != nullptr) bound_forgotten(forgotten->instance);
+    const auto* removal = std::get_if<InstanceRemoved>(&item);
+    if (removal != nullptr) limit_removed(removal->instance);
     erase(key);
     ++sequence_;
     order_[sequence_] = key;
     items_[key] = {sequence_, std::move(item)};
 }
 
-// That an instance is forgotten is itself remembered for a while only: whoever was away for longer takes a
-// snapshot.
-void FeedLog::bound_forgotten(const std::string& instance) {
-    forgotten_.push_back(instance);
-    if (forgotten_.size() <= kMostForgotten) return;
-    const std::string oldest = std::move(forgotten_.front());
-    forgotten_.pop_front();
+// Removals are kept for a limited time only: a subscriber that was away for longer gets a snapshot.
+void FeedLog::limit_removed(const std::string& instance) {
+    removed_.push_back(instance);
+    if (removed_.size() <= kMaxRemoved) return;
+    const std::string oldest = std::move(removed_.front());
+    removed_.pop_front();
     const auto known = items_.find("instance " + oldest);
     if (known != items_.end() && std::holds_alternative<InstanceRemoved>(known->second.item))
         forget_instance(oldest);
@@ -111,8 +108,8 @@
     return since(sequence, false);
 }
 
-std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t sequence, bool whole) const {
-    if (!whole && (sequence < oldest_ || sequence > sequence_)) return std::nullopt;
+std::optional<std::vector<const Item*>> FeedLog::since(std::uint64_t sequence, bool is_snapshot) const {
+    if (!is_snapshot && (sequence < oldest_ || sequence > sequence_)) return std::nullopt;
     std::vector<const Item*> items;
     for (auto next = order_.upper_bound(sequence); next != order_.end(); ++next)
         items.push_back(&items_.at(next->second).item);
--- a/src/feed/flush_plan.hpp
+++ b/src/feed/flush_plan.hpp
@@ -1,5 +1,5 @@
-// When a publisher hands new items on: one change at once, of many in a row those of one gap together; what
-// may wait waits for company. Pure.
+// Schedules when a publisher sends new items: a single change immediately, changes in quick succession
+// together after the minimum interval; items that are not urgent are batched. Pure.
 #pragma once
 #include "base/time.hpp"
 
@@ -11,7 +11,7 @@
 class FlushPlan {
   public:
     FlushPlan(Tenths min_interval, Tenths delay) : min_interval_(min_interval), delay_(delay) {}
-    // After an item came; never later than what was planned before.
+    // Called after an item arrived; returns the time of the next flush, never later than scheduled before.
     Tenths schedule(bool urgent, Tenths now) {
         Tenths at = urgent ? now : now + delay_;
         if (urgent && last_flush_) at = std::max(at, *last_flush_ + min_interval_);
--- a/src/feed/instance_table.cpp
+++ b/src/feed/instance_table.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// What one record adds to the digest of its range.
-std::uint64_t share_of(const Instance& record, std::uint64_t hash) {
+// Contribution of one record to the digest of its range.
+std::uint64_t digest_of(const Instance& record, std::uint64_t hash) {
     if (record.state == InstanceState::kGone) return 0;
     const auto state = static_cast<std::uint64_t>(record.state);
     return mix_bits(hash ^ mix_bits(record.revision * 8 + state + 1));
@@ -21,19 +21,19 @@
 } // namespace
 
 bool InstanceTable::merge(const Instance& record, Tenths now) {
-    const auto [place, fresh] = records_.try_emplace(record.id, record);
-    if (!fresh) {
-        if (!model::supersedes(record, place->second)) return false;
-        discount(place->second);
-        const Instance known = place->second;
-        place->second = record;
-        // A record of what is gone may come from one that knew little else of it.
+    const auto [entry, inserted] = records_.try_emplace(record.id, record);
+    if (!inserted) {
+        if (!model::supersedes(record, entry->second)) return false;
+        remove_from_digest(entry->second);
+        const Instance known = entry->second;
+        entry->second = record;
+        // A record of an instance that is gone may come from a node that knew little else about it.
         if (record.state == InstanceState::kGone && record.address.empty()) {
-            place->second = known;
-            place->second.state = InstanceState::kGone, place->second.revision = record.revision;
+            entry->second = known;
+            entry->second.state = InstanceState::kGone, entry->second.revision = record.revision;
         }
     }
-    count(place->second);
+    add_to_digest(entry->second);
     if (record.state == InstanceState::kGone)
         gone_since_.emplace(record.id, now);
     else
@@ -48,21 +48,21 @@
 
 std::size_t InstanceTable::range_of(const std::string& id) { return hash_text(id) % kDigestRanges; }
 
-// Sums, so that records go in and out of them in any order.
-void InstanceTable::count(const Instance& record) {
+// Digests are sums, so records can be added and removed in any order.
+void InstanceTable::add_to_digest(const Instance& record) {
     const std::uint64_t hash = hash_text(record.id);
-    digests_.ranges[hash % kDigestRanges] += share_of(record, hash);
+    digests_.ranges[hash % kDigestRanges] += digest_of(record, hash);
 }
 
-void InstanceTable::discount(const Instance& record) {
+void InstanceTable::remove_from_digest(const Instance& record) {
     const std::uint64_t hash = hash_text(record.id);
-    digests_.ranges[hash % kDigestRanges] -= share_of(record, hash);
+    digests_.ranges[hash % kDigestRanges] -= digest_of(record, hash);
 }
 
 void InstanceTable::erase(const std::string& id) {
     const auto known = records_.find(id);
     if (known == records_.end()) return;
-    discount(known->second);
+    remove_from_digest(known->second);
     records_.erase(known);
 }
 
--- a/src/feed/messages.cpp
+++ b/src/feed/messages.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The place of an alternative among a message's.
+// Index of an alternative in Message.
 template <class Wanted, std::size_t I = 0> constexpr std::size_t index_of() {
     if constexpr (std::is_same_v<std::variant_alternative_t<I, Message>, Wanted>)
         return I;
@@ -18,7 +18,7 @@
 
 std::string to_bytes(const BatchView& batch) {
     wire::Encoder out;
-    out.list(2); // a variant: its index and what it holds
+    out.list(2); // a variant: its index and its value
     out.unsigned_number(index_of<Batch>());
     out.list(std::tuple_size_v<decltype(Batch::tie(std::declval<Batch&>()))>);
     out.unsigned_number(batch.feed_id);
--- a/src/feed/ports.hpp
+++ b/src/feed/ports.hpp
@@ -1,4 +1,4 @@
-// Which of a machine's inner ports is for what, and how long a session may be silent. Ports are alike on all
+// Assignment of a machine's inner ports, and the timeouts of sessions. The ports are the same on all
 // machines.
 #pragma once
 #include "feed/publisher.hpp"
@@ -8,20 +8,21 @@
 
 namespace ivyrill::feed {
 
-inline constexpr int kPeerPort = 0, kFeedPort = 1, kLocalFeedPort = 2; // counted from the first inner port
+inline constexpr int kPeerPort = 0, kFeedPort = 1, kLocalFeedPort = 2; // offsets from the first inner port
 
 inline std::string inner_address(const settings::Settings& settings, const std::string& host, int port) {
     return host + ":" + std::to_string(settings.first_inner_port + port);
 }
-// Where a control node's peers reach it.
+// Address at which peers reach a control node.
 inline std::string peer_address(const settings::Settings& settings, const std::string& host) {
     return inner_address(settings, host, kPeerPort);
 }
-// Where agents follow a control node's feed.
+// Address at which agents follow a control node's feed.
 inline std::string feed_address(const settings::Settings& settings, const std::string& host) {
     return inner_address(settings, host, kFeedPort);
 }
-// Where the proxy of a machine follows its agent's feed; two machines of one test may share the loopback.
+// Address at which the proxy of a machine follows its agent's feed; in tests two machines may share the
+// loopback interface.
 inline std::string local_feed_address(const settings::Settings& settings) {
     const bool loopback = settings.ip.starts_with("127.");
     return inner_address(settings, loopback ? settings.ip : "127.0.0.1", kLocalFeedPort);
--- a/src/feed/publisher.cpp
+++ b/src/feed/publisher.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Tenths kTimeInterval = kTenthsPerSecond; // between two words of the fleet's time
-constexpr Tenths kSnapshotAge = 10'000;            // for so long one snapshot serves all who ask for one
+constexpr Tenths kTimeInterval = kTenthsPerSecond; // between updates of the fleet's time
+constexpr Tenths kSnapshotMaxAge = 10'000;         // a snapshot is reused for this long
 
-// Many nodes that join together each change the list of all of them.
-bool waits_for_company(const Item* item) {
+// Batched as well: when many nodes join together, each one changes the list.
+bool is_batched(const Item* item) {
     return std::holds_alternative<model::Load>(*item) || std::holds_alternative<EdgeNodes>(*item);
 }
 
@@ -23,16 +23,16 @@
 Publisher::Publisher(transport::Reactor& reactor, FeedLog& log, Options options, Callbacks callbacks)
     : reactor_(reactor), log_(log), options_(options), callbacks_(std::move(callbacks)),
       plan_(options.min_flush_interval, options.batch_delay) {
-    if (options_.heartbeat > 0) beat();
+    if (options_.heartbeat > 0) send_heartbeats();
 }
 
 Publisher::~Publisher() {
     reactor_.cancel(flush_timer_);
-    reactor_.cancel(beat_timer_);
+    reactor_.cancel(heartbeat_timer_);
 }
 
 void Publisher::accept(const AcceptedLink& connection) {
-    const std::uint64_t id = ++count_;
+    const std::uint64_t id = ++next_id_;
     Link::Callbacks callbacks;
     callbacks.received = [this, id](Message message) { received(id, std::move(message)); };
     callbacks.ended = [this, id](const std::string& reason) { drop(id, reason); };
@@ -46,12 +46,12 @@
     if (found == subscribers_.end()) return;
     Subscriber& subscriber = found->second;
     if (auto* subscription = std::get_if<Subscribe>(&message)) return subscribe(id, std::move(*subscription));
-    if (!subscriber.subscribed) return subscriber.link->end("spoke before it subscribed");
+    if (!subscriber.subscribed) return subscriber.link->end("sent a message before subscribing");
     if (const auto* known = std::get_if<Instances>(&message)) {
         if (callbacks_.instances) callbacks_.instances(known->records);
-        if (known->last && std::exchange(subscriber.waits_for_records, false)) {
+        if (known->last && std::exchange(subscriber.awaits_records, false)) {
             bring_up_to_date(subscriber);
-            tell_time_to(id);
+            send_time(id);
         }
     } else if (const auto* loads = std::get_if<Loads>(&message)) {
         if (callbacks_.loads) callbacks_.loads(loads->loads);
@@ -63,7 +63,7 @@
         if (callbacks_.time_of_day && heartbeat->unix_ms != 0)
             callbacks_.time_of_day(subscriber.node.name, heartbeat->unix_ms);
     } else {
-        subscriber.link->end("sent what no subscriber sends");
+        subscriber.link->end("sent a message that is not valid from a subscriber");
     }
 }
 
@@ -76,7 +76,7 @@
         }
     }
     if (callbacks_.ready && !callbacks_.ready()) {
-        subscriber.waits = std::move(message);
+        subscriber.deferred = std::move(message);
         return;
     }
     const bool fresh = !std::exchange(subscriber.subscribed, true);
@@ -90,24 +90,24 @@
     if (callbacks_.digests) {
         auto ranges = InstanceTable::differing_ranges(callbacks_.digests(), message.instances);
         if (!ranges.empty() && !message.instances.ranges.empty()) {
-            subscriber.waits_for_records = true;
+            subscriber.awaits_records = true;
             subscriber.link->send(RangeRequest{std::move(ranges), {}});
             return;
         }
     }
     bring_up_to_date(subscriber);
-    tell_time_to(id);
+    send_time(id);
 }
 
 void Publisher::serve_deferred() {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, subscriber] : subscribers_)
-        if (subscriber.waits) ids.push_back(id);
+        if (subscriber.deferred) ids.push_back(id);
     for (const std::uint64_t id : ids) {
         const auto found = subscribers_.find(id);
-        if (found == subscribers_.end() || !found->second.waits) continue;
-        Subscribe message = std::move(*found->second.waits);
-        found->second.waits.reset();
+        if (found == subscribers_.end() || !found->second.deferred) continue;
+        Subscribe message = std::move(*found->second.deferred);
+        found->second.deferred.reset();
         subscribe(id, std::move(message));
     }
 }
@@ -119,11 +119,11 @@
     send_batch(subscriber, {log_.feed_id(), log_.sequence(), false, std::move(*items)});
 }
 
-// Many nodes may start together, and a snapshot of a large fleet takes long to encode: it is encoded once for
-// them.
+// Many nodes may start together, and encoding a snapshot of a large fleet takes long, so it is encoded once
+// for all of them.
 void Publisher::send_snapshot(Subscriber& subscriber) {
-    const bool is_young = !snapshot_.empty() && reactor_.now() - snapshot_at_ < kSnapshotAge;
-    if (!is_young || !log_.since(snapshot_sequence_)) {
+    const bool is_reusable = !snapshot_.empty() && reactor_.now() - snapshot_at_ < kSnapshotMaxAge;
+    if (!is_reusable || !log_.since(snapshot_sequence_)) {
         const model::Configuration* configuration = log_.configuration();
         snapshot_ = wire::frame(to_bytes(BatchView{log_.feed_id(), log_.sequence(), true, log_.snapshot()}));
         snapshot_sequence_ = log_.sequence(), snapshot_at_ = reactor_.now();
@@ -131,22 +131,23 @@
     }
     subscriber.sequence = snapshot_sequence_, subscriber.configuration_version = snapshot_version_;
     subscriber.last_sent = reactor_.now();
-    if (!subscriber.link->send_frame(snapshot_)) return; // the subscriber is gone with its link
+    if (!subscriber.link->send_frame(snapshot_))
+        return; // the link ended, and the subscriber was removed with it
     if (snapshot_sequence_ == log_.sequence()) return;
     if (auto later = log_.since(snapshot_sequence_))
         send_batch(subscriber, {log_.feed_id(), log_.sequence(), false, std::move(*later)});
 }
 
 void Publisher::send_batch(Subscriber& subscriber, BatchView batch) {
-    subscriber.configuration_version = shorten_configuration(batch, subscriber.configuration_version);
+    subscriber.configuration_version = replace_by_change(batch, subscriber.configuration_version);
     subscriber.sequence = batch.sequence;
     subscriber.last_sent = reactor_.now();
     subscriber.link->send_frame(wire::frame(to_bytes(batch)));
 }
 
-// A subscriber that holds the configuration before this one is told the difference. Returns the version that
-// it holds after the batch.
-std::int64_t Publisher::shorten_configuration(BatchView& batch, std::int64_t known_version) const {
+// Replaces the configuration by the change from the previous one if the subscriber has that. Returns the
+// version that the subscriber has after the batch.
+std::int64_t Publisher::replace_by_change(BatchView& batch, std::int64_t known_version) const {
     for (const Item*& item : batch.items) {
         const auto* configuration = std::get_if<model::Configuration>(item);
         if (configuration == nullptr) continue;
@@ -158,25 +159,25 @@
 }
 
 void Publisher::publish() {
-    if (flushed_ == log_.sequence()) return;
+    if (flushed_sequence_ == log_.sequence()) return;
     bool urgent = false;
-    const auto items = log_.since(flushed_);
+    const auto items = log_.since(flushed_sequence_);
     if (!items)
         urgent = true;
     else
-        urgent = !std::ranges::all_of(*items, waits_for_company);
+        urgent = !std::ranges::all_of(*items, is_batched);
     const Tenths at = plan_.schedule(urgent, reactor_.now());
     if (at <= reactor_.now()) return flush();
     reactor_.cancel(flush_timer_);
     flush_timer_ = reactor_.call_at(at, [this] { flush(); });
 }
 
-// Most subscribers stand at the same place: they are sent the same bytes.
+// Most subscribers are at the same sequence number and get the same bytes.
 void Publisher::flush() {
     reactor_.cancel(flush_timer_);
-    flushed_ = log_.sequence();
+    flushed_sequence_ = log_.sequence();
     plan_.flushed(reactor_.now());
-    if (reactor_.now() - snapshot_at_ >= kSnapshotAge) snapshot_ = {};
+    if (reactor_.now() - snapshot_at_ >= kSnapshotMaxAge) snapshot_ = {};
     std::string frame;
     std::uint64_t frame_from = 0;
     std::int64_t frame_version = 0, frame_version_after = 0;
@@ -186,11 +187,11 @@
         const auto found = subscribers_.find(id);
         if (found == subscribers_.end()) continue;
         Subscriber& subscriber = found->second;
-        if (!subscriber.subscribed || subscriber.waits_for_records || subscriber.sequence == flushed_)
+        if (!subscriber.subscribed || subscriber.awaits_records || subscriber.sequence == flushed_sequence_)
             continue;
         if (!frame.empty() && subscriber.sequence == frame_from &&
             subscriber.configuration_version == frame_version) {
-            subscriber.sequence = flushed_, subscriber.last_sent = reactor_.now();
+            subscriber.sequence = flushed_sequence_, subscriber.last_sent = reactor_.now();
             subscriber.configuration_version = frame_version_after;
             subscriber.link->send_frame(frame);
             continue;
@@ -200,51 +201,52 @@
             bring_up_to_date(subscriber);
             continue;
         }
-        BatchView batch{log_.feed_id(), flushed_, false, std::move(*items)};
+        BatchView batch{log_.feed_id(), flushed_sequence_, false, std::move(*items)};
         frame_from = subscriber.sequence, frame_version = subscriber.configuration_version;
-        frame_version_after = subscriber.configuration_version = shorten_configuration(batch, frame_version);
+        frame_version_after = subscriber.configuration_version = replace_by_change(batch, frame_version);
         frame = wire::frame(to_bytes(batch));
-        subscriber.sequence = flushed_, subscriber.last_sent = reactor_.now();
+        subscriber.sequence = flushed_sequence_, subscriber.last_sent = reactor_.now();
         subscriber.link->send_frame(frame);
     }
 }
 
-void Publisher::beat() {
-    const Heartbeat told = heartbeat();
+void Publisher::send_heartbeats() {
+    const Heartbeat message = heartbeat();
     for (auto& [id, subscriber] : subscribers_) {
-        const bool is_silent = reactor_.now() - subscriber.last_sent >= options_.heartbeat;
-        const bool wants_time = told.unix_ms != 0 && reactor_.now() - subscriber.time_told >= kTimeInterval;
-        if (!subscriber.subscribed || (!is_silent && !wants_time)) continue;
-        reactor_.free_later([this, id = id, told] { send_heartbeat(id, told); });
+        const bool is_idle = reactor_.now() - subscriber.last_sent >= options_.heartbeat;
+        const bool is_time_due =
+            message.unix_ms != 0 && reactor_.now() - subscriber.time_sent_at >= kTimeInterval;
+        if (!subscriber.subscribed || (!is_idle && !is_time_due)) continue;
+        reactor_.free_later([this, id = id, message] { send_heartbeat(id, message); });
     }
-    beat_timer_ = reactor_.call_after(options_.heartbeat, [this] { beat(); });
+    heartbeat_timer_ = reactor_.call_after(options_.heartbeat, [this] { send_heartbeats(); });
 }
 
 Heartbeat Publisher::heartbeat() const {
-    Heartbeat told{log_.sequence()};
+    Heartbeat message{log_.sequence()};
     if (const auto time = callbacks_.fleet_time ? callbacks_.fleet_time() : std::nullopt)
-        told.unix_ms = time->unix_ms, told.error_ms = time->error_ms;
-    return told;
+        message.unix_ms = time->unix_ms, message.error_ms = time->error_ms;
+    return message;
 }
 
 void Publisher::send_heartbeat(std::uint64_t id, const Heartbeat& heartbeat) {
     const auto found = subscribers_.find(id);
     if (found == subscribers_.end()) return;
     found->second.last_sent = reactor_.now();
-    if (heartbeat.unix_ms != 0) found->second.time_told = reactor_.now();
-    found->second.link->send(heartbeat); // which may end the link, and with it the subscriber
+    if (heartbeat.unix_ms != 0) found->second.time_sent_at = reactor_.now();
+    found->second.link->send(heartbeat); // may end the link, which removes the subscriber
 }
 
-void Publisher::tell_time_to(std::uint64_t id) {
-    const Heartbeat told = heartbeat();
-    if (told.unix_ms != 0) send_heartbeat(id, told);
+void Publisher::send_time(std::uint64_t id) {
+    const Heartbeat message = heartbeat();
+    if (message.unix_ms != 0) send_heartbeat(id, message);
 }
 
 void Publisher::publish_time() {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, subscriber] : subscribers_)
-        if (subscriber.subscribed && !subscriber.waits_for_records) ids.push_back(id);
-    for (const std::uint64_t id : ids) tell_time_to(id);
+        if (subscriber.subscribed && !subscriber.awaits_records) ids.push_back(id);
+    for (const std::uint64_t id : ids) send_time(id);
 }
 
 void Publisher::drop(std::uint64_t id, const std::string& reason) {
@@ -252,9 +254,9 @@
     if (found == subscribers_.end()) return;
     const bool subscribed = found->second.subscribed;
     if (subscribed) log_line("session_down", {{"node", found->second.node.name}, {"cause", reason}});
-    auto held = std::make_shared<std::unique_ptr<Link>>(std::move(found->second.link));
+    auto owner = std::make_shared<std::unique_ptr<Link>>(std::move(found->second.link));
     subscribers_.erase(found);
-    reactor_.free_later([held] { held->reset(); });
+    reactor_.free_later([owner] { owner->reset(); });
     if (subscribed && callbacks_.sessions_changed) callbacks_.sessions_changed();
 }
 
@@ -264,7 +266,7 @@
     for (const std::uint64_t id : ids) {
         const auto found = subscribers_.find(id);
         if (found == subscribers_.end()) continue;
-        // To send may end the link itself, and with it the subscriber.
+        // Sending may itself end the link, which removes the subscriber.
         if (found->second.link->send(SubscriptionRefused{reason})) found->second.link->end(reason);
     }
 }
--- a/src/feed/publisher_list.hpp
+++ b/src/feed/publisher_list.hpp
@@ -1,4 +1,4 @@
-// Which publishers a subscriber tries, and in which order. Pure.
+// Candidate publishers for a subscriber, and the order to try them in. Pure.
 #pragma once
 #include "base/hash.hpp"
 #include "base/time.hpp"
@@ -10,22 +10,22 @@
 
 namespace ivyrill::feed {
 
-// A publisher that is cut off with the smaller half of the control nodes tells of that half alone. Those that
-// were told of before are remembered, so that its subscribers find the others when it stops serving.
+// A publisher in the minority side of a partition lists only the control nodes on that side. Formerly listed
+// ones are kept as well, so that subscribers find the others when it stops serving.
 class PublisherList {
   public:
-    // `order_key`: the subscriber's own, so that sessions are spread over the publishers.
+    // `order_key`: differs between subscribers, so that sessions are spread over the publishers.
     explicit PublisherList(std::uint64_t order_key) : order_key_(order_key) {}
 
-    // Alive, as the present publisher tells; addresses of feeds.
+    // Sets the live publishers according to the current one, as feed addresses.
     void update(const std::vector<std::string>& addresses, Tenths now) {
         current_ = addresses;
         std::erase_if(last_listed_, [&](const auto& entry) { return now - entry.second > kRetention; });
         for (const std::string& address : addresses) last_listed_[address] = now;
     }
 
-    // For one round: those told of last, the seeds, and one of those told of before, another one each round:
-    // most of them are gone, and to try one takes long.
+    // Candidates of one round: the current ones, the seeds, and one formerly listed address, a different one
+    // each round, because most of those are gone and a connection attempt takes long.
     std::vector<std::string> next_candidates(std::vector<std::string> seeds) {
         std::vector<std::string> addresses;
         for (std::vector<std::string> group : {current_, std::move(seeds)}) {
@@ -37,7 +37,7 @@
         std::vector<std::string> former;
         for (const auto& [address, at] : last_listed_)
             if (!contains(addresses, address)) former.push_back(address);
-        if (!former.empty()) addresses.push_back(former[round_++ % former.size()]);
+        if (!former.empty()) addresses.push_back(former[rounds_++ % former.size()]);
         return addresses;
     }
 
@@ -45,11 +45,12 @@
     static bool contains(const std::vector<std::string>& list, const std::string& address) {
         return std::ranges::find(list, address) != list.end();
     }
-    static constexpr Tenths kRetention = 3600 * kTenthsPerSecond; // regions may lose each other for an hour
+    static constexpr Tenths kRetention =
+        3600 * kTenthsPerSecond; // regions may be disconnected from each other for an hour
     std::uint64_t order_key_;
     std::vector<std::string> current_;
     std::map<std::string, Tenths> last_listed_;
-    std::size_t round_ = 0;
+    std::size_t rounds_ = 0;
 };
 
 } // namespace ivyrill::feed
--- a/src/feed/socket_link.cpp
+++ b/src/feed/socket_link.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr std::size_t kMostUnread = 256 * 1024;
-constexpr std::size_t kMostUnsent =
-    32 * 1024 * 1024; // a snapshot for a slow link; its own bound is the frame's
+constexpr std::size_t kMaxUnreadBytes = 256 * 1024;
+constexpr std::size_t kMaxUnsentBytes =
+    32 * 1024 * 1024; // room for a snapshot on a slow link; frames have their own limit
 
 } // namespace
 
 SocketLink::SocketLink(transport::Reactor& reactor, int descriptor, transport::Stream::Start start,
                        Tenths silence, Callbacks callbacks)
     : reactor_(reactor), wake_(reactor.loop()),
-      stream_(reactor.loop(), descriptor, start, kMostUnread, kMostUnsent), silence_(silence),
-      last_heard_(reactor.now()), callbacks_(std::move(callbacks)), told_up_(stream_.up()) {
+      stream_(reactor.loop(), descriptor, start, kMaxUnreadBytes, kMaxUnsentBytes), silence_(silence),
+      last_received_(reactor.now()), callbacks_(std::move(callbacks)), reported_up_(stream_.up()) {
     stream_.also_wake(&wake_);
 }
 
@@ -31,10 +31,11 @@
     reactor_.cancel(silence_timer_);
 }
 
-// What came while this process stood still may wait to be read: it is read before the link is given up.
+// Data that arrived while this process was suspended may still be unread: it is read before the link is given
+// up.
 void SocketLink::check_silence() {
     if (silence_ <= 0 || ended_) return;
-    if (reactor_.now() - last_heard_ >= silence_) {
+    if (reactor_.now() - last_received_ >= silence_) {
         if (!stream_.waiting_unread()) return end("silent");
         wake_.wake();
     }
@@ -57,7 +58,7 @@
     if (ended) ended(reason);
 }
 
-void SocketLink::refuse(const Error& error) {
+void SocketLink::fail(const Error& error) {
     const auto unreadable = callbacks_.unreadable;
     if (unreadable) unreadable(error);
     end(error.message);
@@ -67,22 +68,22 @@
     const std::shared_ptr<bool> alive = alive_;
     for (;;) {
         if (ended_) co_return;
-        if (stream_.up() && !std::exchange(told_up_, true) && callbacks_.up) {
-            last_heard_ = reactor_.now();
+        if (stream_.up() && !std::exchange(reported_up_, true) && callbacks_.up) {
+            last_received_ = reactor_.now();
             callbacks_.up();
             if (!*alive || ended_) co_return;
         }
         while (stream_.unread()) {
             stream_.feed(reader_);
-            last_heard_ = reactor_.now();
+            last_received_ = reactor_.now();
             if (reader_.broken()) {
-                refuse(*reader_.broken());
+                fail(*reader_.broken());
                 co_return;
             }
             if (!reader_.complete()) continue;
             auto message = wire::from_bytes<Message>(reader_.take());
             if (message.has_error()) {
-                refuse(message.error());
+                fail(message.error());
                 co_return;
             }
             callbacks_.received(std::move(message.value()));
--- a/src/feed/socket_link.hpp
+++ b/src/feed/socket_link.hpp
@@ -1,4 +1,4 @@
-// Links over TCP: messages as CBOR in frames.
+// Links over TCP: messages encoded as CBOR in frames.
 #pragma once
 #include "feed/link.hpp"
 #include "transport/listener.hpp"
@@ -25,22 +25,22 @@
 
   private:
     transport::Task read();
-    void refuse(const Error& error);
+    void fail(const Error& error);
     void check_silence();
 
     transport::Reactor& reactor_;
     transport::Slot wake_;
     transport::Stream stream_;
-    Tenths silence_, last_heard_;
+    Tenths silence_, last_received_;
     Callbacks callbacks_;
     wire::FrameReader reader_;
-    bool told_up_ = false, ended_ = false;
+    bool reported_up_ = false, ended_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     transport::Reactor::TimerId silence_timer_{};
     transport::Task task_;
 };
 
-// For a connection whose descriptor is at hand.
+// Wraps the descriptor of an accepted connection.
 AcceptedLink accept_socket(transport::Reactor& reactor, int descriptor);
 
 class SocketNetwork : public LinkNetwork {
