--- a/src/control/duty_partitions.cpp
+++ b/src/control/duty_partitions.cpp
@@ -51,9 +51,9 @@
         Partition& partition = partitions_[number];
         partition.disk = open_file("duties-" + std::to_string(number));
         BOOST_OUTCOME_TRY(loaded, partition.disk->load());
-        has_lost_state_ = has_lost_state_ || loaded.newest_is_spoilt;
-        if (!loaded.bytes || loaded.newest_is_spoilt) continue;
-        BOOST_OUTCOME_TRY(read, wire::from_bytes<MemberState>(*loaded.bytes));
+        has_lost_state_ = has_lost_state_ || loaded.newest_is_corrupt;
+        if (!loaded.bytes || loaded.newest_is_corrupt) continue;
+        BOOST_OUTCOME_TRY(read, wire::from_bytes<StoredReplicaState>(*loaded.bytes));
         partition.loaded = std::move(read);
     }
     return boost::outcome_v2::success();
@@ -76,7 +76,7 @@
     consensus::Options options;
     options.self = self, options.seed = options_.draw();
     options.heartbeat_interval = kHeartbeat, options.election_timeout = kElectionTimeout;
-    options.least_copies = options_.least_copies;
+    options.min_copies = options_.min_copies;
     ReplicatedGroup::Callbacks callbacks;
     callbacks.send = [this, number](const consensus::Send& sent) { send_(number, sent); };
     callbacks.committed = [](const consensus::Entry&) {};
@@ -99,17 +99,17 @@
         return;
     for (Partition& partition : partitions_)
         if (!partition.member->replica().newest())
-            partition.member->found(founders, wire::to_bytes(duties::PartitionState{}));
+            partition.member->bootstrap(founders, wire::to_bytes(duties::PartitionState{}));
 }
 
 void DutyPartitions::receive(std::size_t partition, const consensus::Message& message) {
     if (partition < partitions_.size() && has_joined()) partitions_[partition].member->receive(message);
 }
 
-void DutyPartitions::set_candidates(const std::vector<consensus::Candidate>& candidates) {
+void DutyPartitions::set_member_statuses(const std::vector<consensus::MemberStatus>& member_statuses) {
     if (!has_joined()) return;
     for (Partition& partition : partitions_)
-        partition.member->set_candidates(candidates, options_.voters, options_.voters);
+        partition.member->set_member_statuses(member_statuses, options_.voters, options_.voters);
 }
 
 void DutyPartitions::role_changed(Partition& partition, const consensus::RoleChanged& role) {
@@ -142,7 +142,7 @@
     if (!planted(PlantedFault::kActsAfterRelease)) partition.lease->end(reactor_.now());
     if (!may_release) return;
     const std::uint64_t term = partition.member->replica().term();
-    partition.member->propose_unawaited(make_payload([term](const duties::PartitionState& newest) {
+    partition.member->propose_without_waiting(make_payload([term](const duties::PartitionState& newest) {
         duties::PartitionState released =
             planted(PlantedFault::kLedgerForgotten) ? duties::PartitionState{} : newest;
         released.released_term = term;
@@ -182,7 +182,8 @@
 
 void DutyPartitions::propose(const duties::Duty& duty, ChangeState change) {
     if (may_propose(duty))
-        partitions_[duties::partition_of(duty)].member->propose_unawaited(make_payload(std::move(change)));
+        partitions_[duties::partition_of(duty)].member->propose_without_waiting(
+            make_payload(std::move(change)));
 }
 
 std::array<DutyPartitions::Status, duties::kDutyPartitions> DutyPartitions::statuses() const {
--- a/src/control/duty_partitions.hpp
+++ b/src/control/duty_partitions.hpp
@@ -19,7 +19,7 @@
 class DutyPartitions {
   public:
     struct Options {
-        std::size_t least_copies =
+        std::size_t min_copies =
             1;                  // number of disks, of voters that remain, that must hold a committed entry
         std::size_t voters = 3; // per partition
         Tenths lease = 0;       // `leaseMs`
@@ -46,7 +46,7 @@
     void join(const consensus::Member& self); // to be called once the owner of the disk is known
     void found(const std::vector<consensus::Member>& founders);
     void receive(std::size_t partition, const consensus::Message& message);
-    void set_candidates(const std::vector<consensus::Candidate>& candidates);
+    void set_member_statuses(const std::vector<consensus::MemberStatus>& member_statuses);
     void resign(); // before a graceful shutdown: stops acting, releases the leases and hands over leadership
 
     // The fencing token under which this node may act for the duty now; none if it may not.
@@ -67,7 +67,7 @@
   private:
     struct Partition {
         std::unique_ptr<StateFile> disk;
-        MemberState loaded;
+        StoredReplicaState loaded;
         std::unique_ptr<ReplicatedGroup> member; // declared after the disk that it writes to
         std::unique_ptr<duties::Lease> lease;
         std::uint64_t times_elected = 0; // by this process
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -27,7 +27,7 @@
     callbacks.fleet_time = [this, number](const clock::FleetTime& time) {
         agents_[number].usage->update_fleet_time(time, network_.now());
     };
-    callbacks.began = [this, number] {
+    callbacks.synchronized = [this, number] {
         auto counts = agents_[number].usage->recent();
         if (!counts.empty()) agents_[number].process->send(feed::UsageCounts{std::move(counts)});
     };
