--- a/src/maintenance/fragment_transport.hpp
+++ b/src/maintenance/fragment_transport.hpp
@@ -3,7 +3,7 @@
 // all; those who send them know that.
 #pragma once
 #include "base/time.hpp"
-#include "membership/datagrams.hpp"
+#include "membership/datagram_codec.hpp"
 
 #include <deque>
 #include <map>
@@ -45,7 +45,7 @@
     static constexpr Tenths kRetention = 5 * kTenthsPerSecond;
     static constexpr Tenths kResendAfter = kTenthsPerSecond / 20;
 
-    FragmentTransport(std::string name, std::string address, membership::Seal& seal,
+    FragmentTransport(std::string name, std::string address, membership::DatagramCodec& seal,
                       std::uint64_t first_serial)
         : name_(std::move(name)), address_(std::move(address)), seal_(seal), serial_(first_serial) {}
 
@@ -79,7 +79,7 @@
                        std::size_t fragment_index, std::size_t fragment_count, std::string_view bytes);
 
     std::string name_, address_;
-    membership::Seal& seal_;
+    membership::DatagramCodec& seal_;
     std::uint64_t serial_;
     std::map<std::pair<std::string, std::uint64_t>, Incomplete>
         incomplete_;                // by sender's address and its serial
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using codec::Json;
-using membership::Standing;
+using membership::MemberState;
 
 constexpr std::size_t kMaxPeerBuckets = 2'000, kMaxPendingRequests = 200;
 constexpr double kBurstSeconds = 0.5;          // seconds of a rate that may come at once
@@ -22,14 +22,14 @@
     3; // grants' spans without a leader until what is out is brought back by anyone
 constexpr double kLostZoneShare = 0.6; // of a zone's machines gone by themselves: it is lost
 
-membership::RosterTerms roster_settings(const MaintenanceSettings& settings) {
-    membership::RosterTerms result;
+membership::MemberListOptions roster_settings(const MaintenanceSettings& settings) {
+    membership::MemberListOptions result;
     result.name = settings.name, result.address = settings.address, result.peers = settings.peers;
     for (const Candidate& candidate : settings.candidates)
         if (std::ranges::find(result.peers, candidate.address) == result.peers.end())
             result.peers.push_back(candidate.address);
     result.incarnation = settings.incarnation, result.seed = settings.seed ^ 0x5eedULL;
-    result.probe_gap = settings.probe_gap, result.answer_span = settings.probe_gap / 5;
+    result.probe_interval = settings.probe_gap, result.probe_timeout = settings.probe_gap / 5;
     return result;
 }
 
@@ -126,7 +126,8 @@
         !take_token(now_, peer_buckets_[from], settings_.max_datagrams_per_peer))
         return void(++counts_.rate_limited);
     if (!FragmentTransport::is_fragment(bytes)) {
-        if (const auto datagram = seal_.open(bytes)) handle_roster_effects(roster_.hear(now_, *datagram));
+        if (const auto datagram = seal_.decode(bytes))
+            handle_roster_effects(roster_.receive(now_, *datagram));
         return;
     }
     if (const auto message = transport_.receive(now_, bytes)) dispatch(*message);
@@ -158,20 +159,20 @@
 
 void MaintenanceNode::handle_roster_effects(std::vector<membership::Effect> effects) {
     for (auto& effect : effects) {
-        if (const auto* sent = std::get_if<membership::Send>(&effect)) {
-            if (auto bytes = seal_.close(sent->datagram))
+        if (const auto* sent = std::get_if<membership::SendDatagram>(&effect)) {
+            if (auto bytes = seal_.encode(sent->datagram))
                 effects_.emplace_back(SendDatagram{sent->address, std::move(*bytes)});
             continue;
         }
-        const auto& changed = std::get<membership::Changed>(effect);
+        const auto& changed = std::get<membership::MemberChanged>(effect);
         static constexpr const char* kStandings[] = {"alive", "suspect", "failed", "left"};
         log_event("member", {{"name", changed.name},
-                             {"standing", kStandings[static_cast<int>(changed.standing)]},
+                             {"standing", kStandings[static_cast<int>(changed.state)]},
                              {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present = roster_.present(); present != present_members_) {
-        present_members_ = present;
-        effects_.emplace_back(MemberCount{present});
+    if (const std::size_t present_count = roster_.present_count(); present_count != present_members_) {
+        present_members_ = present_count;
+        effects_.emplace_back(MemberCount{present_count});
     }
 }
 
@@ -283,7 +284,7 @@
 
 void MaintenanceNode::step(Tenths now, Tenths wall_time) {
     now_ = std::max(now_, now), wall_time_ = wall_time;
-    if (now_ >= roster_.next()) handle_roster_effects(roster_.step(now_));
+    if (now_ >= roster_.next_step()) handle_roster_effects(roster_.step(now_));
     transport_.step(now_);
     if (consensus_) {
         if (now_ >= consensus_->next()) consensus_->step(now_);
@@ -334,7 +335,7 @@
 }
 
 Tenths MaintenanceNode::next() const {
-    Tenths first = std::min(roster_.next(), transport_.next().value_or(now_ + kTenthsPerSecond));
+    Tenths first = std::min(roster_.next_step(), transport_.next().value_or(now_ + kTenthsPerSecond));
     if (!settings_.candidates.empty()) first = std::min(first, executor_at_);
     if (consensus_) first = std::min(first, consensus_->next());
     if (consensus_ && consensus_->is_leader() && pending_proposals_ == 0)
@@ -359,10 +360,10 @@
         if (!there) observed.unreachable.insert(name);
     };
     front(settings_.name, true);
-    for (const auto& member : roster_.seen()) {
-        if (member.standing == Standing::kLeft && !schedule().fleet().contains(member.name)) continue;
-        front(member.name, member.standing == Standing::kAlive || member.standing == Standing::kSuspect);
-        if (member.standing != Standing::kAlive) observed.unreachable.insert(member.name);
+    for (const auto& member : roster_.members()) {
+        if (member.state == MemberState::kLeft && !schedule().fleet().contains(member.name)) continue;
+        front(member.name, member.state == MemberState::kAlive || member.state == MemberState::kSuspect);
+        if (member.state != MemberState::kAlive) observed.unreachable.insert(member.name);
     }
     for (const std::string& voter : observed.voters) {
         if (voter == settings_.name) continue;
@@ -594,7 +595,7 @@
                 {"age_ms", schedule_age(now_) * 1000 / kTenthsPerSecond},
                 {"leader", leader()},
                 {"voters", observed.voters},
-                {"members", roster_.present()},
+                {"members", roster_.present_count()},
                 {"held", state.held()},
                 {"held_why", state.hold_reason()},
                 {"applied", state.applied_commands()}};
--- a/src/maintenance/maintenance_node.hpp
+++ b/src/maintenance/maintenance_node.hpp
@@ -6,7 +6,7 @@
 #include "maintenance/executor.hpp"
 #include "maintenance/fragment_transport.hpp"
 #include "maintenance/scheduler.hpp"
-#include "membership/roster.hpp"
+#include "membership/member_list.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -74,7 +74,7 @@
     // Each command as it is agreed on, for those who keep a history.
     std::function<void(const Command&, const CommandResult&)> on_committed;
 
-    const membership::Roster& roster() const { return roster_; }
+    const membership::MemberList& roster() const { return roster_; }
     const ConsensusNode* consensus() const { return consensus_ ? consensus_.get() : nullptr; }
     const MaintenanceSchedule& schedule() const;
     Tenths schedule_age(Tenths now) const; // how long ago the evening was surely as we know it
@@ -82,7 +82,7 @@
     const Scheduler& scheduler() const { return scheduler_; }
     const MaintenanceCounts& counts() const { return counts_; }
     const FragmentCounts& fragment_counts() const { return transport_.counts(); }
-    const membership::SealCounts& seal_counts() const { return seal_.counts(); }
+    const membership::CodecCounts& seal_counts() const { return seal_.counts(); }
     nlohmann::json answer_query(const nlohmann::json& query); // of an operator's that changes nothing
     FleetObservation observe_fleet() const;
 
@@ -124,8 +124,8 @@
     Tenths now_, started_at_, wall_time_ = 0;
     MaintenanceSchedule uncommitted_schedule_;
     Tenths uncommitted_refresh_at_ = 0;
-    membership::Seal seal_;
-    membership::Roster roster_;
+    membership::DatagramCodec seal_;
+    membership::MemberList roster_;
     FragmentTransport transport_;
     std::unique_ptr<ConsensusNode> consensus_;
     Scheduler scheduler_;
--- /dev/null
+++ b/src/operator/operator_settings.hpp
@@ -0,0 +1,76 @@
+// Settings of the operator's file, typed and validated: one member for each section. Pure; the files that it
+// names are read in program/operator_files.hpp. The operator's file is optional.
+#pragma once
+#include "access/gate.hpp"
+#include "access/handshakes.hpp"
+#include "limits/connection_budget.hpp"
+#include "maintenance/fleet_observation.hpp"
+#include "operator/field_reader.hpp"
+#include "transport/tls.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace ivyrill::operators {
+
+struct AccessSettings {
+    access::AccessTerms terms;
+    std::string keys, revocations; // paths of a folder and of a file
+    std::vector<std::string> authorities, crls;
+    bool platform_port_guarded = true; // whether the platform's plain port requires credentials
+    bool query_is_note_key = false;    // the note key of a search is its query text, not the parameter `k`
+};
+
+struct ListenerSettings {
+    std::string name, address, certificate, key; // the latter two are paths; empty: a plain listener
+    std::vector<std::string> protocols;          // `h2`, `http/1.1`: for ALPN; a plain listener has one
+    transport::ClientCertificates client_certificates = transport::ClientCertificates::kNone;
+    bool guarded = true;
+};
+
+struct AuditSettings {
+    std::string file; // empty: write to the log
+    int max_lines_per_second = 20;
+};
+
+struct MembershipSettings { // front nodes that may talk to each other
+    std::string address;    // where the others reach us
+    std::string bind;       // where we hear them, the same unless something stands between
+    std::vector<std::string> peers;
+    std::string secret; // path of the shared secret, 32 bytes or more
+    Tenths probe_interval = kTenthsPerSecond;
+};
+
+// Coordinated maintenance: the front nodes agree on which machines are out of service.
+struct MaintenanceSettings {
+    std::vector<std::pair<std::string, std::string>>
+        candidates; // front nodes with a disk that may be voters: name, address
+    std::size_t voter_count = 3;
+    std::string raft_store, witness; // paths
+    Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
+    maintenance::Limits limits;
+    maintenance::Timing timing;
+    maintenance::FailurePolicy failure_policy;
+    std::vector<std::string> controller_command; // either this or the address
+    std::string controller_address;
+    std::map<std::string, Tenths> work; // duration by kind of machine; "" for all others
+};
+
+struct OperatorSettings {
+    std::optional<MembershipSettings> membership;
+    std::optional<MaintenanceSettings> maintenance;
+    std::optional<AccessSettings> access;
+    std::vector<ListenerSettings> listeners;
+    access::HandshakeTerms handshakes;
+    limits::ConnectionLimits connections;
+    Tenths ticket_span = 0;
+    AuditSettings audit;
+};
+
+OperatorSettings read_operator_settings(const nlohmann::ordered_json& evaluated); // throws SettingsError
+
+} // namespace ivyrill::operators
--- a/src/program/rota_side.cpp
+++ b/src/program/coordination_thread.cpp
@@ -1,8 +1,8 @@
-#include "program/rota_side.hpp"
+#include "program/coordination_thread.hpp"
 
 #include "access/signature.hpp"
-#include "program/keepers.hpp"
 #include "program/log.hpp"
+#include "program/machine_controller.hpp"
 #include "raft_storage/sqlite_raft_store.hpp"
 #include "transport/datagrams.hpp"
 #include "transport/stream.hpp"
@@ -31,36 +31,36 @@
 
 } // namespace
 
-struct RotaSide::Inside {
-    Inside(const operators::Orders& orders, const std::string& secret, protocol::NodeTerms node_terms,
-           const std::string& name, std::uint64_t seed)
-        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.members->bind)),
+struct CoordinationThread::Inside {
+    Inside(const operators::OperatorSettings& orders, const std::string& secret,
+           protocol::NodeTerms node_terms, const std::string& name, std::uint64_t seed)
+        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.membership->bind)),
           stirred(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           told_out(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
         maintenance::MaintenanceSettings made;
-        made.name = name, made.address = orders.members->address, made.secret = secret;
-        made.peers = orders.members->peers, made.probe_gap = orders.members->probe_gap;
+        made.name = name, made.address = orders.membership->address, made.secret = secret;
+        made.peers = orders.membership->peers, made.probe_gap = orders.membership->probe_interval;
         made.seed = drawn(seed);
         // Without a store the clock is the one thing that grows from start to start.
         made.incarnation = static_cast<std::uint64_t>(Loop::wall());
-        if (orders.rota) {
-            const operators::RotaOrders& rota = *orders.rota;
+        if (orders.maintenance) {
+            const operators::MaintenanceSettings& rota = *orders.maintenance;
             work = rota.work;
             if (const auto front = work.find("front"); front != work.end())
                 made.front_node_duration = front->second;
             for (const auto& [who, where] : rota.candidates) made.candidates.push_back({who, where});
-            made.voter_count = rota.council, made.limits = rota.limits, made.timing = rota.spans;
-            made.failure_policy = rota.answers, made.heartbeat = rota.heartbeat,
+            made.voter_count = rota.voter_count, made.limits = rota.limits, made.timing = rota.timing;
+            made.failure_policy = rota.failure_policy, made.heartbeat = rota.heartbeat,
             made.replace_voter_after = rota.replace_after;
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
-                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.ledger, rota.witness);
-                made.incarnation = ledger->next_member_incarnation();
+                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
+                raft_store = std::make_unique<raft_storage::SqliteRaftStore>(rota.raft_store, rota.witness);
+                made.incarnation = raft_store->next_member_incarnation();
             }
-            keepers =
-                std::make_unique<Keepers>(loop, rota.keeper_command, rota.keeper_address, rota.spans.action);
+            machine_controller = std::make_unique<MachineController>(
+                loop, rota.controller_command, rota.controller_address, rota.timing.action);
         }
         warden = std::make_unique<maintenance::MaintenanceNode>(made, ledger.get(), loop.now(), Loop::wall());
         if (loop.now() == 0 || told_out < 0) throw std::runtime_error("no clock, or no descriptor");
@@ -90,19 +90,21 @@
             // What is cold grows warm without news, so the machines are looked at each time.
             if (loop.now() >= look_at || list_seen != list_now.version) {
                 look_at = loop.now() + kTenthsPerSecond / 10, list_seen = list_now.version;
-                warden->update_servers(RotaSide::machines(list_now, terms, work, Loop::wall()), strain);
+                warden->update_servers(CoordinationThread::machines(list_now, terms, work, Loop::wall()),
+                                       strain);
             }
             warden->step(loop.now(), Loop::wall());
             if (leaving && !left) left = true, warden->leave(loop.now());
             carry_out();
-            if (keepers) {
-                keepers->step(loop.now());
-                for (const Keepers::Said& said : keepers->take())
-                    warden->on_machine_status(loop.now(), said.serial, said.machine, said.kept);
+            if (machine_controller) {
+                machine_controller->step(loop.now());
+                for (const MachineController::Reply& reply : machine_controller->take_replies())
+                    warden->on_machine_status(loop.now(), reply.serial, reply.machine,
+                                              reply.on_machine_status);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next(), look_at, counts_at});
-            if (keepers) until = std::min(until, keepers->next());
+            if (machine_controller) until = std::min(until, machine_controller->next_step());
             loop.wait(until);
         }
         receiving = {};
@@ -112,8 +114,8 @@
         for (maintenance::MaintenanceEffect& effect : warden->take_effects()) {
             if (const auto* sent = std::get_if<maintenance::SendDatagram>(&effect)) {
                 transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
-            } else if (const auto* act = std::get_if<maintenance::MachineCommand>(&effect)) {
-                if (keepers) keepers->act(loop.now(), *act);
+            } else if (const auto* execute = std::get_if<maintenance::MachineCommand>(&effect)) {
+                if (machine_controller) machine_controller->execute(loop.now(), *execute);
             } else if (const auto* line = std::get_if<maintenance::LogLine>(&effect)) {
                 std::string words = line->event;
                 for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
@@ -137,8 +139,8 @@
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
-            warden->roster().present(), roster.sent, roster.heard, roster.suspected, roster.refuted,
-            roster.stalls, roster.twins, seals.strangers, seals.spoilt, seals.too_long,
+            warden->roster().present_count(), roster.sent, roster.received, roster.suspected, roster.refuted,
+            roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed, seals.too_long,
             warden->counts().rate_limited, warden->fragment_counts().sent,
             warden->fragment_counts().fragments, warden->fragment_counts().resend_requests, hand.actions,
             hand.unmatched_replies, hand.fenced_off, hand.expired_leases, warden->counts().proposals);
@@ -150,7 +152,7 @@
     transport::Source socket, stirred; // the latter: the front node has told us something
     int told_out;
     std::unique_ptr<raft_storage::SqliteRaftStore> ledger;
-    std::unique_ptr<Keepers> keepers;
+    std::unique_ptr<MachineController> machine_controller;
     std::unique_ptr<maintenance::MaintenanceNode> warden;
     Task receiving;
     protocol::ServerList list_now;
@@ -172,18 +174,19 @@
     }
 };
 
-RotaSide::RotaSide(const operators::Orders& orders, const std::string& secret,
-                   const protocol::NodeTerms& terms, const std::string& name, std::uint64_t seed)
+CoordinationThread::CoordinationThread(const operators::OperatorSettings& orders, const std::string& secret,
+                                       const protocol::NodeTerms& terms, const std::string& name,
+                                       std::uint64_t seed)
     : inside_(std::make_unique<Inside>(orders, secret, terms, name, seed)) {}
 
-RotaSide::~RotaSide() {
+CoordinationThread::~CoordinationThread() {
     if (!inside_->thread.joinable()) return;
     inside_->stop = true;
     inside_->stir();
     inside_->thread.join();
 }
 
-void RotaSide::start() {
+void CoordinationThread::start() {
     inside_->thread = std::thread([inside = inside_.get()] {
         try {
             inside->run();
@@ -192,7 +195,7 @@
 }
 
 // Changes come as changes: what is known of the others stays.
-void RotaSide::told(const protocol::ServerList& fresh) {
+void CoordinationThread::told(const protocol::ServerList& fresh) {
     {
         const std::lock_guard lock(inside_->mutex);
         protocol::ServerList& list = inside_->list;
@@ -212,25 +215,25 @@
     inside_->stir();
 }
 
-void RotaSide::strained(double share) { inside_->strain = share; }
+void CoordinationThread::strained(double share) { inside_->strain = share; }
 
-void RotaSide::leave() {
+void CoordinationThread::leave() {
     inside_->leaving = true;
     inside_->stir();
 }
 
-std::size_t RotaSide::present() const {
+std::size_t CoordinationThread::present() const {
     std::uint64_t count = 0;
     if (read(inside_->told_out, &count, sizeof count) < 0) return inside_->present;
     return inside_->present;
 }
 
-int RotaSide::news() const { return inside_->told_out; }
-int RotaSide::port() const { return transport::port_of(inside_->socket.descriptor()); }
+int CoordinationThread::news() const { return inside_->told_out; }
+int CoordinationThread::port() const { return transport::port_of(inside_->socket.descriptor()); }
 
 std::map<std::string, maintenance::ObservedMachine>
-RotaSide::machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
-                   const std::map<std::string, Tenths>& work, Tenths wall) {
+CoordinationThread::machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+                             const std::map<std::string, Tenths>& work, Tenths wall) {
     std::map<std::string, maintenance::ObservedMachine> made;
     for (const protocol::ServerEntry& entry : list.servers) {
         maintenance::ObservedMachine machine;
--- /dev/null
+++ b/src/recovery/failover_policy.hpp
@@ -0,0 +1,50 @@
+// The part of a failover plan that the decision module consults: which sites take part in replica selection,
+// which searches are rejected, which parts are left out. Set by `SiteRecoveryPlan` (search_scheduler.hpp); it
+// does not expire, so the failover controller must withdraw it. Without one, nothing is restricted.
+//
+// A policy only restricts, so a wrong one cannot break an invariant: an excluded site gets fewer attempts, a
+// search that is not admitted has had no attempt, parts are left out only down to the request class's floor
+// (and the answer is marked as partial), and the budget of further attempts is only reduced.
+#pragma once
+#include "base/pcg.hpp"
+#include "search_scheduler_state.hpp"
+
+#include <map>
+#include <set>
+
+namespace ivyrill::recovery {
+
+class FailoverPolicy {
+  public:
+    void update(const SiteRecoveryPlan& policy_update);
+
+    // kLastResort: only after all eligible servers.
+    enum class Eligibility { kEligible, kLastResort, kExcluded };
+    // Random per selection for a site that gets a share of the traffic. A search that must run at most once
+    // is not sent to such a site while others are eligible.
+    Eligibility eligibility(ZoneNo zone, bool at_most_once, Pcg& rng) const;
+    bool excludes(ZoneNo zone) const { return !site_shares_.empty() && site_share(zone) <= 0; }
+    bool shard_lost(ShardNo shard) const { return lost_shards_.contains(shard); } // no replica is left
+    // Whether to admit a search; random, to be called once per search.
+    bool admits(RequestClassNo request_class, TenantNo tenant, Pcg& rng) const;
+    // Marks the parts to leave out of a search that allows a partial answer: of the most overloaded shards
+    // first, never below `floor` of the weight.
+    void omit_parts(Search& search, double floor, TenantNo tenant) const;
+    // Share of the budget for further attempts that may be used.
+    double attempt_budget_share() const { return attempt_budget_share_; }
+    // Delay to advise to a rejected client: random, so that clients don't return at the same time.
+    Tenths retry_after(Tenths usual, Pcg& rng) const;
+
+  private:
+    double site_share(ZoneNo zone) const;
+    const SiteRecoveryPlan::Row* find_row(RequestClassNo request_class, TenantNo tenant) const;
+
+    std::map<ZoneNo, double> site_shares_;
+    std::set<ShardNo> lost_shards_;
+    std::map<std::pair<RequestClassNo, TenantNo>, SiteRecoveryPlan::Row> admission_rows_;
+    std::map<ShardNo, double> capacity_share_;
+    double attempt_budget_share_ = 1;
+    Tenths max_retry_after_ = 0;
+};
+
+} // namespace ivyrill::recovery
--- a/src/drill/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,28 +1,29 @@
-// One simulated front node: it gives the module's actions their wire form and knows servers by their names.
+// One simulated front node: encodes the decision module's actions as wire messages and maps server names to
+// ids.
 #pragma once
-#include "drill/wire.hpp"
 #include "search_scheduler.hpp"
+#include "simulator/wire.hpp"
 
 #include <map>
 #include <string>
 #include <vector>
 
-namespace ivyrill::drill {
+namespace ivyrill::simulator {
 
-struct SheetEntry {
+struct ListedEndpoint {
     std::string server;
-    ListEntry entry; // its server id is filled in by each instance
+    ListEntry entry; // its server id is assigned by each instance
 };
-using Sheet = std::vector<SheetEntry>;
+using EndpointList = std::vector<ListedEndpoint>;
 
 class Instance : public SchedulerHost {
   public:
     explicit Instance(SchedulerConfig terms)
         : connect_span_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
-    void apply(Tenths now, const Line& line); // any event but OPEN_INSTANCE, KILLED and ENDPOINTS
-    void apply_list(Tenths now, ListKind kind, const Sheet& sheet);
-    std::string decide(Tenths now); // the actions, a line each
+    void apply(Tenths now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
+    void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
+    std::string decide(Tenths now); // the actions, one line each
 
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
     void cancel_attempt(PartId part, AttemptNo attempt) override;
@@ -44,4 +45,4 @@
     std::string actions_;
 };
 
-} // namespace ivyrill::drill
+} // namespace ivyrill::simulator
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -1,9 +1,9 @@
 // Tests of the parsers: every split of the bytes, and bytes that nobody should send.
 #include "base/pcg.hpp"
-#include "drill/wire.hpp"
 #include "fake_host.hpp"
 #include "protocol/frames.hpp"
 #include "protocol/messages.hpp"
+#include "simulator/wire.hpp"
 
 namespace ivyrill {
 
@@ -259,8 +259,8 @@
     assert(list.servers[2].listed == ListedState::kGone && list.servers[3].listed == ListedState::kLive);
 }
 
-// The simulator's line and the front node's JSON are read by the same words.
-void settings_are_read_once_for_both() {
+// The simulator's opening message and the front node's JSON are read by the same parser.
+void simulator_and_front_node_read_equal_settings() {
     const std::string orders =
         R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",)"
         R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":0,"full":true,"servers":[]},)"
@@ -269,17 +269,18 @@
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
     const StartOrders read = read_start_orders(orders);
-    const SchedulerConfig drilled = drill::read_terms(drill::Line(
+    const SchedulerConfig simulated = simulator::read_terms(simulator::Message(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
     const SchedulerConfig& terms = read.terms.opening;
-    assert(terms.seed == 255 && drilled.seed == 255 && terms.front_nodes == 2 && drilled.front_nodes == 2);
+    assert(terms.seed == 255 && simulated.seed == 255 && terms.front_nodes == 2 &&
+           simulated.front_nodes == 2);
     assert(terms.request_classes.size() == 1 &&
-           terms.request_classes[0].latency_target == drilled.request_classes[0].latency_target);
+           terms.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
     assert(terms.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
            terms.request_classes[0].floor == 0.5);
-    assert(terms.cells == 4 && drilled.cells == 4 && terms.max_attempts == 3);
+    assert(terms.cells == 4 && simulated.cells == 4 && terms.max_attempts == 3);
     assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
     assert(read.terms.most_open == 203 && read.terms.idle_span == ms(15'000) && read.sockets == 1024);
 }
@@ -295,7 +296,7 @@
     TEST(noise_does_no_harm),
     TEST(json_is_strict_and_bounded),
     TEST(list_is_read_and_unknown_states_get_nothing_new),
-    TEST(settings_are_read_once_for_both),
+    TEST(simulator_and_front_node_read_equal_settings),
 };
 
 } // namespace
