--- a/src/clock/fleet_clock.hpp
+++ b/src/clock/fleet_clock.hpp
@@ -1,7 +1,7 @@
-// True time as the fleet knows it: the median over many machines' times of day. A machine's time of day may
-// jump by seconds, the steady clock doesn't: what is kept of a machine is how far its time of day is ahead of
-// this process's steady clock. Right while most of the machines have not jumped. Pure: both
-// clocks are handed in.
+// Estimate of the true time: the median of the wall clocks of many machines. A wall clock may jump by
+// seconds, the steady clock does not; so for each machine the offset of its wall clock from this process's
+// steady clock is stored. Correct while most of the machines have not jumped. Pure: both clocks are
+// parameters.
 #pragma once
 #include "base/time.hpp"
 
@@ -15,48 +15,48 @@
 namespace ivyrill::clock {
 
 struct FleetTime {
-    std::int64_t unix_ms = 0;  // since the start of 1970
-    std::int64_t error_ms = 0; // the true time is as near as this, by all that is known
+    std::int64_t unix_ms = 0;  // since the Unix epoch
+    std::int64_t error_ms = 0; // bound on the distance from the true time
 };
 
 inline constexpr std::int64_t kTenthsPerMs = kTenthsPerSecond / 1000;
 
-// No time of day of a machine that works: what is told beyond is passed over.
+// Upper bound of plausible wall clock times; others are ignored.
 inline constexpr std::int64_t kLastUnixMs = 253'402'300'800'000; // the year 10000
 constexpr bool is_plausible(std::int64_t unix_ms) { return unix_ms > 0 && unix_ms < kLastUnixMs; }
 
-// Whole milliseconds, rounded down.
+// In whole milliseconds, rounded down.
 constexpr std::int64_t to_unix_ms(Tenths time) {
     return time >= 0 ? time / kTenthsPerMs : -((-time + kTenthsPerMs - 1) / kTenthsPerMs);
 }
 
 class FleetClock {
   public:
-    // The time of day of a machine, seen at a moment of this process's steady clock. What was on its way
-    // makes the machine appear behind by so much.
-    void sample(const std::string& machine, std::int64_t wall_unix_ms, Tenths seen_at) {
-        if (!is_plausible(wall_unix_ms)) return;
+    // Adds a machine's wall clock time, received at `seen_at` of this process's steady clock. Transit time
+    // makes the machine appear late.
+    void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Tenths seen_at) {
+        if (!is_plausible(time_of_day_ms)) return;
         Sample& known = samples_[machine];
         if (seen_at < known.seen_at) return;
-        known = {wall_unix_ms * kTenthsPerMs - seen_at, seen_at};
+        known = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
     }
 
-    // A machine's time of day by its last sample; nothing where that is too old.
-    std::optional<std::int64_t> wall_of(const std::string& machine, Tenths steady_now) const {
+    // A machine's wall clock time extrapolated from its last sample; none if that is too old.
+    std::optional<std::int64_t> wall_clock_of(const std::string& machine, Tenths steady_now) const {
         const auto found = samples_.find(machine);
         if (found == samples_.end() || !is_fresh(found->second, steady_now)) return std::nullopt;
-        return to_unix_ms(found->second.ahead + steady_now);
+        return to_unix_ms(found->second.offset + steady_now);
     }
 
     std::optional<FleetTime> at(Tenths steady_now) const {
-        std::vector<Tenths> ahead;
-        ahead.reserve(samples_.size());
+        std::vector<Tenths> offset;
+        offset.reserve(samples_.size());
         for (const auto& [machine, sample] : samples_)
-            if (is_fresh(sample, steady_now)) ahead.push_back(sample.ahead);
-        if (ahead.empty()) return std::nullopt;
-        std::ranges::sort(ahead);
-        const Tenths middle = ahead[(ahead.size() - 1) / 2];
-        return FleetTime{to_unix_ms(middle + steady_now), error_around(middle, ahead)};
+            if (is_fresh(sample, steady_now)) offset.push_back(sample.offset);
+        if (offset.empty()) return std::nullopt;
+        std::ranges::sort(offset);
+        const Tenths middle = offset[(offset.size() - 1) / 2];
+        return FleetTime{to_unix_ms(middle + steady_now), error_bound(middle, offset)};
     }
 
     void forget_old(Tenths now) {
@@ -65,20 +65,21 @@
 
   private:
     struct Sample {
-        Tenths ahead = 0; // of the steady clock
+        Tenths offset = 0; // of the wall clock from the steady clock
         Tenths seen_at = INT64_MIN;
     };
-    static constexpr Tenths kSampleAge = 10 * kTenthsPerSecond;
-    static constexpr std::size_t kOutvoted = 3;          // so many machines outvote one that has jumped
-    static constexpr std::int64_t kUnconfirmedMs = 3000; // how far a machine's time of day may jump
-    static constexpr std::int64_t kTransitMs = 10;       // that a sample may have been on its way
+    static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
+    static constexpr std::size_t kMinMajoritySamples =
+        3; // number of machines from which a single wrong clock is outvoted
+    static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a wall clock may jump
+    static constexpr std::int64_t kMaxTransitMs = 10;         // of a sample
 
-    static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleAge; }
+    static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleMaxAge; }
 
-    // Most are right, so the shortest span that holds most of them is no longer than theirs and holds one of
-    // them; the median lies in every such span.
-    static std::int64_t error_around(Tenths middle, const std::vector<Tenths>& sorted) {
-        if (sorted.size() < kOutvoted) return kUnconfirmedMs;
+    // A majority is correct, so the shortest interval that holds a majority is no longer than theirs and
+    // contains a correct one; the median lies in every such interval.
+    static std::int64_t error_bound(Tenths middle, const std::vector<Tenths>& sorted) {
+        if (sorted.size() < kMinMajoritySamples) return kUnconfirmedErrorMs;
         const std::size_t most = sorted.size() / 2 + 1;
         Tenths shortest = INT64_MAX, error = 0;
         for (std::size_t first = 0; first + most <= sorted.size(); ++first) {
@@ -87,7 +88,7 @@
             shortest = end - begin;
             error = std::max(middle - begin, end - middle);
         }
-        return to_unix_ms(error) + 1 + kTransitMs;
+        return to_unix_ms(error) + 1 + kMaxTransitMs;
     }
 
     std::map<std::string, Sample> samples_; // by machine
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -109,7 +109,7 @@
 }
 
 transport::Async<bool> InstanceRegistry::secure(std::vector<Instance> records) {
-    const feed::CallId id = copies_.next_id();
+    const feed::RequestId id = copies_.next_id();
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
     leavings_[id.number] = {{}, pending};
     callbacks_.send_to_peers(feed::Replicate{id, std::move(records), {}});
@@ -181,12 +181,12 @@
 
 void InstanceRegistry::compare(const model::ControlNode& peer, const feed::PeerStatus& status) {
     request_sync(peer);
-    const auto ranges = feed::InstanceTable::differing(digests(), status.instances);
+    const auto ranges = feed::InstanceTable::differing_ranges(digests(), status.instances);
     int& times = differs_[peer.address];
     times = ranges.empty() ? 0 : times + 1;
     if (times < kDiffersOften) return;
     times = 0;
-    callbacks_.send(peer.address, feed::WantRanges{ranges, {}});
+    callbacks_.send(peer.address, feed::RangeRequest{ranges, {}});
 }
 
 void InstanceRegistry::request_sync(const model::ControlNode& peer) {
@@ -194,13 +194,13 @@
     if (question && !callbacks_.send(peer.address, *question)) copies_.request_failed(peer.member);
 }
 
-void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted) {
-    callbacks_.send(peer.address, feed::Instances{table_.in_ranges(wanted.ranges), true, wanted.id});
+void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::RangeRequest& wanted) {
+    callbacks_.send(peer.address, feed::Instances{table_.records_in_ranges(wanted.ranges), true, wanted.id});
 }
 
 void InstanceRegistry::receive_records(const model::ControlNode& peer, const feed::Instances& records) {
     if (merge(records.records)) callbacks_.changed();
-    copies_.reply_received(peer.member, records.answers);
+    copies_.reply_received(peer.member, records.in_reply_to);
 }
 
 void InstanceRegistry::merge_agent_records(const std::vector<Instance>& records) {
@@ -234,10 +234,10 @@
 
 void InstanceRegistry::tell_watchers() {
     for (const auto& [node, ids] : std::exchange(heard_for_others_, {}))
-        callbacks_.send(node, feed::Heard{{ids.begin(), ids.end()}});
+        callbacks_.send(node, feed::HeartbeatsSeen{{ids.begin(), ids.end()}});
 }
 
-void InstanceRegistry::record_remote_heartbeats(const feed::Heard& message) {
+void InstanceRegistry::record_remote_heartbeats(const feed::HeartbeatsSeen& message) {
     for (const std::string& id : message.instances) heard(id);
 }
 
@@ -264,7 +264,7 @@
 
 bool InstanceRegistry::forget_gone() {
     bool forgot = false;
-    for (const std::string& id : table_.forget_gone(kGoneSpan, reactor_.now())) {
+    for (const std::string& id : table_.remove_expired(kGoneSpan, reactor_.now())) {
         log_.forget_instance(id);
         secured_.erase(id), silence_.forget(id), loads_.erase(id);
         forgot = true;
--- a/src/control/sync_tracker.hpp
+++ b/src/control/sync_tracker.hpp
@@ -22,14 +22,14 @@
   public:
     explicit SyncTracker(std::uint64_t incarnation) : incarnation_(incarnation) {} // of this process
 
-    feed::CallId next_id() { return {incarnation_, ++count_}; } // for any question of this process
-    bool is_own_request(const feed::CallId& id);
+    feed::RequestId next_id() { return {incarnation_, ++count_}; } // for any question of this process
+    bool is_own_request(const feed::RequestId& id);
     void count_unsolicited() { ++dropped_replies_.unasked; }
 
     // The question for the member, where one is due; then whether it went out.
-    std::optional<feed::WantRanges> request(std::uint64_t member, Tenths now);
+    std::optional<feed::RangeRequest> request(std::uint64_t member, Tenths now);
     void request_failed(std::uint64_t member) { questions_.erase(member); }
-    void reply_received(std::uint64_t member, const feed::CallId& answers);
+    void reply_received(std::uint64_t member, const feed::RequestId& answers);
     void reset(); // this node was cut off: others may have acknowledged what it does not know
     const std::set<std::uint64_t>& synced_members() const { return synced_members_; }
     const DroppedSyncReplies& dropped_replies() const { return dropped_replies_; }
--- a/src/duties/demand_tally.cpp
+++ b/src/duties/demand_aggregator.cpp
@@ -1,24 +1,24 @@
-#include "duties/demand_tally.hpp"
+#include "duties/demand_aggregator.hpp"
 
 namespace ivyrill::duties {
 
 namespace {
 
-constexpr Tenths kDemandAge = 3 * kTenthsPerSecond; // older words no longer count
+constexpr Tenths kMaxAge = 3 * kTenthsPerSecond; // older reports are dropped
 
 } // namespace
 
-void DemandTally::add(std::map<std::string, Told>& told, Tenths now, Sums& sums) {
-    std::erase_if(told, [now](const auto& entry) { return now - entry.second.at > kDemandAge; });
-    for (const auto& [name, here] : told)
-        for (const model::ServiceDemand& demand : here.demands) {
+void DemandAggregator::add(std::map<std::string, Update>& updates, Tenths now, Sums& sums) {
+    std::erase_if(updates, [now](const auto& entry) { return now - entry.second.received_at > kMaxAge; });
+    for (const auto& [name, update] : updates)
+        for (const model::ServiceDemand& demand : update.demands) {
             model::ServiceDemand& sum = sums[demand.service];
             sum.service = demand.service;
             sum += demand;
         }
 }
 
-std::vector<model::ServiceDemand> DemandTally::here(Tenths now) {
+std::vector<model::ServiceDemand> DemandAggregator::local(Tenths now) {
     Sums sums;
     add(nodes_, now, sums);
     std::vector<model::ServiceDemand> demands;
@@ -26,7 +26,7 @@
     return demands;
 }
 
-std::optional<model::ServiceDemand> DemandTally::of(const std::string& service, Tenths now) {
+std::optional<model::ServiceDemand> DemandAggregator::total(const std::string& service, Tenths now) {
     Sums sums;
     add(nodes_, now, sums);
     add(peers_, now, sums);
--- /dev/null
+++ b/src/duties/report_freshness.hpp
@@ -0,0 +1,38 @@
+// Tracks which servers have reported recently. The report interval grows with the fleet
+// (agent::ReportPoller), so the limit follows from the observed interval. Pure: the current time is a
+// parameter.
+#pragma once
+#include "base/time.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+
+namespace ivyrill::duties {
+
+class ReportFreshness {
+  public:
+    void record_report(const std::string& instance, Tenths now) {
+        const auto [place, inserted] = seen_.try_emplace(instance, Seen{now, 0});
+        if (!inserted) place->second = {now, now - place->second.last};
+    }
+    void forget_old(Tenths now) {
+        std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.last > kRetention; });
+    }
+    bool is_fresh(const std::string& instance, Tenths now) const {
+        const auto found = seen_.find(instance);
+        if (found == seen_.end()) return false;
+        return now - found->second.last <= std::max(kMinFreshAge, kMissedReports * found->second.interval);
+    }
+
+  private:
+    struct Seen {
+        Tenths last = 0, interval = 0; // between the last two reports
+    };
+    static constexpr Tenths kMinFreshAge = 3 * kTenthsPerSecond;
+    static constexpr Tenths kMissedReports = 3; // reports that may be missed
+    static constexpr Tenths kRetention = 120 * kTenthsPerSecond;
+    std::map<std::string, Seen> seen_; // by instance id
+};
+
+} // namespace ivyrill::duties
