--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -55,8 +55,8 @@
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
-                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.ledger, rota.witness);
+                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
+                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.raft_store, rota.witness);
                 made.incarnation = ledger->next_member_incarnation();
             }
             machine_controller = std::make_unique<MachineController>(
