--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -143,63 +143,63 @@
     BOOST_TEST(clock.at(kSecond)->error_ms == 20);
 }
 
-BOOST_AUTO_TEST_CASE(meter_counts_by_window_and_tenant_and_tells_whole_counts) {
+BOOST_AUTO_TEST_CASE(meter_counts_by_window_and_tenant_and_sends_totals) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
-    for (int i = 0; i < 3; ++i) meter.began("ada", 0);
-    meter.began("", 0); // of no tenant
-    meter.began("bob", 5 * kSecond);
+    meter.set_fleet_time(exact(0), 0);
+    for (int i = 0; i < 3; ++i) meter.count_started("ada", 0);
+    meter.count_started("", 0); // no tenant
+    meter.count_started("bob", 5 * kSecond);
     const auto first = meter.take(5 * kSecond);
     BOOST_REQUIRE(first.size() == 2U);
     BOOST_TEST((first[0] == ProcessUsage{7, kWindow, {{"ada", 3}}, 3, true_ms(5 * kSecond), false}));
     BOOST_TEST((first[1] == ProcessUsage{7, kWindow + 1, {{"bob", 1}}, 1, true_ms(5 * kSecond), false}));
-    meter.began("bob", 5 * kSecond + 100);
+    meter.count_started("bob", 5 * kSecond + 100);
     const auto second = meter.take(5 * kSecond + 2500);
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_TEST(second[0].counts.front().count == 2);
     BOOST_TEST(meter.take(5 * kSecond + 5000).empty()); // nothing new
 }
 
-BOOST_AUTO_TEST_CASE(meter_says_each_second_how_far_it_has_counted) {
+BOOST_AUTO_TEST_CASE(meter_reports_its_progress_each_second) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.set_fleet_time(exact(0), 0);
     int told = 0;
     for (Tenths now = 2500; now <= 10 * kSecond; now += 2500) told += meter.take(now).empty() ? 0 : 1;
     BOOST_TEST(told == 10);
 }
 
-BOOST_AUTO_TEST_CASE(meter_adds_nothing_to_a_window_that_it_has_told_to_its_end) {
+BOOST_AUTO_TEST_CASE(meter_adds_nothing_to_a_window_reported_as_complete) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told({true_ms(0) + 2500, 20}, 0);
-    meter.began("ada", 4 * kSecond);
+    meter.set_fleet_time({true_ms(0) + 2500, 20}, 0);
+    meter.count_started("ada", 4 * kSecond);
     BOOST_TEST(meter.take(4 * kSecond).front().window == kWindow + 1);
-    for (int i = 0; i < 40; ++i) meter.time_told({true_ms(4 * kSecond), 20}, 4 * kSecond); // set back
-    meter.began("ada", 4 * kSecond);
+    for (int i = 0; i < 40; ++i) meter.set_fleet_time({true_ms(4 * kSecond), 20}, 4 * kSecond); // set back
+    meter.count_started("ada", 4 * kSecond);
     for (const ProcessUsage& usage : meter.take(5 * kSecond)) BOOST_TEST(usage.window == kWindow + 1);
 }
 
-BOOST_AUTO_TEST_CASE(meter_tells_all_that_is_kept_again_after_a_lost_link) {
+BOOST_AUTO_TEST_CASE(meter_resends_all_retained_counts_after_a_lost_link) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.set_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
-        meter.began("ada", second * kSecond);
+        meter.count_started("ada", second * kSecond);
         meter.take(second * kSecond);
     }
-    meter.tell_again();
+    meter.resend_all();
     UsageTally tally = tally_at(59 * kSecond);
     merge_all(tally, meter.take(59 * kSecond), 59 * kSecond);
     for (std::int64_t window = kWindow + 8; window < kWindow + 12; ++window)
         BOOST_TEST(count_of(tally, window, "ada") == 5);
-    BOOST_TEST(count_of(tally, kWindow + 6, "ada") == 0); // no longer kept
+    BOOST_TEST(count_of(tally, kWindow + 6, "ada") == 0); // no longer retained
 }
 
-BOOST_AUTO_TEST_CASE(meter_without_a_duty_or_a_time_counts_nothing) {
+BOOST_AUTO_TEST_CASE(meter_without_a_window_or_a_time_counts_nothing) {
     UsageMeter idle(7, 0);
-    idle.time_told(exact(0), 0);
-    idle.began("ada", 0);
+    idle.set_fleet_time(exact(0), 0);
+    idle.count_started("ada", 0);
     BOOST_TEST(idle.take(kSecond).empty());
     UsageMeter unaware(7, kWindowMs);
-    unaware.began("ada", 0);
+    unaware.count_started("ada", 0);
     BOOST_TEST(unaware.take(kSecond).empty());
     BOOST_TEST(unaware.without_time() == 1U);
 }
@@ -299,9 +299,9 @@
     BOOST_TEST(relay.time_told(exact(0), 0));
     BOOST_TEST(!relay.time_told(exact(kSecond), kSecond));
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.set_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
-        meter.began("ada", second * kSecond);
+        meter.count_started("ada", second * kSecond);
         relay.counted(meter.take(second * kSecond), second * kSecond);
     }
     UsageTally tally = tally_at(59 * kSecond);
