--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -122,10 +122,11 @@
     return result;
 }
 
-rota::Answer read_answer(FieldReader& fields, const std::string& name, rota::Answer default_value) {
+maintenance::FailureAction read_answer(FieldReader& fields, const std::string& name,
+                                       maintenance::FailureAction default_value) {
     static const std::vector<std::string> kNames{"wait", "skip", "put_back", "stop", "call"};
     const std::string value = fields.one_of(name, kNames, kNames[static_cast<std::size_t>(default_value)]);
-    return static_cast<rota::Answer>(std::ranges::find(kNames, value) - kNames.begin());
+    return static_cast<maintenance::FailureAction>(std::ranges::find(kNames, value) - kNames.begin());
 }
 
 MaintenanceSettings read_maintenance(FieldReader fields, const OperatorSettings& settings) {
@@ -153,40 +154,41 @@
         return fields.object(name).value_or(FieldReader(none, fields.path() + "." + name));
     };
     FieldReader limits = group("limits");
-    result.limits.floor = static_cast<int>(limits.integer("replicas_stay", 1, 100, 1));
+    result.limits.min_replicas = static_cast<int>(limits.integer("replicas_stay", 1, 100, 1));
     result.limits.zone_share = limits.number("zone_share", 0.001, 1, 0.34);
     result.limits.shard_share = limits.number("shard_share", 0.001, 1, 0.5);
     result.limits.fleet_share = limits.number("fleet_share", 0.001, 1, 0.2);
     result.limits.front_share = limits.number("front_share", 0.001, 1, 0.2);
     limits.reject_unknown();
     FieldReader spans = group("spans");
-    rota::Spans& timing = result.timing;
-    timing.grant = millis(spans.integer("grant_ms", 200, 600'000, 10'000));
+    maintenance::Timing& timing = result.timing;
+    timing.lease = millis(spans.integer("grant_ms", 200, 600'000, 10'000));
     timing.drain = millis(spans.integer("drain_ms", 100, 86'400'000, 60'000));
     timing.work = millis(spans.integer("work_ms", 100, 86'400'000, 1'800'000));
-    timing.back = millis(spans.integer("back_ms", 100, 86'400'000, 120'000));
-    timing.warm = millis(spans.integer("warm_ms", 100, 86'400'000, 120'000));
-    timing.act = millis(spans.integer("act_ms", 20, 600'000, 2'000));
-    timing.settle = millis(spans.integer("settle_ms", 0, 600'000, 3'000));
+    timing.bring_back = millis(spans.integer("back_ms", 100, 86'400'000, 120'000));
+    timing.warm_up = millis(spans.integer("warm_ms", 100, 86'400'000, 120'000));
+    timing.action = millis(spans.integer("act_ms", 20, 600'000, 2'000));
+    timing.fleet_settle = millis(spans.integer("settle_ms", 0, 600'000, 3'000));
     timing.clock_error = spans.number("clock_error", 0, 0.2, 0.01);
-    timing.most_setbacks = static_cast<int>(spans.integer("setbacks", 0, 100, 3));
-    timing.most_strain = spans.number("strain", 0, 1, 0.05);
-    if (timing.act >= timing.grant)
+    timing.max_setbacks = static_cast<int>(spans.integer("setbacks", 0, 100, 3));
+    timing.max_rejected_share = spans.number("strain", 0, 1, 0.05);
+    if (timing.action >= timing.lease)
         spans.fail("act_ms", "expected less than grant_ms: a grant would expire during one act");
     const Tenths election = 16 * result.heartbeat;
-    if (timing.grant <= election)
+    if (timing.lease <= election)
         spans.fail("grant_ms",
                    "expected more than 16 heartbeats: grants would expire at each leader election");
     spans.reject_unknown();
     FieldReader answers = group("answers");
-    rota::Answers& failure_policy = result.failure_policy;
+    maintenance::FailurePolicy& failure_policy = result.failure_policy;
     failure_policy.drain_late = read_answer(answers, "drain_late", failure_policy.drain_late);
     failure_policy.work_late = read_answer(answers, "work_late", failure_policy.work_late);
     failure_policy.back_late = read_answer(answers, "back_late", failure_policy.back_late);
     failure_policy.broken = read_answer(answers, "broken", failure_policy.broken);
     failure_policy.cold_late = read_answer(answers, "cold_late", failure_policy.cold_late);
     failure_policy.neighbour_down = read_answer(answers, "neighbour_down", failure_policy.neighbour_down);
-    if (failure_policy.broken == rota::Answer::kPutBack || failure_policy.back_late == rota::Answer::kPutBack)
+    if (failure_policy.broken == maintenance::FailureAction::kRollBack ||
+        failure_policy.back_late == maintenance::FailureAction::kRollBack)
         answers.fail("broken", "what does not come back cannot be put back: expected another answer");
     answers.reject_unknown();
     fields.for_each_entry(
@@ -229,10 +231,12 @@
     result.ticket_span = seconds(tls.integer("ticket_span_s", 1, 86'400, 3600));
     tls.reject_unknown();
     FieldReader http2 = top.object("http2").value_or(FieldReader(none, "http2"));
-    limits::ConnectionTerms& terms = result.connections;
-    terms.most_streams = static_cast<std::size_t>(http2.integer("open_streams", 1, 10'000, 100));
-    terms.most_fields = static_cast<std::size_t>(http2.integer("fields_bytes", 1024, 65'536, 16'384));
-    terms.most_held = static_cast<std::size_t>(http2.integer("held_bytes", 65'536, 64 << 20, 1 << 20));
+    limits::ConnectionLimits& terms = result.connections;
+    terms.max_streams = static_cast<std::size_t>(http2.integer("open_streams", 1, 10'000, 100));
+    terms.max_header_list_bytes =
+        static_cast<std::size_t>(http2.integer("fields_bytes", 1024, 65'536, 16'384));
+    terms.max_buffered_bytes =
+        static_cast<std::size_t>(http2.integer("held_bytes", 65'536, 64 << 20, 1 << 20));
     http2.reject_unknown();
     FieldReader audit = top.object("audit").value_or(FieldReader(none, "audit"));
     result.audit.file = audit.text("file", "");
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -4,8 +4,8 @@
 #include "access/gate.hpp"
 #include "access/handshakes.hpp"
 #include "limits/connection_budget.hpp"
+#include "maintenance/fleet_observation.hpp"
 #include "operator/field_reader.hpp"
-#include "rota/outlook.hpp"
 #include "transport/tls.hpp"
 
 #include <nlohmann/json.hpp>
@@ -52,9 +52,9 @@
     std::size_t voter_count = 3;
     std::string raft_store, witness; // paths
     Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
-    rota::Limits limits;
-    rota::Spans timing;
-    rota::Answers failure_policy;
+    maintenance::Limits limits;
+    maintenance::Timing timing;
+    maintenance::FailurePolicy failure_policy;
     std::vector<std::string> controller_command; // either this or the address
     std::string controller_address;
     std::map<std::string, Tenths> work; // duration by kind of machine; "" for all others
@@ -66,7 +66,7 @@
     std::optional<AccessSettings> access;
     std::vector<ListenerSettings> listeners;
     access::HandshakeTerms handshakes;
-    limits::ConnectionTerms connections;
+    limits::ConnectionLimits connections;
     Tenths ticket_span = 0;
     AuditSettings audit;
 };
--- a/src/program/machine_controller.hpp
+++ b/src/program/machine_controller.hpp
@@ -3,7 +3,7 @@
 // machine's state), or an address with a one-line protocol (ACTION MACHINE NUMBER SERIAL, answered by SERIAL
 // MACHINE STATE). Never blocks: a command without an answer by its timeout is ended without a reply.
 #pragma once
-#include "rota/hand.hpp"
+#include "maintenance/executor.hpp"
 #include "transport/stream.hpp"
 
 #include <list>
@@ -18,19 +18,19 @@
     struct Reply {
         std::uint64_t serial = 0;
         std::string machine;
-        rota::Kept kept = rota::Kept::kUnknown;
+        maintenance::MachineStatus status = maintenance::MachineStatus::kUnknown;
     };
     MachineController(transport::Loop& loop, std::vector<std::string> command, std::string address,
                       Tenths timeout);
     ~MachineController();
-    void execute(Tenths now, const rota::KeeperAct& act);
+    void execute(Tenths now, const maintenance::MachineCommand& act);
     void step(Tenths now);
     Tenths next_step() const;
     std::vector<Reply> take_replies() { return std::exchange(replies_, {}); }
 
   private:
     struct PendingCommand {
-        rota::KeeperAct act;
+        maintenance::MachineCommand act;
         Tenths deadline = 0;
         std::unique_ptr<transport::Stream> stream; // to the address
         std::unique_ptr<transport::Source> pipe;   // from the process
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -37,7 +37,7 @@
 }
 
 SiteMonitorOptions monitor_options(const FailoverOptions& options) {
-    return {options.home_site, options.latency_target, options.cold_span};
+    return {options.home_site, options.latency_target, options.warm_up_time};
 }
 
 PeerReportsOptions peer_report_options(const FailoverOptions& options) {
@@ -51,9 +51,9 @@
 
 } // namespace
 
-bool nearly_equal(const ReliefTold& a, const ReliefTold& b, double step) {
+bool nearly_equal(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step) {
     if (a.gone != b.gone || a.sites.size() != b.sites.size() || a.rows.size() != b.rows.size() ||
-        std::abs(a.further - b.further) >= step || a.come_back != b.come_back ||
+        std::abs(a.further - b.further) >= step || a.retry_after != b.retry_after ||
         a.tight.size() != b.tight.size())
         return false;
     for (std::size_t i = 0; i < a.sites.size(); ++i)
@@ -273,10 +273,10 @@
     double result = server.draining ? 0 : monitor_.is_silent(name, now_) ? kSilentServerShare : 1;
     const SiteState state = monitor_.state(server.site);
     // Start times in the list are wall time.
-    if (server.born > 0 && wall_ < server.born + options_.cold_span && options_.cold_span > 0) {
-        const double age =
-            std::max(0.0, static_cast<double>(wall_ - server.born) / static_cast<double>(options_.cold_span));
-        result *= options_.cold_share + (1 - options_.cold_share) * age;
+    if (server.born > 0 && wall_ < server.born + options_.warm_up_time && options_.warm_up_time > 0) {
+        const double age = std::max(0.0, static_cast<double>(wall_ - server.born) /
+                                             static_cast<double>(options_.warm_up_time));
+        result *= options_.cold_capacity_ratio + (1 - options_.cold_capacity_ratio) * age;
     }
     if (state == SiteState::kRampingUp)
         result = std::min(result, site_share(server.site)); // limits its load, does not scale its power
@@ -302,8 +302,8 @@
     return result;
 }
 
-ReliefTold FailoverController::policy_for(const Plan& plan) const {
-    ReliefTold policy;
+SiteRecoveryPlan FailoverController::policy_for(const Plan& plan) const {
+    SiteRecoveryPlan policy;
     for (const auto& [site, status] : monitor_.sites()) {
         const double share = site_share(site);
         const std::int32_t zone = index_of(options_.zones, site);
@@ -329,7 +329,7 @@
         !admits_all
             ? 0
             : std::clamp(1 - (utilization - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
-    policy.come_back = admits_all ? 0 : options_.longest_retry_after;
+    policy.retry_after = admits_all ? 0 : options_.max_retry_after;
     return policy;
 }
 
@@ -359,7 +359,7 @@
         plan_ = plan_without(plan_input(), unavailable_sites());
         ++counts_.plans;
     }
-    ReliefTold policy = policy_for(plan_);
+    SiteRecoveryPlan policy = policy_for(plan_);
     if (!active_ || !nearly_equal(policy, policy_, kMinChange)) {
         active_ = true, policy_ = std::move(policy);
         ++counts_.policy_updates;
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -7,10 +7,10 @@
 // attempt anywhere, because policies only restrict (failover_policy.hpp).
 #pragma once
 #include "base/pcg.hpp"
-#include "brain.hpp"
 #include "recovery/capacity_estimator.hpp"
 #include "recovery/peer_reports.hpp"
 #include "recovery/plan.hpp"
+#include "search_scheduler.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -26,9 +26,9 @@
     std::map<std::string, RequestClassInfo> request_class_info;
     std::map<std::string, double> quotas;
     Tenths latency_target = 0; // the shortest of all request classes
-    Tenths cold_span = 0;      // after a server's start
-    double cold_share = 1;
-    Tenths longest_retry_after = 0;
+    Tenths warm_up_time = 0;   // after a server's start
+    double cold_capacity_ratio = 1;
+    Tenths max_retry_after = 0;
     int configured_nodes = 1;
     int shards = 1;
     Tenths report_interval = kTenthsPerSecond; // between two reports
@@ -46,7 +46,7 @@
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-using FailoverEffect = std::variant<OutgoingReport, ReliefTold, SiteLogLine>;
+using FailoverEffect = std::variant<OutgoingReport, SiteRecoveryPlan, SiteLogLine>;
 
 struct FailoverCounts {
     std::uint64_t reports_sent = 0, reports_received = 0, malformed = 0, plans = 0, policy_updates = 0,
@@ -74,7 +74,7 @@
     const PeerReports& peer_reports() const { return peer_reports_; }
     const CapacityEstimator& capacity() const { return capacity_; }
     const FailoverCounts& counts() const { return counts_; }
-    const ReliefTold& policy() const { return policy_; }
+    const SiteRecoveryPlan& policy() const { return policy_; }
     // An unavailable site or an empty name; maintenance must not take machines out of service meanwhile.
     SiteName lost_site() const;
     PlanInput plan_input() const;
@@ -83,7 +83,7 @@
     void update_estimates();
     void send_reports();
     void refresh_plan();
-    ReliefTold policy_for(const Plan& plan) const;
+    SiteRecoveryPlan policy_for(const Plan& plan) const;
     double site_share(const SiteName& site) const;
     double available_share(const std::string& name, const ListedServer& server) const;
     std::set<SiteName> unavailable_sites() const;
@@ -122,7 +122,7 @@
     Plan plan_;
     std::map<SiteName, double> planned_shares_; // for which plan_ was made
     Tenths next_plan_ = 0;
-    ReliefTold policy_;
+    SiteRecoveryPlan policy_;
     bool active_ = false;
     TrafficCounts since_line_;
     std::vector<FailoverEffect> effects_;
@@ -130,6 +130,6 @@
 };
 
 // Whether all values of two policies differ by less than `step`.
-bool nearly_equal(const ReliefTold& a, const ReliefTold& b, double step);
+bool nearly_equal(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/site_monitor.cpp
+++ b/src/recovery/site_monitor.cpp
@@ -89,7 +89,7 @@
 
 Tenths SiteMonitor::min_step_duration() const {
     return std::max(fraction_of_target(0.5),
-                    static_cast<Tenths>(static_cast<double>(options_.cold_span) * kStepShareOfColdSpan));
+                    static_cast<Tenths>(static_cast<double>(options_.warm_up_time) * kStepShareOfColdSpan));
 }
 
 Tenths SiteMonitor::return_delay(int relapses) const {
--- a/src/recovery/site_monitor.hpp
+++ b/src/recovery/site_monitor.hpp
@@ -16,7 +16,7 @@
 struct SiteMonitorOptions {
     SiteName home_site;
     Tenths latency_target = 0; // the shortest of all request classes
-    Tenths cold_span = 0;      // after a server's start
+    Tenths warm_up_time = 0;   // after a server's start
 };
 
 // What front nodes of other sites recently reported about one site.
--- a/src/recovery/traffic_counter.hpp
+++ b/src/recovery/traffic_counter.hpp
@@ -1,8 +1,8 @@
 // Counts the outcomes of a front node's searches, attempts and probes between two checks of the failover
 // controller. Owned by the component that sends the attempts; makes no decisions.
 #pragma once
-#include "brain.hpp"
 #include "recovery/types.hpp"
+#include "search_scheduler.hpp"
 
 #include <utility>
 
@@ -32,19 +32,19 @@
             ++row.good, row.response_time += took;
             [[fallthrough]];
         case Outcome::kError:
-        case Outcome::kTurnedAway:
+        case Outcome::kRejected:
             ++row.answered;
             break;
         case Outcome::kTimedOut:
-        case Outcome::kNoConnection:
-        case Outcome::kRefused:
-        case Outcome::kBroken:
+        case Outcome::kConnectTimeout:
+        case Outcome::kConnectionRefused:
+        case Outcome::kConnectionLost:
             ++row.unanswered;
             break;
-        case Outcome::kRecalled: // cancelled: counts only if the server had enough time to reply
+        case Outcome::kCancelled: // cancelled: counts only if the server had enough time to reply
             row.unanswered += took >= silence_threshold_ ? 1 : 0;
             break;
-        case Outcome::kNeverSent:
+        case Outcome::kNotSent:
             break;
         }
         if (report.in_flight && report.queued && *report.queued > 0)
--- /dev/null
+++ b/src/search_scheduler.hpp
@@ -0,0 +1,189 @@
+// Interface of the search scheduler: typed events in, actions on an abstract host out. A caller passes the
+// events of one turn to `handle` in order, then calls `decide` once; `decide` performs all actions of that
+// turn. The caller supplies the clock, which must never go back.
+#pragma once
+#include "base/ids.hpp"
+#include "base/time.hpp"
+
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <variant>
+#include <vector>
+
+namespace ivyrill {
+
+enum class Idempotency { kIdempotent, kIdempotencyKey, kNonIdempotent };
+enum class ListMode { kPushed, kQueried };
+
+struct RequestClassConfig {
+    Tenths latency_target = 0; // an answer within this earns the full utility
+    Tenths deadline = 0;       // how long the client waits in total, including retries
+    Tenths dedup_window = 0;   // in which servers drop a repeated idempotency key
+    Idempotency idempotency = Idempotency::kIdempotent;
+    double utility = 1;
+    double late_utility_ratio = 0; // share of the utility that a late answer earns
+    double floor = 1;              // minimum weight of a partial answer
+    double need = 1;               // weight of a complete answer
+    int follow_up_parts = 0;       // parts of the second step, 0: there is no second step
+};
+
+struct TenantConfig {
+    double quota_per_s = 0; // over all front nodes
+};
+
+struct SchedulerConfig {
+    std::uint64_t seed = 0;
+    std::vector<RequestClassConfig> request_classes;
+    std::vector<TenantConfig> tenants;
+    int front_nodes = 1;
+    Tenths decision_interval = 0;   // minimum time between two decisions
+    Tenths warm_up_time = 0;        // until a started server has its full capacity
+    double cold_capacity_ratio = 1; // capacity at its start
+    Tenths overload_window = 0;     // in which a cold server's load is limited
+    double overload_factor = 1;     // limit of that load, as a multiple of its capacity
+    bool has_retry_budget = false;
+    double retry_slack = 0; // retries beyond the ratio, in one window
+    double retry_ratio = 0; // retries to requests, in one window
+    Tenths retry_window = 0;
+    Tenths max_retry_after = 0;
+    int max_attempts = 1;       // of one part
+    Tenths connect_timeout = 0; // a connection not established by then never is
+    bool may_cancel = false;
+    bool may_probe = false;
+    bool may_send_retry_after = false;
+    bool hedging_enabled = false;
+    bool retries_marked = false; // clients mark their retries
+    double over_quota_utility_ratio = 1;
+    ListMode list_mode = ListMode::kPushed;
+    // From the protocol: a change of the server list counts as known to all this long after it was published.
+    Tenths list_propagation = 6 * kTenthsPerSecond;
+    int cells = 1; // shard s is held by cells (s + j) mod this, j from 0 to span - 1
+    int span = 1;
+    Tenths call_work = 0; // server time of a call in addition to its parts
+    bool holds(CellNo cell, ShardNo shard) const {
+        return (cell.value - shard.value % cells + cells) % cells < span;
+    }
+};
+
+struct LoadReport {
+    std::optional<double> in_flight;
+    std::optional<double> queued;
+};
+
+enum class Outcome {
+    kAnswered,
+    kError,
+    kRejected, // by a full server, before it ran
+    kTimedOut,
+    kConnectTimeout,
+    kConnectionRefused,
+    kConnectionLost,
+    kCancelled,
+    kNotSent
+};
+enum class ListedState { kLive, kDraining, kGone };
+enum class ListKind { kChanges, kWhole, kSaved, kLost }; // kSaved: from the last run; kLost: the query failed
+
+struct SearchAccepted {
+    SearchId id;
+    JobNo job;
+    RequestClassNo request_class;
+    TenantNo tenant;
+    Tenths time_left = 0; // until this try expires
+    bool is_retry = false;
+};
+struct PartAdded {
+    PartId id;
+    JobNo job;
+    ShardNo shard;
+    double weight = 0;
+};
+struct AttemptEnded {
+    PartId part;
+    AttemptNo attempt;
+    ServerId server;
+    Outcome outcome = Outcome::kError;
+    Tenths took = 0;
+    LoadReport report;
+};
+struct ProbeEnded {
+    ServerId server;
+    bool passed = false;
+    Tenths took = 0;
+    LoadReport report;
+};
+struct SearchAbandoned { // expired, or given up by its client
+    SearchId id;
+};
+// The caller has lost its right to the search: attempts in flight may still answer, no further one is made.
+struct SearchRevoked {
+    SearchId id;
+};
+struct ListEntry {
+    ServerId server;
+    ZoneNo zone;
+    KindNo kind;
+    CellNo cell;
+    ListedState listed = ListedState::kLive;
+    double weight = 1;
+    Tenths started = 0; // 0: long ago
+};
+struct ServerListUpdate {
+    ListKind kind = ListKind::kChanges;
+    std::vector<ListEntry> entries;
+};
+
+struct FrontNodeCount { // live front nodes as this one sees them, which may be wrong
+    int count = 1;
+};
+
+// Restrictions while sites are lost, cut off or recovering (src/recovery/). Each plan replaces the one
+// before; an empty plan lifts all restrictions.
+struct SiteRecoveryPlan {
+    struct Site {
+        ZoneNo zone;
+        double share = 1; // of the choices in which its servers take part; 0: in none
+    };
+    struct Row { // tenant -1: all tenants without a row of their own
+        RequestClassNo request_class;
+        TenantNo tenant;
+        double admitted = 1, weight = 1; // share of its searches; minimum weight of a partial answer
+    };
+    std::vector<Site> sites;
+    std::vector<ShardNo> gone; // shards without a replica
+    std::vector<Row> rows;
+    std::vector<std::pair<ShardNo, double>> tight; // shards short of capacity: share of the demand that fits
+    double further = 1;                            // share of the retry budget
+    Tenths retry_after = 0;                        // maximum for rejected searches; 0: no change
+};
+
+using Event = std::variant<SearchAccepted, PartAdded, AttemptEnded, ProbeEnded, SearchAbandoned,
+                           SearchRevoked, ServerListUpdate, FrontNodeCount, SiteRecoveryPlan>;
+
+// Performs the scheduler's actions.
+class SchedulerHost {
+  public:
+    virtual ~SchedulerHost() = default;
+    // An attempt that has not been sent after `send_within` must not be sent any more.
+    virtual void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) = 0;
+    virtual void cancel_attempt(PartId part, AttemptNo attempt) = 0;
+    virtual void answer(SearchId search, bool whole) = 0;
+    virtual void reject(SearchId search, Tenths retry_after) = 0; // retry_after 0: no advice
+    virtual void fail(SearchId search) = 0;
+    virtual void probe(ServerId server) = 0;
+    virtual void close_idle_connections(ServerId server) = 0;
+    virtual void schedule_wakeup(Tenths in) = 0;
+    virtual void subscribe() = 0; // to the server list
+};
+
+class SearchScheduler {
+  public:
+    virtual ~SearchScheduler() = default;
+    virtual void handle(Tenths now, const Event& event) = 0;
+    virtual void decide(Tenths now, SchedulerHost& host) = 0;
+};
+
+std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig config);
+
+} // namespace ivyrill
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -35,45 +35,46 @@
         const JobNo job{static_cast<std::uint64_t>(message.integer_within("JobNo", 0, kMaxJob))};
         const std::int64_t shard = message.integer_within("SegmentNo", -kMaxIndex, kMaxIndex);
         if (shard < 0)
-            brain_->on(now,
-                       SearchTaken{SearchId{request_id(message)}, job, RequestClassNo{index(message, "Kind")},
-                                   TenantNo{index(message, "Realm")}, tenths_to_use(message.integer("TtlUs")),
-                                   message.flag("IsRetry")});
+            scheduler_->handle(
+                now, SearchAccepted{SearchId{request_id(message)}, job,
+                                    RequestClassNo{index(message, "Kind")}, TenantNo{index(message, "Realm")},
+                                    tenths_to_use(message.integer("TtlUs")), message.flag("IsRetry")});
         else
-            brain_->on(now,
-                       PartTaken{PartId{request_id(message)}, job, ShardNo{static_cast<std::int32_t>(shard)},
-                                 message.number("SizeOrWeight", 0)});
+            scheduler_->handle(now, PartAdded{PartId{request_id(message)}, job,
+                                              ShardNo{static_cast<std::int32_t>(shard)},
+                                              message.number("SizeOrWeight", 0)});
     } else if (message.name() == "RETURNED") {
         const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
         const Tenths took = tenths_to_use(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
         // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
-        if (outcome == Outcome::kNoConnection && took < connect_span_) outcome = Outcome::kRefused;
-        brain_->on(now,
-                   AttemptReturned{PartId{request_id(message)}, attempt, server_of(message.text("Server")),
-                                   outcome, took, read_report(message)});
+        if (outcome == Outcome::kConnectTimeout && took < connect_timeout_)
+            outcome = Outcome::kConnectionRefused;
+        scheduler_->handle(now, AttemptEnded{PartId{request_id(message)}, attempt,
+                                             server_of(message.text("Server")), outcome, took,
+                                             read_report(message)});
     } else if (message.name() == "CHECKED") {
-        brain_->on(now,
-                   ProbeReturned{server_of(message.text("Server")), message.text("How") == "pass",
-                                 tenths_to_use(message.integer("DelaySeenUs", 0)), read_report(message)});
+        scheduler_->handle(now, ProbeEnded{server_of(message.text("Server")), message.text("How") == "pass",
+                                           tenths_to_use(message.integer("DelaySeenUs", 0)),
+                                           read_report(message)});
     } else if (message.name() == "LAPSED") {
-        brain_->on(now, SearchLapsed{SearchId{request_id(message)}});
+        scheduler_->handle(now, SearchAbandoned{SearchId{request_id(message)}});
     }
     // RING only triggers the decision that follows every event. Other messages are ignored.
 }
 
 void Instance::apply_list(Tenths now, ListKind kind, const EndpointList& endpoints) {
-    ListNews news{kind, {}};
+    ServerListUpdate news{kind, {}};
     for (const ListedEndpoint& row : endpoints) {
         news.entries.push_back(row.entry);
         news.entries.back().server = server_of(row.server);
     }
-    brain_->on(now, news);
+    scheduler_->handle(now, news);
 }
 
 std::string Instance::decide(Tenths now) {
     actions_.clear();
-    brain_->decide(now, *this);
+    scheduler_->decide(now, *this);
     return std::move(actions_);
 }
 
@@ -83,7 +84,7 @@
                 " Server=" + names_.at(server.value) + "\n";
 }
 
-void Instance::recall(PartId part, AttemptNo attempt) {
+void Instance::cancel_attempt(PartId part, AttemptNo attempt) {
     actions_ += "REVOKE Id=" + number(part.value) + " Copy=" + number(attempt.value) + "\n";
 }
 
@@ -91,9 +92,9 @@
     actions_ += "SETTLE_QUERY Id=" + number(search.value) + " On=" + (whole ? "1" : "0") + "\n";
 }
 
-void Instance::reject(SearchId search, Tenths come_back) {
+void Instance::reject(SearchId search, Tenths retry_after) {
     actions_ += "REJECT Id=" + number(search.value);
-    if (come_back > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(come_back));
+    if (retry_after > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(retry_after));
     actions_ += "\n";
 }
 
@@ -101,9 +102,13 @@
 
 void Instance::probe(ServerId server) { actions_ += "ASK_LOAD Server=" + names_.at(server.value) + "\n"; }
 
-void Instance::hang_up(ServerId server) { actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n"; }
+void Instance::close_idle_connections(ServerId server) {
+    actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n";
+}
 
-void Instance::wake(Tenths in) { actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n"; }
+void Instance::schedule_wakeup(Tenths in) {
+    actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n";
+}
 
 void Instance::subscribe() { actions_ += "LISTEN On=1\n"; }
 
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,7 +1,7 @@
 // One simulated front node: encodes the decision module's actions as wire messages and maps server names to
 // ids.
 #pragma once
-#include "brain.hpp"
+#include "search_scheduler.hpp"
 #include "simulator/wire.hpp"
 
 #include <map>
@@ -16,30 +16,30 @@
 };
 using EndpointList = std::vector<ListedEndpoint>;
 
-class Instance : public Host {
+class Instance : public SchedulerHost {
   public:
-    explicit Instance(OpeningTerms terms)
-        : connect_span_(terms.connect_span), brain_(open_brain(std::move(terms))) {}
+    explicit Instance(SchedulerConfig terms)
+        : connect_timeout_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
     void apply(Tenths now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
     void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
     std::string decide(Tenths now); // the actions, one line each
 
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
-    void recall(PartId part, AttemptNo attempt) override;
+    void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
-    void reject(SearchId search, Tenths come_back) override;
+    void reject(SearchId search, Tenths retry_after) override;
     void fail(SearchId search) override;
     void probe(ServerId server) override;
-    void hang_up(ServerId server) override;
-    void wake(Tenths in) override;
+    void close_idle_connections(ServerId server) override;
+    void schedule_wakeup(Tenths in) override;
     void subscribe() override;
 
   private:
     ServerId server_of(std::string_view name);
 
-    Tenths connect_span_;
-    std::unique_ptr<Brain> brain_;
+    Tenths connect_timeout_;
+    std::unique_ptr<SearchScheduler> scheduler_;
     std::map<std::string, ServerId, std::less<>> ids_;
     std::vector<std::string> names_;
     std::string actions_;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -104,7 +104,7 @@
         if (row.has("Availability")) entry.listed = read_listed(row.text("Availability"));
         entry.weight = row.number("Weight", 1);
         // Rounded up: a later start treats the server as cold for longer, which is safe.
-        entry.born = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
+        entry.started = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
         return entry;
     }
 
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -51,7 +51,7 @@
 
 bool Message::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
 
-OpeningTerms read_terms(const Message& opening) {
+SchedulerConfig read_terms(const Message& opening) {
     return protocol::read_terms(opening.fields(), static_cast<std::uint64_t>(opening.integer("Nonce64", 0)));
 }
 
@@ -70,19 +70,19 @@
 Outcome read_outcome(std::string_view value) {
     if (value == "pass") return Outcome::kAnswered;
     if (value == "fault") return Outcome::kError;
-    if (value == "no_room") return Outcome::kTurnedAway;
+    if (value == "no_room") return Outcome::kRejected;
     if (value == "too_slow") return Outcome::kTimedOut;
-    if (value == "no_route") return Outcome::kNoConnection;
-    if (value == "cut") return Outcome::kBroken;
-    if (value == "undone") return Outcome::kRecalled;
-    if (value == "stale_send") return Outcome::kNeverSent;
+    if (value == "no_route") return Outcome::kConnectTimeout;
+    if (value == "cut") return Outcome::kConnectionLost;
+    if (value == "undone") return Outcome::kCancelled;
+    if (value == "stale_send") return Outcome::kNotSent;
     throw WireError("How: unknown value: " + quoted(value));
 }
 
-Listed read_listed(std::string_view value) {
-    if (value == "live") return Listed::kLive;
-    if (value == "quiescing") return Listed::kDraining;
-    if (value == "dead") return Listed::kGone;
+ListedState read_listed(std::string_view value) {
+    if (value == "live") return ListedState::kLive;
+    if (value == "quiescing") return ListedState::kDraining;
+    if (value == "dead") return ListedState::kGone;
     throw WireError("Availability: unknown value: " + quoted(value));
 }
 
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -1,9 +1,9 @@
 // Parsing of the simulator's text protocol: messages, fields and values. Malformed input throws WireError
 // with a message that names the place.
 #pragma once
-#include "brain.hpp"
 #include "protocol/terms.hpp"
 #include "protocol/values.hpp"
+#include "search_scheduler.hpp"
 
 #include <cstdint>
 #include <map>
@@ -36,10 +36,10 @@
     std::map<std::string_view, std::string_view> fields_;
 };
 
-OpeningTerms read_terms(const Message& opening);
+SchedulerConfig read_terms(const Message& opening);
 LoadReport read_report(const Message& message);
 Outcome read_outcome(std::string_view value);
-Listed read_listed(std::string_view value);
+ListedState read_listed(std::string_view value);
 ListKind read_list_kind(std::string_view value);
 
 } // namespace ivyrill::simulator
