--- a/src/control/configuration_group.cpp
+++ b/src/control/configuration_group.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-constexpr Tenths kProposalPatience = 9'000; // callers give up after a second, and send the call again
-constexpr Tenths kReadPatience = 8'000;
-constexpr Tenths kFoundingDelay = 16'000; // in which any member of a group that exists already gets in touch
-constexpr Tenths kFoundingPatience = 25'000; // for a founder that can't be asked whether it does
-constexpr Tenths kFoundingLook = 500;
-constexpr std::uint64_t kFoundingTerm = 1; // a higher one was reached by an election
-constexpr Tenths kElectionTimeout = 4'000; // four heartbeats; the longest is twice as long
-constexpr Tenths kVoterContact = 9'000;    // since a leader certainly had a majority
-constexpr Tenths kLearnerContact = 12'000;
+constexpr Tenths kProposalTimeout = 9'000; // below the callers' timeout of 1 s, after which they retry
+constexpr Tenths kReadTimeout = 8'000;
+constexpr Tenths kBootstrapDelay = 16'000;   // any member of an existing group connects within this time
+constexpr Tenths kBootstrapTimeout = 25'000; // then an unreachable initial voter is no longer waited for
+constexpr Tenths kBootstrapCheckInterval = 500;
+constexpr std::uint64_t kBootstrapTerm = 1;    // a higher term proves an election
+constexpr Tenths kElectionTimeout = 4'000;     // four heartbeats; randomized up to twice this value
+constexpr Tenths kVoterContactTimeout = 9'000; // since a leader is known to have had a majority
+constexpr Tenths kLearnerContactTimeout = 12'000;
 
-consensus::MemberId founder_id(const std::string& address) { return {hash_text(address) | 1U}; }
+consensus::MemberId initial_voter_id(const std::string& address) { return {hash_text(address) | 1U}; }
 
 Error not_leading() {
     return error(ErrorKind::kUnavailable,
-                 "this node does not own the configuration now: call again or elsewhere");
+                 "this node is not the leader of the configuration group: retry or call another node");
 }
 
 } // namespace
@@ -37,51 +37,53 @@
     std::unique_ptr<ConfigurationGroup> group(
         new ConfigurationGroup(reactor, std::move(file), std::move(options), std::move(callbacks)));
     BOOST_OUTCOME_TRYV(group->load());
-    group->member_->step();
+    group->group_->step();
     return group;
 }
 
 ConfigurationGroup::ConfigurationGroup(transport::Reactor& reactor, std::unique_ptr<StateFile> file,
                                        Options options, Callbacks callbacks)
     : reactor_(reactor), options_(std::move(options)), callbacks_(std::move(callbacks)),
-      disk_(std::move(file)), opened_at_(reactor.now()) {}
+      file_(std::move(file)), opened_at_(reactor.now()) {}
 
-ConfigurationGroup::~ConfigurationGroup() { reactor_.cancel(founding_timer_); }
+ConfigurationGroup::~ConfigurationGroup() { reactor_.cancel(bootstrap_timer_); }
 
 Result<void> ConfigurationGroup::load() {
-    BOOST_OUTCOME_TRY(loaded, disk_->load());
-    // What the disk has forgotten may be a vote or an acknowledged entry: the member that it was is lost.
-    const bool rotten = loaded.newest_is_corrupt || options_.disk_is_corrupt;
-    const bool spoilt = rotten && !planted(PlantedFault::kOlderFileUsed);
-    if (spoilt) log_line("state_spoilt", {{"remedy", "it joins as a new member; check the disk"}});
-    StoredReplicaState held;
-    if (loaded.bytes && !spoilt) {
-        BOOST_OUTCOME_TRY(read, wire::from_bytes<StoredReplicaState>(*loaded.bytes));
-        held = std::move(read);
-        if (held.self.address != options_.address)
-            log_line("address_changed", {{"was", held.self.address}, {"is", options_.address}});
+    BOOST_OUTCOME_TRY(file, file_->load());
+    // The lost data may include a vote or an acknowledged entry, so the former member id must not be used
+    // again.
+    const bool is_corrupt = file.newest_is_corrupt || options_.disk_is_corrupt;
+    const bool discarded = is_corrupt && !planted(PlantedFault::kOlderFileUsed);
+    if (discarded) log_line("state_corrupt", {{"remedy", "this node joins as a new member; check the disk"}});
+    StoredReplicaState stored;
+    if (file.bytes && !discarded) {
+        BOOST_OUTCOME_TRY(read, wire::from_bytes<StoredReplicaState>(*file.bytes));
+        stored = std::move(read);
+        if (stored.self.address != options_.address)
+            log_line("address_changed", {{"was", stored.self.address}, {"is", options_.address}});
     }
-    const bool is_empty = !loaded.bytes && !rotten;
-    founding_ = is_empty && options_.first_start &&
-                std::ranges::find(options_.initial_voters, options_.address) != options_.initial_voters.end();
-    if (founding_)
-        held.self.id = founder_id(options_.address);
-    else if (is_empty || spoilt)
-        held.self.id = {options_.draw()};
-    self_ = {held.self.id, options_.address, options_.zone};
-    open_member(held.state);
+    const bool is_empty = !file.bytes && !is_corrupt;
+    bootstrapping_ =
+        is_empty && options_.first_start &&
+        std::ranges::find(options_.initial_voters, options_.address) != options_.initial_voters.end();
+    if (bootstrapping_)
+        stored.self.id = initial_voter_id(options_.address);
+    else if (is_empty || discarded)
+        stored.self.id = {options_.draw()};
+    self_ = {stored.self.id, options_.address, options_.zone};
+    open_group(stored.state);
     log_line("group_opened", {{"member", std::to_string(self_.id.value)},
-                              {"founder", founding_ ? "yes" : "no"},
-                              {"entry", held.state.entry ? "yes" : "no"}});
-    if (!founding_) return boost::outcome_v2::success();
+                              {"initial_voter", bootstrapping_ ? "yes" : "no"},
+                              {"entry", stored.state.entry ? "yes" : "no"}});
+    if (!bootstrapping_) return boost::outcome_v2::success();
     if (options_.initial_voters.size() == 1 || planted(PlantedFault::kFoundsAgain))
         bootstrap();
     else
-        founding_timer_ = reactor_.call_after(kFoundingDelay, [this] { bootstrap_if_unopposed(); });
+        bootstrap_timer_ = reactor_.call_after(kBootstrapDelay, [this] { bootstrap_if_unopposed(); });
     return boost::outcome_v2::success();
 }
 
-void ConfigurationGroup::open_member(const consensus::DurableState& durable) {
+void ConfigurationGroup::open_group(const consensus::DurableState& durable) {
     consensus::Options options;
     options.self = self_, options.seed = options_.draw();
     options.election_timeout = kElectionTimeout;
@@ -92,62 +94,62 @@
     callbacks.role_changed = [](const consensus::RoleChanged& role) {
         log_line("role", {{"leads", role.leads ? "yes" : "no"}, {"term", std::to_string(role.term)}});
     };
-    callbacks.stepped = [this] { watch_leader(); };
-    member_ = std::make_unique<ReplicatedGroup>(reactor_, *disk_, std::move(options), durable,
-                                                std::move(callbacks));
+    callbacks.stepped = [this] { check_leader(); };
+    group_ = std::make_unique<ReplicatedGroup>(reactor_, *file_, std::move(options), durable,
+                                               std::move(callbacks));
 }
 
-// The same entry at each founder.
+// Creates the same entry at each initial voter.
 void ConfigurationGroup::bootstrap() {
-    founding_ = false;
-    reactor_.cancel(founding_timer_);
+    bootstrapping_ = false;
+    reactor_.cancel(bootstrap_timer_);
     std::vector<consensus::Member> initial_voters;
     for (const std::string& address : options_.initial_voters)
-        initial_voters.push_back({founder_id(address), address, ""});
+        initial_voters.push_back({initial_voter_id(address), address, ""});
     std::ranges::sort(initial_voters, {}, &consensus::Member::address);
-    member_->bootstrap(std::move(initial_voters), wire::to_bytes(ConfigurationState{}));
-    log_line("group_founded");
+    group_->bootstrap(std::move(initial_voters), wire::to_bytes(ConfigurationState{}));
+    log_line("group_bootstrapped");
 }
 
-// A founder whose empty disk comes back while its settings still say that all starts for the first time must
-// not vote again: anybody who knows of an election tells it. One of the initial_voters that can't be asked is
-// waited for; then a majority of them that know of none is enough.
+// An initial voter that returns with an empty disk while its settings still announce a first start must not
+// vote again: any peer that knows of an election reports its term. Initial voters that can't be reached are
+// waited for until a timeout; then a majority that knows of no election is enough.
 void ConfigurationGroup::bootstrap_if_unopposed() {
-    if (!founding_) return;
-    const std::size_t know_of_none = met_founders_.size() + 1;
-    const bool waited = reactor_.now() - opened_at_ >= kFoundingPatience;
-    const std::size_t wanted =
-        waited ? options_.initial_voters.size() / 2 + 1 : options_.initial_voters.size();
-    if (know_of_none >= wanted) return bootstrap();
-    founding_timer_ = reactor_.call_after(kFoundingLook, [this] { bootstrap_if_unopposed(); });
+    if (!bootstrapping_) return;
+    const std::size_t unaware = contacted_initial_voters_.size() + 1;
+    const bool timed_out = reactor_.now() - opened_at_ >= kBootstrapTimeout;
+    const std::size_t required =
+        timed_out ? options_.initial_voters.size() / 2 + 1 : options_.initial_voters.size();
+    if (unaware >= required) return bootstrap();
+    bootstrap_timer_ = reactor_.call_after(kBootstrapCheckInterval, [this] { bootstrap_if_unopposed(); });
 }
 
 void ConfigurationGroup::handle_peer_hello(const std::string& address, std::uint64_t term) {
-    if (!founding_) return;
-    if (term > kFoundingTerm) return join_as_new_disk();
+    if (!bootstrapping_) return;
+    if (term > kBootstrapTerm) return join_as_new_member();
     if (std::ranges::find(options_.initial_voters, address) != options_.initial_voters.end())
-        met_founders_.insert(address);
+        contacted_initial_voters_.insert(address);
 }
 
-void ConfigurationGroup::join_as_new_disk() {
-    founding_ = false;
-    reactor_.cancel(founding_timer_);
+void ConfigurationGroup::join_as_new_member() {
+    bootstrapping_ = false;
+    reactor_.cancel(bootstrap_timer_);
     self_.id = {options_.draw()};
-    open_member({});
+    open_group({});
     log_line("group_exists", {{"member", std::to_string(self_.id.value)}});
     callbacks_.identity_changed();
-    member_->step();
+    group_->step();
 }
 
 void ConfigurationGroup::receive(const consensus::Message& message) {
-    if (!founding_) member_->receive(message);
+    if (!bootstrapping_) group_->receive(message);
 }
 
 void ConfigurationGroup::set_member_statuses(std::vector<consensus::MemberStatus> candidates) {
-    member_->set_member_statuses(std::move(candidates), options_.min_voters, options_.max_voters);
+    group_->set_member_statuses(std::move(candidates), options_.min_voters, options_.max_voters);
 }
 
-void ConfigurationGroup::resign() { member_->resign(); }
+void ConfigurationGroup::resign() { group_->resign(); }
 
 void ConfigurationGroup::propose_initial_duty_voters(std::size_t count) {
     if (!leads() || replica().proposal_under_way()) return;
@@ -157,7 +159,7 @@
     if (initial_voters.size() < count) return;
     std::ranges::sort(initial_voters, {}, &consensus::Member::address);
     initial_voters.resize(count);
-    member_->propose_without_waiting(
+    group_->propose_without_waiting(
         [initial_voters](const std::string& payload) -> std::optional<std::string> {
             auto state = wire::from_bytes<ConfigurationState>(payload);
             if (state.has_error() || !state.value().initial_duty_voters.empty()) return std::nullopt;
@@ -166,10 +168,10 @@
         });
 }
 
-void ConfigurationGroup::watch_leader() {
+void ConfigurationGroup::check_leader() {
     const auto leader = replica().leader();
-    if (leader == told_leader_) return;
-    told_leader_ = leader;
+    if (leader == reported_leader_) return;
+    reported_leader_ = leader;
     if (callbacks_.leader_changed) callbacks_.leader_changed();
 }
 
@@ -190,7 +192,9 @@
 }
 
 bool ConfigurationGroup::in_contact() const {
-    const Tenths span = leads() ? kElectionTimeout : replica().is_voter() ? kVoterContact : kLearnerContact;
+    const Tenths span = leads()                ? kElectionTimeout
+                        : replica().is_voter() ? kVoterContactTimeout
+                                               : kLearnerContactTimeout;
     const auto contact_at = replica().contact_at();
     return contact_at && reactor_.now() - *contact_at <= span;
 }
@@ -230,24 +234,24 @@
         if (!decision.next) return std::nullopt;
         return wire::to_bytes(*decision.next);
     };
-    const auto outcome = co_await member_->propose(make, kProposalPatience);
+    const auto outcome = co_await group_->propose(make, kProposalTimeout);
     if (outcome == consensus::ProposalOutcome::kCommitted) co_return boost::outcome_v2::success();
     if (!*verdict || **verdict == Verdict::kAccept) co_return not_leading();
-    // A refusal, or a word on what was taken before, is only as good as this node's knowledge: proven by a
-    // majority.
-    if (!planted(PlantedFault::kRefusalUnconfirmed) && !co_await member_->confirm_leadership(kReadPatience))
+    // A rejection, or a confirmation of an earlier accepted call, depends on this node's state being current:
+    // a majority has to confirm its leadership first.
+    if (!planted(PlantedFault::kRefusalUnconfirmed) && !co_await group_->confirm_leadership(kReadTimeout))
         co_return not_leading();
     if (**verdict == Verdict::kAlreadyAccepted) co_return boost::outcome_v2::success();
     if (**verdict == Verdict::kStaleVersion)
         co_return error(ErrorKind::kInvalidInput,
-                        "version: not above the current one; read /config and raise it");
+                        "version: not above the current version; read /config and raise it");
     co_return error(ErrorKind::kVersionConflict,
-                    "If-Match: another version is current; read /config and build on it");
+                    "If-Match: not the current version; read /config and base the change on it");
 }
 
 transport::Async<Result<std::optional<std::string>>> ConfigurationGroup::read() {
     if (!planted(PlantedFault::kReadUnconfirmed)) {
-        if (!leads() || !co_await member_->confirm_leadership(kReadPatience)) co_return not_leading();
+        if (!leads() || !co_await group_->confirm_leadership(kReadTimeout)) co_return not_leading();
     }
     const auto& committed = replica().committed();
     if (!committed) co_return not_leading();
--- a/src/control/control_api.cpp
+++ b/src/control/control_api.cpp
@@ -6,8 +6,8 @@
 
 ControlApi::ControlApi(InstanceRegistry& registry, OperatorCalls& calls, std::function<std::string()> inspect)
     : registry_(registry), calls_(calls) {
-    add_calls_of_servers();
-    add_calls_of_operators();
+    add_server_calls();
+    add_operator_calls();
     router_.add<InspectCall, InspectReply>(
         {"GET", "/inspect",
          [](const protocol::HttpMessage&, const std::string&) { return Result<InspectCall>(InspectCall{}); },
@@ -17,7 +17,7 @@
          [](const InspectReply& reply) { return http::json_answer(reply.body); }});
 }
 
-void ControlApi::add_calls_of_servers() {
+void ControlApi::add_server_calls() {
     router_.add<RegisterCall, RegisterReply>(
         {"PUT", "/instances/",
          [](const protocol::HttpMessage& message, const std::string& id) {
@@ -37,7 +37,7 @@
          [](const DeregisterReply&) { return http::json_answer("{}"); }});
 }
 
-void ControlApi::add_calls_of_operators() {
+void ControlApi::add_operator_calls() {
     router_.add<ReplaceConfigurationCall, ReplaceConfigurationReply>(
         {"PUT", "/config",
          [](const protocol::HttpMessage& message, const std::string&) -> Result<ReplaceConfigurationCall> {
--- a/src/control/control_api.hpp
+++ b/src/control/control_api.hpp
@@ -1,4 +1,4 @@
-// The calls that a control node takes over HTTP: of servers, of operators, and of whoever looks after it.
+// The HTTP API of a control node: calls of model servers and of operators, and its inspection.
 #pragma once
 #include "control/instance_registry.hpp"
 #include "control/operator_calls.hpp"
@@ -25,15 +25,15 @@
 
 class ControlApi {
   public:
-    // Both must outlive it. `inspect` makes the answer of GET /inspect.
+    // `registry` and `calls` must outlive this object. `inspect` returns the body of GET /inspect.
     ControlApi(InstanceRegistry& registry, OperatorCalls& calls, std::function<std::string()> inspect);
     transport::Async<http::Answer> handle(protocol::HttpMessage message) const {
         return router_.handle(std::move(message));
     }
 
   private:
-    void add_calls_of_servers();
-    void add_calls_of_operators();
+    void add_server_calls();
+    void add_operator_calls();
     transport::Async<Result<ReadConfigurationReply>> read();
     transport::Async<Result<ReplaceConfigurationReply>> replace(ReplaceConfigurationCall call);
 
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr Tenths kWatchInterval = 1000;
-constexpr Tenths kUsageInterval = 2500;              // between counts that are passed on to peers
-constexpr Tenths kEndSpan = 4000;                    // for last answers and the hand-over
-constexpr const char* kEngineContract = "engine";    // of deployments whose servers have stages
-constexpr const char* kUsageReport = "usage_report"; // of the platform's duties
-constexpr const char* kServerCount = "autoscale";    // ... where it takes numbers of servers
-constexpr std::int64_t kOtherDescriptors = 900;      // of a control node: for files, peers and agents
-
-// The port and the host part of an address.
+constexpr Tenths kCheckInterval = 1000;
+constexpr Tenths kUsageInterval = 2500;              // between exchanges of usage counts with peers
+constexpr Tenths kShutdownDelay = 4000;              // for the last replies and the leadership transfer
+constexpr const char* kEngineContract = "engine";    // in deployments whose servers have stages
+constexpr const char* kUsageReport = "usage_report"; // a duty of the platform
+constexpr const char* kServerCount = "autoscale";    // ... if it takes server counts
+constexpr std::int64_t kReservedDescriptors = 900;   // for files, peers and agents
+
+// The port part and the host part of an address.
 std::string port_text(const std::string& address) { return address.substr(address.rfind(':') + 1); }
 std::string host_text(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
@@ -65,30 +65,30 @@
     open_feed();
     restore_snapshot();
     api_ = std::make_unique<ControlApi>(*registry_, *operator_calls_, [this] { return inspect(); });
-    watch();
+    check_periodically();
     peers_->start();
     return boost::outcome_v2::success();
 }
 
 Result<void> ControlNode::open_snapshot_store() {
-    BOOST_OUTCOME_TRY(keeper, SnapshotStore::open(reactor_, environment_.open_file("known"),
-                                                  [this] { return take_snapshot(); }));
-    snapshot_store_ = std::move(keeper);
+    BOOST_OUTCOME_TRY(store, SnapshotStore::open(reactor_, environment_.open_file("known"),
+                                                 [this] { return take_snapshot(); }));
+    snapshot_store_ = std::move(store);
     return boost::outcome_v2::success();
 }
 
-// The disks of one loss, and the voters that bear it.
-std::size_t ControlNode::losses() const {
+// The number of disks that may be lost at once, and the number of voters that tolerates it.
+std::size_t ControlNode::tolerated_losses() const {
     return static_cast<std::size_t>(std::max<std::int64_t>(0, settings_.tolerance.machines));
 }
-std::size_t ControlNode::min_voters() const { return std::max<std::size_t>(3, 2 * losses() + 1); }
+std::size_t ControlNode::min_voters() const { return std::max<std::size_t>(3, 2 * tolerated_losses() + 1); }
 
 Result<void> ControlNode::open_duty_parts() {
     const bool has_stages =
         std::ranges::find(settings_.contracts, kEngineContract) != settings_.contracts.end();
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
     DutyParts::Options options;
-    options.min_copies = losses() + 1, options.voters = min_voters();
+    options.min_copies = tolerated_losses() + 1, options.voters = min_voters();
     options.lease = settings_.bounds.lease_ms * (kTenthsPerSecond / 1000);
     options.draw = environment_.draw;
     const auto send = [this](std::size_t part, const consensus::Send& sent) {
@@ -109,7 +109,7 @@
         options.initial_voters.push_back(feed::peer_address(settings_, host_text(seed)));
     options.first_start = settings_.first_start, options.draw = environment_.draw;
     options.disk_is_corrupt = snapshot_store_->is_corrupt() || (duty_parts_ && duty_parts_->is_spoilt());
-    options.min_copies = losses() + 1, options.min_voters = min_voters();
+    options.min_copies = tolerated_losses() + 1, options.min_voters = min_voters();
     options.max_voters = std::max<std::size_t>(options.min_voters, 9);
     ConfigurationGroup::Callbacks callbacks;
     callbacks.send = [this](const consensus::Send& sent) {
@@ -118,7 +118,7 @@
             peers_->send(sent.address, sent.message);
     };
     callbacks.committed = [this](const model::Configuration& configuration, const std::string& body) {
-        committed(configuration, body);
+        publish_configuration(configuration, body);
     };
     callbacks.leader_changed = [this] {
         if (operator_calls_) operator_calls_->leader_changed();
@@ -133,7 +133,7 @@
     return boost::outcome_v2::success();
 }
 
-void ControlNode::committed(const model::Configuration& configuration, const std::string& body) {
+void ControlNode::publish_configuration(const model::Configuration& configuration, const std::string& body) {
     const model::Configuration* known = log_.configuration();
     if (known != nullptr && known->version >= configuration.version) return;
     log_.put(configuration);
@@ -144,10 +144,11 @@
 void ControlNode::open_registry() {
     InstanceRegistry::Options options;
     options.self = self_.address, options.incarnation = incarnation_;
-    options.heartbeat = settings_.beat_interval_ms * (kTenthsPerSecond / 1000);
-    // Each server keeps a connection; as many again come from those that turn here when another node is gone.
-    const std::int64_t room = settings_.limits.file_descriptors - kOtherDescriptors;
-    options.max_per_owner = static_cast<std::size_t>(std::max<std::int64_t>(0, room / 2));
+    options.heartbeat_interval = settings_.beat_interval_ms * (kTenthsPerSecond / 1000);
+    // Each server keeps a connection, and the other half is for servers that connect here after another
+    // node's failure.
+    const std::int64_t available = settings_.limits.file_descriptors - kReservedDescriptors;
+    options.max_per_owner = static_cast<std::size_t>(std::max<std::int64_t>(0, available / 2));
     InstanceRegistry::Callbacks callbacks;
     callbacks.send_to_peers = [this](const feed::Message& message) {
         if (peers_) peers_->send_to_all(message);
@@ -163,7 +164,7 @@
         snapshot_store_->make_durable(std::move(done));
     };
     callbacks.in_contact = [this] { return group_->in_contact(); };
-    callbacks.serves = [this] { return gate_.is_open(); };
+    callbacks.serves = [this] { return feed_gate_.is_open(); };
     callbacks.call_address = [this](const std::string& peer) { return call_address(peer); };
     callbacks.changed = [this] { publish(); };
     callbacks.loads_changed = [this](const std::vector<model::Load>& loads) {
@@ -197,7 +198,7 @@
     callbacks.loads = [this]() -> const std::map<std::string, model::Load>& { return registry_->loads(); };
     callbacks.ordered = [this](const feed::StageOrdered& ordered) {
         peers_->send_to_all(feed::Ordered{{ordered}});
-        put_orders({ordered});
+        publish_orders({ordered});
     };
     stage_duty_ =
         std::make_unique<StageDuty>(reactor_, environment_.orders, settings_.node_name, std::move(callbacks));
@@ -211,10 +212,10 @@
 }
 
 void ControlNode::open_usage_duty() {
-    const auto& duties_of_platform = settings_.cloud_api.duties;
-    const bool is_due =
-        std::ranges::find(duties_of_platform, kUsageReport) != duties_of_platform.end() && usage_exchange_;
-    if (!is_due || !duty_parts_) return;
+    const auto& platform_duties = settings_.cloud_api.duties;
+    const bool is_required =
+        std::ranges::find(platform_duties, kUsageReport) != platform_duties.end() && usage_exchange_;
+    if (!is_required || !duty_parts_) return;
     UsageDuty::Callbacks callbacks;
     callbacks.fence = [this] { return duty_parts_->fence(duties::usage_report_duty()); };
     callbacks.may_propose = [this] { return duty_parts_->may_propose(duties::usage_report_duty()); };
@@ -254,7 +255,7 @@
         peers_->send_to_all(std::move(counts));
 }
 
-void ControlNode::take_usage(const model::ControlNode& peer, const feed::UsageCounts& counts) {
+void ControlNode::merge_usage(const model::ControlNode& peer, const feed::UsageCounts& counts) {
     feed::WantUsage wanted = usage_exchange_->merge(counts, reactor_.now());
     if (!wanted.processes.empty()) peers_->send(peer.address, std::move(wanted));
 }
@@ -280,7 +281,7 @@
                                               std::move(callbacks));
 }
 
-void ControlNode::put_orders(const std::vector<feed::StageOrdered>& orders) {
+void ControlNode::publish_orders(const std::vector<feed::StageOrdered>& orders) {
     for (const feed::StageOrdered& ordered : orders)
         if (registry_->table().find(ordered.instance) != nullptr) log_.put(ordered);
     publisher_->publish();
@@ -293,7 +294,7 @@
         options.seeds.push_back(feed::peer_address(settings_, host_text(seed)));
     PeerMesh::Callbacks callbacks;
     callbacks.received = [this](const model::ControlNode& peer, feed::Message message) {
-        peer_said(peer, std::move(message));
+        handle_peer_message(peer, std::move(message));
     };
     callbacks.peers_changed = [this] { peers_changed(); };
     callbacks.fill_status = [this](feed::PeerStatus& status) {
@@ -319,12 +320,13 @@
 void ControlNode::open_feed() {
     feed::Publisher::Callbacks callbacks;
     callbacks.refuse = [this]() -> std::optional<std::string> {
-        if (ending_) return "this node ends";
-        if (!gate_.is_open() && !gate_.is_opening()) return "this node is cut off from the majority";
+        if (shutting_down_) return "this node is shutting down";
+        if (!feed_gate_.is_open() && !feed_gate_.is_opening())
+            return "this node has no contact with the majority";
         return std::nullopt;
     };
-    callbacks.ready = [this] { return gate_.is_open(); };
-    callbacks.sessions_changed = [this] { put_edge_nodes(); };
+    callbacks.ready = [this] { return feed_gate_.is_open(); };
+    callbacks.sessions_changed = [this] { publish_edge_nodes(); };
     callbacks.digests = [this] { return registry_->digests(); };
     if (usage_exchange_) {
         callbacks.usage = [this](const std::vector<model::ProcessUsage>& counts) {
@@ -349,7 +351,7 @@
         [this](const feed::AcceptedLink& connection) { publisher_->take(connection); });
 }
 
-// The servers that the disk knew have their usual time to be heard from.
+// The failure detector gives the restored servers their full timeouts.
 void ControlNode::restore_snapshot() {
     const NodeSnapshot& loaded = snapshot_store_->loaded();
     if (loaded.version > 0 && log_.configuration() == nullptr) {
@@ -383,17 +385,17 @@
     return host_text(peer) + ":" + port_text(settings_.listen_addrs.at("controlAddr"));
 }
 
-void ControlNode::peer_said(const model::ControlNode& peer, feed::Message message) {
-    if (const auto* said = std::get_if<consensus::Message>(&message)) {
-        group_->receive(*said);
-        if (!gate_.is_open()) update_gate();
+void ControlNode::handle_peer_message(const model::ControlNode& peer, feed::Message message) {
+    if (const auto* consensus_message = std::get_if<consensus::Message>(&message)) {
+        group_->receive(*consensus_message);
+        if (!feed_gate_.is_open()) update_gate();
     } else if (const auto* status = std::get_if<feed::PeerStatus>(&message)) {
-        registry_->compare(peer, *status);
+        registry_->compare_digests(peer, *status);
         if (stage_duty_) stage_duty_->demand().told_by_peer(peer.address, status->demands, reactor_.now());
         if (usage_exchange_) usage_exchange_->told(peer.address, *status, reactor_.now());
-        put_edge_nodes();
+        publish_edge_nodes();
     } else if (const auto* counts = std::get_if<feed::UsageCounts>(&message)) {
-        if (usage_exchange_) take_usage(peer, *counts);
+        if (usage_exchange_) merge_usage(peer, *counts);
     } else if (const auto* lacking = std::get_if<feed::WantUsage>(&message)) {
         if (!usage_exchange_) return;
         for (feed::UsageCounts& counts : usage_exchange_->answer(*lacking))
@@ -401,13 +403,13 @@
     } else if (const auto* duty = std::get_if<feed::DutyMessage>(&message)) {
         if (duty_parts_) duty_parts_->receive(duty->part, duty->message);
     } else if (const auto* ordered = std::get_if<feed::Ordered>(&message)) {
-        put_orders(ordered->orders);
+        publish_orders(ordered->orders);
     } else if (const auto* heard = std::get_if<feed::Heard>(&message)) {
         registry_->record_remote_heartbeats(*heard);
     } else if (const auto* records = std::get_if<feed::Replicate>(&message)) {
-        registry_->replicate(peer, *records);
+        registry_->handle_replicate(peer, *records);
     } else if (const auto* done = std::get_if<feed::Replicated>(&message)) {
-        registry_->replicated(peer, *done);
+        registry_->handle_replicated(peer, *done);
     } else if (const auto* wanted = std::get_if<feed::WantRanges>(&message)) {
         registry_->send_ranges(peer, *wanted);
     } else if (const auto* copy = std::get_if<feed::Instances>(&message)) {
@@ -431,28 +433,28 @@
         if (std::ranges::find(alive_, node) == alive_.end()) operator_calls_->peer_lost(node.member);
     for (const model::ControlNode& node : alive_)
         if (std::ranges::find(before, node) == before.end()) registry_->request_sync(node);
-    put_control_nodes();
-    put_edge_nodes();
+    publish_control_nodes();
+    publish_edge_nodes();
 }
 
-// The others learn by a new hello that this address is another disk's now.
+// The peers learn from a new hello that another member uses this address now.
 void ControlNode::identity_changed() {
     self_.member = group_->self().value;
     peers_->set_member(self_.member);
     group_->set_member_statuses(peers_->member_statuses());
-    put_control_nodes();
+    publish_control_nodes();
 }
 
-void ControlNode::put_control_nodes() {
+void ControlNode::publish_control_nodes() {
     feed::ControlNodes item;
     item.nodes = peers_->alive();
-    if (!ending_) item.nodes.push_back(self_);
+    if (!shutting_down_) item.nodes.push_back(self_);
     std::ranges::sort(item.nodes);
     log_.put(std::move(item));
     publisher_->publish();
 }
 
-void ControlNode::put_edge_nodes() {
+void ControlNode::publish_edge_nodes() {
     std::vector<model::EdgeNode> sessions = publisher_->sessions();
     std::ranges::move(peers_->sessions(), std::back_inserter(sessions));
     auto changed = edge_nodes_.update(sessions, reactor_.now());
@@ -463,43 +465,43 @@
 
 FeedConditions ControlNode::feed_conditions() const {
     return {group_->time_out_of_contact(), group_->caught_up(),
-            group_->is_majority(registry_->synced_members()), ending_};
+            group_->is_majority(registry_->synced_members()), shutting_down_};
 }
 
-void ControlNode::watch() {
-    timer_ = reactor_.call_after(kWatchInterval, [this] { watch(); });
+void ControlNode::check_periodically() {
+    timer_ = reactor_.call_after(kCheckInterval, [this] { check_periodically(); });
     for (const consensus::Member& voter : group_->voters())
         peers_->add_peer({voter.address, voter.zone, voter.id.value});
     group_->set_member_statuses(peers_->member_statuses());
-    put_edge_nodes(); // what was too soon to be told
-    watch_duties();
+    publish_edge_nodes(); // changes that were held back before
+    update_duties();
     update_gate();
 }
 
-// Whose disk this is must be certain before it votes for anything.
-void ControlNode::watch_duties() {
-    if (!duty_parts_ || group_->is_bootstrapping() || ending_) return;
+// The member id must be final before this node votes in any group of the duties.
+void ControlNode::update_duties() {
+    if (!duty_parts_ || group_->is_bootstrapping() || shutting_down_) return;
     duty_parts_->join(group_->self_member());
     duty_parts_->set_member_statuses(peers_->member_statuses());
     group_->propose_initial_duty_voters(min_voters());
 }
 
-// Whoever holds what a majority held may become a voter: a leaving that was acknowledged then stays known to
-// every majority.
-void ControlNode::become_ready() {
+// A node may become a voter once the records of a majority are durable here: then every majority still holds
+// each acknowledged departure.
+void ControlNode::update_readiness() {
     if (ready_ || !group_->is_majority(registry_->synced_members())) return;
     ready_ = true;
-    snapshot_store_->make_durable([this, cuts = cuts_](bool is_durable) {
-        if (cuts != cuts_) return;
+    snapshot_store_->make_durable([this, count = partition_count_](bool is_durable) {
+        if (count != partition_count_) return;
         ready_ = is_durable;
         peers_->set_ready(is_durable);
     });
 }
 
-// A majority may have been told of leavings since: its records are asked for anew before it serves, or votes
-// where it does not yet.
-void ControlNode::cut_off() {
-    ++cuts_;
+// During the partition a majority may have acknowledged departures: this node requests all records again
+// before it serves its feed, or becomes a voter if it is none yet.
+void ControlNode::handle_partition() {
+    ++partition_count_;
     registry_->reset_sync();
     if (planted(PlantedFault::kReadyKept)) return;
     ready_ = false;
@@ -507,24 +509,25 @@
 }
 
 void ControlNode::update_gate() {
-    become_ready();
-    if (!gate_.update(feed_conditions())) return;
-    log_line("feed", {{"serves", gate_.is_open() ? "yes" : "no"}});
-    if (gate_.is_open()) return publisher_->serve_waiting();
-    cut_off();
-    publisher_->end_all("this node is cut off from the majority");
+    update_readiness();
+    if (!feed_gate_.update(feed_conditions())) return;
+    log_line("feed", {{"serves", feed_gate_.is_open() ? "yes" : "no"}});
+    if (feed_gate_.is_open()) return publisher_->serve_waiting();
+    handle_partition();
+    publisher_->end_all("this node has no contact with the majority");
 }
 
 std::uint64_t ControlNode::dropped_replies() const {
     const OperatorCalls::DroppedReplies& calls = operator_calls_->dropped_replies();
     const DroppedSyncReplies& copies = registry_->dropped_replies();
-    return calls.other_process + calls.unasked + calls.other_peer + copies.other_process + copies.unasked;
+    return calls.other_process + calls.unsolicited + calls.other_peer + copies.other_process +
+           copies.unsolicited;
 }
 
 std::string ControlNode::inspect() const {
     Inspection seen;
     seen.node = settings_.node_name, seen.leads = group_->leads(), seen.in_contact = group_->in_contact();
-    seen.serves_feed = gate_.is_open(), seen.version = group_->version();
+    seen.serves_feed = feed_gate_.is_open(), seen.version = group_->version();
     seen.voters = group_->voters(), seen.peers = alive_, seen.edge_nodes = edge_nodes_.listed();
     for (const auto& [id, record] : registry_->table().records()) seen.servers.push_back(record);
     if (duty_parts_) std::ranges::copy(duty_parts_->standings(), std::back_inserter(seen.duties));
@@ -537,15 +540,15 @@
 }
 
 void ControlNode::begin_shutdown() {
-    if (std::exchange(ending_, true)) return;
+    if (std::exchange(shutting_down_, true)) return;
     log_line("ending");
     group_->resign();
     if (duty_parts_) duty_parts_->resign();
     peers_->announce_shutdown();
     group_->set_member_statuses(peers_->member_statuses());
-    put_control_nodes();
-    publisher_->end_all("this node ends");
-    reactor_.call_after(kEndSpan, [this] { reactor_.stop(); });
+    publish_control_nodes();
+    publisher_->end_all("this node is shutting down");
+    reactor_.call_after(kShutdownDelay, [this] { reactor_.stop(); });
 }
 
 } // namespace ivyrill::control
--- a/src/control/control_program.cpp
+++ b/src/control/control_program.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr std::int64_t kOtherDescriptors = 900; // 200 for files (DEPLOY), the rest for peers and agents
+constexpr std::int64_t kReservedDescriptors = 900; // 200 for files, the rest for peers and agents
 
 std::uint64_t draw() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32U | device()) | 1U;
 }
 
-// Each server keeps a connection to the owner of its service: all descriptors but those for peers, agents and
-// files.
+// Each server keeps a connection to the owner of its service, so its calls get all descriptors except those
+// reserved for peers, agents and files.
 http::CallServer::Options call_options(const settings::Settings& settings) {
     http::CallServer::Options options;
-    const std::int64_t room = settings.limits.file_descriptors - kOtherDescriptors;
+    const std::int64_t available = settings.limits.file_descriptors - kReservedDescriptors;
     options.most_connections =
-        std::max(options.most_connections, static_cast<std::size_t>(std::max<std::int64_t>(0, room)));
+        std::max(options.most_connections, static_cast<std::size_t>(std::max<std::int64_t>(0, available)));
     return options;
 }
 
--- a/src/control/control_program.hpp
+++ b/src/control/control_program.hpp
@@ -1,4 +1,4 @@
-// The program `control`: a control node on sockets and files.
+// The program `control`: runs a control node on sockets and files.
 #pragma once
 #include "control/control_node.hpp"
 #include "control/http_order_link.hpp"
@@ -13,7 +13,7 @@
 
 class ControlProgram {
   public:
-    // An error where the settings or the disk can't be served with; throws where it can't listen.
+    // Returns an error if the settings or the stored state can't be used; throws if it can't listen.
     static Result<std::unique_ptr<ControlProgram>> open(transport::Reactor& reactor,
                                                         const settings::Settings& settings);
     void begin_shutdown() { node_->begin_shutdown(); }
--- a/src/control/disk_state_file.cpp
+++ b/src/control/disk_state_file.cpp
@@ -10,9 +10,9 @@
 DiskStateFile::~DiskStateFile() {
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
+        stopping_ = true;
     }
-    changed_.notify_one();
+    wakeup_.notify_one();
     if (thread_.joinable()) thread_.join();
 }
 
@@ -20,9 +20,9 @@
     BOOST_OUTCOME_TRY(found, store_.load());
     Loaded loaded;
     loaded.newest_is_corrupt = store_.corrupt_files() > 0;
-    number_ = store_.highest_number();
+    version_ = store_.highest_number();
     if (found) loaded.bytes = std::move(found->bytes);
-    thread_ = std::thread([this] { work(); });
+    thread_ = std::thread([this] { run_writer(); });
     return loaded;
 }
 
@@ -31,20 +31,20 @@
         const std::lock_guard lock(mutex_);
         jobs_.push_back({std::move(bytes), std::move(done)});
     }
-    changed_.notify_one();
+    wakeup_.notify_one();
 }
 
-void DiskStateFile::work() {
+void DiskStateFile::run_writer() {
     for (;;) {
         Job job;
         {
             std::unique_lock lock(mutex_);
-            changed_.wait(lock, [this] { return ending_ || !jobs_.empty(); });
-            if (ending_) return;
+            wakeup_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
+            if (stopping_) return;
             job = std::move(jobs_.front());
             jobs_.pop_front();
         }
-        Result<void> result = store_.save(++number_, job.bytes);
+        Result<void> result = store_.save(++version_, job.bytes);
         reactor_.post([done = std::move(job.done), result = std::move(result)] { done(result); });
     }
 }
--- a/src/control/disk_state_file.hpp
+++ b/src/control/disk_state_file.hpp
@@ -1,4 +1,5 @@
-// A state file on a real disk, with a thread that waits for the disk so that nothing else does.
+// A state file on a real disk. Writes run on a thread of their own, so that the event loop never blocks on
+// the disk.
 #pragma once
 #include "control/state_file.hpp"
 #include "storage/version_store.hpp"
@@ -17,7 +18,7 @@
 class DiskStateFile : public StateFile {
   public:
     DiskStateFile(transport::Reactor& reactor, storage::VersionStore store);
-    ~DiskStateFile() override; // waits for the write under way
+    ~DiskStateFile() override; // waits for the write in progress
     Result<Loaded> load() override;
     void save(std::string bytes, std::function<void(Result<void>)> done) override;
 
@@ -26,15 +27,15 @@
         std::string bytes;
         std::function<void(Result<void>)> done;
     };
-    void work();
+    void run_writer();
 
     transport::Reactor& reactor_;
-    storage::VersionStore store_; // after `load`: used by the thread alone
-    std::uint64_t number_ = 0;
+    storage::VersionStore store_; // used only by the thread once `load` has returned
+    std::uint64_t version_ = 0;
     std::mutex mutex_;
-    std::condition_variable changed_;
+    std::condition_variable wakeup_;
     std::deque<Job> jobs_;
-    bool ending_ = false;
+    bool stopping_ = false;
     std::thread thread_;
 };
 
--- a/src/control/environment.hpp
+++ b/src/control/environment.hpp
@@ -1,5 +1,5 @@
-// What a control node stands on: its event loop, links, disk and randomness. The program hands in sockets and
-// files, tests a simulated world.
+// The dependencies of a control node: event loop, links, disk, randomness and clock. The program supplies
+// sockets and files, tests a simulation.
 #pragma once
 #include "control/state_file.hpp"
 #include "duties/order_link.hpp"
@@ -18,8 +18,8 @@
     duties::OrderLink& orders;
     duties::PlatformLink& platform;
     OpenStateFile open_file;
-    std::function<std::uint64_t()> draw;       // random numbers, never 0
-    std::function<std::int64_t()> time_of_day; // of this machine, which may jump; Unix ms
+    std::function<std::uint64_t()> draw;       // returns random numbers, never 0
+    std::function<std::int64_t()> time_of_day; // this machine's wall clock, which may jump; Unix ms
 };
 
 } // namespace ivyrill::control
--- a/src/control/failure_detector.cpp
+++ b/src/control/failure_detector.cpp
@@ -4,29 +4,29 @@
 
 namespace {
 
-constexpr double kSilentBeats = 2.6, kGoneBeats = 25; // missed heartbeats after which a server counts as ...
+constexpr double kSilentHeartbeats = 2.6, kGoneHeartbeats = 25; // intervals without a heartbeat
 
 } // namespace
 
-model::InstanceState FailureDetector::judge(const model::Instance& record, Tenths now) {
+model::InstanceState FailureDetector::state_of(const model::Instance& record, Tenths now) {
     const Tenths at = last_heard_.try_emplace(record.id, now).first->second;
-    const double missed = static_cast<double>(now - at) / static_cast<double>(heartbeat_);
-    if (missed >= kGoneBeats) return model::InstanceState::kGone;
-    const bool falls_silent = missed >= kSilentBeats && record.state == model::InstanceState::kServing;
-    return falls_silent ? model::InstanceState::kSilent : record.state;
+    const double missed = static_cast<double>(now - at) / static_cast<double>(heartbeat_interval_);
+    if (missed >= kGoneHeartbeats) return model::InstanceState::kGone;
+    const bool becomes_silent = missed >= kSilentHeartbeats && record.state == model::InstanceState::kServing;
+    return becomes_silent ? model::InstanceState::kSilent : record.state;
 }
 
 std::vector<model::Instance>
-FailureDetector::judge(const feed::InstanceTable& table,
+FailureDetector::check(const feed::InstanceTable& table,
                        const std::function<bool(const std::string& service)>& owned, Tenths now) {
-    std::vector<model::Instance> judged;
+    std::vector<model::Instance> changes;
     for (const auto& [id, record] : table.records()) {
         if (record.state == model::InstanceState::kGone || !owned(record.service)) continue;
-        model::Instance judgement = record;
-        judgement.state = judge(record, now);
-        if (judgement.state != record.state) judged.push_back(judgement);
+        model::Instance changed = record;
+        changed.state = state_of(record, now);
+        if (changed.state != record.state) changes.push_back(changed);
     }
-    return judged;
+    return changes;
 }
 
 } // namespace ivyrill::control
--- a/src/control/failure_detector.hpp
+++ b/src/control/failure_detector.hpp
@@ -1,5 +1,5 @@
-// When each server was last heard of, and which of them an owner judges silent or gone. Pure: the clock is
-// handed in.
+// Failure detector for model servers: records when each server was last heard from and determines which of
+// them are silent or gone. No I/O; the caller supplies the time.
 #pragma once
 #include "base/time.hpp"
 #include "feed/instance_table.hpp"
@@ -14,27 +14,29 @@
 
 class FailureDetector {
   public:
-    explicit FailureDetector(Tenths heartbeat) : heartbeat_(heartbeat) {} // that servers keep
+    explicit FailureDetector(Tenths heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
 
     void heard(const std::string& id, Tenths now) { last_heard_[id] = now; }
     void forget(const std::string& id) { last_heard_.erase(id); }
-    // While this process stood still it heard nobody; the servers aren't to blame.
+    // Excludes a time in which this process itself was suspended and received nothing.
     void discount_pause(Tenths span) {
         for (auto& [id, at] : last_heard_) at += span;
     }
-    // Whoever was cut off has not heard what servers told the others: they get their whole time again.
+    // Restarts the timeouts of all servers after a partition, in which their heartbeats reached only other
+    // nodes.
     void restart_timeouts(Tenths now) {
         for (auto& [id, at] : last_heard_) at = now;
     }
-    // The records, as judged now, of servers of services that `owned` names whose state changes by it.
-    std::vector<model::Instance> judge(const feed::InstanceTable& table,
+    // Returns the changed records of those servers whose state changes now, among the services that `owned`
+    // accepts.
+    std::vector<model::Instance> check(const feed::InstanceTable& table,
                                        const std::function<bool(const std::string& service)>& owned,
                                        Tenths now);
 
   private:
-    model::InstanceState judge(const model::Instance& record, Tenths now);
+    model::InstanceState state_of(const model::Instance& record, Tenths now);
 
-    Tenths heartbeat_;
+    Tenths heartbeat_interval_;
     std::map<std::string, Tenths> last_heard_; // by id
 };
 
--- a/src/control/feed_gate.hpp
+++ b/src/control/feed_gate.hpp
@@ -1,26 +1,26 @@
-// When a control node serves its feed, and confirms what servers say. Pure.
+// Decides when a control node serves its feed and confirms the calls of servers. No I/O.
 #pragma once
 #include "base/planted_fault.hpp"
 #include "base/time.hpp"
 
 namespace ivyrill::control {
 
-// What a node knows of its own conditions.
+// The conditions that the gate depends on.
 struct FeedConditions {
-    Tenths time_out_of_contact = 0; // for how long it has not heard a leader; 0: it hears one
-    bool caught_up = false;         // it knows what that leader has committed
-    bool knows_servers = false;     // it has merged the servers' records of a majority
+    Tenths time_out_of_contact = 0;  // time without contact to a leader with a majority; 0: in contact
+    bool caught_up = false;          // it holds everything that the leader has committed
+    bool has_server_records = false; // it has merged the server records of a majority
     bool ending = false;
 };
 
-// Opens once the node knows all that may have been acknowledged before, and closes when it has been cut off
-// for so long that others may have acknowledged more.
+// Opens once the node holds everything that may have been acknowledged before, and closes once it has been
+// out of contact for so long that others may have acknowledged more.
 class FeedGate {
   public:
     bool is_open() const { return open_; }
-    // Has never been open: whoever comes may wait, as it will know all soon or the others don't either.
+    // Has never been open. Subscribers may wait: the gate opens soon, or no other node can serve them either.
     bool is_opening() const { return !open_ && !was_open_; }
-    // True where it has opened or closed.
+    // Returns whether it has opened or closed.
     bool update(const FeedConditions& conditions) {
         const bool was_open = open_;
         open_ = !conditions.ending && (was_open ? may_stay_open(conditions) : may_open(conditions));
@@ -29,17 +29,18 @@
     }
 
   private:
-    // Others may acknowledge at once that a server leaves, and no request may go to it two seconds later, and
-    // whoever is fed here has to turn elsewhere before. An election that is contested once is mostly over by
-    // then.
-    static constexpr Tenths kOutOfContact = 16'000;
+    // 1.6 s. Other nodes may acknowledge a server's departure at once, and no request may reach that server 2
+    // s later; the subscribers of this feed have to connect elsewhere before. An election with one split vote
+    // is mostly over by then.
+    static constexpr Tenths kContactTimeout = 16'000;
     static bool may_open(const FeedConditions& conditions) {
         const bool caught_up = conditions.caught_up || planted(PlantedFault::kFeedBeforeCaughtUp);
-        const bool knows_servers = conditions.knows_servers || planted(PlantedFault::kFeedBeforeServersKnown);
-        return conditions.time_out_of_contact == 0 && caught_up && knows_servers;
+        const bool has_server_records =
+            conditions.has_server_records || planted(PlantedFault::kFeedBeforeServersKnown);
+        return conditions.time_out_of_contact == 0 && caught_up && has_server_records;
     }
     static bool may_stay_open(const FeedConditions& conditions) {
-        return conditions.time_out_of_contact < kOutOfContact || planted(PlantedFault::kFeedServedCutOff);
+        return conditions.time_out_of_contact < kContactTimeout || planted(PlantedFault::kFeedServedCutOff);
     }
     bool open_ = false, was_open_ = false;
 };
--- a/src/control/heartbeat_call.cpp
+++ b/src/control/heartbeat_call.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-std::string text_or(const protocol::Json& object, std::string_view name, std::string other) {
+std::string text_or(const protocol::Json& object, std::string_view name, std::string fallback) {
     const protocol::Json* found = object.find(name);
-    return found == nullptr || found->sort == protocol::Json::Sort::kNull ? other : found->as_text(name);
+    return found == nullptr || found->sort == protocol::Json::Sort::kNull ? fallback : found->as_text(name);
 }
 
-std::optional<InstanceState> state_of(const std::string& text) {
+std::optional<InstanceState> parse_state(const std::string& text) {
     if (text == "draining") return InstanceState::kDraining;
     if (text == "serving") return InstanceState::kServing;
     return std::nullopt;
@@ -36,7 +36,7 @@
         instance.zone = text_or(body, "zone", "");
         instance.software_version = text_or(body, "version", "");
         if (const auto* slots = body.find("slots")) instance.slots = slots->as_integer("slots");
-        const auto state = state_of(text_or(body, "state", "serving"));
+        const auto state = parse_state(text_or(body, "state", "serving"));
         if (!state) return error(ErrorKind::kInvalidInput, "state: send serving or draining");
         instance.state = *state;
         instance.stage = model::stage_named(text_or(body, "stage", ""));
@@ -52,7 +52,7 @@
             return error(ErrorKind::kInvalidInput, "callSeq: too large; count from 0 at each start");
         if (instance.id.empty() || instance.service.empty() || instance.slots < 1)
             return error(ErrorKind::kInvalidInput,
-                         "heartbeat: id or service is empty, or slots below 1; send what is");
+                         "heartbeat: id or service is empty, or slots below 1; send the actual values");
         transport::read_address(instance.address);
         return RegisterCall{std::move(instance)};
     } catch (const std::exception& failure) {
--- a/src/control/heartbeat_call.hpp
+++ b/src/control/heartbeat_call.hpp
@@ -1,4 +1,4 @@
-// The calls of servers (PROTOCOL, service discovery) as typed pairs, and the reading of a heartbeat's JSON.
+// The calls of model servers (PROTOCOL, service discovery) and the parsing of a heartbeat's JSON.
 #pragma once
 #include "base/result.hpp"
 #include "model/instance.hpp"
@@ -8,16 +8,17 @@
 namespace ivyrill::control {
 
 struct RegisterCall {
-    model::Instance instance; // with the heartbeat's own sequence number as its revision
+    model::Instance instance; // its revision is the heartbeat's sequence number
 };
 struct RegisterReply {
-    std::string heartbeat_address; // where later heartbeats should go; empty for no advice
+    std::string heartbeat_address; // where to send later heartbeats; empty: no change
 };
 struct DeregisterCall {
     std::string instance;
 };
 struct DeregisterReply {};
 
+// Returns kInvalidInput if a required field is missing or any field is invalid.
 Result<RegisterCall> read_register_call(const std::string& id, const std::string& json);
 
 } // namespace ivyrill::control
--- a/src/control/inspection.cpp
+++ b/src/control/inspection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const char* text_of(model::InstanceState state) {
+const char* name_of_state(model::InstanceState state) {
     switch (state) {
     case model::InstanceState::kServing:
         return "serving";
@@ -21,7 +21,7 @@
     return "";
 }
 
-template <class Items, class Write> std::string list_of(const Items& items, Write write) {
+template <class Items, class Write> std::string json_list(const Items& items, Write write) {
     std::string list;
     for (const auto& item : items) {
         if (!list.empty()) list += ",";
@@ -30,66 +30,67 @@
     return "[" + list + "]";
 }
 
-std::string voters_of(const Inspection& seen) {
-    return list_of(seen.voters, [](const consensus::Member& voter) {
+std::string voters_json(const Inspection& inspection) {
+    return json_list(inspection.voters, [](const consensus::Member& voter) {
         return fmt::format(R"({{"address":"{}","member":"{}"}})", voter.address, voter.id.value);
     });
 }
 
-std::string peers_of(const Inspection& seen) {
-    return list_of(seen.peers, [](const model::ControlNode& peer) {
+std::string peers_json(const Inspection& inspection) {
+    return json_list(inspection.peers, [](const model::ControlNode& peer) {
         return fmt::format(R"({{"address":"{}","zone":"{}"}})", peer.address, peer.zone);
     });
 }
 
-std::string edge_nodes_of(const Inspection& seen) {
-    return list_of(seen.edge_nodes, [](const model::EdgeNode& node) {
+std::string edge_nodes_json(const Inspection& inspection) {
+    return json_list(inspection.edge_nodes, [](const model::EdgeNode& node) {
         return fmt::format(R"({{"name":"{}","zone":"{}"}})", node.name, node.zone);
     });
 }
 
-std::string servers_of(const Inspection& seen) {
-    return list_of(seen.servers, [](const model::Instance& server) {
+std::string servers_json(const Inspection& inspection) {
+    return json_list(inspection.servers, [](const model::Instance& server) {
         return fmt::format(R"({{"id":"{}","service":"{}","address":"{}","zone":"{}","state":"{}"}})",
-                           server.id, server.service, server.address, server.zone, text_of(server.state));
+                           server.id, server.service, server.address, server.zone,
+                           name_of_state(server.state));
     });
 }
 
-std::string address_of(const Inspection& seen, consensus::MemberId member) {
-    const auto found = std::ranges::find(seen.voters, member, &consensus::Member::id);
-    return found == seen.voters.end() ? "" : found->address;
+std::string address_of(const Inspection& inspection, consensus::MemberId member) {
+    const auto found = std::ranges::find(inspection.voters, member, &consensus::Member::id);
+    return found == inspection.voters.end() ? "" : found->address;
 }
 
-// `heldForMs` is known to the holder alone.
-std::string duties_of(const Inspection& seen) {
-    return list_of(seen.duties, [&](const DutyParts::Standing& part) {
+// Only the holder of a part knows `heldForMs`.
+std::string duties_json(const Inspection& inspection) {
+    return json_list(inspection.duties, [&](const DutyParts::Standing& part) {
         const std::string holder = part.leader ? std::to_string(part.leader->value) : "";
-        const std::string address = part.leader ? address_of(seen, *part.leader) : "";
+        const std::string address = part.leader ? address_of(inspection, *part.leader) : "";
         return fmt::format(
             R"({{"holder":"{}","holderAddress":"{}","holds":{},"acts":{},"fence":{},"heldForMs":{}}})",
             holder, address, part.leads, part.acts, part.fence, part.led_for / (kTenthsPerSecond / 1000));
     });
 }
 
-std::string calls_of(const duties::PlatformCounts& calls) {
+std::string calls_json(const duties::PlatformCounts& calls) {
     std::string counts = fmt::format(R"("sent":{})", calls.calls());
     for (const duties::PlatformOutcome outcome : duties::kPlatformOutcomes)
         counts += fmt::format(R"(,"{}":{})", duties::name_of(outcome), calls.of(outcome));
     return "{" + counts + "}";
 }
 
-std::string usage_of(const Inspection& seen) {
-    if (!seen.usage) return "null";
-    const UsageDuty::Standing& usage = *seen.usage;
+std::string usage_json(const Inspection& inspection) {
+    if (!inspection.usage) return "null";
+    const UsageDuty::Standing& usage = *inspection.usage;
     return fmt::format(
         R"({{"part":{},"reports":{},"fence":{},"nextWindow":{},"due":{},"acknowledged":{},"givenUp":{},)"
         R"("calls":{}}})",
         duties::part_of(duties::usage_report_duty()), usage.fence.has_value(), usage.fence.value_or(0),
-        usage.next_window, usage.due, usage.acknowledged, usage.given_up, calls_of(usage.calls));
+        usage.next_window, usage.due, usage.acknowledged, usage.given_up, calls_json(usage.calls));
 }
 
-std::string orders_of(const Inspection& seen) {
-    const duties::StageOrders::Counts& orders = seen.orders;
+std::string orders_json(const Inspection& inspection) {
+    const duties::StageOrders::Counts& orders = inspection.orders;
     return fmt::format(
         R"({{"sent":{},"taken":{},"conflicts":{},"fencedOff":{},"otherServer":{},"refused":{},"notSent":{},)"
         R"("unanswered":{}}})",
@@ -97,35 +98,36 @@
         orders.not_sent, orders.unanswered);
 }
 
-std::string server_counts_of(const Inspection& seen) {
-    const std::string zones = list_of(seen.server_counts, [](const CountDuty::Standing& zone) {
+std::string server_counts_json(const Inspection& inspection) {
+    const std::string zones = json_list(inspection.server_counts, [](const CountDuty::Standing& zone) {
         const std::string accepted = zone.accepted ? std::to_string(*zone.accepted) : "null";
         return fmt::format(R"({{"service":"{}","zone":"{}","fence":{},"there":{},"accepted":{}}})",
                            zone.service, zone.zone, zone.fence, zone.there, accepted);
     });
-    return fmt::format(R"({{"zones":{},"calls":{}}})", zones, calls_of(seen.count_calls));
+    return fmt::format(R"({{"zones":{},"calls":{}}})", zones, calls_json(inspection.count_calls));
 }
 
-std::string refused_of(const Inspection& seen) {
+std::string refused_json(const Inspection& inspection) {
     return fmt::format(
         R"({{"otherMember":{},"olderTerm":{},"unknownMember":{},"unreadable":{},"otherVersion":{},"beforeHello":{},"formerProcess":{},)"
         R"("copyOfOtherProcess":{},"copyUnasked":{},"answerOfOtherProcess":{},"answerUnasked":{},)"
         R"("answerOfOtherPeer":{}}})",
-        seen.group.other_member, seen.group.older_term, seen.group.unknown_member, seen.links.unreadable,
-        seen.links.other_version, seen.links.before_hello, seen.links.former_process,
-        seen.copies.other_process, seen.copies.unasked, seen.calls.other_process, seen.calls.unasked,
-        seen.calls.other_peer);
+        inspection.group.other_member, inspection.group.older_term, inspection.group.unknown_member,
+        inspection.links.unreadable, inspection.links.other_version, inspection.links.before_hello,
+        inspection.links.former_process, inspection.copies.other_process, inspection.copies.unsolicited,
+        inspection.calls.other_process, inspection.calls.unsolicited, inspection.calls.other_peer);
 }
 
 } // namespace
 
-std::string to_json(const Inspection& seen) {
+std::string to_json(const Inspection& inspection) {
     return fmt::format(
         R"({{"node":"{}","leads":{},"inContact":{},"servesFeed":{},"version":{},"voters":{},)"
         R"("peers":{},"edgeNodes":{},"servers":{},"duties":{},"orders":{},"serverCounts":{},"usage":{},"refused":{}}})",
-        seen.node, seen.leads, seen.in_contact, seen.serves_feed, seen.version, voters_of(seen),
-        peers_of(seen), edge_nodes_of(seen), servers_of(seen), duties_of(seen), orders_of(seen),
-        server_counts_of(seen), usage_of(seen), refused_of(seen));
+        inspection.node, inspection.leads, inspection.in_contact, inspection.serves_feed, inspection.version,
+        voters_json(inspection), peers_json(inspection), edge_nodes_json(inspection),
+        servers_json(inspection), duties_json(inspection), orders_json(inspection),
+        server_counts_json(inspection), usage_json(inspection), refused_json(inspection));
 }
 
 } // namespace ivyrill::control
--- a/src/control/inspection.hpp
+++ b/src/control/inspection.hpp
@@ -1,4 +1,4 @@
-// What GET /inspect tells of a control node, as JSON. Pure.
+// The state of a control node that GET /inspect returns as JSON. No I/O.
 #pragma once
 #include "consensus/replica.hpp"
 #include "control/count_duty.hpp"
@@ -22,15 +22,15 @@
     bool leads = false, in_contact = false, serves_feed = false;
     std::int64_t version = 0;
     std::vector<consensus::Member> voters;
-    std::vector<model::ControlNode> peers; // that are alive
+    std::vector<model::ControlNode> peers; // alive ones
     std::vector<model::EdgeNode> edge_nodes;
     std::vector<model::Instance> servers;
-    std::vector<DutyParts::Standing> duties;        // by part; none where the deployment has no duties
-    duties::StageOrders::Counts orders;             // to servers, by this process
-    std::optional<UsageDuty::Standing> usage;       // none where no usage is due
-    std::vector<CountDuty::Standing> server_counts; // of the zones that this node orders for
-    duties::PlatformCounts count_calls;             // for them, by this process
-    // Messages that were passed over, by cause.
+    std::vector<DutyParts::Standing> duties;        // by part; empty in deployments without duties
+    duties::StageOrders::Counts orders;             // sent to servers by this process
+    std::optional<UsageDuty::Standing> usage;       // none if usage is not reported
+    std::vector<CountDuty::Standing> server_counts; // of the zones that this node is responsible for
+    duties::PlatformCounts count_calls;             // of this process, for these zones
+    // Dropped and rejected messages by cause.
     consensus::DroppedMessages group;
     PeerMesh::RejectedMessages links;
     DroppedSyncReplies copies;
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -14,20 +14,21 @@
 namespace {
 
 constexpr Tenths kCheckInterval = 2500;
-constexpr Tenths kSecurePatience = 8000; // servers turn elsewhere after a second
-constexpr Tenths kGoneSpan =
-    60 * kTenthsPerSecond;       // so long is what is gone remembered, for words that come late
-constexpr int kDiffersOften = 2; // statuses in a row: what is on its way is no difference
-
-Error not_held() {
-    return error(ErrorKind::kUnavailable, "no majority of the control nodes can be told: call another one");
+constexpr Tenths kReplicationTimeout = 8000; // below the servers' timeout of 1 s
+constexpr Tenths kGoneRetention =
+    60 * kTenthsPerSecond;                 // how long gone servers are remembered, to reject late messages
+constexpr int kMismatchesBeforeRepair = 2; // consecutive; a single one may be due to messages in transit
+
+Error not_durable() {
+    return error(ErrorKind::kUnavailable,
+                 "no majority of the control nodes can be reached: call another one");
 }
 
-// What a heartbeat may repeat without its being news.
-bool says_the_same(const Instance& a, const Instance& b) {
-    Instance alike = a;
-    alike.revision = b.revision;
-    return alike == b;
+// Whether the records differ in nothing but their revision.
+bool is_same_content(const Instance& a, const Instance& b) {
+    Instance copy = a;
+    copy.revision = b.revision;
+    return copy == b;
 }
 
 } // namespace
@@ -35,7 +36,8 @@
 InstanceRegistry::InstanceRegistry(transport::Reactor& reactor, feed::FeedLog& log, Options options,
                                    Callbacks callbacks)
     : reactor_(reactor), log_(log), options_(std::move(options)), callbacks_(std::move(callbacks)),
-      parts_(options_.max_per_owner), silence_(options_.heartbeat), copies_(options_.incarnation) {
+      partitions_(options_.max_per_owner), failure_detector_(options_.heartbeat_interval),
+      sync_tracker_(options_.incarnation) {
     check_silence();
 }
 
@@ -44,12 +46,12 @@
 bool InstanceRegistry::accept(const Instance& record) {
     if (!table_.merge(record, reactor_.now())) return false;
     log_.put(*table_.find(record.id));
-    if (record.state == InstanceState::kGone) silence_.forget(record.id);
+    if (record.state == InstanceState::kGone) failure_detector_.forget(record.id);
     return true;
 }
 
-// A server that starts at an address ends whatever record stood there before.
-void InstanceRegistry::end_predecessors(const Instance& record) {
+// A server that starts at an address replaces any earlier server at it, which must be gone.
+void InstanceRegistry::retire_predecessors(const Instance& record) {
     std::vector<Instance> ended;
     for (const auto& [id, other] : table_.records())
         if (id != record.id && other.address == record.address && other.state != InstanceState::kGone)
@@ -65,32 +67,32 @@
     Instance record = std::move(call.instance);
     const Instance* known = table_.find(record.id);
     const bool finished = known != nullptr && known->revision == model::kFinalRevision;
-    heard(record.id);
-    if (parts_.owner(record.service) != options_.self) note_for_watchers(record);
+    record_heartbeat(record.id);
+    if (partitions_.owner(record.service) != options_.self) note_for_watchers(record);
     if (!finished &&
-        (known == nullptr || (record.revision > known->revision && !says_the_same(record, *known)))) {
-        const bool fresh = known == nullptr;
-        if (fresh) end_predecessors(record);
+        (known == nullptr || (record.revision > known->revision && !is_same_content(record, *known)))) {
+        const bool inserted = known == nullptr;
+        if (inserted) retire_predecessors(record);
         if (accept(record)) {
             callbacks_.changed();
             if (record.state == InstanceState::kServing)
                 callbacks_.send_to_peers(feed::Replicate{{}, {record}, {}});
-            if (fresh)
+            if (inserted)
                 log_line("server_up", {{"id", record.id},
                                        {"address", record.address},
                                        {"stage", std::to_string(static_cast<int>(record.stage))}});
         }
     }
     known = table_.find(record.id);
-    const std::string target = parts_.heartbeat_target(known->service, known->id);
-    const bool leaves = known->state == InstanceState::kDraining || known->state == InstanceState::kGone;
-    if (leaves && !secured_.contains(record.id)) {
-        std::vector<Instance> held(1, *known);
-        if (!co_await secure(std::move(held))) co_return not_held();
-        secured_.insert(record.id);
+    const std::string target = partitions_.heartbeat_target(known->service, known->id);
+    const bool is_leaving = known->state == InstanceState::kDraining || known->state == InstanceState::kGone;
+    if (is_leaving && !durable_departures_.contains(record.id)) {
+        std::vector<Instance> records(1, *known);
+        if (!co_await replicate_durably(std::move(records))) co_return not_durable();
+        durable_departures_.insert(record.id);
     }
-    // What was heard is used all the same; but whoever leads may not learn of it from here.
-    if (!leaves && !callbacks_.serves()) co_return not_held();
+    // The heartbeat was used, but it can't be confirmed: the leader may not learn of it from this node.
+    if (!is_leaving && !callbacks_.serves()) co_return not_durable();
     co_return RegisterReply{target.empty() || target == options_.self ? "" : callbacks_.call_address(target)};
 }
 
@@ -103,54 +105,55 @@
         callbacks_.changed();
         log_line("server_left", {{"id", record.id}});
     }
-    std::vector<Instance> held(1, *table_.find(call.instance));
-    if (!co_await secure(std::move(held))) co_return not_held();
+    std::vector<Instance> records(1, *table_.find(call.instance));
+    if (!co_await replicate_durably(std::move(records))) co_return not_durable();
     co_return DeregisterReply{};
 }
 
-transport::Async<bool> InstanceRegistry::secure(std::vector<Instance> records) {
-    const feed::CallId id = copies_.next_id();
+transport::Async<bool> InstanceRegistry::replicate_durably(std::vector<Instance> records) {
+    const feed::CallId id = sync_tracker_.next_id();
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
-    leavings_[id.number] = {{}, pending};
+    pending_departures_[id.number] = {{}, pending};
     callbacks_.send_to_peers(feed::Replicate{id, std::move(records), {}});
     if (planted(PlantedFault::kLeavingInMemoryOnly))
-        stored_at(id.number, callbacks_.self());
+        record_copy(id.number, callbacks_.self());
     else
         callbacks_.make_durable([this, number = id.number](bool is_durable) {
-            if (is_durable) stored_at(number, callbacks_.self());
+            if (is_durable) record_copy(number, callbacks_.self());
         });
-    const auto result = co_await transport::Pending<bool>::wait(pending, reactor_.now() + kSecurePatience);
-    leavings_.erase(id.number);
+    const auto result =
+        co_await transport::Pending<bool>::wait(pending, reactor_.now() + kReplicationTimeout);
+    pending_departures_.erase(id.number);
     co_return result.value_or(false);
 }
 
-void InstanceRegistry::stored_at(std::uint64_t number, std::uint64_t member) {
-    const auto found = leavings_.find(number);
-    if (found == leavings_.end()) return;
+void InstanceRegistry::record_copy(std::uint64_t number, std::uint64_t member) {
+    const auto found = pending_departures_.find(number);
+    if (found == pending_departures_.end()) return;
     found->second.members.insert(member);
-    if (callbacks_.survives_losses(found->second.members)) found->second.enough->resolve(true);
+    if (callbacks_.survives_losses(found->second.members)) found->second.durable->resolve(true);
 }
 
-void InstanceRegistry::replicated(const model::ControlNode& peer, const feed::Replicated& message) {
-    if (!copies_.is_own_request(message.id)) return;
-    if (!leavings_.contains(message.id.number)) return copies_.count_unsolicited();
-    stored_at(message.id.number, peer.member);
+void InstanceRegistry::handle_replicated(const model::ControlNode& peer, const feed::Replicated& message) {
+    if (!sync_tracker_.is_own_request(message.id)) return;
+    if (!pending_departures_.contains(message.id.number)) return sync_tracker_.count_unsolicited();
+    record_copy(message.id.number, peer.member);
 }
 
 bool InstanceRegistry::merge(const std::vector<Instance>& records) {
-    bool news = false;
+    bool changed = false;
     for (const Instance& record : records) {
         const Instance* known = table_.find(record.id);
-        // A later heartbeat than the one known came to somebody: the server was heard.
+        // A newer revision proves a heartbeat that another node has received.
         const bool later = known == nullptr || record.revision > known->revision;
         if (!accept(record)) continue;
-        news = true;
-        if (later && record.state != InstanceState::kGone) heard(record.id);
+        changed = true;
+        if (later && record.state != InstanceState::kGone) record_heartbeat(record.id);
     }
-    return news;
+    return changed;
 }
 
-void InstanceRegistry::replicate(const model::ControlNode& peer, const feed::Replicate& message) {
+void InstanceRegistry::handle_replicate(const model::ControlNode& peer, const feed::Replicate& message) {
     if (merge(message.instances)) callbacks_.changed();
     if (!message.loads.empty()) update_loads(message.loads, false);
     if (message.id.number == 0) return;
@@ -163,35 +166,35 @@
     });
 }
 
-void InstanceRegistry::update_loads(const std::vector<model::Load>& loads, bool first_hand) {
-    std::vector<model::Load> news;
+void InstanceRegistry::update_loads(const std::vector<model::Load>& loads, bool from_agent) {
+    std::vector<model::Load> changed;
     for (const model::Load& load : loads) {
         const Instance* known = table_.find(load.instance);
         if (known == nullptr || known->state == InstanceState::kGone) continue;
-        const auto [place, fresh] = loads_.try_emplace(load.instance, load);
-        if (!fresh && !model::supersedes(load, place->second)) continue;
-        place->second = load;
+        const auto [entry, inserted] = loads_.try_emplace(load.instance, load);
+        if (!inserted && !model::supersedes(load, entry->second)) continue;
+        entry->second = load;
         log_.put(load);
-        news.push_back(load);
+        changed.push_back(load);
     }
-    if (news.empty()) return;
-    if (first_hand) callbacks_.send_to_peers(feed::Replicate{{}, {}, news});
-    callbacks_.loads_changed(news);
+    if (changed.empty()) return;
+    if (from_agent) callbacks_.send_to_peers(feed::Replicate{{}, {}, changed});
+    callbacks_.loads_changed(changed);
 }
 
-void InstanceRegistry::compare(const model::ControlNode& peer, const feed::PeerStatus& status) {
+void InstanceRegistry::compare_digests(const model::ControlNode& peer, const feed::PeerStatus& status) {
     request_sync(peer);
     const auto ranges = feed::InstanceTable::differing(digests(), status.instances);
-    int& times = differs_[peer.address];
-    times = ranges.empty() ? 0 : times + 1;
-    if (times < kDiffersOften) return;
-    times = 0;
+    int& mismatches = digest_mismatches_[peer.address];
+    mismatches = ranges.empty() ? 0 : mismatches + 1;
+    if (mismatches < kMismatchesBeforeRepair) return;
+    mismatches = 0;
     callbacks_.send(peer.address, feed::WantRanges{ranges, {}});
 }
 
 void InstanceRegistry::request_sync(const model::ControlNode& peer) {
-    const auto question = copies_.request(peer.member, reactor_.now());
-    if (question && !callbacks_.send(peer.address, *question)) copies_.request_failed(peer.member);
+    const auto request = sync_tracker_.request(peer.member, reactor_.now());
+    if (request && !callbacks_.send(peer.address, *request)) sync_tracker_.request_failed(peer.member);
 }
 
 void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::WantRanges& wanted) {
@@ -200,76 +203,78 @@
 
 void InstanceRegistry::receive_records(const model::ControlNode& peer, const feed::Instances& records) {
     if (merge(records.records)) callbacks_.changed();
-    copies_.reply_received(peer.member, records.answers);
+    sync_tracker_.reply_received(peer.member, records.answers);
 }
 
 void InstanceRegistry::merge_agent_records(const std::vector<Instance>& records) {
-    bool news = false;
+    bool changed = false;
     for (const Instance& record : records) {
         if (!merge({record})) continue;
-        news = true;
+        changed = true;
         callbacks_.send_to_peers(feed::Replicate{{}, {record}, {}});
     }
-    if (news) callbacks_.changed();
+    if (changed) callbacks_.changed();
 }
 
 void InstanceRegistry::set_nodes(std::vector<std::string> alive) {
-    if (alive == parts_.nodes()) return;
-    const std::vector<std::string> before = parts_.nodes();
-    parts_.set_nodes(std::move(alive));
+    if (alive == partitions_.nodes()) return;
+    const std::vector<std::string> before = partitions_.nodes();
+    partitions_.set_nodes(std::move(alive));
     std::map<std::string, bool> taken_over; // by service
-    // Whoever takes a part over has not heard its servers yet: they get their whole time.
+    // The new owner of a partition has not received its servers' heartbeats so far: their timeouts restart.
     for (const auto& [id, record] : table_.records()) {
-        const auto [place, fresh] = taken_over.try_emplace(record.service, false);
-        if (fresh)
-            place->second = is_owner(record.service) && owner_of(record.service, before) != options_.self;
-        if (place->second) heard(id);
+        const auto [entry, inserted] = taken_over.try_emplace(record.service, false);
+        if (inserted)
+            entry->second = is_owner(record.service) && owner_of(record.service, before) != options_.self;
+        if (entry->second) record_heartbeat(id);
     }
 }
 
 void InstanceRegistry::note_for_watchers(const Instance& record) {
-    for (const std::string& node : parts_.watchers(record.service))
-        if (node != options_.self) heard_for_others_[node].insert(record.id);
+    for (const std::string& node : partitions_.watchers(record.service))
+        if (node != options_.self) pending_notifications_[node].insert(record.id);
 }
 
-void InstanceRegistry::tell_watchers() {
-    for (const auto& [node, ids] : std::exchange(heard_for_others_, {}))
+void InstanceRegistry::notify_watchers() {
+    for (const auto& [node, ids] : std::exchange(pending_notifications_, {}))
         callbacks_.send(node, feed::Heard{{ids.begin(), ids.end()}});
 }
 
 void InstanceRegistry::record_remote_heartbeats(const feed::Heard& message) {
-    for (const std::string& id : message.instances) heard(id);
+    for (const std::string& id : message.instances) record_heartbeat(id);
 }
 
 void InstanceRegistry::check_silence() {
     timer_ = reactor_.call_after(kCheckInterval, [this] { check_silence(); });
-    tell_watchers();
-    parts_.count_servers(table_);
-    if (const Tenths slept = reactor_.overslept(); slept > kCheckInterval / 5) silence_.discount_pause(slept);
-    std::vector<Instance> judged;
-    const bool may_judge = callbacks_.in_contact();
-    if (may_judge && std::exchange(was_blind_, false)) silence_.restart_timeouts(reactor_.now());
-    was_blind_ = !may_judge;
-    if (may_judge)
-        judged = silence_.judge(
+    notify_watchers();
+    partitions_.count_servers(table_);
+    if (const Tenths suspended = reactor_.overslept(); suspended > kCheckInterval / 5)
+        failure_detector_.discount_pause(suspended);
+    std::vector<Instance> changes;
+    const bool in_contact = callbacks_.in_contact();
+    if (in_contact && std::exchange(was_out_of_contact_, false))
+        failure_detector_.restart_timeouts(reactor_.now());
+    was_out_of_contact_ = !in_contact;
+    if (in_contact)
+        changes = failure_detector_.check(
             table_, [this](const std::string& service) { return is_owner(service); }, reactor_.now());
-    for (const Instance& judgement : judged) {
-        log_line("server_silent", {{"id", judgement.id}, {"address", judgement.address}});
-        accept(judgement);
+    for (const Instance& record : changes) {
+        log_line("server_silent", {{"id", record.id}, {"address", record.address}});
+        accept(record);
     }
-    if (!judged.empty()) callbacks_.send_to_peers(feed::Replicate{{}, judged, {}});
-    const bool forgot = forget_gone();
-    if (!judged.empty() || forgot) callbacks_.changed();
+    if (!changes.empty()) callbacks_.send_to_peers(feed::Replicate{{}, changes, {}});
+    const bool removed = remove_gone();
+    if (!changes.empty() || removed) callbacks_.changed();
 }
 
-bool InstanceRegistry::forget_gone() {
-    bool forgot = false;
-    for (const std::string& id : table_.forget_gone(kGoneSpan, reactor_.now())) {
+bool InstanceRegistry::remove_gone() {
+    bool removed = false;
+    for (const std::string& id : table_.forget_gone(kGoneRetention, reactor_.now())) {
         log_.forget_instance(id);
-        secured_.erase(id), silence_.forget(id), loads_.erase(id);
-        forgot = true;
+        durable_departures_.erase(id), failure_detector_.forget(id), loads_.erase(id);
+        removed = true;
     }
-    return forgot;
+    return removed;
 }
 
 } // namespace ivyrill::control
--- a/src/control/node_snapshot.hpp
+++ b/src/control/node_snapshot.hpp
@@ -1,7 +1,7 @@
-// What a control node knew when it ended, kept on its disk so that a fleet that lost power serves again
-// before its servers have all called: the newest configuration that was committed for certain, and the
-// servers. Of the configuration it is a head start, never the truth: the group's own value replaces it. Of
-// servers that said that they leave it is the only durable record, which an acknowledgement waits for.
+// Snapshot of a control node's state on its disk: the newest configuration known to be committed, and the
+// server records. With it, a fleet serves again after a power failure before all servers have sent a
+// heartbeat. The configuration in it is only an initial value, replaced by that of the consensus group. For
+// servers that leave, the snapshot is the only durable record, so their acknowledgement waits for it.
 #pragma once
 #include "base/result.hpp"
 #include "control/state_file.hpp"
@@ -26,37 +26,37 @@
 
 class SnapshotStore {
   public:
-    // `collect` is asked for the state when a write begins.
+    // `collect` returns the state to write; called when a write begins.
     static Result<std::unique_ptr<SnapshotStore>>
     open(transport::Reactor& reactor, std::unique_ptr<StateFile> file, std::function<NodeSnapshot()> collect);
     ~SnapshotStore();
-    const NodeSnapshot& loaded() const { return loaded_; } // as it was at the start; empty on a new disk
-    bool is_corrupt() const { return corrupt_; }           // the disk has lost what was durable here
-    void changed(); // something is to be written: soon, one write at a time, however often it is called
-    // `done` is told whether all that was there when this was called is durable: at once where it is already,
-    // else after a write that begins at once, or that is under way and holds it.
+    const NodeSnapshot& loaded() const { return loaded_; } // as loaded at the start; empty on a new disk
+    bool is_corrupt() const { return file_is_corrupt_; }   // the disk has lost a durable version
+    void changed(); // schedules a write; changes in quick succession are written together
+    // Calls `done` with whether the state at the time of this call is durable: at once if it already is, else
+    // after a write that contains it, which starts with little delay.
     void make_durable(std::function<void(bool)> done);
 
   private:
-    struct Waiting {
-        std::uint64_t change = 0; // the newest that has to be durable
+    struct Waiter {
+        std::uint64_t change = 0; // the newest change that has to be durable
         std::function<void(bool)> done;
     };
     SnapshotStore(transport::Reactor& reactor, std::unique_ptr<StateFile> file,
                   std::function<NodeSnapshot()> collect);
-    void write_after(Tenths pause);
+    void schedule_write(Tenths delay);
     void write();
-    void written(const Result<void>& result, std::uint64_t change);
+    void write_done(const Result<void>& result, std::uint64_t change);
 
     transport::Reactor& reactor_;
     std::function<NodeSnapshot()> collect_;
     NodeSnapshot loaded_;
-    bool corrupt_ = false;
-    std::unique_ptr<StateFile> disk_;
+    bool file_is_corrupt_ = false;
+    std::unique_ptr<StateFile> file_;
     std::uint64_t change_ = 0, durable_change_ = 0; // counted from the start
-    std::vector<Waiting> waiting_;
-    bool planned_ = false, writing_ = false;
-    Tenths planned_at_ = 0;
+    std::vector<Waiter> waiters_;
+    bool scheduled_ = false, writing_ = false;
+    Tenths scheduled_at_ = 0;
     transport::Reactor::TimerId timer_{};
 };
 
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-constexpr Tenths kPatience =
-    9000;                      // for an answer, from whichever leaders: callers go elsewhere after a second
-constexpr Tenths kPause = 200; // between two looks for a leader
+constexpr Tenths kCallTimeout = 9000;       // over all leaders; below the callers' timeout of 1 s
+constexpr Tenths kLeaderPollInterval = 200; // while there is no leader
 
 http::Answer to_answer(const Result<void>& result) {
     return result.has_error() ? http::error_answer(result.error()) : http::json_answer("{}");
 }
 
-// Certain, and so not asked for again; callers are told 503 all the same.
-http::Answer nothing_taken() {
-    return {404, "", "no configuration was taken yet: send one by PUT /config\n"};
+// A definite answer, so the call is not retried; callers get 503 all the same.
+http::Answer no_configuration() {
+    return {404, "", "no configuration was accepted yet: send one by PUT /config\n"};
 }
 
-http::Answer no_owner() { return {503, "", "no node owns the configuration now: call again or elsewhere\n"}; }
+http::Answer no_leader() {
+    return {503, "", "the configuration group has no leader now: retry or call another node\n"};
+}
 
 } // namespace
 
@@ -33,8 +34,9 @@
     std::int64_t version = 0;
     const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), version);
     if (failure != std::errc{} || end != text.data() + text.size() || text.empty())
-        return error(ErrorKind::kInvalidInput,
-                     "If-Match: not a version; name the one that is built on, 0 for the first");
+        return error(
+            ErrorKind::kInvalidInput,
+            "If-Match: not a version; send the version that the change is based on, 0 for the first");
     return version;
 }
 
@@ -43,13 +45,13 @@
     : reactor_(reactor), group_(group), incarnation_(incarnation), callbacks_(std::move(callbacks)) {}
 
 transport::Async<Result<std::string>> OperatorCalls::read() {
-    http::Answer answer = co_await at_owner("GET", "", "");
+    http::Answer answer = co_await call_leader("GET", "", "");
     if (answer.status != 200) co_return error(ErrorKind::kUnavailable, std::move(answer.body));
     co_return std::move(answer.body);
 }
 
 transport::Async<Result<void>> OperatorCalls::replace(std::int64_t if_match, std::string body) {
-    http::Answer answer = co_await at_owner("PUT", std::to_string(if_match), std::move(body));
+    http::Answer answer = co_await call_leader("PUT", std::to_string(if_match), std::move(body));
     if (answer.status == 200) co_return boost::outcome_v2::success();
     const ErrorKind kind = answer.status == 412   ? ErrorKind::kVersionConflict
                            : answer.status == 400 ? ErrorKind::kInvalidInput
@@ -57,12 +59,12 @@
     co_return error(kind, std::move(answer.body));
 }
 
-transport::Async<http::Answer> OperatorCalls::decide_here(const std::string& method,
-                                                          const std::string& if_match, std::string body) {
+transport::Async<http::Answer> OperatorCalls::execute_locally(const std::string& method,
+                                                              const std::string& if_match, std::string body) {
     if (method == "GET") {
         const Result<std::optional<std::string>> read = co_await group_.read();
         if (read.has_error()) co_return http::error_answer(read.error());
-        if (!read.value()) co_return nothing_taken();
+        if (!read.value()) co_return no_configuration();
         co_return http::json_answer(*read.value());
     }
     const auto version = read_if_match(if_match);
@@ -70,42 +72,44 @@
     co_return to_answer(co_await group_.replace(version.value(), std::move(body)));
 }
 
-// An answer of 503 by a node that no longer leads says nothing of the next one: the call goes on to that.
-transport::Async<http::Answer> OperatorCalls::at_owner(std::string method, std::string if_match,
-                                                       std::string body) {
-    const Tenths until = reactor_.now() + kPatience;
-    while (reactor_.now() < until) {
-        http::Answer answer = no_owner();
+// A reply of 503 from a former leader does not apply to the next one, so the call is retried there.
+transport::Async<http::Answer> OperatorCalls::call_leader(std::string method, std::string if_match,
+                                                          std::string body) {
+    const Tenths deadline = reactor_.now() + kCallTimeout;
+    while (reactor_.now() < deadline) {
+        http::Answer answer = no_leader();
         const auto leader = group_.leader();
         if (group_.leads() || (method == "GET" && planted(PlantedFault::kReadUnconfirmed))) {
-            answer = co_await decide_here(method, if_match, body);
+            answer = co_await execute_locally(method, if_match, body);
         } else if (leader && *leader != group_.self()) {
-            feed::ForwardedCall call{{incarnation_, ++count_}, method, if_match, body};
-            if (co_await ask(leader->value, std::move(call), until, answer) == Outcome::kTooLate) break;
+            feed::ForwardedCall call{{incarnation_, ++last_number_}, method, if_match, body};
+            if (co_await forward(leader->value, std::move(call), deadline, answer) == Outcome::kTimedOut)
+                break;
         }
         if (answer.status != 503) co_return answer;
-        co_await pause();
+        co_await wait_for_leader();
     }
-    co_return no_owner();
+    co_return no_leader();
 }
 
-transport::Async<transport::Done> OperatorCalls::pause() {
-    auto nothing = std::make_shared<transport::Pending<bool>>(reactor_);
-    co_await transport::Pending<bool>::wait(nothing, reactor_.now() + kPause);
+transport::Async<transport::Done> OperatorCalls::wait_for_leader() {
+    auto timer = std::make_shared<transport::Pending<bool>>(reactor_);
+    co_await transport::Pending<bool>::wait(timer, reactor_.now() + kLeaderPollInterval);
     co_return transport::Done{};
 }
 
-transport::Async<OperatorCalls::Outcome> OperatorCalls::ask(std::uint64_t member, feed::ForwardedCall call,
-                                                            Tenths until, http::Answer& answer) {
+transport::Async<OperatorCalls::Outcome> OperatorCalls::forward(std::uint64_t member,
+                                                                feed::ForwardedCall call, Tenths deadline,
+                                                                http::Answer& answer) {
     const std::uint64_t number = call.id.number;
     auto pending = std::make_shared<transport::Pending<Outcome>>(reactor_);
-    waiting_[number] = {member, pending, {}};
-    if (!callbacks_.send_to_member(member, std::move(call))) pending->resolve(Outcome::kSendAnew);
-    const auto outcome = co_await transport::Pending<Outcome>::wait(pending, until);
-    const auto here = waiting_.find(number);
-    if (outcome == Outcome::kAnswered) answer = std::move(here->second.answer);
-    waiting_.erase(here);
-    co_return outcome.value_or(Outcome::kTooLate);
+    pending_calls_[number] = {member, pending, {}};
+    if (!callbacks_.send_to_member(member, std::move(call))) pending->resolve(Outcome::kResend);
+    const auto outcome = co_await transport::Pending<Outcome>::wait(pending, deadline);
+    const auto entry = pending_calls_.find(number);
+    if (outcome == Outcome::kAnswered) answer = std::move(entry->second.answer);
+    pending_calls_.erase(entry);
+    co_return outcome.value_or(Outcome::kTimedOut);
 }
 
 void OperatorCalls::handle_forwarded_answer(const model::ControlNode& peer, feed::ForwardedAnswer answer) {
@@ -113,19 +117,19 @@
         ++dropped_replies_.other_process;
         return;
     }
-    const auto asked = waiting_.find(answer.id.number);
-    if (asked == waiting_.end() || asked->second.outcome->resolved()) {
-        ++dropped_replies_.unasked;
+    const auto found = pending_calls_.find(answer.id.number);
+    if (found == pending_calls_.end() || found->second.outcome->resolved()) {
+        ++dropped_replies_.unsolicited;
         return;
     }
-    if (asked->second.member != peer.member) {
+    if (found->second.member != peer.member) {
         ++dropped_replies_.other_peer;
         return;
     }
-    Waiting& waiting = asked->second;
-    waiting.answer = {static_cast<int>(answer.status), "", std::move(answer.body)};
-    if (answer.status == 200) waiting.answer.fields = "Content-Type: application/json\r\n";
-    waiting.outcome->resolve(Outcome::kAnswered);
+    PendingCall& call = found->second;
+    call.answer = {static_cast<int>(answer.status), "", std::move(answer.body)};
+    if (answer.status == 200) call.answer.fields = "Content-Type: application/json\r\n";
+    call.outcome->resolve(Outcome::kAnswered);
 }
 
 void OperatorCalls::handle_forwarded_call(const model::ControlNode& peer, feed::ForwardedCall call) {
@@ -134,19 +138,19 @@
 
 transport::Task OperatorCalls::answer_forwarded(std::string peer, feed::ForwardedCall call) {
     const feed::CallId id = call.id;
-    const http::Answer answer = co_await decide_here(call.method, call.if_match, std::move(call.body));
+    const http::Answer answer = co_await execute_locally(call.method, call.if_match, std::move(call.body));
     callbacks_.send(peer, feed::ForwardedAnswer{id, answer.status, answer.body});
 }
 
 void OperatorCalls::leader_changed() {
     const auto leader = group_.leader();
-    for (auto& [number, waiting] : waiting_)
-        if (!leader || leader->value != waiting.member) waiting.outcome->resolve(Outcome::kSendAnew);
+    for (auto& [number, call] : pending_calls_)
+        if (!leader || leader->value != call.member) call.outcome->resolve(Outcome::kResend);
 }
 
 void OperatorCalls::peer_lost(std::uint64_t member) {
-    for (auto& [number, waiting] : waiting_)
-        if (waiting.member == member) waiting.outcome->resolve(Outcome::kSendAnew);
+    for (auto& [number, call] : pending_calls_)
+        if (call.member == member) call.outcome->resolve(Outcome::kResend);
 }
 
 } // namespace ivyrill::control
--- a/src/control/peer_mesh.cpp
+++ b/src/control/peer_mesh.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Tenths kFirstPause = 1000, kLongestPause = 10'000; // between tries to connect
-constexpr Tenths kConnectPatience = 5000;
-constexpr Tenths kForgetAfter = 300'000; // what is no seed and was silent for so long is no longer tried
+constexpr Tenths kMinRetryDelay = 1000, kMaxRetryDelay = 10'000; // between connection attempts
+constexpr Tenths kConnectTimeout = 5000;
+constexpr Tenths kForgetAfter = 300'000; // 30 s; then a silent peer is removed, unless it is a seed
 
 void free_link(transport::Reactor& reactor, std::unique_ptr<feed::Link> link) {
     if (!link) return;
@@ -32,22 +32,22 @@
 
 void PeerMesh::start() {
     for (const std::string& seed : options_.seeds)
-        if (seed != options_.self.address) peer(seed).seed = true;
+        if (seed != options_.self.address) find_or_add_peer(seed).seed = true;
     tick();
 }
 
-PeerMesh::Peer& PeerMesh::peer(const std::string& address) {
-    const auto [place, fresh] = peers_.try_emplace(address);
-    if (fresh) {
-        place->second.node.address = address;
-        place->second.first_known = place->second.last_heard = place->second.alive_since = reactor_.now();
-        place->second.pause = kFirstPause;
+PeerMesh::Peer& PeerMesh::find_or_add_peer(const std::string& address) {
+    const auto [entry, inserted] = peers_.try_emplace(address);
+    if (inserted) {
+        entry->second.node.address = address;
+        entry->second.first_known = entry->second.last_heard = entry->second.alive_since = reactor_.now();
+        entry->second.retry_delay = kMinRetryDelay;
     }
-    return place->second;
+    return entry->second;
 }
 
 void PeerMesh::add_peer(const model::ControlNode& node) {
-    if (node.address != options_.self.address && !node.address.empty()) peer(node.address);
+    if (node.address != options_.self.address && !node.address.empty()) find_or_add_peer(node.address);
 }
 
 void PeerMesh::add_peers(const std::vector<model::ControlNode>& nodes) {
@@ -55,43 +55,43 @@
 }
 
 void PeerMesh::connect(Peer& peer) {
-    peer.next_try = reactor_.now() + peer.pause;
-    peer.pause = std::min(peer.pause * 2, kLongestPause);
+    peer.next_attempt = reactor_.now() + peer.retry_delay;
+    peer.retry_delay = std::min(peer.retry_delay * 2, kMaxRetryDelay);
     const std::string address = peer.node.address;
     feed::Link::Callbacks callbacks;
     callbacks.up = [this, address] {
-        Peer& here = this->peer(address);
-        here.pause = kFirstPause;
+        Peer& here = this->find_or_add_peer(address);
+        here.retry_delay = kMinRetryDelay;
         if (here.out) here.out->send(own_hello());
-        // Whoever has just started learns at once that this node is about to end, or may vote.
+        // A peer that has just started learns at once whether this node is shutting down or may vote.
         if (here.out) here.out->send(own_status());
         if (callbacks_.link_up) callbacks_.link_up(address);
-        refresh();
+        update_liveness();
     };
     callbacks.received = [this, address](feed::Message) {
-        this->peer(address).out->end("spoke on a one-way link");
+        this->find_or_add_peer(address).out->end("received a message on a one-way link");
     };
-    callbacks.ended = [this, address](const std::string& reason) { out_ended(address, reason); };
+    callbacks.ended = [this, address](const std::string& reason) { outgoing_ended(address, reason); };
     peer.out = network_.connect(address, 0, std::move(callbacks));
     if (peer.out) peer.out->start();
 }
 
-// It has just opened a link, so it can be reached: a connection that was begun while it could not would wait
-// for its time to run out.
-void PeerMesh::connect_to_caller(Peer& peer) {
+// The peer has just opened a link, so it is reachable: an attempt that was started while it was not would
+// only run into its timeout.
+void PeerMesh::connect_back(Peer& peer) {
     if (peer.out && peer.out->up()) return;
-    if (peer.out) peer.out->end("begun before the peer was there");
+    if (peer.out) peer.out->end("connection attempt predates the peer's start");
     connect(peer);
 }
 
-void PeerMesh::out_ended(const std::string& address, const std::string&) {
-    Peer& here = peer(address);
+void PeerMesh::outgoing_ended(const std::string& address, const std::string&) {
+    Peer& here = find_or_add_peer(address);
     free_link(reactor_, std::move(here.out));
-    here.next_try = std::max(here.next_try, reactor_.now() + kFirstPause);
+    here.next_attempt = std::max(here.next_attempt, reactor_.now() + kMinRetryDelay);
 }
 
 feed::PeerHello PeerMesh::own_hello() const {
-    return {options_.self, options_.incarnation, callbacks_.term ? callbacks_.term() : 0, known()};
+    return {options_.self, options_.incarnation, callbacks_.term ? callbacks_.term() : 0, alive_peers()};
 }
 
 void PeerMesh::set_member(std::uint64_t member) {
@@ -100,10 +100,10 @@
     for (const auto& [address, peer] : peers_)
         if (peer.out) addresses.push_back(address);
     for (const std::string& address : addresses)
-        if (Peer& here = peer(address); here.out) here.out->end("this node's disk is another one");
+        if (Peer& here = find_or_add_peer(address); here.out) here.out->end("this node has a new member id");
 }
 
-std::vector<model::ControlNode> PeerMesh::known() const {
+std::vector<model::ControlNode> PeerMesh::alive_peers() const {
     std::vector<model::ControlNode> nodes;
     for (const auto& [address, peer] : peers_)
         if (peer.alive) nodes.push_back(peer.node);
@@ -111,7 +111,7 @@
 }
 
 void PeerMesh::accept(const feed::AcceptedLink& connection) {
-    const std::uint64_t id = ++count_;
+    const std::uint64_t id = ++last_link_id_;
     feed::Link::Callbacks callbacks;
     callbacks.received = [this, id](feed::Message message) { received(id, std::move(message)); };
     callbacks.unreadable = [this](const Error& error) {
@@ -125,7 +125,7 @@
         incoming_.erase(found);
     };
     incoming_[id].id = id;
-    incoming_[id].link = connection(2 * options_.silence, std::move(callbacks));
+    incoming_[id].link = connection(2 * options_.peer_timeout, std::move(callbacks));
     incoming_.at(id).link->start();
 }
 
@@ -133,53 +133,53 @@
     const auto found = incoming_.find(id);
     if (found == incoming_.end()) return;
     Incoming& incoming = found->second;
-    if (const auto* said = std::get_if<feed::PeerHello>(&message)) return hello(incoming, *said);
+    if (const auto* hello = std::get_if<feed::PeerHello>(&message)) return handle_hello(incoming, *hello);
     if (incoming.address.empty()) {
         ++rejected_messages_.before_hello;
-        return incoming.link->end("spoke before its hello");
+        return incoming.link->end("message before the hello");
     }
-    Peer& here = peer(incoming.address);
+    Peer& here = find_or_add_peer(incoming.address);
     if (here.incarnation != incoming.incarnation) {
         ++rejected_messages_.former_process;
-        return incoming.link->end("its process was followed by another one");
+        return incoming.link->end("the sending process was replaced by another one");
     }
     here.last_heard = reactor_.now();
-    if (const auto* said = std::get_if<feed::PeerStatus>(&message)) status(here, *said);
+    if (const auto* status = std::get_if<feed::PeerStatus>(&message)) handle_status(here, *status);
     callbacks_.received(here.node, std::move(message));
 }
 
-void PeerMesh::hello(Incoming& incoming, const feed::PeerHello& message) {
+void PeerMesh::handle_hello(Incoming& incoming, const feed::PeerHello& message) {
     if (message.node.address == options_.self.address)
-        return incoming.link->end("it bears this node's address");
-    Peer& here = peer(message.node.address);
-    // Links are taken in the order in which they were opened: a hello that was on its way for longer than the
-    // one of the next process is an old one.
+        return incoming.link->end("the peer claims this node's address");
+    Peer& here = find_or_add_peer(message.node.address);
+    // Links are accepted in the order in which they were opened, so a hello that arrives over an older link
+    // than that of another process is outdated.
     if (here.incarnation != message.incarnation && incoming.id < here.hello_link) {
         ++rejected_messages_.former_process;
-        return incoming.link->end("its process was followed by another one");
+        return incoming.link->end("the sending process was replaced by another one");
     }
     incoming.address = message.node.address, incoming.incarnation = message.incarnation;
     here.hello_link = std::max(here.hello_link, incoming.id);
-    replaced_.erase(message.node.member);
+    replaced_members_.erase(message.node.member);
     if (here.node.member != 0 && here.node.member != message.node.member) {
-        replaced_[here.node.member] = reactor_.now();
+        replaced_members_[here.node.member] = reactor_.now();
         log_line("peer_disk_replaced", {{"address", message.node.address}});
     }
     if (here.incarnation != message.incarnation) {
         here.ending = here.ready = false, here.sessions.clear();
-        // Its end of an older link is gone, whatever this node's end knows.
-        if (here.out && here.incarnation != 0) here.out->end("peer started anew");
+        // The peer's side of the former link is gone, even if this side has not noticed yet.
+        if (here.out && here.incarnation != 0) here.out->end("the peer has restarted");
     }
     here.node = message.node, here.incarnation = message.incarnation;
-    here.last_heard = reactor_.now(), here.next_try = std::min(here.next_try, reactor_.now());
-    here.pause = kFirstPause;
+    here.last_heard = reactor_.now(), here.next_attempt = std::min(here.next_attempt, reactor_.now());
+    here.retry_delay = kMinRetryDelay;
     add_peers(message.known);
-    connect_to_caller(here);
-    refresh();
+    connect_back(here);
+    update_liveness();
     if (callbacks_.peer_hello) callbacks_.peer_hello(here.node, message.term);
 }
 
-void PeerMesh::status(Peer& peer, const feed::PeerStatus& message) {
+void PeerMesh::handle_status(Peer& peer, const feed::PeerStatus& message) {
     peer.sessions = message.sessions;
     if (message.ending != peer.ending || message.ready != peer.ready) {
         peer.ending = message.ending, peer.ready = message.ready;
@@ -188,14 +188,15 @@
     add_peers(message.known);
 }
 
-void PeerMesh::refresh() {
+void PeerMesh::update_liveness() {
     bool changed = false;
-    // After a pause of this process itself, what peers sent meanwhile has yet to be read.
-    const bool paused = reactor_.overslept() > options_.silence / 4;
+    // After a suspension of this process, messages that arrived meanwhile have yet to be read.
+    const bool was_suspended = reactor_.overslept() > options_.peer_timeout / 4;
     for (auto& [address, peer] : peers_) {
-        const bool heard = reactor_.now() - peer.last_heard < options_.silence && peer.node.member != 0;
-        const bool alive = heard && peer.out && peer.out->up();
-        if (alive == peer.alive || (!alive && paused)) continue;
+        const bool recently_heard =
+            reactor_.now() - peer.last_heard < options_.peer_timeout && peer.node.member != 0;
+        const bool alive = recently_heard && peer.out && peer.out->up();
+        if (alive == peer.alive || (!alive && was_suspended)) continue;
         peer.alive = alive, peer.alive_since = reactor_.now();
         changed = true;
         log_line(alive ? "peer_up" : "peer_down", {{"address", address}});
@@ -204,29 +205,30 @@
 }
 
 void PeerMesh::tick() {
-    std::vector<std::string> forgotten;
+    std::vector<std::string> removed;
     for (auto& [address, peer] : peers_) {
-        const Tenths silent = reactor_.now() - peer.last_heard;
-        // A connection that stopped carrying bytes is given up: a fresh one comes through at once when it
-        // can.
-        if (peer.out && peer.out->up() && silent > options_.silence * 3 / 2) peer.out->end("peer is silent");
-        if (peer.out && !peer.out->up() && reactor_.now() > peer.next_try + kConnectPatience)
-            peer.out->end("no connection in time");
-        if (!peer.out && reactor_.now() >= peer.next_try) connect(peer);
-        if (!peer.seed && silent > kForgetAfter) forgotten.push_back(address);
+        const Tenths silence = reactor_.now() - peer.last_heard;
+        // A connection that stopped carrying data is closed: a new one succeeds as soon as the peer is
+        // reachable, while the old one may stay stuck.
+        if (peer.out && peer.out->up() && silence > options_.peer_timeout * 3 / 2)
+            peer.out->end("peer is silent");
+        if (peer.out && !peer.out->up() && reactor_.now() > peer.next_attempt + kConnectTimeout)
+            peer.out->end("connect timeout");
+        if (!peer.out && reactor_.now() >= peer.next_attempt) connect(peer);
+        if (!peer.seed && silence > kForgetAfter) removed.push_back(address);
     }
-    for (const std::string& address : forgotten) {
+    for (const std::string& address : removed) {
         free_link(reactor_, std::move(peers_.at(address).out));
         peers_.erase(address);
     }
-    refresh();
+    update_liveness();
     send_status();
     timer_ = reactor_.call_after(options_.status_interval, [this] { tick(); });
 }
 
 feed::PeerStatus PeerMesh::own_status() const {
     feed::PeerStatus message;
-    message.known = known(), message.ending = ending_, message.ready = ready_;
+    message.known = alive_peers(), message.ending = shutting_down_, message.ready = ready_;
     callbacks_.fill_status(message);
     return message;
 }
@@ -234,7 +236,7 @@
 void PeerMesh::send_status() { send_to_all(own_status()); }
 
 void PeerMesh::announce_shutdown() {
-    ending_ = true;
+    shutting_down_ = true;
     send_status();
 }
 
@@ -260,7 +262,7 @@
     for (const auto& [address, peer] : peers_)
         if (peer.out && peer.out->up()) addresses.push_back(address);
     for (const std::string& address : addresses)
-        if (Peer& here = peer(address); here.out) here.out->send_frame(frame);
+        if (Peer& here = find_or_add_peer(address); here.out) here.out->send_frame(frame);
 }
 
 std::vector<model::ControlNode> PeerMesh::alive() const {
@@ -271,17 +273,17 @@
 }
 
 std::vector<consensus::MemberStatus> PeerMesh::member_statuses() const {
-    std::vector<consensus::MemberStatus> candidates;
+    std::vector<consensus::MemberStatus> statuses;
     const model::ControlNode& self = options_.self;
-    candidates.push_back({{{self.member}, self.address, self.zone}, true, ready_, ending_, 0});
+    statuses.push_back({{{self.member}, self.address, self.zone}, true, ready_, shutting_down_, 0});
     for (const auto& [address, peer] : peers_) {
         if (peer.node.member == 0) continue;
         const consensus::Member member{{peer.node.member}, address, peer.node.zone};
-        candidates.push_back({member, peer.alive, peer.ready, peer.ending, peer.alive_since});
+        statuses.push_back({member, peer.alive, peer.ready, peer.ending, peer.alive_since});
     }
-    for (const auto& [member, since] : replaced_)
-        candidates.push_back({{{member}, "", ""}, false, false, true, since});
-    return candidates;
+    for (const auto& [member, since] : replaced_members_)
+        statuses.push_back({{{member}, "", ""}, false, false, true, since});
+    return statuses;
 }
 
 std::vector<model::EdgeNode> PeerMesh::sessions() const {
--- a/src/control/replicated_group.cpp
+++ b/src/control/replicated_group.cpp
@@ -8,13 +8,13 @@
 
 namespace ivyrill::control {
 
-ReplicatedGroup::ReplicatedGroup(transport::Reactor& reactor, StateFile& disk, consensus::Options options,
+ReplicatedGroup::ReplicatedGroup(transport::Reactor& reactor, StateFile& file, consensus::Options options,
                                  const consensus::DurableState& durable, Callbacks callbacks)
-    : reactor_(reactor), disk_(disk), self_(options.self), callbacks_(std::move(callbacks)),
+    : reactor_(reactor), file_(file), self_(options.self), callbacks_(std::move(callbacks)),
       replica_(std::move(options), durable, reactor.now()) {}
 
 ReplicatedGroup::~ReplicatedGroup() {
-    *is_there_ = false;
+    *alive_ = false;
     reactor_.cancel(timer_);
 }
 
@@ -40,12 +40,12 @@
 }
 
 transport::Async<std::optional<consensus::ProposalOutcome>>
-ReplicatedGroup::propose(consensus::Replica::MakePayload make, Tenths patience) {
+ReplicatedGroup::propose(consensus::Replica::MakePayload make, Tenths timeout) {
     auto pending = std::make_shared<transport::Pending<consensus::ProposalOutcome>>(reactor_);
     proposals_[replica_.propose(std::move(make), reactor_.now())] = pending;
     step();
     co_return co_await transport::Pending<consensus::ProposalOutcome>::wait(pending,
-                                                                            reactor_.now() + patience);
+                                                                            reactor_.now() + timeout);
 }
 
 void ReplicatedGroup::propose_without_waiting(consensus::Replica::MakePayload make) {
@@ -53,19 +53,19 @@
     step();
 }
 
-transport::Async<bool> ReplicatedGroup::confirm_leadership(Tenths patience) {
+transport::Async<bool> ReplicatedGroup::confirm_leadership(Tenths timeout) {
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
     reads_[replica_.confirm_leadership(reactor_.now())] = pending;
     step();
-    const auto result = co_await transport::Pending<bool>::wait(pending, reactor_.now() + patience);
+    const auto result = co_await transport::Pending<bool>::wait(pending, reactor_.now() + timeout);
     co_return result.value_or(false);
 }
 
 void ReplicatedGroup::step() {
-    if (std::exchange(stepping_, true)) return;
+    if (std::exchange(executing_, true)) return;
     for (auto effects = replica_.take_effects(); !effects.empty(); effects = replica_.take_effects())
         for (consensus::Effect& effect : effects) execute(std::move(effect));
-    stepping_ = false;
+    executing_ = false;
     if (callbacks_.stepped) callbacks_.stepped();
     reactor_.cancel(timer_);
     timer_ = reactor_.call_at(std::max(replica_.next_tick(), reactor_.now() + 1), [this] {
@@ -97,9 +97,9 @@
 }
 
 void ReplicatedGroup::store(const consensus::Store& store) {
-    disk_.save(wire::to_bytes(StoredReplicaState{self_, store.state}),
-               [this, is_there = is_there_, ticket = store.ticket](const Result<void>& done) {
-                   if (!*is_there) return;
+    file_.save(wire::to_bytes(StoredReplicaState{self_, store.state}),
+               [this, alive = alive_, ticket = store.ticket](const Result<void>& done) {
+                   if (!*alive) return;
                    if (done.has_error()) {
                        log_line("store_failed", {{"cause", done.error().message}});
                        replica_.store_failed(ticket, reactor_.now());
--- a/src/control/replicated_group.hpp
+++ b/src/control/replicated_group.hpp
@@ -1,6 +1,6 @@
-// One member of a replicated group on this process's clock, disk and links: carries out what its replica asks
-// for, and lets callers wait for what becomes of a proposal or of a read. What is replicated, and who founds
-// the group, is its owner's matter.
+// Runs one consensus replica on this process's clock, disk and links: executes the replica's effects, and
+// lets callers wait for the outcome of proposals and reads. The owner defines the replicated value and
+// bootstraps the group.
 #pragma once
 #include "consensus/replica.hpp"
 #include "control/state_file.hpp"
@@ -17,7 +17,7 @@
 
 namespace ivyrill::control {
 
-// What lies in one file: the state, and whose it is.
+// The content of a replica's state file: the durable state and the member that it belongs to.
 struct StoredReplicaState {
     consensus::Member self;
     consensus::DurableState state;
@@ -30,10 +30,10 @@
         std::function<void(const consensus::Send&)> send;
         std::function<void(const consensus::Entry&)> committed;
         std::function<void(const consensus::RoleChanged&)> role_changed;
-        std::function<void()> stepped; // after all effects of an event were carried out
+        std::function<void()> stepped; // after all effects of an event were executed
     };
-    // `disk` must outlive it.
-    ReplicatedGroup(transport::Reactor& reactor, StateFile& disk, consensus::Options options,
+    // `file` must outlive this object.
+    ReplicatedGroup(transport::Reactor& reactor, StateFile& file, consensus::Options options,
                     const consensus::DurableState& durable, Callbacks callbacks);
     ~ReplicatedGroup();
     ReplicatedGroup(const ReplicatedGroup&) = delete;
@@ -46,28 +46,28 @@
     void set_member_statuses(std::vector<consensus::MemberStatus> candidates, std::size_t least,
                              std::size_t most);
     void resign();
-    // What became of it, or nothing by then.
+    // Returns the outcome, or nothing if it is not known within the timeout.
     transport::Async<std::optional<consensus::ProposalOutcome>> propose(consensus::Replica::MakePayload make,
-                                                                        Tenths patience);
+                                                                        Tenths timeout);
     void propose_without_waiting(consensus::Replica::MakePayload make);
-    // Whether a majority has confirmed within that time that this member still leads.
-    transport::Async<bool> confirm_leadership(Tenths patience);
-    void step(); // carries out effects, sets the timer
+    // Returns whether a majority has confirmed within the timeout that this member still leads.
+    transport::Async<bool> confirm_leadership(Tenths timeout);
+    void step(); // executes effects and sets the timer
 
   private:
     void execute(consensus::Effect effect);
     void store(const consensus::Store& store);
 
     transport::Reactor& reactor_;
-    StateFile& disk_;
+    StateFile& file_;
     consensus::Member self_;
     Callbacks callbacks_;
     consensus::Replica replica_;
     std::map<consensus::ProposalId, std::shared_ptr<transport::Pending<consensus::ProposalOutcome>>>
         proposals_;
     std::map<consensus::ReadId, std::shared_ptr<transport::Pending<bool>>> reads_;
-    bool stepping_ = false;
-    std::shared_ptr<bool> is_there_ = std::make_shared<bool>(true); // a write may outlast it
+    bool executing_ = false;
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true); // a pending write may outlive this object
     transport::Reactor::TimerId timer_{};
 };
 
--- a/src/control/state_file.hpp
+++ b/src/control/state_file.hpp
@@ -1,4 +1,4 @@
-// One durable value of a control node, behind an interface: files in the programs, a simulated disk in tests.
+// Interface to one durable value of a control node: files in the programs, a simulated disk in tests.
 #pragma once
 #include "base/result.hpp"
 
@@ -12,8 +12,9 @@
 class StateFile {
   public:
     struct Loaded {
-        std::optional<std::string> bytes; // of the newest version that is whole; none on an empty disk
-        // What was once durable here can't be read any more: the disk has lost what this member promised.
+        std::optional<std::string> bytes; // of the newest valid version; none on an empty disk
+        // The disk has lost a newer version that was durable, and with it state that this member may have
+        // acknowledged.
         bool newest_is_corrupt = false;
     };
     StateFile() = default;
@@ -21,13 +22,13 @@
     StateFile(const StateFile&) = delete;
     StateFile& operator=(const StateFile&) = delete;
 
-    virtual Result<Loaded> load() = 0; // once, before any `save`; blocks
-    // Writes are carried out one after the other; each is answered in a later turn of the event loop, with
-    // success once it survives a loss of power.
+    virtual Result<Loaded> load() = 0; // blocks; call it once, before any `save`
+    // Writes are executed one after the other. `done` is called in a later turn of the event loop, with
+    // success once the value survives a power failure.
     virtual void save(std::string bytes, std::function<void(Result<void>)> done) = 0;
 };
 
-// Opens the value of a kind, e.g. `state`.
+// Opens the state file of the given kind, e.g. `state`.
 using OpenStateFile = std::function<std::unique_ptr<StateFile>(const std::string& kind)>;
 
 } // namespace ivyrill::control
--- a/src/control/sync_tracker.cpp
+++ b/src/control/sync_tracker.cpp
@@ -13,10 +13,10 @@
 
 std::optional<feed::WantRanges> SyncTracker::request(std::uint64_t member, Tenths now) {
     if (member == 0 || synced_members_.contains(member)) return std::nullopt;
-    Question& question = questions_[member];
-    if (question.number != 0 && now - question.asked_at < kPatience) return std::nullopt;
+    Request& pending = requests_[member];
+    if (pending.number != 0 && now - pending.sent_at < kRequestTimeout) return std::nullopt;
     const feed::CallId id = next_id();
-    question = {id.number, now};
+    pending = {id.number, now};
     std::vector<std::uint64_t> ranges;
     for (std::uint64_t range = 0; range < feed::kDigestRanges; ++range) ranges.push_back(range);
     return feed::WantRanges{std::move(ranges), id};
@@ -24,16 +24,16 @@
 
 void SyncTracker::reply_received(std::uint64_t member, const feed::CallId& answers) {
     if (answers.number == 0 || !is_own_request(answers)) return;
-    const auto question = questions_.find(member);
-    if (question == questions_.end() || question->second.number != answers.number) return count_unsolicited();
-    questions_.erase(question);
+    const auto pending = requests_.find(member);
+    if (pending == requests_.end() || pending->second.number != answers.number) return count_unsolicited();
+    requests_.erase(pending);
     synced_members_.insert(member);
 }
 
 void SyncTracker::reset() {
     if (planted(PlantedFault::kCopiesKept)) return;
     synced_members_.clear();
-    questions_.clear();
+    requests_.clear();
 }
 
 } // namespace ivyrill::control
--- a/src/control/sync_tracker.hpp
+++ b/src/control/sync_tracker.hpp
@@ -1,5 +1,5 @@
-// From which members this process has merged all that they know of the servers: a process that starts, or
-// that was cut off, asks each peer once, as digests don't tell of what is gone. Pure.
+// Tracks from which members this process has merged all server records. A process that starts, or that was
+// partitioned, requests them from each peer once, since digests don't cover servers that are gone. No I/O.
 #pragma once
 #include "base/planted_fault.hpp"
 #include "base/time.hpp"
@@ -12,37 +12,38 @@
 
 namespace ivyrill::control {
 
-// Answers that were passed over, by cause; they change nothing.
+// Replies that were dropped without any effect, by cause.
 struct DroppedSyncReplies {
-    std::uint64_t other_process = 0; // to a question of a process that was here before
-    std::uint64_t unasked = 0;       // no question waits for it: it came late, or twice
+    std::uint64_t other_process = 0; // to a request of an earlier process of this node
+    std::uint64_t unsolicited = 0;   // no pending request matches: late, or a duplicate
 };
 
 class SyncTracker {
   public:
-    explicit SyncTracker(std::uint64_t incarnation) : incarnation_(incarnation) {} // of this process
+    explicit SyncTracker(std::uint64_t incarnation) : incarnation_(incarnation) {}
 
-    feed::CallId next_id() { return {incarnation_, ++count_}; } // for any question of this process
+    feed::CallId next_id() { return {incarnation_, ++count_}; } // for any request of this process
     bool is_own_request(const feed::CallId& id);
-    void count_unsolicited() { ++dropped_replies_.unasked; }
+    void count_unsolicited() { ++dropped_replies_.unsolicited; }
 
-    // The question for the member, where one is due; then whether it went out.
+    // Returns the request to send to the member, if one is due. Call `request_failed` if it could not be
+    // sent.
     std::optional<feed::WantRanges> request(std::uint64_t member, Tenths now);
-    void request_failed(std::uint64_t member) { questions_.erase(member); }
+    void request_failed(std::uint64_t member) { requests_.erase(member); }
     void reply_received(std::uint64_t member, const feed::CallId& answers);
-    void reset(); // this node was cut off: others may have acknowledged what it does not know
+    void reset(); // after a partition, in which others may have acknowledged further records
     const std::set<std::uint64_t>& synced_members() const { return synced_members_; }
     const DroppedSyncReplies& dropped_replies() const { return dropped_replies_; }
 
   private:
-    struct Question {
+    struct Request {
         std::uint64_t number = 0;
-        Tenths asked_at = 0;
+        Tenths sent_at = 0;
     };
-    static constexpr Tenths kPatience = 5000; // for an answer, before the peer is asked again
+    static constexpr Tenths kRequestTimeout = 5000; // then the request is sent again
 
     std::uint64_t incarnation_, count_ = 0;
-    std::map<std::uint64_t, Question> questions_; // by member
+    std::map<std::uint64_t, Request> requests_; // by member
     std::set<std::uint64_t> synced_members_;
     DroppedSyncReplies dropped_replies_;
 };
--- a/tests/control_parts_tests.cpp
+++ b/tests/control_parts_tests.cpp
@@ -206,14 +206,14 @@
     node.group.pass(100);
     BOOST_TEST(node.status == 0);
     BOOST_TEST(node.calls.dropped_replies().other_process == 1U);
-    BOOST_TEST(node.calls.dropped_replies().unasked == 1U);
+    BOOST_TEST(node.calls.dropped_replies().unsolicited == 1U);
     BOOST_TEST(node.calls.dropped_replies().other_peer == 1U);
     node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 412, ""});
     node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 200, ""}); // a second one
     node.group.pass(100);
     BOOST_TEST(node.status == 412);
     node.calls.handle_forwarded_answer(Asking::peer(kLeader), {id, 200, ""});
-    BOOST_TEST(node.calls.dropped_replies().unasked == 3U);
+    BOOST_TEST(node.calls.dropped_replies().unsolicited == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_whose_leader_is_lost_goes_to_the_next_one_under_a_new_number) {
@@ -402,8 +402,8 @@
 
 BOOST_AUTO_TEST_CASE(a_feed_opens_once_all_is_known_and_closes_when_cut_off_for_long) {
     FeedGate gate;
-    const auto update = [&](Tenths out, bool caught_up, bool knows_servers, bool ending = false) {
-        gate.update({out, caught_up, knows_servers, ending});
+    const auto update = [&](Tenths out, bool caught_up, bool has_server_records, bool ending = false) {
+        gate.update({out, caught_up, has_server_records, ending});
         return gate.is_open();
     };
     BOOST_TEST(!update(1, true, true));
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -44,7 +44,7 @@
             const auto* replicate = std::get_if<Replicate>(&message);
             if (replicate == nullptr || replicate->id.number == 0) return;
             for (const model::ControlNode& peer : acknowledging)
-                registry.replicated(peer, Replicated{replicate->id});
+                registry.handle_replicated(peer, Replicated{replicate->id});
         };
         made.send = [this](const std::string& peer, const feed::Message& message) {
             if (peer == unreachable) return false;
@@ -181,14 +181,14 @@
         BOOST_REQUIRE(message.instances.size() == 1U);
         BOOST_TEST((message.instances[0].state == InstanceState::kDraining));
         const feed::CallId id = message.id;
-        node.registry.replicated(kPeerNode, {id});
-        node.registry.replicated(kPeerNode, {id}); // the same peer doesn't count twice
-        node.registry.replicated(kThirdNode,
-                                 {{id.incarnation, id.number + 17}}); // nor one for something else
+        node.registry.handle_replicated(kPeerNode, {id});
+        node.registry.handle_replicated(kPeerNode, {id}); // the same peer doesn't count twice
+        node.registry.handle_replicated(kThirdNode,
+                                        {{id.incarnation, id.number + 17}}); // nor one for something else
         int looks = 0;
         co_await script.until([&] { return ++looks > 5; });
         BOOST_TEST(!done);
-        node.registry.replicated(kThirdNode, {id});
+        node.registry.handle_replicated(kThirdNode, {id});
         const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
         BOOST_TEST(holds);
         // Once it is known to so many, the next heartbeat needs no second round.
@@ -246,7 +246,7 @@
         co_await node.beat(server("i-1", 3));
         Instance left; // of a node that had not heard of it
         left.id = "i-1", left.state = InstanceState::kGone, left.revision = model::kFinalRevision;
-        node.registry.replicate(kPeerNode, {{9, 4}, {left}, {}});
+        node.registry.handle_replicate(kPeerNode, {{9, 4}, {left}, {}});
         BOOST_TEST((node.state("i-1") == InstanceState::kGone));
         const auto* told = std::get_if<Replicated>(&node.sent.back().message);
         BOOST_REQUIRE(told != nullptr);
@@ -414,11 +414,11 @@
         copy_is_taken(node, kPeerNode);
         feed::PeerStatus lacks, same;
         same.instances = node.registry.digests();
-        node.registry.compare(kPeerNode, lacks);
-        node.registry.compare(kPeerNode, same); // it was only on its way
-        node.registry.compare(kPeerNode, lacks);
+        node.registry.compare_digests(kPeerNode, lacks);
+        node.registry.compare_digests(kPeerNode, same); // it was only on its way
+        node.registry.compare_digests(kPeerNode, lacks);
         BOOST_TEST(node.sent.empty());
-        node.registry.compare(kPeerNode, lacks);
+        node.registry.compare_digests(kPeerNode, lacks);
         BOOST_REQUIRE(node.sent.size() == 1U);
         BOOST_TEST(node.sent[0].peer == kPeer);
         const auto wanted = std::get<feed::WantRanges>(node.sent[0].message);
@@ -447,7 +447,8 @@
         node.registry.update_loads({load("i-2"), load("i-1")}, true);
         BOOST_REQUIRE(node.sent.size() == 1U);
         BOOST_TEST(std::get<Replicate>(node.sent[0].message).loads.size() == 1U);
-        node.registry.replicate(kPeerNode, {{}, {}, {load("i-1")}}); // from a peer: told to nobody else
+        node.registry.handle_replicate(kPeerNode,
+                                       {{}, {}, {load("i-1")}}); // from a peer: told to nobody else
         BOOST_TEST(node.sent.size() == 1U);
         BOOST_TEST(node.changes == 2);
         co_return Done{};
@@ -483,16 +484,16 @@
     script.run([&]() -> ReactorScript::Step {
         script.reactor.spawn(drain());
         const feed::CallId id = std::get<Replicate>(node.sent.back().message).id;
-        node.registry.replicated(kPeerNode, {{id.incarnation + 1, id.number}});
+        node.registry.handle_replicated(kPeerNode, {{id.incarnation + 1, id.number}});
         BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
         int looks = 0;
         co_await script.until([&] { return ++looks > 5; });
         BOOST_TEST(!done);
-        node.registry.replicated(kPeerNode, {id});
+        node.registry.handle_replicated(kPeerNode, {id});
         const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
         BOOST_TEST(holds);
-        node.registry.replicated(kPeerNode, {id}); // a second one finds nobody who waits
-        BOOST_TEST(node.registry.dropped_replies().unasked == 1U);
+        node.registry.handle_replicated(kPeerNode, {id}); // a second one finds nobody who waits
+        BOOST_TEST(node.registry.dropped_replies().unsolicited == 1U);
         co_return Done{};
     });
 }
@@ -523,12 +524,12 @@
     ReactorScript script;
     Node node(script);
     node.disk_answers = false;
-    node.registry.replicate(kPeerNode, {{9, 4}, {server("i-1", 3, InstanceState::kDraining)}, {}});
+    node.registry.handle_replicate(kPeerNode, {{9, 4}, {server("i-1", 3, InstanceState::kDraining)}, {}});
     BOOST_TEST(node.sent.empty());
     BOOST_REQUIRE(node.waiting.size() == 1U);
     node.waiting[0](false); // the disk refused
     BOOST_TEST(node.sent.empty());
-    node.registry.replicate(kPeerNode, {{9, 5}, {server("i-1", 3, InstanceState::kDraining)}, {}});
+    node.registry.handle_replicate(kPeerNode, {{9, 5}, {server("i-1", 3, InstanceState::kDraining)}, {}});
     BOOST_REQUIRE(node.waiting.size() == 2U);
     node.waiting[1](true);
     BOOST_REQUIRE(node.sent.size() == 1U);
@@ -581,7 +582,7 @@
     node.registry.receive_records(kThirdNode, {{left}, true, question}); // it was not asked
     BOOST_TEST(node.registry.synced_members().empty());
     BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
-    BOOST_TEST(node.registry.dropped_replies().unasked == 2U);
+    BOOST_TEST(node.registry.dropped_replies().unsolicited == 2U);
     node.registry.receive_records(kPeerNode, {{left}, true, question});
     BOOST_TEST((node.registry.synced_members() == std::set<std::uint64_t>{kPeerNode.member}));
     BOOST_TEST((node.state("i-1") == InstanceState::kGone));
--- a/tests/service_partitions_tests.cpp
+++ b/tests/service_partitions_tests.cpp
@@ -105,19 +105,19 @@
     feed::InstanceTable table;
     table.merge(server(1), kStart);
     table.merge(server(2, "other"), kStart);
-    FailureDetector watch(kBeat);
+    FailureDetector detector(kBeat);
     const auto owned = [](const std::string& service) { return service == "model"; };
-    BOOST_TEST(watch.judge(table, owned, kStart).empty());
-    BOOST_TEST(watch.judge(table, owned, kStart + 2 * kBeat).empty());
-    const auto silent = watch.judge(table, owned, kStart + 3 * kBeat);
+    BOOST_TEST(detector.check(table, owned, kStart).empty());
+    BOOST_TEST(detector.check(table, owned, kStart + 2 * kBeat).empty());
+    const auto silent = detector.check(table, owned, kStart + 3 * kBeat);
     BOOST_REQUIRE(silent.size() == 1U);
     BOOST_TEST(silent.front().id == "i-1");
     BOOST_TEST((silent.front().state == model::InstanceState::kSilent));
-    watch.discount_pause(2 * kBeat); // this process stood still itself
-    BOOST_TEST(watch.judge(table, owned, kStart + 4 * kBeat).empty());
-    watch.restart_timeouts(kStart + 20 * kBeat);
-    BOOST_TEST(watch.judge(table, owned, kStart + 22 * kBeat).empty());
-    const auto gone = watch.judge(table, owned, kStart + 45 * kBeat);
+    detector.discount_pause(2 * kBeat); // this process stood still itself
+    BOOST_TEST(detector.check(table, owned, kStart + 4 * kBeat).empty());
+    detector.restart_timeouts(kStart + 20 * kBeat);
+    BOOST_TEST(detector.check(table, owned, kStart + 22 * kBeat).empty());
+    const auto gone = detector.check(table, owned, kStart + 45 * kBeat);
     BOOST_REQUIRE(gone.size() == 1U);
     BOOST_TEST((gone.front().state == model::InstanceState::kGone));
 }
@@ -132,7 +132,7 @@
     copies.reply_received(5, question->id); // of the question before
     BOOST_TEST(copies.synced_members().empty());
     BOOST_TEST(copies.dropped_replies().other_process == 1U);
-    BOOST_TEST(copies.dropped_replies().unasked == 1U);
+    BOOST_TEST(copies.dropped_replies().unsolicited == 1U);
     copies.reset();
     const auto anew = copies.request(5, kStart + 7000);
     BOOST_REQUIRE(anew.has_value());
