--- a/src/maintenance/chart.cpp
+++ b/src/maintenance/chart.cpp
@@ -16,7 +16,7 @@
     std::string state, holder;
 };
 
-std::optional<std::string> field(const std::string& line, const std::string& name) {
+std::optional<std::string> find_field(const std::string& line, const std::string& name) {
     const std::string key = " " + name + "=\"";
     const std::size_t begin = line.find(key);
     if (begin == std::string::npos) return {};
@@ -25,7 +25,7 @@
     return line.substr(from, end - from);
 }
 
-std::string plain(const std::string& text) { // for SVG
+std::string escape_xml(const std::string& text) {
     std::string out;
     for (const char c : text) {
         if (c == '<')
@@ -55,44 +55,49 @@
     std::int64_t first = INT64_MAX, last = 0;
     for (std::string line; std::getline(log, line);) {
         if (line.find(" turn machine=\"") == std::string::npos) continue;
-        const auto machine = field(line, "machine"), state = field(line, "state"), at = field(line, "at_ms");
+        const auto machine = find_field(line, "machine"), state = find_field(line, "state"),
+                   at = find_field(line, "at_ms");
         if (!machine || !state || !at) continue;
         std::int64_t ms = 0;
         std::istringstream(*at) >> ms;
         if (ms <= 0) continue;
         auto& changes = machines[*machine];
         if (!changes.empty() && changes.back().state == *state) continue;
-        changes.push_back({ms, *state, field(line, "holder").value_or("")});
+        changes.push_back({ms, *state, find_field(line, "holder").value_or("")});
         first = std::min(first, ms), last = std::max(last, ms);
     }
-    constexpr int kLeft = 120, kRow = 22, kWide = 900, kTop = 40;
+    constexpr int kLabelWidth = 120, kRowHeight = 22, kChartWidth = 900, kTopMargin = 40;
     const auto rows = static_cast<int>(machines.size());
     const double span = static_cast<double>(std::max<std::int64_t>(1, last - first));
-    const auto x = [&](std::int64_t at) { return kLeft + kWide * static_cast<double>(at - first) / span; };
+    const auto x_of = [&](std::int64_t at) {
+        return kLabelWidth + kChartWidth * static_cast<double>(at - first) / span;
+    };
     std::ostringstream out;
-    out << "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" << kLeft + kWide + 20 << "\" height=\""
-        << kTop + rows * kRow + 30 << "\" font-family=\"sans-serif\" font-size=\"12\">\n"
+    out << "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"" << kLabelWidth + kChartWidth + 20
+        << "\" height=\"" << kTopMargin + rows * kRowHeight + 30
+        << "\" font-family=\"sans-serif\" font-size=\"12\">\n"
         << "<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n"
-        << "<text x=\"8\" y=\"18\">machines out for work, " << (rows > 0 ? (last - first) / 1000.0 : 0.0)
-        << " s</text>\n";
+        << "<text x=\"8\" y=\"18\">machines out for maintenance, "
+        << (rows > 0 ? (last - first) / 1000.0 : 0.0) << " s</text>\n";
     int row = 0;
     for (const auto& [name, changes] : machines) {
-        const int y = kTop + row++ * kRow;
-        out << "<text x=\"8\" y=\"" << y + 14 << "\">" << plain(name) << "</text>\n";
+        const int y = kTopMargin + row++ * kRowHeight;
+        out << "<text x=\"8\" y=\"" << y + 14 << "\">" << escape_xml(name) << "</text>\n";
         for (std::size_t i = 0; i < changes.size(); ++i) {
             const char* colour = colour_of(changes[i].state);
             if (colour == nullptr) continue;
             const std::int64_t end = i + 1 < changes.size() ? changes[i + 1].at : last;
-            out << "<rect x=\"" << x(changes[i].at) << "\" y=\"" << y << "\" width=\""
-                << std::max(1.0, x(end) - x(changes[i].at)) << "\" height=\"" << kRow - 4 << "\" fill=\""
-                << colour << "\"><title>" << plain(name + " " + changes[i].state + " by " + changes[i].holder)
+            out << "<rect x=\"" << x_of(changes[i].at) << "\" y=\"" << y << "\" width=\""
+                << std::max(1.0, x_of(end) - x_of(changes[i].at)) << "\" height=\"" << kRowHeight - 4
+                << "\" fill=\"" << colour << "\"><title>"
+                << escape_xml(name + " " + changes[i].state + " by " + changes[i].holder)
                 << "</title></rect>\n";
         }
     }
     for (int i = 0; i <= 6; ++i) {
-        const double at = kLeft + kWide * i / 6.0;
-        out << "<text x=\"" << at << "\" y=\"" << kTop + rows * kRow + 18 << "\" text-anchor=\"middle\">"
-            << span * i / 6.0 / 1000.0 << " s</text>\n";
+        const double at = kLabelWidth + kChartWidth * i / 6.0;
+        out << "<text x=\"" << at << "\" y=\"" << kTopMargin + rows * kRowHeight + 18
+            << "\" text-anchor=\"middle\">" << span * i / 6.0 / 1000.0 << " s</text>\n";
     }
     out << "</svg>\n";
     return out.str();
--- a/src/maintenance/codec.hpp
+++ b/src/maintenance/codec.hpp
@@ -1,5 +1,5 @@
-// Commands and state of the order of work as CBOR (RFC 8949) by nlohmann's library, and back. Whatever cannot
-// be read is nothing; nothing is read in part.
+// CBOR (RFC 8949) encoding of the maintenance commands and of the schedule's state, by nlohmann/json.
+// Malformed input is rejected as a whole.
 #pragma once
 #include "maintenance/types.hpp"
 
@@ -14,7 +14,7 @@
 
 std::string encode(const Command& command);
 std::optional<Command> decode(std::string_view bytes);
-std::string describe(const Command& command); // for the log and for tests
+std::string describe(const Command& command); // one line of text for logs and tests
 
 namespace codec {
 
@@ -24,16 +24,16 @@
 Json encode_row(const MachineFacts& facts);
 Json encode_row(const Limits& limits);
 Json encode_row(const MaintenanceJob& job);
-MachineFacts decode_machine(const Json& row); // these throw where it is none
+MachineFacts decode_machine(const Json& row); // the decode functions throw std::exception on malformed input
 Limits decode_limits(const Json& row);
 MaintenanceJob decode_job(const Json& row);
 std::string decode_text(const Json& value);
 std::uint64_t decode_count(const Json& value);
 template <class Texts> Texts decode_texts(const Json& row) {
-    Texts made;
-    if (!row.is_array() || row.size() > kMaxRows) throw std::out_of_range("no texts");
-    for (const auto& value : row) made.insert(made.end(), decode_text(value));
-    return made;
+    Texts texts;
+    if (!row.is_array() || row.size() > kMaxRows) throw std::out_of_range("the list of texts is malformed");
+    for (const auto& value : row) texts.insert(texts.end(), decode_text(value));
+    return texts;
 }
 
 std::string pack_cbor(const Json& row);
--- a/src/maintenance/consensus_node.cpp
+++ b/src/maintenance/consensus_node.cpp
@@ -14,21 +14,21 @@
 
 namespace {
 
-constexpr int kStoreCheck = 20, kStoreCheckReply = 21; // kinds of letters beside the library's own
+constexpr int kStoreCheck = 20, kStoreCheckReply = 21; // message types besides those of libraft
 constexpr std::size_t kMaxEntriesPerMessage = 10'000;
-constexpr int kReopenHeartbeats = 10; // heartbeats until a ledger that could not be written is tried again
-constexpr int kTransferTimeoutElections = 3; // elections' spans that a transfer of the lead may take
-constexpr int kStoreCheckHeartbeats = 3;     // heartbeats between calls of the roll
+constexpr int kReopenHeartbeats = 10;        // heartbeats until a store that failed is opened again
+constexpr int kTransferTimeoutElections = 3; // limit of a leadership transfer, in election timeouts
+constexpr int kStoreCheckHeartbeats = 3;     // heartbeats between two rounds of store checks
 
 using codec::decode_count;
 using codec::decode_text;
 using codec::Json;
 
 void* raft_copy(std::string_view bytes) {
-    void* made = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
-    if (made == nullptr) throw std::bad_alloc();
-    std::memcpy(made, bytes.data(), bytes.size());
-    return made;
+    void* copy = raft_malloc(std::max<std::size_t>(bytes.size(), 1));
+    if (copy == nullptr) throw std::bad_alloc();
+    std::memcpy(copy, bytes.data(), bytes.size());
+    return copy;
 }
 
 std::string buffer_text(const raft_buffer& buffer) {
@@ -44,29 +44,30 @@
     return {bytes.begin(), bytes.end()};
 }
 
-Json encode_row(const raft_configuration& who) {
+Json encode_row(const raft_configuration& configuration) {
     Json rows = Json::array();
-    for (unsigned i = 0; i < who.n; ++i)
-        rows.push_back({who.servers[i].id, who.servers[i].address, who.servers[i].role});
+    for (unsigned i = 0; i < configuration.n; ++i)
+        rows.push_back(
+            {configuration.servers[i].id, configuration.servers[i].address, configuration.servers[i].role});
     return rows;
 }
 
-void decode_configuration(const Json& rows, raft_configuration& who) {
-    raft_configuration_init(&who);
-    if (!rows.is_array() || rows.size() > 100) throw std::out_of_range("no voters");
+void decode_configuration(const Json& rows, raft_configuration& configuration) {
+    raft_configuration_init(&configuration);
+    if (!rows.is_array() || rows.size() > 100) throw std::out_of_range("the list of voters is malformed");
     for (const auto& row : rows) {
         const int failed =
-            raft_configuration_add(&who, decode_count(row.at(0)), decode_text(row.at(1)).c_str(),
+            raft_configuration_add(&configuration, decode_count(row.at(0)), decode_text(row.at(1)).c_str(),
                                    static_cast<int>(decode_count(row.at(2)) % 3));
-        if (failed != 0) throw std::out_of_range("no such voters");
+        if (failed != 0) throw std::out_of_range("a voter is malformed");
     }
 }
 
-raft_id raft_id_of(const std::string& name, std::uint64_t seat) {
-    return raft_digest(name.c_str(), seat) | 1U;
+raft_id raft_id_of(const std::string& name, std::uint64_t identity) {
+    return raft_digest(name.c_str(), identity) | 1U;
 }
 
-// A message of the library as a row, and back. What is read is the library's to free.
+// Conversion of libraft messages to and from JSON rows. The library frees what decode_message allocates.
 Json encode_row(const raft_message& message, raft_id from) {
     Json row = Json::array({message.type, from});
     switch (message.type) {
@@ -114,11 +115,11 @@
     return row;
 }
 
-void decode_message(const Json& row,
-                    raft_message& message) { // throws where it is none, and keeps nothing then
+// Throws on malformed input.
+void decode_message(const Json& row, raft_message& message) {
     message.type = static_cast<unsigned short>(decode_count(row.at(0)));
     message.server_id = decode_count(row.at(1));
-    const auto number = [&](std::size_t at) { return decode_count(row.at(at)); };
+    const auto number = [&](std::size_t field) { return decode_count(row.at(field)); };
     switch (message.type) {
     case RAFT_IO_REQUEST_VOTE:
         message.request_vote = {
@@ -131,28 +132,30 @@
     case RAFT_IO_APPEND_ENTRIES: {
         message.append_entries = {number(2), number(3), number(4), number(5), nullptr, 0};
         const Json& rows = row.at(6);
-        if (!rows.is_array() || rows.size() > kMaxEntriesPerMessage) throw std::out_of_range("no entries");
+        if (!rows.is_array() || rows.size() > kMaxEntriesPerMessage)
+            throw std::out_of_range("the list of log entries is malformed");
         if (rows.empty()) return;
         std::vector<LogEntry> entries;
-        std::string all;
-        for (const auto& one : rows) {
-            entries.push_back({decode_count(one.at(0)), static_cast<int>(decode_count(one.at(1))),
-                               decode_bytes(one.at(2))});
+        std::string joined;
+        for (const auto& item : rows) {
+            entries.push_back({decode_count(item.at(0)), static_cast<int>(decode_count(item.at(1))),
+                               decode_bytes(item.at(2))});
             if (entries.back().kind < RAFT_COMMAND || entries.back().kind > RAFT_CHANGE)
-                throw std::out_of_range("no such entry");
-            all += entries.back().bytes;
+                throw std::out_of_range("unknown type of log entry");
+            joined += entries.back().bytes;
         }
-        char* batch = static_cast<char*>(raft_copy(all)); // the library wants all in one piece
-        auto* made = static_cast<raft_entry*>(raft_malloc(sizeof(raft_entry) * entries.size()));
-        std::size_t at = 0;
+        // The library expects all entries in one allocation.
+        char* batch = static_cast<char*>(raft_copy(joined));
+        auto* raft_entries = static_cast<raft_entry*>(raft_malloc(sizeof(raft_entry) * entries.size()));
+        std::size_t offset = 0;
         for (std::size_t i = 0; i < entries.size(); ++i) {
-            made[i] = {entries[i].term,
-                       static_cast<unsigned short>(entries[i].kind),
-                       {batch + at, entries[i].bytes.size()},
-                       batch};
-            at += entries[i].bytes.size();
+            raft_entries[i] = {entries[i].term,
+                               static_cast<unsigned short>(entries[i].kind),
+                               {batch + offset, entries[i].bytes.size()},
+                               batch};
+            offset += entries[i].bytes.size();
         }
-        message.append_entries.entries = made;
+        message.append_entries.entries = raft_entries;
         message.append_entries.n_entries = static_cast<unsigned>(entries.size());
         return;
     }
@@ -160,25 +163,25 @@
         message.append_entries_result = {number(2), number(3), number(4)};
         return;
     case RAFT_IO_INSTALL_SNAPSHOT: {
-        raft_install_snapshot& made = message.install_snapshot;
-        made = {number(2), number(3), number(4), {}, number(5), {}};
+        raft_install_snapshot& snapshot = message.install_snapshot;
+        snapshot = {number(2), number(3), number(4), {}, number(5), {}};
         const std::string state = decode_bytes(row.at(7));
-        decode_configuration(row.at(6), made.conf);
-        made.data = {raft_copy(state), state.size()};
+        decode_configuration(row.at(6), snapshot.conf);
+        snapshot.data = {raft_copy(state), state.size()};
         return;
     }
     case RAFT_IO_TIMEOUT_NOW:
         message.timeout_now = {number(2), number(3), number(4)};
         return;
     default:
-        throw std::out_of_range("no such message");
+        throw std::out_of_range("unknown type of message");
     }
 }
 
 } // namespace
 
-// The library's side: its callbacks find the node by `impl`. Whatever calls back goes through `later_`, as
-// the library does not expect to be called from within its own calls.
+// The libraft instance and its callbacks, which find this object by `impl`. Completions go through
+// `callbacks_`, as the library does not expect to be called from within its own calls.
 struct ConsensusNode::Raft {
     explicit Raft(ConsensusNode& owner, raft_id own_id) : node(owner), id(own_id) {}
     ConsensusNode& node;
@@ -194,64 +197,66 @@
     std::function<void(bool)> changed;
 
     static Raft& of(const raft_io* io) { return *static_cast<Raft*>(io->impl); }
-    template <class Write> int write(Write&& what) {
+    template <class Write> int write(Write&& operation) {
         try {
-            what(node.store_);
+            operation(node.store_);
             return 0;
         } catch (const RaftStoreError&) {
             failed = true;
             return RAFT_IOERR;
         }
     }
-    static raft_snapshot* to_raft_snapshot(const StoredSnapshot& kept) {
-        auto* made = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
-        *made = {};
-        made->index = kept.index, made->term = kept.term,
-        made->configuration_index = kept.configuration_index;
-        decode_configuration(Json::from_cbor(kept.voters.begin(), kept.voters.end()), made->configuration);
-        made->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-        made->bufs[0] = {raft_copy(kept.state), kept.state.size()};
-        made->n_bufs = 1;
-        return made;
+    static raft_snapshot* to_raft_snapshot(const StoredSnapshot& stored) {
+        auto* snapshot = static_cast<raft_snapshot*>(raft_malloc(sizeof(raft_snapshot)));
+        *snapshot = {};
+        snapshot->index = stored.index, snapshot->term = stored.term,
+        snapshot->configuration_index = stored.configuration_index;
+        decode_configuration(Json::from_cbor(stored.voters.begin(), stored.voters.end()),
+                             snapshot->configuration);
+        snapshot->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+        snapshot->bufs[0] = {raft_copy(stored.state), stored.state.size()};
+        snapshot->n_bufs = 1;
+        return snapshot;
     }
 
     void set_callbacks() {
         io.version = 1, io.impl = this;
         io.init = [](raft_io*, raft_id, const char*) { return 0; };
-        io.close = [](raft_io* at, raft_io_close_cb cb) {
-            of(at).node.callbacks_.push_back([at, cb] { cb(at); });
+        io.close = [](raft_io* handle, raft_io_close_cb cb) {
+            of(handle).node.callbacks_.push_back([handle, cb] { cb(handle); });
         };
-        io.load = [](raft_io* at, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
-                     raft_entry** entries, size_t* count) {
-            return of(at).write([&](RaftStore& store) {
-                const StoredState kept = store.load();
-                *term = kept.term, *vote = kept.vote, *first = kept.first;
-                *snapshot = kept.snapshot ? to_raft_snapshot(*kept.snapshot) : nullptr;
-                if (kept.entries.empty() && kept.snapshot) *first = kept.snapshot->index + 1;
-                *count = kept.entries.size(), *entries = nullptr;
-                if (kept.entries.empty()) return;
-                *entries = static_cast<raft_entry*>(raft_malloc(sizeof(raft_entry) * kept.entries.size()));
-                std::string all;
-                for (const LogEntry& entry : kept.entries) all += entry.bytes;
-                char* batch = static_cast<char*>(raft_copy(all));
-                std::size_t done = 0, i = 0;
-                for (const LogEntry& entry : kept.entries) {
+        io.load = [](raft_io* handle, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                     raft_index* first, raft_entry** entries, size_t* count) {
+            return of(handle).write([&](RaftStore& store) {
+                const StoredState stored = store.load();
+                *term = stored.term, *vote = stored.vote, *first = stored.first;
+                *snapshot = stored.snapshot ? to_raft_snapshot(*stored.snapshot) : nullptr;
+                if (stored.entries.empty() && stored.snapshot) *first = stored.snapshot->index + 1;
+                *count = stored.entries.size(), *entries = nullptr;
+                if (stored.entries.empty()) return;
+                *entries = static_cast<raft_entry*>(raft_malloc(sizeof(raft_entry) * stored.entries.size()));
+                std::string joined;
+                for (const LogEntry& entry : stored.entries) joined += entry.bytes;
+                char* batch = static_cast<char*>(raft_copy(joined));
+                std::size_t offset = 0, i = 0;
+                for (const LogEntry& entry : stored.entries) {
                     (*entries)[i++] = {entry.term,
                                        static_cast<unsigned short>(entry.kind),
-                                       {batch + done, entry.bytes.size()},
+                                       {batch + offset, entry.bytes.size()},
                                        batch};
-                    done += entry.bytes.size();
+                    offset += entry.bytes.size();
                 }
             });
         };
-        io.start = [](raft_io* at, unsigned, raft_io_tick_cb tick, raft_io_recv_cb recv) {
-            of(at).tick = tick, of(at).recv = recv;
+        io.start = [](raft_io* handle, unsigned, raft_io_tick_cb tick, raft_io_recv_cb recv) {
+            of(handle).tick = tick, of(handle).recv = recv;
             return 0;
         };
-        io.bootstrap = [](raft_io* at, const raft_configuration* who) {
-            return of(at).write([&](RaftStore& store) {
+        io.bootstrap = [](raft_io* handle, const raft_configuration* configuration) {
+            return of(handle).write([&](RaftStore& store) {
                 raft_buffer bytes{};
-                if (raft_configuration_encode(who, &bytes) != 0) throw RaftStoreError("no memory");
+                if (raft_configuration_encode(configuration, &bytes) != 0)
+                    throw RaftStoreError("out of memory");
                 const std::string text = buffer_text(bytes);
                 raft_free(bytes.base);
                 store.set_term(1);
@@ -259,18 +264,19 @@
             });
         };
         io.recover = [](raft_io*, const raft_configuration*) { return RAFT_IOERR; };
-        io.set_term = [](raft_io* at, raft_term term) {
-            return of(at).write([&](RaftStore& store) { store.set_term(term); });
+        io.set_term = [](raft_io* handle, raft_term term) {
+            return of(handle).write([&](RaftStore& store) { store.set_term(term); });
         };
-        io.set_vote = [](raft_io* at, raft_id who) {
-            return of(at).write([&](RaftStore& store) { store.set_vote(who); });
+        io.set_vote = [](raft_io* handle, raft_id candidate) {
+            return of(handle).write([&](RaftStore& store) { store.set_vote(candidate); });
         };
-        io.send = [](raft_io* at, raft_io_send* request, const raft_message* message, raft_io_send_cb cb) {
-            Raft& self = of(at);
+        io.send = [](raft_io* handle, raft_io_send* request, const raft_message* message,
+                     raft_io_send_cb cb) {
+            Raft& self = of(handle);
             raft_message outgoing = *message;
             if (outgoing.type == RAFT_IO_APPEND_ENTRIES_RESULT)
                 self.limit_acknowledged(outgoing.append_entries_result);
-            // Whose log is shorter than what others had when we started does not stand for election.
+            // A node whose log is shorter than those of its peers at its start does not stand for election.
             const bool is_vote_request = outgoing.type == RAFT_IO_REQUEST_VOTE;
             if (!is_vote_request || !self.node.log_extent().shorter_than(self.node.required_log_))
                 self.node.messages_.push_back(
@@ -280,11 +286,10 @@
             });
             return 0;
         };
-        io.append = [](raft_io* at, raft_io_append* request, const raft_entry* entries, unsigned count,
+        io.append = [](raft_io* handle, raft_io_append* request, const raft_entry* entries, unsigned count,
                        raft_io_append_cb cb) {
-            Raft& self = of(at);
-            // The ledger counts on from its own last entry: the library appends in order, and truncates
-            // first.
+            Raft& self = of(handle);
+            // Indexes continue from the last stored entry: the library appends in order and truncates first.
             const int status = self.write([&](RaftStore& store) {
                 std::vector<LogEntry> rows;
                 for (unsigned i = 0; i < count; ++i)
@@ -295,87 +300,90 @@
             self.node.callbacks_.push_back([request, cb, status] { cb(request, status); });
             return 0;
         };
-        io.truncate = [](raft_io* at, raft_index from) {
-            Raft& self = of(at);
+        io.truncate = [](raft_io* handle, raft_index from) {
+            Raft& self = of(handle);
             return self.write([&](RaftStore& store) {
                 store.truncate(from);
                 self.next_index = from;
             });
         };
-        io.snapshot_put = [](raft_io* at, unsigned trailing, raft_io_snapshot_put* request,
+        io.snapshot_put = [](raft_io* handle, unsigned trailing, raft_io_snapshot_put* request,
                              const raft_snapshot* snapshot, raft_io_snapshot_put_cb cb) {
-            Raft& self = of(at);
+            Raft& self = of(handle);
             const int status = self.write([&](RaftStore& store) {
-                StoredSnapshot kept{snapshot->index,
-                                    snapshot->term,
-                                    snapshot->configuration_index,
-                                    codec::pack_cbor(encode_row(snapshot->configuration)),
-                                    {}};
-                for (unsigned i = 0; i < snapshot->n_bufs; ++i) kept.state += buffer_text(snapshot->bufs[i]);
-                store.put_snapshot(kept, trailing);
+                StoredSnapshot stored{snapshot->index,
+                                      snapshot->term,
+                                      snapshot->configuration_index,
+                                      codec::pack_cbor(encode_row(snapshot->configuration)),
+                                      {}};
+                for (unsigned i = 0; i < snapshot->n_bufs; ++i)
+                    stored.state += buffer_text(snapshot->bufs[i]);
+                store.put_snapshot(stored, trailing);
                 if (trailing == 0) self.next_index = snapshot->index + 1;
             });
             self.node.callbacks_.push_back([request, cb, status] { cb(request, status); });
             return 0;
         };
-        io.snapshot_get = [](raft_io* at, raft_io_snapshot_get* request, raft_io_snapshot_get_cb cb) {
-            Raft& self = of(at);
+        io.snapshot_get = [](raft_io* handle, raft_io_snapshot_get* request, raft_io_snapshot_get_cb cb) {
+            Raft& self = of(handle);
             self.node.callbacks_.push_back([&self, request, cb] {
-                raft_snapshot* made = nullptr;
+                raft_snapshot* loaded = nullptr;
                 const int status = self.write([&](RaftStore& store) {
-                    const StoredState kept = store.load();
-                    if (!kept.snapshot) throw RaftStoreError("no snapshot");
-                    made = to_raft_snapshot(*kept.snapshot);
+                    const StoredState stored = store.load();
+                    if (!stored.snapshot) throw RaftStoreError("the store has no snapshot");
+                    loaded = to_raft_snapshot(*stored.snapshot);
                 });
-                cb(request, made, status);
+                cb(request, loaded, status);
             });
             return 0;
         };
-        io.time = [](raft_io* at) {
-            return static_cast<raft_time>(of(at).node.now_ * 1000 / kTenthsPerSecond);
+        io.time = [](raft_io* handle) {
+            return static_cast<raft_time>(of(handle).node.now_ * 1000 / kTenthsPerSecond);
         };
-        io.random = [](raft_io* at, int least, int most) {
-            return least + static_cast<int>(of(at).node.random_.unit() * (most - least));
+        io.random = [](raft_io* handle, int min, int max) {
+            return min + static_cast<int>(of(handle).node.random_.unit() * (max - min));
         };
 
         fsm.version = 1, fsm.data = this;
-        fsm.apply = [](raft_fsm* at, const raft_buffer* bytes, void** result) {
+        fsm.apply = [](raft_fsm* handle, const raft_buffer* bytes, void** result) {
             *result = nullptr;
-            ConsensusNode& node = static_cast<Raft*>(at->data)->node;
+            ConsensusNode& node = static_cast<Raft*>(handle->data)->node;
             const auto command = decode(buffer_text(*bytes));
-            if (!command) return 0; // of a later version: the same everywhere
+            if (!command) return 0; // from a later version; skipped on every node alike
             const CommandResult outcome = node.schedule_.apply(*command);
             if (node.on_applied) node.on_applied(*command, outcome);
             return 0;
         };
-        fsm.snapshot = [](raft_fsm* at, raft_buffer** buffers, unsigned* count) {
-            const std::string state = static_cast<Raft*>(at->data)->node.schedule_.encode();
+        fsm.snapshot = [](raft_fsm* handle, raft_buffer** buffers, unsigned* count) {
+            const std::string state = static_cast<Raft*>(handle->data)->node.schedule_.encode();
             *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
             (*buffers)[0] = {raft_copy(state), state.size()};
             *count = 1;
             return 0;
         };
-        fsm.restore = [](raft_fsm* at, raft_buffer* bytes) {
-            auto read = MaintenanceSchedule::decode(buffer_text(*bytes));
-            if (!read) return RAFT_MALFORMED;
-            static_cast<Raft*>(at->data)->node.schedule_ = std::move(*read);
+        fsm.restore = [](raft_fsm* handle, raft_buffer* bytes) {
+            auto decoded = MaintenanceSchedule::decode(buffer_text(*bytes));
+            if (!decoded) return RAFT_MALFORMED;
+            static_cast<Raft*>(handle->data)->node.schedule_ = std::move(*decoded);
             raft_free(bytes->base);
             return 0;
         };
     }
-    std::uint64_t next_index = 1; // of the ledger
+    std::uint64_t next_index = 1; // of the next stored entry
 
-    // The library tells a leader how long our log is, also in answer to an empty message that proves only its
-    // beginning. Behind that may stand entries of an earlier leader, in the place of others that the new one
-    // has: it would count us among those who hold its own, and take for agreed on what is not. So no more is
-    // told than this term's messages have shown to be the same.
+    // libraft reports the length of the local log to the leader even in reply to an empty AppendEntries,
+    // which proves only that the prefix matches. Entries of an earlier leader may follow that prefix, in
+    // place of those that the new leader has: it would count this node among the replicas of its own entries
+    // and commit too early. So the reported index is limited to what messages of this term have shown to
+    // match.
     raft_term matched_term = 0;
     raft_index matched_index = 0, matching_index = 0;
     bool rejected = false;
     void limit_acknowledged(raft_append_entries_result& result) {
         if (result.rejected != 0) return void(rejected = true);
-        const raft_index most = std::max(matching_index, result.term == matched_term ? matched_index : 0);
-        result.last_log_index = std::min(result.last_log_index, most);
+        const raft_index max_index =
+            std::max(matching_index, result.term == matched_term ? matched_index : 0);
+        result.last_log_index = std::min(result.last_log_index, max_index);
     }
     void receive(raft_message& message) {
         const bool append = message.type == RAFT_IO_APPEND_ENTRIES;
@@ -400,21 +408,22 @@
 
 ConsensusNode::~ConsensusNode() { close(); }
 
-// The ledger says that it lives again, before it says anything else.
+// Records the new incarnation in the store before anything else is done.
 void ConsensusNode::open() {
-    open_at_ = now_ + kReopenHeartbeats * settings_.heartbeat; // should it fail
+    open_at_ = now_ + kReopenHeartbeats * settings_.heartbeat; // if this attempt fails
     try {
         if (incarnation_.number == 0) {
             const VoterIncarnation before = store_.incarnation();
             const auto position =
                 std::ranges::find(settings_.candidates, settings_.name) - settings_.candidates.begin();
-            const bool founder = position < static_cast<std::ptrdiff_t>(
-                                                std::min(settings_.voter_count, settings_.candidates.size()));
+            const bool is_initial_voter =
+                position <
+                static_cast<std::ptrdiff_t>(std::min(settings_.voter_count, settings_.candidates.size()));
             VoterIncarnation incarnation{
                 before.number + 1, random_.next() | std::uint64_t{random_.next()} << 32U, before.identity};
-            if (before.number == 0) incarnation.identity = founder ? 0 : incarnation.number;
+            if (before.number == 0) incarnation.identity = is_initial_voter ? 0 : incarnation.number;
             store_.set_incarnation(incarnation);
-            new_founder_ = before.number == 0 && founder;
+            is_new_initial_voter_ = before.number == 0 && is_initial_voter;
             verified_ = before.number != 0 && store_.is_verified();
             incarnation_ = incarnation, known_incarnations_ = store_.known_incarnations(),
             known_voters_ = store_.voters();
@@ -423,21 +432,22 @@
                                  settings_.candidates.begin() +
                                      static_cast<std::ptrdiff_t>(
                                          std::min(settings_.voter_count, settings_.candidates.size()))};
-            const StoredState kept = store_.load();
-            stored_log_ = {kept.term, 0, 0};
-            if (kept.snapshot)
-                stored_log_.last_term = kept.snapshot->term, stored_log_.last_index = kept.snapshot->index;
-            if (!kept.entries.empty())
-                stored_log_.last_term = kept.entries.back().term,
-                stored_log_.last_index = kept.first + kept.entries.size() - 1;
+            const StoredState stored = store_.load();
+            stored_log_ = {stored.term, 0, 0};
+            if (stored.snapshot)
+                stored_log_.last_term = stored.snapshot->term,
+                stored_log_.last_index = stored.snapshot->index;
+            if (!stored.entries.empty())
+                stored_log_.last_term = stored.entries.back().term,
+                stored_log_.last_index = stored.first + stored.entries.size() - 1;
             confirmed_by_.clear(), peer_logs_.clear(), required_log_ = {}, store_check_at_ = now_;
         }
         if (!store_confirmed()) return;
-        const StoredState kept = store_.load();
+        const StoredState stored = store_.load();
         raft_ = std::make_unique<Raft>(*this, raft_id_of(settings_.name, incarnation_.identity));
         raft_->set_callbacks();
-        raft_->next_index = kept.first + kept.entries.size();
-        if (kept.entries.empty() && kept.snapshot) raft_->next_index = kept.snapshot->index + 1;
+        raft_->next_index = stored.first + stored.entries.size();
+        if (stored.entries.empty() && stored.snapshot) raft_->next_index = stored.snapshot->index + 1;
         schedule_ = {};
         raft& machine = raft_->machine;
         bool ok = raft_init(&machine, &raft_->io, &raft_->fsm, raft_->id, settings_.name.c_str()) == 0;
@@ -452,21 +462,21 @@
         raft_set_snapshot_threshold(&machine, settings_.snapshot_threshold);
         raft_set_snapshot_trailing(&machine, settings_.snapshot_trailing);
         raft_set_pre_vote(&machine, true);
-        if (ok && new_founder_ && kept.term == 0 && kept.entries.empty() && !kept.snapshot) {
-            raft_configuration who;
-            raft_configuration_init(&who);
+        if (ok && is_new_initial_voter_ && stored.term == 0 && stored.entries.empty() && !stored.snapshot) {
+            raft_configuration configuration;
+            raft_configuration_init(&configuration);
             for (std::size_t i = 0; i < std::min(settings_.voter_count, settings_.candidates.size()); ++i)
-                raft_configuration_add(&who, raft_id_of(settings_.candidates[i], 0),
+                raft_configuration_add(&configuration, raft_id_of(settings_.candidates[i], 0),
                                        settings_.candidates[i].c_str(), RAFT_VOTER);
-            ok = raft_bootstrap(&machine, &who) == 0;
-            raft_configuration_close(&who);
+            ok = raft_bootstrap(&machine, &configuration) == 0;
+            raft_configuration_close(&configuration);
             if (ok) raft_->next_index = 2;
         }
-        // In a term that others have seen we may have voted, whatever the ledger says.
-        const std::uint64_t term = std::max(kept.term, raft_->next_index > 1 ? std::uint64_t{1} : 0);
+        // This node may have voted in any term that its peers have seen, whatever the store says.
+        const std::uint64_t term = std::max(stored.term, raft_->next_index > 1 ? std::uint64_t{1} : 0);
         if (required_log_.term > term) store_.set_term(required_log_.term);
         if (required_log_.term >= term && required_log_.term > 0 &&
-            (kept.vote == 0 || required_log_.term > term))
+            (stored.vote == 0 || required_log_.term > term))
             store_.set_vote(raft_->id);
         ok = ok && raft_start(&machine) == 0;
         raft_->started = ok, raft_->failed = raft_->failed || !ok;
@@ -492,11 +502,11 @@
     }
 }
 
-// Any two such sets of others have one in common: of all who keep a ledger, and of those who vote.
+// Requires majorities of the candidates and of the known voters: any two such sets of peers intersect.
 bool ConsensusNode::store_confirmed() const {
-    const auto enough = [this](const std::vector<std::string>& all) {
+    const auto enough = [this](const std::vector<std::string>& names) {
         std::size_t others = 0, answered = 0;
-        for (const std::string& name : all)
+        for (const std::string& name : names)
             if (name != settings_.name) ++others, answered += confirmed_by_.contains(name) ? 1 : 0;
         return others == 0 || answered >= others / 2 + 1;
     };
@@ -513,14 +523,14 @@
 ConsensusNode::LogExtent ConsensusNode::log_extent() const {
     if (!raft_ || !raft_->started) return stored_log_;
     const raft_log& log = raft_->machine.log;
-    LogExtent made{raft_->machine.current_term, log.snapshot.last_term,
-                   raft_last_index(const_cast<raft*>(&raft_->machine))};
-    if (log.front != log.back) made.last_term = log.entries[(log.back + log.size - 1) % log.size].term;
-    return made;
+    LogExtent extent{raft_->machine.current_term, log.snapshot.last_term,
+                     raft_last_index(const_cast<raft*>(&raft_->machine))};
+    if (log.front != log.back) extent.last_term = log.entries[(log.back + log.size - 1) % log.size].term;
+    return extent;
 }
 
-// What those before us agreed on becomes known to be so only with an entry of our own term behind it: until
-// that is applied, we know less than we think.
+// Entries of earlier terms are known to be committed only once an entry of the leader's own term is: until
+// then the local state may be incomplete.
 void ConsensusNode::on_elected() {
     leader_since_ = now_, up_to_date_ = false;
     leader_start_index_ = log_extent().last_index;
@@ -532,36 +542,36 @@
     auto* request = new Request{};
     request->node = this, request->term = term(), request->barrier.data = request;
     const int failed =
-        ::raft_barrier(&raft_->machine, &request->barrier, [](struct raft_barrier* over, int status) {
-            const std::unique_ptr<Request> own(static_cast<Request*>(over->data));
-            if (status == 0 && own->node->term() == own->term) own->node->up_to_date_ = true;
+        ::raft_barrier(&raft_->machine, &request->barrier, [](struct raft_barrier* completed, int status) {
+            const std::unique_ptr<Request> owned(static_cast<Request*>(completed->data));
+            if (status == 0 && owned->node->term() == owned->term) owned->node->up_to_date_ = true;
         });
     if (failed != 0) {
         delete request;
-        was_leader_ = false; // tried again at the next step
+        was_leader_ = false; // retried at the next step
     }
     run_callbacks();
 }
 
-// While we lead, what has been added since is promised by those alone who told us that they have it.
+// While this node leads, entries appended since its election count only for voters that acknowledged them.
 ConsensusNode::LogExtent ConsensusNode::log_extent_known_to(const std::string& voter) const {
-    LogExtent made = log_extent();
-    if (!is_leader() || !was_leader_) return made;
+    LogExtent extent = log_extent();
+    if (!is_leader() || !was_leader_) return extent;
     const auto ack = acknowledged_.find(voter);
     std::uint64_t index = leader_start_index_;
-    if (ack != acknowledged_.end() && ack->second.term == made.term)
+    if (ack != acknowledged_.end() && ack->second.term == extent.term)
         index = std::max(index, ack->second.index);
-    if (index >= made.last_index) return made;
+    if (index >= extent.last_index) return extent;
     const raft_log& log = raft_->machine.log;
     const std::size_t count = log.front <= log.back ? log.back - log.front : log.size - log.front + log.back;
     if (index <= log.offset || index > log.offset + count) {
-        made.last_index = std::max<std::uint64_t>(index, log.snapshot.last_index);
-        made.last_term = log.snapshot.last_term;
-        return made;
+        extent.last_index = std::max<std::uint64_t>(index, log.snapshot.last_index);
+        extent.last_term = log.snapshot.last_term;
+        return extent;
     }
-    made.last_index = index;
-    made.last_term = log.entries[(log.front + (index - log.offset - 1)) % log.size].term;
-    return made;
+    extent.last_index = index;
+    extent.last_term = log.entries[(log.front + (index - log.offset - 1)) % log.size].term;
+    return extent;
 }
 
 void ConsensusNode::store_voters() {
@@ -578,14 +588,14 @@
 
 void ConsensusNode::step(Tenths now) {
     now_ = std::max(now_, now);
-    // A transfer to one that does not answer is never ended by the library, and nothing is agreed on
+    // libraft never ends a leadership transfer to a node that does not answer, and commits nothing
     // meanwhile.
     if (raft_ && raft_->transferring &&
         now_ > transfer_at_ +
                    kTransferTimeoutElections * settings_.election_timeout_heartbeats * settings_.heartbeat)
         raft_->failed = true;
     if (raft_ && raft_->failed) {
-        // What the library holds in memory may be more than the ledger does: only the ledger counts.
+        // The library may hold more in memory than was stored; only the store counts.
         close();
         open_at_ = now_ + kReopenHeartbeats * settings_.heartbeat;
     }
@@ -593,7 +603,7 @@
     if (incarnation_.number != 0 && now_ >= store_check_at_) send_store_checks();
     if (store_confirmed() && !raft_ && now_ >= open_at_) open();
     store_voters();
-    // Only a ledger that holds all that others had when we started may vouch for itself at the next.
+    // The store may skip the check at the next start only if it has all that the peers had at this start.
     if (raft_ && raft_->started && !raft_->failed && !marked_verified_ &&
         !log_extent().shorter_than(required_log_))
         marked_verified_ = true, store_.mark_verified();
@@ -636,9 +646,9 @@
 
 bool ConsensusNode::is_voter() const {
     if (!raft_ || !raft_->started) return false;
-    const raft_configuration& all = raft_->machine.configuration;
-    for (unsigned i = 0; i < all.n; ++i)
-        if (all.servers[i].id == raft_->id) return all.servers[i].role == RAFT_VOTER;
+    const raft_configuration& configuration = raft_->machine.configuration;
+    for (unsigned i = 0; i < configuration.n; ++i)
+        if (configuration.servers[i].id == raft_->id) return configuration.servers[i].role == RAFT_VOTER;
     return false;
 }
 
@@ -661,11 +671,11 @@
     raft_buffer buffer{raft_copy(bytes), bytes.size()};
     auto* request = new Request{};
     request->apply.data = request, request->done = std::move(done);
-    const int failed = ::raft_apply(&raft_->machine, &request->apply, &buffer, 1,
-                                    [](struct raft_apply* over, int status, void*) {
-                                        const std::unique_ptr<Request> own(static_cast<Request*>(over->data));
-                                        if (own->done) own->done(status == 0);
-                                    });
+    const int failed = ::raft_apply(
+        &raft_->machine, &request->apply, &buffer, 1, [](struct raft_apply* completed, int status, void*) {
+            const std::unique_ptr<Request> owned(static_cast<Request*>(completed->data));
+            if (owned->done) owned->done(status == 0);
+        });
     if (failed != 0) {
         raft_free(buffer.base);
         delete request;
@@ -693,8 +703,8 @@
             continue;
         raft_->transfer.data = raft_.get();
         raft_->transferring =
-            raft_transfer(&raft_->machine, &raft_->transfer, server.id, [](struct raft_transfer* done) {
-                static_cast<Raft*>(done->data)->transferring = false;
+            raft_transfer(&raft_->machine, &raft_->transfer, server.id, [](struct raft_transfer* completed) {
+                static_cast<Raft*>(completed->data)->transferring = false;
             }) == 0;
         transfer_at_ = now_;
         run_callbacks();
@@ -714,15 +724,15 @@
         if (server.id != id) continue;
         if (server.role == RAFT_VOTER) return false;
         self.membership_changing =
-            raft_assign(&self.machine, &self.change, id, RAFT_VOTER, [](raft_change* done, int) {
-                static_cast<Raft*>(done->data)->membership_changing = false;
+            raft_assign(&self.machine, &self.change, id, RAFT_VOTER, [](raft_change* completed, int) {
+                static_cast<Raft*>(completed->data)->membership_changing = false;
             }) == 0;
         run_callbacks();
         return self.membership_changing;
     }
     self.membership_changing =
-        raft_add(&self.machine, &self.change, id, name.c_str(), [](raft_change* done, int) {
-            static_cast<Raft*>(done->data)->membership_changing = false;
+        raft_add(&self.machine, &self.change, id, name.c_str(), [](raft_change* completed, int) {
+            static_cast<Raft*>(completed->data)->membership_changing = false;
         }) == 0;
     run_callbacks();
     return self.membership_changing;
@@ -738,8 +748,8 @@
         if (server.address != name) continue;
         self.change.data = &self;
         self.membership_changing =
-            raft_remove(&self.machine, &self.change, server.id, [](raft_change* done, int) {
-                static_cast<Raft*>(done->data)->membership_changing = false;
+            raft_remove(&self.machine, &self.change, server.id, [](raft_change* completed, int) {
+                static_cast<Raft*>(completed->data)->membership_changing = false;
             }) == 0;
         run_callbacks();
         return self.membership_changing;
@@ -748,22 +758,23 @@
 }
 
 MaintenanceSchedule ConsensusNode::uncommitted_schedule() const {
-    MaintenanceSchedule made;
+    MaintenanceSchedule schedule;
     try {
-        const StoredState kept = store_.load();
-        if (kept.snapshot)
-            if (auto read = MaintenanceSchedule::decode(kept.snapshot->state)) made = std::move(*read);
-        std::uint64_t index = kept.first;
-        for (const LogEntry& entry : kept.entries) {
-            const bool behind = !kept.snapshot || index > kept.snapshot->index;
-            if (++index, !behind || entry.kind != RAFT_COMMAND) continue;
-            if (const auto command = decode(entry.bytes)) made.apply(*command);
+        const StoredState stored = store_.load();
+        if (stored.snapshot)
+            if (auto decoded = MaintenanceSchedule::decode(stored.snapshot->state))
+                schedule = std::move(*decoded);
+        std::uint64_t index = stored.first;
+        for (const LogEntry& entry : stored.entries) {
+            const bool after_snapshot = !stored.snapshot || index > stored.snapshot->index;
+            if (++index, !after_snapshot || entry.kind != RAFT_COMMAND) continue;
+            if (const auto command = decode(entry.bytes)) schedule.apply(*command);
         }
     } catch (const RaftStoreError&) { return schedule_; }
-    return made;
+    return schedule;
 }
 
-// ---- the roll
+// ---- store check
 
 void ConsensusNode::send_store_checks() {
     store_check_at_ = now_ + kStoreCheckHeartbeats * settings_.heartbeat;
@@ -775,35 +786,36 @@
 }
 
 void ConsensusNode::answer_store_check(const std::string& from, VoterIncarnation incarnation,
-                                       const LogExtent& /*extent*/) {
+                                       const LogExtent& /*log_extent*/) {
     if (incarnation.number == 0 || incarnation_.number == 0) return;
     VoterIncarnation& known = known_incarnations_[from];
     try {
         if (incarnation.number > known.number) {
-            store_.record_incarnation(from, incarnation); // before it is answered
-            // Its ledger is lost. What only it held can be had from nobody, and is not waited for: agreement
-            // rests on it that no more than a minority loses theirs.
+            store_.record_incarnation(from, incarnation); // before the reply is sent
+            // Its store was lost. Entries that only it held cannot be recovered and are not waited for: Raft
+            // assumes that at most a minority loses its stores.
             if (incarnation.identity != known.identity)
                 acknowledged_.erase(from), peer_logs_.erase(from), update_required_log();
             known = incarnation;
         }
     } catch (const RaftStoreError&) { return; }
     const Acknowledgement ack = acknowledged_[from];
-    const LogExtent own = log_extent_known_to(from);
-    messages_.push_back({from, codec::pack_cbor({kStoreCheckReply, incarnation.nonce, known.number,
-                                                 known.nonce, known.identity, ack.term, ack.index, own.term,
-                                                 own.last_term, own.last_index})});
+    const LogExtent local_log = log_extent_known_to(from);
+    messages_.push_back(
+        {from,
+         codec::pack_cbor({kStoreCheckReply, incarnation.nonce, known.number, known.nonce, known.identity,
+                           ack.term, ack.index, local_log.term, local_log.last_term, local_log.last_index})});
 }
 
 void ConsensusNode::on_store_check_reply(const std::string& from, VoterIncarnation known,
                                          Acknowledgement acknowledged, const LogExtent& peer_log) {
     if (known != incarnation_) {
-        if (verified_) return; // a later life of ours has been told of meanwhile, or none
-        // Others remember a later start than our ledger does: it was lost, or put back from a copy.
+        if (verified_) return; // a later incarnation of this node has been recorded meanwhile, or none
+        // Peers remember a later start than the store does: it was lost, or restored from a copy.
         if (known.number >= incarnation_.number) reset_store(known.number);
         return;
     }
-    // Or no later start, but more of what we told them in the one before.
+    // Or they remember no later start, but more acknowledged entries than the store holds.
     if (!verified_ && (stored_log_.term < acknowledged.term || (stored_log_.term == acknowledged.term &&
                                                                 stored_log_.last_index < acknowledged.index)))
         return reset_store(incarnation_.number);
@@ -822,15 +834,16 @@
     }
 }
 
-void ConsensusNode::reset_store(std::uint64_t known_number) {
-    if (raft_) return; // answers that come later than enough of them say nothing new: their sum was enough
+void ConsensusNode::reset_store(std::uint64_t recorded_number) {
+    if (raft_) return; // replies beyond the required majority add nothing
     store_lost_ = true;
     try {
         const VoterIncarnation incarnation{
-            known_number + 1, random_.next() | std::uint64_t{random_.next()} << 32U, known_number + 1};
+            recorded_number + 1, random_.next() | std::uint64_t{random_.next()} << 32U, recorded_number + 1};
         store_.clear();
         store_.set_incarnation(incarnation);
-        incarnation_ = incarnation, new_founder_ = marked_verified_ = false, schedule_ = {}, stored_log_ = {};
+        incarnation_ = incarnation, is_new_initial_voter_ = marked_verified_ = false, schedule_ = {},
+        stored_log_ = {};
         confirmed_by_.clear(), peer_logs_.clear(), required_log_ = {};
         store_check_at_ = now_;
     } catch (const RaftStoreError&) {
@@ -846,12 +859,12 @@
     try {
         row = Json::from_cbor(bytes.begin(), bytes.end());
         const std::uint64_t kind = decode_count(row.at(0));
-        const auto number = [&](std::size_t at) { return decode_count(row.at(at)); };
+        const auto number = [&](std::size_t field) { return decode_count(row.at(field)); };
         if (kind == kStoreCheck)
             return answer_store_check(from, {number(1), number(2), number(3)},
                                       {number(4), number(5), number(6)});
         if (kind == kStoreCheckReply) {
-            if (number(1) != incarnation_.nonce) return; // to a call of an earlier life
+            if (number(1) != incarnation_.nonce) return; // reply to a check of an earlier incarnation
             on_store_check_reply(from, {number(2), number(3), number(4)}, {number(5), number(6)},
                                  {number(7), number(8), number(9)});
             return step(now_);
--- a/src/maintenance/executor.cpp
+++ b/src/maintenance/executor.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr int kRenewalsPerLease = 3; // in one grant's span
-constexpr int kQueriesPerAction = 8; // at a machine, in one act's span
+constexpr int kRenewalsPerLease = 3; // confirmations within the validity of a lease
+constexpr int kQueriesPerAction = 8; // state queries within the timeout of one action
 constexpr int kMaxUnanswered = 4;
-constexpr int kMaxLeaseExpiries = 2; // times that a turn passes from holder to holder in one state
+constexpr int kMaxLeaseExpiries = 2; // a job changes its holder at most this often in one state
 constexpr std::size_t kMaxConfirmationTimes = 16;
 
 constexpr std::array<const char*, 4> kActionNames{"state", "drain", "out", "back"};
@@ -20,11 +20,11 @@
 
 } // namespace
 
-const char* to_string(MachineAction act) { return kActionNames[static_cast<std::size_t>(act)]; }
+const char* to_string(MachineAction action) { return kActionNames[static_cast<std::size_t>(action)]; }
 const char* to_string(MachineStatus status) { return kStatusNames[static_cast<std::size_t>(status)]; }
-std::optional<MachineStatus> machine_status_from(std::string_view word) {
+std::optional<MachineStatus> machine_status_from(std::string_view name) {
     for (std::size_t i = 0; i < kStatusNames.size(); ++i)
-        if (word == kStatusNames[i]) return static_cast<MachineStatus>(i);
+        if (name == kStatusNames[i]) return static_cast<MachineStatus>(i);
     return {};
 }
 
@@ -43,7 +43,7 @@
         first = std::min(first, execution.confirm_at);
         if (execution.pending)
             first = std::min(first, execution.reply_due);
-        else if (execution.next_action_at > now) // else it waits for what others agree on
+        else if (execution.next_action_at > now) // otherwise it waits for a commit
             first = std::min(first, execution.next_action_at);
     }
     return std::max(first, now + 1);
@@ -84,13 +84,13 @@
         if (is_new) execution.fence = job.fence;
         if (is_new || execution.state != job.state)
             execution.state = job.state, execution.state_since = now, execution.notified = false;
-        if (execution.released) { // said again until it is agreed on
+        if (execution.released) { // repeated until it is committed
             if (now < execution.confirm_at) continue;
             execution.confirm_at = now + settings_.timing.action;
             output.commands.emplace_back(ExpireLease{machine, job.fence});
             continue;
         }
-        // Only a word of this life counts, and from the moment that we gave it.
+        // Only confirmations sent by this process count, from the time at which they were sent.
         if (job.lease_confirmed && execution.confirmation_times.contains(job.holder_time))
             execution.lease_until = std::max(execution.lease_until,
                                              static_cast<Tenths>(job.holder_time) + settings_.timing.lease);
@@ -120,41 +120,44 @@
     return output;
 }
 
-// One step of one turn: what the machine is like now, against what it should come to.
+// One step of one job: compares the machine's reported state with the state that the job requires.
 void Executor::advance(Tenths now, const MaintenanceJob& job, JobExecution& execution,
                        const MaintenanceSchedule& schedule, const FleetObservation& observed,
                        ExecutorOutput& output) {
     const bool cancel = job.withdrawn || job.recalled;
     const Tenths elapsed = now - execution.state_since;
-    // Whatever our forerunner has left under way: its keeper hears our number before we rely on anything.
+    // A previous holder may have actions in flight: the controller must see the new fencing token before its
+    // state is relied on.
     if (!execution.fence_registered || execution.status == MachineStatus::kUnknown) {
-        // Its keeper may be silent to us alone: others try before anything is made of it.
+        // The controller may be unreachable from this node only: other holders try before a policy is
+        // applied.
         if (execution.unanswered >= kMaxUnanswered && job.lease_expiries < kMaxLeaseExpiries) {
-            // From here on it is not ours, whatever the grant says: another may have it before we hear so.
+            // The lease must not be used from here on, even if it is still valid: another node may get the
+            // job before this node learns of it.
             execution.released = true, execution.lease_until = 0;
             execution.confirm_at = now + settings_.timing.action;
             output.commands.emplace_back(ExpireLease{job.machine, job.fence});
             return;
         }
         if (execution.unanswered >= kMaxUnanswered && !execution.notified && job.state != JobState::kGranted)
-            apply_policy(now, settings_.failure_policy.broken, job, execution, "its keeper does not answer",
-                         schedule, output);
-        // Somebody may have told it to drain, and the answer was lost: it has to be brought back for sure.
+            apply_policy(now, settings_.failure_policy.broken, job, execution,
+                         "its controller does not answer", schedule, output);
+        // A drain command may have arrived although its answer was lost, so the machine must be brought back.
         if (execution.unanswered >= kMaxUnanswered && job.state == JobState::kGranted)
-            return propose_state(now, job, execution, JobState::kReturning, "its keeper does not answer",
+            return propose_state(now, job, execution, JobState::kReturning, "its controller does not answer",
                                  output);
         return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
     }
     const MachineStatus status = execution.status;
     switch (job.state) {
     case JobState::kGranted:
-        if (status == MachineStatus::kBroken) // it was broken before: the operator's, not ours
-            return propose_state(now, job, execution, JobState::kProposed, "it is broken", output);
+        if (status == MachineStatus::kBroken) // broken before the job started: left to the operator
+            return propose_state(now, job, execution, JobState::kProposed, "it was broken before", output);
         if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
         if (status == MachineStatus::kServing || status == MachineStatus::kStarting)
             return send_action(now, job.machine, execution, MachineAction::kDrain, output);
         return propose_state(now, job, execution, JobState::kDraining, "",
-                             output); // it drains, or further than that
+                             output); // it drains, or is further
     case JobState::kDraining:
         if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
         if (status == MachineStatus::kWorking || status == MachineStatus::kWorkDone)
@@ -162,24 +165,26 @@
         if (status == MachineStatus::kDrained)
             return send_action(now, job.machine, execution, MachineAction::kTakeOut, output);
         if (status == MachineStatus::kServing)
-            return send_action(now, job.machine, execution, MachineAction::kDrain, output); // it forgot
+            return send_action(now, job.machine, execution, MachineAction::kDrain,
+                               output); // it lost the drain command
         if (elapsed > settings_.timing.drain)
-            return apply_policy(now, settings_.failure_policy.drain_late, job, execution, "it does not drain",
-                                schedule, output);
+            return apply_policy(now, settings_.failure_policy.drain_late, job, execution,
+                                "it did not finish draining", schedule, output);
         return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
     case JobState::kOut:
         if (cancel || status == MachineStatus::kWorkDone)
             return propose_state(now, job, execution, JobState::kReturning,
-                                 cancel ? job.reason : "its work is done", output);
+                                 cancel ? job.reason : "its work is finished", output);
         if (status == MachineStatus::kServing ||
-            status == MachineStatus::kStarting) // somebody brought it back
-            return propose_state(now, job, execution, JobState::kReturning, "it came back by itself", output);
+            status == MachineStatus::kStarting) // brought back by someone else
+            return propose_state(now, job, execution, JobState::kReturning, "it came back without a command",
+                                 output);
         if (status == MachineStatus::kBroken)
             return apply_policy(now, settings_.failure_policy.broken, job, execution,
-                                "it broke during its work", schedule, output);
+                                "it broke during the work", schedule, output);
         if (elapsed > settings_.timing.work)
             return apply_policy(now, settings_.failure_policy.work_late, job, execution,
-                                "its work does not end", schedule, output);
+                                "its work did not end in time", schedule, output);
         return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
     case JobState::kReturning: {
         if (status == MachineStatus::kBroken)
@@ -187,8 +192,8 @@
                                 schedule, output);
         if (status != MachineStatus::kServing && status != MachineStatus::kStarting) {
             if (elapsed > settings_.timing.bring_back)
-                apply_policy(now, settings_.failure_policy.back_late, job, execution, "it does not come back",
-                             schedule, output);
+                apply_policy(now, settings_.failure_policy.back_late, job, execution,
+                             "it did not come back in time", schedule, output);
             return send_action(now, job.machine, execution, MachineAction::kBringBack, output);
         }
         const auto listed = observed.machines.find(job.machine);
@@ -201,16 +206,18 @@
             listed == observed.machines.end() || listed->second.health == MachineHealth::kGone;
         if (elapsed > settings_.timing.bring_back + settings_.timing.warm_up &&
             status == MachineStatus::kServing && not_listed) {
-            // Neither cold nor broken by any word of its own: whoever can look at it is told.
+            // The controller reports it neither cold nor broken, so the operator is notified.
             if (!std::exchange(execution.notified, true))
-                output.notifications.push_back(job.machine +
-                                               ": its keeper says that it serves, and nobody sees it");
+                output.notifications.push_back(
+                    job.machine +
+                    ": its controller reports that it serves, but it is not in the server list");
         } else if (elapsed > settings_.timing.bring_back + settings_.timing.warm_up)
             apply_policy(now,
                          status == MachineStatus::kServing ? settings_.failure_policy.cold_late
                                                            : settings_.failure_policy.back_late,
                          job, execution,
-                         status == MachineStatus::kServing ? "it stays cold" : "it does not come back",
+                         status == MachineStatus::kServing ? "it did not warm up in time"
+                                                           : "it did not come back in time",
                          schedule, output);
         return send_action(now, job.machine, execution, MachineAction::kQueryState, output);
     }
@@ -246,7 +253,8 @@
         if (!schedule.held() && !already_notified) output.commands.emplace_back(HoldSchedule{{}, text});
         break;
     }
-    // It may still come to that; one that is to come back is told so again instead.
+    // The expected state may still be reached; a machine that is to come back gets that command again
+    // instead.
     if (job.state != JobState::kReturning || execution.status == MachineStatus::kUnknown ||
         execution.status == MachineStatus::kBroken)
         send_action(now, job.machine, execution, MachineAction::kQueryState, output);
@@ -265,7 +273,7 @@
                              std::string reason, ExecutorOutput& output) {
     if (now < execution.next_proposal_at) return;
     execution.next_proposal_at = execution.next_action_at =
-        now + settings_.timing.action / kQueriesPerAction; // said again until it is agreed on
+        now + settings_.timing.action / kQueriesPerAction; // repeated until it is committed
     const bool incomplete = to == JobState::kReturning && execution.status != MachineStatus::kWorkDone;
     output.commands.emplace_back(AdvanceJob{job.machine, job.fence, to, std::move(reason), incomplete});
 }
@@ -276,20 +284,21 @@
         if (const auto found = executions->find(machine);
             found != executions->end() && found->second.pending && found->second.pending->serial == serial)
             match = &found->second;
-    if (match == nullptr) return void(++counts_.unmatched_replies); // twice, late, or of another machine
+    if (match == nullptr) return void(++counts_.unmatched_replies); // duplicate, late, or for another machine
     JobExecution& execution = *match;
     ++counts_.replies;
     const MachineAction action = execution.pending->action;
     execution.pending.reset();
     if (status == MachineStatus::kRefused) {
-        // Somebody holds a later grant: we have slept. Nothing more is done until we hear what holds.
+        // Another node holds a later lease: this one was stalled. It does nothing more until it learns of
+        // that lease.
         ++counts_.fenced_off, execution.fenced_off = true, execution.lease_until = 0;
         return;
     }
     execution.unanswered = status == MachineStatus::kUnknown ? execution.unanswered + 1 : 0;
     execution.fence_registered = execution.fence_registered || status != MachineStatus::kUnknown;
     execution.status = status;
-    // After an act the machine is looked at soon, while nothing happens by and by.
+    // The state is queried soon after an action, and at intervals while nothing changes.
     execution.next_action_at =
         now + (action == MachineAction::kQueryState ? settings_.timing.action / kQueriesPerAction : 1);
 }
--- a/src/maintenance/executor.hpp
+++ b/src/maintenance/executor.hpp
@@ -1,8 +1,9 @@
-// The holder's part: carries out the turns that are granted to this front node, act by act, through the
-// machine's keeper. It acts only while its grant lasts by its own clock, counted from when it asked, and
-// every act bears the grant's number: a keeper that has heard a larger one refuses it, however late it comes.
-// To bring a machine back is the one thing that whoever knows of it may try when nobody can agree on
-// anything: that harms no shard, and the number guards it as before.
+// Executes the maintenance jobs whose lease this front node holds, step by step, through each machine's
+// controller (`keeper` in the operator's file). It acts only while its lease is valid by its own clock,
+// counted from the time at which the lease was requested, and each action carries the lease's fencing token:
+// a controller that has seen a larger token refuses the action, however late it arrives. Bringing a machine
+// back is the only action that any node may try while there is no leader: it reduces no shard's replicas, and
+// the fencing token protects it as before.
 #pragma once
 #include "maintenance/fleet_observation.hpp"
 #include "maintenance/maintenance_schedule.hpp"
@@ -13,22 +14,22 @@
 namespace ivyrill::maintenance {
 
 enum class MachineAction { kQueryState, kDrain, kTakeOut, kBringBack };
-const char* to_string(MachineAction act);
+const char* to_string(MachineAction action);
 
-// What a keeper says of its machine.
+// State of a machine as reported by its controller.
 enum class MachineStatus {
     kServing,
     kDraining,
     kDrained,
     kWorking,
-    kWorkDone, // it is out and may come back
+    kWorkDone, // the maintenance work is finished
     kStarting,
     kBroken,
-    kRefused, // it has heard a larger number
-    kUnknown  // it said nothing, or nothing of use
+    kRefused, // the controller has seen a larger fencing token
+    kUnknown  // no answer, or an unusable one
 };
 const char* to_string(MachineStatus status);
-std::optional<MachineStatus> machine_status_from(std::string_view word);
+std::optional<MachineStatus> machine_status_from(std::string_view name);
 
 struct MachineCommand {
     std::uint64_t serial = 0;
@@ -46,7 +47,7 @@
 struct ExecutorOutput {
     std::vector<MachineCommand> actions;
     std::vector<Command> commands;
-    std::vector<std::string> notifications; // the operator is called
+    std::vector<std::string> notifications; // messages for the operator
 };
 
 struct ExecutorCounts {
@@ -57,35 +58,38 @@
 class Executor {
   public:
     explicit Executor(ExecutorSettings settings) : settings_(std::move(settings)) {}
+    // Advances every job whose lease this node holds.
     ExecutorOutput run(Tenths now, const MaintenanceSchedule& schedule, const FleetObservation& observed);
-    // Nobody agrees on anything: what is out, as far as we know, is brought back, whoever held it.
+    // Without a leader: brings back every machine that is out according to the local log, whoever held its
+    // lease.
     std::vector<MachineCommand> recover_without_leader(Tenths now,
                                                        const MaintenanceSchedule& uncommitted_schedule);
-    void leader_available() { recoveries_.clear(); } // somebody leads again
-    // The keeper's answer to that act; one that nobody waits for is counted and forgotten.
+    void leader_available() { recoveries_.clear(); }
+    // The controller's answer to the action `serial`; unexpected answers are counted and dropped.
     void on_status(Tenths now, std::uint64_t serial, const std::string& machine, MachineStatus status);
-    bool holds_lease(const std::string& machine, Tenths now) const; // its grant lasts
+    bool holds_lease(const std::string& machine, Tenths now) const;
     Tenths lease_until(const std::string& machine) const;
-    std::vector<Command>
-    release_leases(const MaintenanceSchedule& schedule); // we leave: others go on at once
-    Tenths next(Tenths now) const;
+    // On shutdown: releases all leases, so that other holders can continue at once.
+    std::vector<Command> release_leases(const MaintenanceSchedule& schedule);
+    Tenths next(Tenths now) const; // when `run` has to be called next
     const ExecutorCounts& counts() const { return counts_; }
 
   private:
-    struct JobExecution { // of one turn that is ours
+    struct JobExecution { // state of one job whose lease this node holds
         FencingToken fence;
-        std::set<std::uint64_t> confirmation_times; // stamps under which we asked for the grant, in this life
-        Tenths lease_until = 0;                     // the grant lasts until then
+        // Local times of this node's confirmations since the process started.
+        std::set<std::uint64_t> confirmation_times;
+        Tenths lease_until = 0;
         Tenths confirm_at = 0;
         JobState state = JobState::kProposed;
-        Tenths state_since = 0;        // in this state
-        bool fence_registered = false; // the keeper knows our number
+        Tenths state_since = 0;        // when the job entered this state
+        bool fence_registered = false; // the controller has seen our fencing token
         MachineStatus status = MachineStatus::kUnknown;
-        std::optional<MachineCommand> pending; // waits for its answer
+        std::optional<MachineCommand> pending; // waits for the answer of the controller
         Tenths reply_due = 0, next_action_at = 0, next_proposal_at = 0;
-        int unanswered = 0; // acts in a row without an answer
-        bool fenced_off = false, notified = false,
-             released = false; // the last: given back, not to be held again
+        int unanswered = 0; // consecutive actions without an answer
+        // `released`: the lease was given up and must not be used again.
+        bool fenced_off = false, notified = false, released = false;
     };
     void advance(Tenths now, const MaintenanceJob& job, JobExecution& execution,
                  const MaintenanceSchedule& schedule, const FleetObservation& observed,
--- a/src/maintenance/fleet_observation.hpp
+++ b/src/maintenance/fleet_observation.hpp
@@ -1,11 +1,12 @@
-// What one front node knows of the fleet, as the rota's deciding parts are given it. It may be old or wrong:
-// what follows from it is only what this node proposes, and the evening refuses what may not be.
+// What one front node observes of the fleet: the input of the scheduler and the executor. It may be stale or
+// wrong; that only affects what this node proposes, as MaintenanceSchedule rejects whatever breaks its
+// limits.
 #pragma once
 #include "maintenance/types.hpp"
 
 namespace ivyrill::maintenance {
 
-enum class MachineHealth { kWarm, kCold, kDraining, kGone }; // of a machine; of a front node: kWarm or kGone
+enum class MachineHealth { kWarm, kCold, kDraining, kGone }; // front nodes are either kWarm or kGone
 
 struct ObservedMachine {
     MachineFacts facts;
@@ -14,37 +15,37 @@
 
 struct FleetObservation {
     std::string self;
-    Tenths wall_time = 0; // Unix time
+    Tenths wall_time = 0; // tenths of a millisecond, Unix time
     std::map<std::string, ObservedMachine> machines;
-    std::set<std::string> voters;      // of the council
-    std::set<std::string> unreachable; // front nodes that do not answer, the doubted ones among them
-    bool voters_settled = true;        // it has all its voters, and the evening knows them
-    std::set<std::string> lost_store;  // voters that have lost their ledger
-    double rejected_share = 0;         // share of the searches that this node rejects of late
-    std::string lost_zone;             // a zone most of which is gone and was not sent out; empty: none
+    std::set<std::string> voters;      // of the consensus group
+    std::set<std::string> unreachable; // front nodes that do not answer, suspected ones included
+    bool voters_settled = true;        // the group has all its voters, and the schedule lists the same ones
+    std::set<std::string> lost_store;  // voters whose store was lost or replaced
+    double rejected_share = 0;         // share of recent searches that this node has rejected
+    std::string lost_zone; // zone that has lost most of its machines outside of maintenance; empty: none
 };
 
-// What to do when something goes wrong, in the operator's words.
+// What to do when a job fails; the operator's file configures it (`answers`).
 enum class FailureAction { kWait, kSkip, kRollBack, kHoldSchedule, kNotifyOperator };
 
 struct FailurePolicy {
-    FailureAction drain_late = FailureAction::kRollBack;      // it does not drain
-    FailureAction work_late = FailureAction::kNotifyOperator; // its work does not end
-    FailureAction back_late = FailureAction::kHoldSchedule;   // it does not come back
-    FailureAction broken = FailureAction::kHoldSchedule;      // it came back and does not serve
-    FailureAction cold_late = FailureAction::kWait;           // it came back and stays cold
+    FailureAction drain_late = FailureAction::kRollBack;      // the machine does not finish draining
+    FailureAction work_late = FailureAction::kNotifyOperator; // the maintenance work does not end
+    FailureAction back_late = FailureAction::kHoldSchedule;   // the machine does not come back
+    FailureAction broken = FailureAction::kHoldSchedule;      // the machine came back and does not serve
+    FailureAction cold_late = FailureAction::kWait;           // the machine came back and does not warm up
     FailureAction neighbour_down =
-        FailureAction::kRollBack; // another one that holds what it holds has failed meanwhile
+        FailureAction::kRollBack; // another replica of its shards has failed meanwhile
 };
 
-struct Timing {                           // of a turn, each from the state before
-    Tenths lease = 10 * kTenthsPerSecond; // lasts so long by its holder's clock, from when it asked
+struct Timing {                           // time limits of a job, each counted from entering the state
+    Tenths lease = 10 * kTenthsPerSecond; // validity by the holder's clock, from its request
     Tenths drain = 60 * kTenthsPerSecond, work = 1800 * kTenthsPerSecond, bring_back = 120 * kTenthsPerSecond,
            warm_up = 120 * kTenthsPerSecond;
-    Tenths action = 10 * kTenthsPerSecond;      // one act of the keeper
-    Tenths fleet_settle = 3 * kTenthsPerSecond; // until a change of the fleet is taken for one
-    double clock_error = 0.01;                  // by which two clocks' rates may differ
-    int max_setbacks = 3;                       // put back more often, it is given up
+    Tenths action = 10 * kTenthsPerSecond;      // timeout of one action of the machine's controller
+    Tenths fleet_settle = 3 * kTenthsPerSecond; // a fleet change must last this long before it is proposed
+    double clock_error = 0.01;                  // assumed maximum difference between the rates of two clocks
+    int max_setbacks = 3;                       // a job that is rolled back more often is given up
     double max_rejected_share = 0.05;
 };
 
--- a/src/maintenance/fragment_transport.cpp
+++ b/src/maintenance/fragment_transport.cpp
@@ -13,16 +13,16 @@
 
 constexpr std::uint64_t kVersion = 1;
 constexpr std::size_t kFieldCount = 8;
-constexpr std::size_t kMaxMissingPerRequest = 64; // asked for at a time
+constexpr std::size_t kMaxMissingPerRequest = 64; // indexes in one resend request
 constexpr int kMaxResendAttempts = 12;
 
 Json binary(std::string_view bytes) {
     return Json::binary(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
 }
 
-std::string name_in(const Json& value) {
+std::string decode_name(const Json& value) {
     auto name = value.get<std::string>();
-    if (name.size() > membership::kMaxNameBytes) throw std::out_of_range("a name too long");
+    if (name.size() > membership::kMaxNameBytes) throw std::out_of_range("the name is too long");
     return name;
 }
 
@@ -62,15 +62,15 @@
     try {
         const Json row = Json::from_cbor(opened->begin(), opened->end());
         if (!row.is_array() || row.size() != kFieldCount || row[0] != kVersion)
-            throw std::out_of_range("another version");
+            throw std::out_of_range("unknown format version");
         const std::uint64_t kind = decode_count(row[1]), serial = decode_count(row[4]),
                             fragment_index = decode_count(row[5]), fragment_count = decode_count(row[6]);
         const auto& payload = row[7].get_binary();
         if (kind > static_cast<std::uint64_t>(MessageKind::kResendRequest) || fragment_count == 0 ||
             fragment_count > kMaxFragments || fragment_index >= fragment_count ||
             payload.size() > kFragmentBytes)
-            throw std::out_of_range("no piece");
-        PeerMessage message{static_cast<MessageKind>(kind), name_in(row[2]), name_in(row[3]), {}};
+            throw std::out_of_range("the fragment is malformed");
+        PeerMessage message{static_cast<MessageKind>(kind), decode_name(row[2]), decode_name(row[3]), {}};
         seal_.count_accepted();
         const std::string bytes(payload.begin(), payload.end());
         if (message.kind == MessageKind::kResendRequest) {
@@ -80,10 +80,10 @@
                 if (retained.serial != wanted_serial || retained.to != message.address) continue;
                 const std::size_t count = (retained.bytes.size() + kFragmentBytes - 1) / kFragmentBytes;
                 for (std::size_t i = 1; i < std::min(wanted.size(), kMaxMissingPerRequest + 1); ++i)
-                    if (const std::size_t at = decode_count(wanted[i]); at < count)
+                    if (const std::size_t index = decode_count(wanted[i]); index < count)
                         send_fragment(
-                            retained.to, retained.kind, retained.serial, at, count,
-                            std::string_view(retained.bytes).substr(at * kFragmentBytes, kFragmentBytes));
+                            retained.to, retained.kind, retained.serial, index, count,
+                            std::string_view(retained.bytes).substr(index * kFragmentBytes, kFragmentBytes));
             }
             return {};
         }
@@ -94,7 +94,7 @@
         const std::pair key(message.address, serial);
         auto found = incomplete_.find(key);
         if (found == incomplete_.end()) {
-            if (incomplete_.size() >= kMaxIncomplete) { // the oldest goes: whoever sent it will send again
+            if (incomplete_.size() >= kMaxIncomplete) { // drops the oldest; its sender will retry
                 const auto oldest = std::ranges::min_element(
                     incomplete_, {}, [](const auto& entry) { return entry.second.started_at; });
                 incomplete_.erase(oldest), ++counts_.dropped;
@@ -107,12 +107,12 @@
         }
         Incomplete& incomplete = found->second;
         if (incomplete.fragments.size() != fragment_count || incomplete.message.kind != message.kind)
-            throw std::out_of_range("another parcel");
+            throw std::out_of_range("the fragment contradicts its message");
         if (incomplete.received[fragment_index]) return {};
         incomplete.received[fragment_index] = true, incomplete.fragments[fragment_index] = bytes;
         incomplete.resend_at = now + kResendAfter;
         if (++incomplete.received_count < fragment_count) return {};
-        for (const std::string& one : incomplete.fragments) message.bytes += one;
+        for (const std::string& fragment : incomplete.fragments) message.bytes += fragment;
         incomplete_.erase(found);
         return ++counts_.reassembled, message;
     } catch (const std::exception&) { return seal_.count_malformed(), std::nullopt; }
@@ -121,10 +121,10 @@
 void FragmentTransport::step(Tenths now) {
     std::erase_if(retained_, [&](const Retained& retained) { return now >= retained.until; });
     std::erase_if(incomplete_, [&](auto& entry) {
-        const bool over =
+        const bool expired =
             now >= entry.second.started_at + kRetention || entry.second.resend_attempts >= kMaxResendAttempts;
-        counts_.dropped += over ? 1 : 0;
-        return over;
+        counts_.dropped += expired ? 1 : 0;
+        return expired;
     });
     for (auto& [key, incomplete] : incomplete_) {
         if (now < incomplete.resend_at) continue;
--- a/src/maintenance/fragment_transport.hpp
+++ b/src/maintenance/fragment_transport.hpp
@@ -1,6 +1,6 @@
-// What is too large for one datagram goes in pieces: each sealed by itself, put together again in bounded
-// room, and what got lost is asked for by number. Free of I/O. Whole parcels may come twice, late or not at
-// all; those who send them know that.
+// Messages of any size over datagrams: splits them into fragments, each sealed on its own, and reassembles
+// them in bounded memory. Missing fragments are requested again by index. Free of I/O. Complete messages may
+// arrive twice, late or not at all; the callers handle that.
 #pragma once
 #include "base/time.hpp"
 #include "membership/datagram_codec.hpp"
@@ -26,7 +26,7 @@
 
 struct PeerMessage {
     MessageKind kind = MessageKind::kConsensus;
-    std::string from, address; // of the sender: its name, and where it can be answered
+    std::string from, address; // name of the sender, and the address for replies
     std::string bytes;
 };
 
@@ -40,7 +40,7 @@
 
 class FragmentTransport {
   public:
-    static constexpr std::size_t kFragmentBytes = 1'100; // bytes of a parcel in a datagram
+    static constexpr std::size_t kFragmentBytes = 1'100; // payload bytes of a datagram
     static constexpr std::size_t kMaxFragments = 400, kMaxIncomplete = 64, kMaxRetained = 32;
     static constexpr Tenths kRetention = 5 * kTenthsPerSecond;
     static constexpr Tenths kResendAfter = kTenthsPerSecond / 20;
@@ -49,12 +49,13 @@
                       std::uint64_t first_serial)
         : name_(std::move(name)), address_(std::move(address)), seal_(seal), serial_(first_serial) {}
 
-    // False where it is too large.
+    // Returns false if the message is too large.
     bool send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes);
-    static bool is_fragment(std::string_view bytes); // by its first byte, beside the roster's datagrams
+    // Tells a fragment from a membership datagram by its first byte.
+    static bool is_fragment(std::string_view bytes);
     std::optional<PeerMessage> receive(Tenths now, std::string_view bytes);
-    void step(Tenths now); // asks again for what is missing, forgets what is old
-    std::optional<Tenths> next() const;
+    void step(Tenths now);              // requests missing fragments, drops expired messages
+    std::optional<Tenths> next() const; // when `step` has to be called next
     std::vector<OutboundDatagram> take_datagrams() { return std::exchange(outgoing_, {}); }
     const FragmentCounts& counts() const { return counts_; }
     std::size_t incomplete() const { return incomplete_.size(); }
@@ -81,9 +82,8 @@
     std::string name_, address_;
     membership::DatagramCodec& seal_;
     std::uint64_t serial_;
-    std::map<std::pair<std::string, std::uint64_t>, Incomplete>
-        incomplete_;                // by sender's address and its serial
-    std::deque<Retained> retained_; // of several pieces, should some be asked for
+    std::map<std::pair<std::string, std::uint64_t>, Incomplete> incomplete_; // by sender address and serial
+    std::deque<Retained> retained_; // sent messages of several fragments, kept for resend requests
     std::vector<OutboundDatagram> outgoing_;
     FragmentCounts counts_;
 };
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -12,15 +12,16 @@
 using membership::MemberState;
 
 constexpr std::size_t kMaxPeerBuckets = 2'000, kMaxPendingRequests = 200;
-constexpr double kBurstSeconds = 0.5;          // seconds of a rate that may come at once
-constexpr int kScheduleRequestHeartbeats = 10; // heartbeats between two askings for the view
-constexpr int kProposalRetryHeartbeats = 6;    // ... until a proposal that nobody confirmed is made again
-constexpr int kMaxForwards = 2;                // of a proposal on its way to the leader
-constexpr Tenths kMaxRequestAge = 300 * kTenthsPerSecond; // an operator's word that is older is not taken
+constexpr double kBurstSeconds = 0.5;          // capacity of a token bucket, in seconds of its rate
+constexpr int kScheduleRequestHeartbeats = 10; // heartbeats between two requests for the schedule
+constexpr int kProposalRetryHeartbeats = 6;    // heartbeats until an unconfirmed proposal is repeated
+constexpr int kMaxForwards = 2;                // hops of a proposal on its way to the leader
+constexpr Tenths kMaxRequestAge = 300 * kTenthsPerSecond; // older operators' requests are refused
 constexpr Tenths kRequestTimeout = 10 * kTenthsPerSecond;
-constexpr int kLeaderlessLeases =
-    3; // grants' spans without a leader until what is out is brought back by anyone
-constexpr double kLostZoneShare = 0.6; // of a zone's machines gone by themselves: it is lost
+// Lease durations without a leader until any node may bring machines back.
+constexpr int kLeaderlessLeases = 3;
+// A zone counts as lost if this share of its machines is gone outside of maintenance.
+constexpr double kLostZoneShare = 0.6;
 
 membership::MemberListOptions roster_settings(const MaintenanceSettings& settings) {
     membership::MemberListOptions result;
@@ -62,7 +63,7 @@
     : settings_(std::move(settings)), now_(now), started_at_(now), wall_time_(wall_time),
       seal_(settings_.secret), roster_(roster_settings(settings_), now),
       transport_(settings_.name, settings_.address, seal_,
-                 // A later life of ours numbers its parcels elsewhere.
+                 // A later process must not reuse the serials of this one.
                  (settings_.seed ^ static_cast<std::uint64_t>(wall_time) * 0x9e3779b97f4a7c15ULL) >> 16U),
       scheduler_({settings_.limits, settings_.timing, settings_.failure_policy, settings_.seed}),
       executor_({settings_.name, settings_.timing, settings_.failure_policy}),
@@ -76,7 +77,7 @@
     executor_at_ = now;
 }
 
-// A candidate without a seat is told, as everybody else is.
+// A candidate that is not a voter receives the schedule from a voter like all other nodes.
 bool MaintenanceNode::is_voter() const { return consensus_ && consensus_->is_voter(); }
 
 const MaintenanceSchedule& MaintenanceNode::schedule() const {
@@ -88,7 +89,7 @@
     return at == 0 ? now : now - at;
 }
 
-// Nobody has led for so long that no grant can still be running.
+// There has been no leader for so long that no lease can still be valid.
 bool MaintenanceNode::leaderless() const {
     const Tenths since = std::max(started_at_, consensus_->last_leader_contact());
     return now_ > since + kLeaderlessLeases * settings_.timing.lease;
@@ -107,13 +108,13 @@
     effects_.emplace_back(LogLine{is_error, std::move(event), std::move(fields)});
 }
 
-// ---- what comes in
+// ---- input
 
 bool MaintenanceNode::take_token(Tenths now, TokenBucket& bucket, double rate) const {
-    const double most = rate * kBurstSeconds;
-    if (bucket.refilled_at == 0) bucket.tokens = most;
-    bucket.tokens = std::min(most, bucket.tokens + rate * static_cast<double>(now - bucket.refilled_at) /
-                                                       static_cast<double>(kTenthsPerSecond));
+    const double capacity = rate * kBurstSeconds;
+    if (bucket.refilled_at == 0) bucket.tokens = capacity;
+    bucket.tokens = std::min(capacity, bucket.tokens + rate * static_cast<double>(now - bucket.refilled_at) /
+                                                           static_cast<double>(kTenthsPerSecond));
     bucket.refilled_at = now;
     return bucket.tokens >= 1 ? (bucket.tokens -= 1, true) : false;
 }
@@ -126,8 +127,7 @@
         !take_token(now_, peer_buckets_[from], settings_.max_datagrams_per_peer))
         return void(++counts_.rate_limited);
     if (!FragmentTransport::is_fragment(bytes)) {
-        if (const auto datagram = seal_.decode(bytes))
-            handle_roster_effects(roster_.receive(now_, *datagram));
+        if (const auto datagram = seal_.decode(bytes)) handle_roster_effects(roster_.receive(now_, *datagram));
         return;
     }
     if (const auto message = transport_.receive(now_, bytes)) dispatch(*message);
@@ -170,9 +170,9 @@
                              {"standing", kStandings[static_cast<int>(changed.state)]},
                              {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present_count = roster_.present_count(); present_count != present_members_) {
-        present_members_ = present_count;
-        effects_.emplace_back(MemberCount{present_count});
+    if (const std::size_t present = roster_.present_count(); present != present_members_) {
+        present_members_ = present;
+        effects_.emplace_back(MemberCount{present});
     }
 }
 
@@ -188,7 +188,7 @@
     executor_at_ = now_;
 }
 
-// ---- what goes out
+// ---- output
 
 void MaintenanceNode::send(const std::string& name, MessageKind kind, const std::string& bytes) {
     if (const std::string* address = address_of(name)) send_to(*address, kind, bytes);
@@ -215,7 +215,7 @@
     }
     std::string to = leader();
     if (to == settings_.name || forwards >= kMaxForwards) return;
-    if (to.empty()) { // a voter may know
+    if (to.empty()) { // a voter may know the leader
         std::vector<std::string> voters(remote_voters_.begin(), remote_voters_.end());
         if (is_voter()) return;
         if (voters.empty()) {
@@ -241,7 +241,7 @@
         const std::string requested_by = codec::decode_text(row.at(1));
         const auto& bytes = row.at(2).get_binary();
         const auto command = decode(std::string(bytes.begin(), bytes.end()));
-        // What only the leader may want is not taken from others.
+        // Commands that only a leader may issue are not accepted from other nodes.
         if (!command || std::holds_alternative<UpdateFleet>(*command) ||
             std::holds_alternative<GrantLease>(*command) || std::holds_alternative<RecallJob>(*command))
             return;
@@ -249,22 +249,23 @@
     } catch (const std::exception&) { return; }
 }
 
-// Each command as it is agreed on, here as everywhere.
+// Called for each command when it is applied, as on every other node.
 void MaintenanceNode::on_command_applied(const Command& command, const CommandResult& outcome) {
     if (on_committed) on_committed(command, outcome);
-    scheduler_at_ = executor_at_ = now_; // what holds has changed
-    if (!outcome.accepted) ++counts_.refused;
+    scheduler_at_ = executor_at_ = now_; // the schedule has changed
+    if (!outcome.accepted) ++counts_.rejected_commands;
     const std::string request = request_id_of(command);
-    if (const auto waiting = requesters_.find(request); !request.empty() && waiting != requesters_.end()) {
-        send_to(waiting->second, MessageKind::kProposalResult,
+    if (const auto requester = requesters_.find(request);
+        !request.empty() && requester != requesters_.end()) {
+        send_to(requester->second, MessageKind::kProposalResult,
                 codec::pack_cbor(Json::array({request, outcome.accepted, outcome.reason})));
-        requesters_.erase(waiting);
+        requesters_.erase(requester);
     }
     if (!outcome.accepted || std::holds_alternative<ConfirmLease>(command)) return;
     const std::string machine = std::visit(
-        [](const auto& what) -> std::string {
-            if constexpr (requires { what.machine; })
-                return what.machine;
+        [](const auto& value) -> std::string {
+            if constexpr (requires { value.machine; })
+                return value.machine;
             else
                 return {};
         },
@@ -280,7 +281,7 @@
                        {"why", job->reason}});
 }
 
-// ---- time passes
+// ---- timers
 
 void MaintenanceNode::step(Tenths now, Tenths wall_time) {
     now_ = std::max(now_, now), wall_time_ = wall_time;
@@ -320,7 +321,7 @@
         if (now_ >= pending.deadline) {
             send_to(pending.address, MessageKind::kOperatorReply,
                     codec::pack_cbor(Json::array(
-                        {request, false, "not agreed on in time: no majority is heard of; ask again"})));
+                        {request, false, "not committed in time: no majority is reachable; try again"})));
             next = pending_requests_.erase(next);
             continue;
         }
@@ -351,24 +352,25 @@
     observed.rejected_share = rejected_share_;
     observed.machines = servers_;
     observed.voters = is_voter() ? consensus_->voters() : remote_voters_;
-    const auto front = [&](const std::string& name, bool there) {
+    const auto add_front_node = [&](const std::string& name, bool reachable) {
         ObservedMachine machine;
         machine.facts.name = name, machine.facts.front_node = true;
         machine.facts.duration = settings_.front_node_duration;
-        machine.health = there ? MachineHealth::kWarm : MachineHealth::kGone;
+        machine.health = reachable ? MachineHealth::kWarm : MachineHealth::kGone;
         observed.machines[name] = std::move(machine);
-        if (!there) observed.unreachable.insert(name);
+        if (!reachable) observed.unreachable.insert(name);
     };
-    front(settings_.name, true);
+    add_front_node(settings_.name, true);
     for (const auto& member : roster_.members()) {
         if (member.state == MemberState::kLeft && !schedule().fleet().contains(member.name)) continue;
-        front(member.name, member.state == MemberState::kAlive || member.state == MemberState::kSuspect);
+        add_front_node(member.name,
+                       member.state == MemberState::kAlive || member.state == MemberState::kSuspect);
         if (member.state != MemberState::kAlive) observed.unreachable.insert(member.name);
     }
     for (const std::string& voter : observed.voters) {
         if (voter == settings_.name) continue;
         if (roster_.address_of(voter) == nullptr) observed.unreachable.insert(voter);
-        // One that has lost its ledger is there, and no vote can be had of it.
+        // A voter that has lost its store is reachable but cannot vote.
         const auto incarnation = consensus_ ? consensus_->known_incarnations().find(voter)
                                             : std::map<std::string, VoterIncarnation>::const_iterator{};
         if (consensus_ && consensus_->is_leader() && incarnation != consensus_->known_incarnations().end() &&
@@ -378,11 +380,11 @@
     observed.voters_settled =
         consensus_ && !consensus_->membership_changing() && observed.voters == schedule().voters() &&
         observed.voters.size() >= std::min(settings_.voter_count, settings_.candidates.size());
-    std::map<std::string, std::pair<int, int>> zones; // gone, all
+    std::map<std::string, std::pair<int, int>> zones; // gone machines, all machines
     for (const auto& [name, machine] : servers_) {
         const MaintenanceJob* job = schedule().job(name);
-        auto& [gone, all] = zones[machine.facts.zone];
-        ++all;
+        auto& [gone, total] = zones[machine.facts.zone];
+        ++total;
         gone += machine.health == MachineHealth::kGone && (job == nullptr || !is_out(job->state)) ? 1 : 0;
     }
     for (const auto& [zone, count] : zones)
@@ -402,17 +404,17 @@
         return;
     }
     if (!consensus_->is_up_to_date() || pending_proposals_ > 0 || now_ < scheduler_at_)
-        return; // what was proposed last is still on its way
+        return; // the latest proposals are not committed yet
     scheduler_at_ = now_ + settings_.heartbeat / 2;
     const FleetObservation observed = observe_fleet();
     const SchedulerDecision decision =
         scheduler_.decide(now_, consensus_->leader_since(), schedule(), observed);
     wait_reason_ = decision.reason;
     for (const Command& command : decision.commands) {
-        const std::uint64_t leading = leadership_count_;
+        const std::uint64_t leadership = leadership_count_;
         ++pending_proposals_;
-        const bool sent = consensus_->propose(command, [this, leading](bool) {
-            if (leading == leadership_count_ && pending_proposals_ > 0) --pending_proposals_;
+        const bool sent = consensus_->propose(command, [this, leadership](bool) {
+            if (leadership == leadership_count_ && pending_proposals_ > 0) --pending_proposals_;
         });
         if (!sent && pending_proposals_ > 0) --pending_proposals_;
     }
@@ -421,56 +423,57 @@
 }
 
 void MaintenanceNode::transfer_leadership(const FleetObservation& observed) {
-    std::set<std::string> fit;
+    std::set<std::string> eligible;
     for (const std::string& voter : observed.voters) {
         const MaintenanceJob* job = schedule().job(voter);
         if (!observed.unreachable.contains(voter) && !observed.lost_store.contains(voter) &&
             (job == nullptr || !is_out(job->state)))
-            fit.insert(voter);
+            eligible.insert(voter);
     }
-    consensus_->transfer_leadership(fit);
+    consensus_->transfer_leadership(eligible);
 }
 
-// A voter that is gone for long, or has lost its ledger, gives its seat up; a candidate that is there takes
-// one.
+// Removes a voter that has been gone for long or has lost its store, and adds a reachable candidate in its
+// place.
 void MaintenanceNode::manage_voters(const FleetObservation& observed) {
     if (consensus_->membership_changing()) return;
     const std::set<std::string> voters = consensus_->voters();
-    const auto there = [&](const std::string& name) { return !observed.unreachable.contains(name); };
+    const auto reachable = [&](const std::string& name) { return !observed.unreachable.contains(name); };
     const auto is_out_by_schedule = [&](const std::string& name) {
         const MaintenanceJob* job = schedule().job(name);
         return job != nullptr && is_out(job->state);
     };
-    // While a voter is out by its turn the seats stay as they are: its coming back is what was counted on.
+    // The voters do not change while one of them is out for maintenance: its return is part of the plan.
     if (std::ranges::any_of(voters, is_out_by_schedule)) return;
     for (const std::string& voter : voters) {
         if (voter == settings_.name) continue;
         if (observed.lost_store.contains(voter)) {
             const bool started = consensus_->remove_voter(voter);
             return log_event("seat", {{"lost", voter},
-                                      {"why", "its ledger is another one"},
+                                      {"why", "its store was lost or replaced"},
                                       {"trouble", started ? "" : consensus_->last_error()}});
         }
-        if (there(voter)) {
+        if (reachable(voter)) {
             voter_gone_since_.erase(voter);
             continue;
         }
         const Tenths since = voter_gone_since_.try_emplace(voter, now_).first->second;
-        const bool spare = std::ranges::any_of(settings_.candidates, [&](const Candidate& other) {
-            return !voters.contains(other.name) && there(other.name) &&
-                   consensus_->known_incarnations().contains(other.name);
-        });
-        if (now_ < since + settings_.replace_voter_after || !spare) continue;
+        const bool replacement_available =
+            std::ranges::any_of(settings_.candidates, [&](const Candidate& other) {
+                return !voters.contains(other.name) && reachable(other.name) &&
+                       consensus_->known_incarnations().contains(other.name);
+            });
+        if (now_ < since + settings_.replace_voter_after || !replacement_available) continue;
         const bool started = consensus_->remove_voter(voter);
-        return log_event(
-            "seat",
-            {{"lost", voter}, {"why", "it is gone"}, {"trouble", started ? "" : consensus_->last_error()}});
+        return log_event("seat", {{"lost", voter},
+                                  {"why", "it has been unreachable for too long"},
+                                  {"trouble", started ? "" : consensus_->last_error()}});
     }
     if (voters.size() >= settings_.voter_count) return;
     for (const Candidate& candidate : settings_.candidates) {
         const auto incarnation = consensus_->known_incarnations().find(candidate.name);
-        if (voters.contains(candidate.name) || !there(candidate.name) || is_out_by_schedule(candidate.name) ||
-            incarnation == consensus_->known_incarnations().end())
+        if (voters.contains(candidate.name) || !reachable(candidate.name) ||
+            is_out_by_schedule(candidate.name) || incarnation == consensus_->known_incarnations().end())
             continue;
         if (consensus_->add_voter(candidate.name, incarnation->second))
             log_event("seat",
@@ -479,7 +482,7 @@
     }
 }
 
-// We go on purpose: the others are told, and our turns go to others without waiting for grants to run out.
+// Orderly shutdown: tells the other nodes and releases the leases, so that they need not wait for an expiry.
 void MaintenanceNode::leave(Tenths now) {
     now_ = std::max(now_, now);
     if (!settings_.candidates.empty())
@@ -489,7 +492,7 @@
     handle_roster_effects(roster_.leave(now_));
 }
 
-// ---- those who do not vote are told
+// ---- schedule copies of nodes that do not vote
 
 void MaintenanceNode::request_schedule() {
     request_schedule_at_ = now_ + kScheduleRequestHeartbeats * settings_.heartbeat;
@@ -519,7 +522,7 @@
         const auto age = static_cast<Tenths>(codec::decode_count(row.at(2)));
         if (now_ - age < remote_schedule_at_ ||
             codec::decode_count(row.at(3)) < remote_schedule_.applied_commands())
-            return; // an older one
+            return; // older than the local copy
         auto state = MaintenanceSchedule::decode(std::string(bytes.begin(), bytes.end()));
         if (!state) return;
         ++counts_.schedules_received;
@@ -542,15 +545,18 @@
         query = Json::from_cbor(message.bytes.begin(), message.bytes.end());
         const std::string request = codec::decode_text(query.at("request")),
                           verb = codec::decode_text(query.at("verb"));
-        const auto at = static_cast<Tenths>(codec::decode_count(query.at("wall")));
-        if (std::abs(at - wall_time_) > kMaxRequestAge) { // heard again long after, or two clocks far apart
+        const auto sent_at = static_cast<Tenths>(codec::decode_count(query.at("wall")));
+        if (std::abs(sent_at - wall_time_) >
+            kMaxRequestAge) { // a replayed request, or clocks that are far apart
             ++counts_.stale_operator_requests;
-            return reply(request, false, "this request is of another time: look at the clocks");
+            return reply(request, false,
+                         "the request's timestamp is too far from this node's time: check the clocks");
         }
         if (verb == "show" || verb == "plan" || verb == "explain")
             return reply(request, true, answer_query(query).dump());
         if (settings_.candidates.empty())
-            return reply(request, false, "there is no rota here: no candidates");
+            return reply(request, false,
+                         "maintenance is not configured on this node: there are no candidates");
         const auto text = [&](const char* name) { return codec::decode_text(query.value(name, Json(""))); };
         std::optional<Command> command;
         if (verb == "add")
@@ -565,14 +571,14 @@
             command = HoldSchedule{request, text("why").empty() ? "held by " + text("by") : text("why")};
         if (verb == "resume") command = ResumeSchedule{request};
         if (verb == "hurry") command = PrioritizeJob{request, text("machine")};
-        if (!command) return reply(request, false, "no such request: " + verb);
+        if (!command) return reply(request, false, "unknown request: " + verb);
         if (pending_requests_.size() >= kMaxPendingRequests && !pending_requests_.contains(request))
-            return reply(request, false, "too many requests are waiting");
+            return reply(request, false, "too many requests are pending");
         pending_requests_[request] = {message.address, now_ + kRequestTimeout,
                                       now_ + kProposalRetryHeartbeats * settings_.heartbeat, *command};
         log_event("asked", {{"by", message.from}, {"what", describe(*command)}});
         propose(*command, settings_.address);
-    } catch (const std::exception&) { return reply("", false, "the request cannot be read"); }
+    } catch (const std::exception&) { return reply("", false, "the request is malformed"); }
 }
 
 void MaintenanceNode::handle_proposal_result(const PeerMessage& message) {
@@ -612,7 +618,7 @@
         return result;
     }
     std::vector<PlannedJob> jobs_to_plan = pending_jobs(state, wall_time_);
-    if (query.contains("machines")) { // a plan for what is not ordered yet
+    if (query.contains("machines")) { // a plan for machines that are not scheduled yet
         jobs_to_plan.clear();
         for (const std::string& name : codec::decode_texts<std::vector<std::string>>(query["machines"])) {
             const auto facts = state.fleet().find(name);
@@ -648,7 +654,7 @@
     std::set<std::string> unavailable = state.machines_out();
     unavailable.insert(down.begin(), down.end());
     const std::string violation = constraints.violation(machine, unavailable);
-    result["objection"] = violation.empty() ? "none: it may go" : violation;
+    result["objection"] = violation.empty() ? "none: it may go out of service" : violation;
     return result;
 }
 
--- a/src/maintenance/maintenance_node.hpp
+++ b/src/maintenance/maintenance_node.hpp
@@ -1,6 +1,6 @@
-// A front node's side of all this in one object, free of I/O: who is there, the council, the leader's part,
-// the holder's part, and the operators' questions. Datagrams, keepers' answers, the list and the time go in;
-// datagrams, keepers' acts and lines for the log come out. It runs alike on sockets and in virtual time.
+// The maintenance subsystem of one front node, free of I/O: membership, consensus, scheduler, executor and
+// operators' requests. Input: datagrams, machine states from the controllers, the server list and the time.
+// Output: datagrams, machine commands and log lines. It runs the same on sockets and in simulated time.
 #pragma once
 #include "maintenance/consensus_node.hpp"
 #include "maintenance/executor.hpp"
@@ -21,69 +21,71 @@
 
 struct MaintenanceSettings {
     std::string name, address, secret;
-    std::vector<std::string> peers;    // addresses; the candidates' are among them in any case
-    std::vector<Candidate> candidates; // front nodes with a ledger; none: there is no rota, only members
+    std::vector<std::string> peers; // addresses; those of the candidates are always added
+    // Front nodes with a Raft store; empty: membership only, no maintenance.
+    std::vector<Candidate> candidates;
     std::size_t voter_count = 3;
     Limits limits;
     Timing timing;
     FailurePolicy failure_policy;
     Tenths probe_gap = kTenthsPerSecond;
     Tenths heartbeat = kTenthsPerSecond / 10;
-    Tenths replace_voter_after = 60 * kTenthsPerSecond; // a voter gone for so long gives its seat to another
-    Tenths front_node_duration = 60 * kTenthsPerSecond; // of a front node, for the plan
+    Tenths replace_voter_after = 60 * kTenthsPerSecond; // a voter unreachable for this long is replaced
+    Tenths front_node_duration = 60 * kTenthsPerSecond; // planned maintenance time of a front node
     std::uint64_t seed = 0;
     std::uint64_t incarnation = 1;
-    double max_datagrams_per_second = 20'000; // a second; what comes beyond is dropped unread
+    double max_datagrams_per_second = 20'000; // datagrams above this rate are dropped unread
     double max_datagrams_per_peer = 4'000;
 };
 
 struct SendDatagram {
     std::string address, bytes;
 };
-struct LogLine {           // for the log, with what belongs to it
-    bool is_error = false; // the operator is called
+struct LogLine {           // a structured log line
+    bool is_error = false; // needs the attention of an operator
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-struct MemberCount { // C3's n, as far as it is known
+struct MemberCount { // number of front nodes known to be present; C3's n
     std::size_t present = 1;
 };
 using MaintenanceEffect = std::variant<SendDatagram, MachineCommand, LogLine, MemberCount>;
 
 struct MaintenanceCounts {
-    std::uint64_t datagrams = 0, rate_limited = 0, proposals = 0, forwarded = 0, refused = 0,
+    std::uint64_t datagrams = 0, rate_limited = 0, proposals = 0, forwarded = 0, rejected_commands = 0,
                   schedules_received = 0, schedule_requests = 0, operator_requests = 0,
                   stale_operator_requests = 0;
 };
 
 class MaintenanceNode {
   public:
-    // `ledger` may be null: the node is a member, never a voter.
+    // `store` may be null: the node is then a member but never a voter.
     MaintenanceNode(MaintenanceSettings settings, RaftStore* store, Tenths now, Tenths wall_time);
 
     void receive(Tenths now, const std::string& from, std::string_view bytes);
-    void update_servers(const std::map<std::string, ObservedMachine>& servers,
-                        double rejected_share); // index servers as listed
+    // The index servers from the list, and the share of recent searches that this node has rejected.
+    void update_servers(const std::map<std::string, ObservedMachine>& servers, double rejected_share);
     void on_machine_status(Tenths now, std::uint64_t serial, const std::string& machine,
                            MachineStatus status);
     void step(Tenths now, Tenths wall_time);
     void leave(Tenths now);
-    Tenths next() const;
+    Tenths next() const; // when `step` has to be called next
     std::vector<MaintenanceEffect> take_effects() { return std::exchange(effects_, {}); }
 
-    // Each command as it is agreed on, for those who keep a history.
+    // Called for each command when it is committed.
     std::function<void(const Command&, const CommandResult&)> on_committed;
 
     const membership::MemberList& roster() const { return roster_; }
     const ConsensusNode* consensus() const { return consensus_ ? consensus_.get() : nullptr; }
     const MaintenanceSchedule& schedule() const;
-    Tenths schedule_age(Tenths now) const; // how long ago the evening was surely as we know it
+    // Time since this node's copy of the schedule was known to be current.
+    Tenths schedule_age(Tenths now) const;
     const Executor& executor() const { return executor_; }
     const Scheduler& scheduler() const { return scheduler_; }
     const MaintenanceCounts& counts() const { return counts_; }
     const FragmentCounts& fragment_counts() const { return transport_.counts(); }
     const membership::CodecCounts& seal_counts() const { return seal_.counts(); }
-    nlohmann::json answer_query(const nlohmann::json& query); // of an operator's that changes nothing
+    nlohmann::json answer_query(const nlohmann::json& query); // answers an operator's read-only request
     FleetObservation observe_fleet() const;
 
   private:
@@ -91,7 +93,7 @@
         double tokens = 0;
         Tenths refilled_at = 0;
     };
-    struct PendingRequest { // an operator's request, until it is agreed on
+    struct PendingRequest { // an operator's request, until it is committed
         std::string address;
         Tenths deadline = 0, retry_at = 0;
         Command command;
@@ -130,7 +132,7 @@
     std::unique_ptr<ConsensusNode> consensus_;
     Scheduler scheduler_;
     Executor executor_;
-    MaintenanceSchedule remote_schedule_; // of a node that does not vote, as last told
+    MaintenanceSchedule remote_schedule_; // copy held by a node that does not vote, as last received
     std::string remote_leader_;
     std::set<std::string> remote_voters_;
     Tenths remote_schedule_at_ = 0, request_schedule_at_ = 0, executor_at_ = 0, scheduler_at_ = 0;
@@ -139,13 +141,14 @@
     double rejected_share_ = 0;
     std::map<std::string, TokenBucket> peer_buckets_;
     TokenBucket total_bucket_;
-    std::map<std::string, PendingRequest> pending_requests_; // by request
-    std::map<std::string, std::string> requesters_; // requests that we proposed for others: whom to tell
-    std::size_t pending_proposals_ = 0;             // of the steward's proposals
-    std::uint64_t leadership_count_ = 0;            // times that we led
+    std::map<std::string, PendingRequest> pending_requests_; // by request id
+    // Requests proposed for other nodes: address for the result, by request id.
+    std::map<std::string, std::string> requesters_;
+    std::size_t pending_proposals_ = 0;  // proposals of the scheduler that are not committed yet
+    std::uint64_t leadership_count_ = 0; // number of times this node was elected
     bool was_leader_ = false;
     std::string wait_reason_;
-    std::map<std::string, Tenths> voter_gone_since_; // voters
+    std::map<std::string, Tenths> voter_gone_since_;
     std::size_t present_members_ = 0;
     std::vector<MaintenanceEffect> effects_;
     MaintenanceCounts counts_;
--- a/src/maintenance/maintenance_schedule.cpp
+++ b/src/maintenance/maintenance_schedule.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxRememberedRequests = 1000; // remembered
+constexpr std::size_t kMaxRememberedRequests = 1000;
 constexpr std::size_t kMaxJobs = 10'000;
 
 CommandResult rejected(std::string reason) { return {false, std::move(reason)}; }
 constexpr auto kAccepted = [] { return CommandResult{true, {}}; };
 
-// What may follow what, by the holder's word. Everything else is refused, so that a word heard late or twice
-// takes no turn back.
+// State transitions that a holder may propose. All others are rejected, so that a late or duplicate command
+// moves no job backwards.
 bool transition_allowed(JobState from, JobState to) {
     switch (from) {
     case JobState::kGranted:
@@ -62,7 +62,7 @@
     return "?";
 }
 
-// ---- what may go with what
+// ---- constraints
 
 Constraints::Constraints(const Limits& limits, const std::map<std::string, MachineFacts>& fleet,
                          const std::set<std::string>& voters)
@@ -77,14 +77,14 @@
     }
 }
 
-// A share always lets one go, or small fleets would never be worked on.
+// A share always allows one machine, as small fleets could not be maintained otherwise.
 std::size_t Constraints::max_out(double share, std::size_t count) {
     return std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(share * static_cast<double>(count))));
 }
 
 std::string Constraints::violation(const std::string& machine, const std::set<std::string>& down) const {
     const auto found = fleet_.find(machine);
-    if (found == fleet_.end()) return "no machine of that name is known";
+    if (found == fleet_.end()) return "unknown machine";
     const MachineFacts& facts = found->second;
     const auto count_down = [&](auto&& matches) {
         return static_cast<std::size_t>(std::ranges::count_if(down, [&](const std::string& name) {
@@ -93,37 +93,41 @@
         }));
     };
     if (facts.front_node) {
-        if (count_down([](const MachineFacts& f) { return f.front_node; }) + 1 >
+        if (count_down([](const MachineFacts& other_facts) { return other_facts.front_node; }) + 1 >
             max_out(limits_.front_share, front_node_count_))
-            return "as many front nodes as may be are out";
-        // The council never gives its own majority away.
+            return "the limit of front nodes out of service is reached";
+        // A majority of the voters must stay in service.
         if (voters_.contains(machine)) {
-            const std::size_t gone =
-                count_down([&](const MachineFacts& f) { return voters_.contains(f.name); }) + 1;
+            const std::size_t gone = count_down([&](const MachineFacts& other_facts) {
+                                         return voters_.contains(other_facts.name);
+                                     }) +
+                                     1;
             if (voters_.size() - std::min(gone, voters_.size()) < voters_.size() / 2 + 1)
-                return "the council would lose its majority";
+                return "the consensus group would lose its majority";
         }
         return {};
     }
-    if (count_down([](const MachineFacts& f) { return !f.front_node; }) + 1 >
+    if (count_down([](const MachineFacts& other_facts) { return !other_facts.front_node; }) + 1 >
         max_out(limits_.fleet_share, server_count_))
-        return "as many index servers as may be are out";
-    if (count_down([&](const MachineFacts& f) { return !f.front_node && f.zone == facts.zone; }) + 1 >
+        return "the limit of index servers out of service is reached";
+    if (count_down([&](const MachineFacts& other_facts) {
+            return !other_facts.front_node && other_facts.zone == facts.zone;
+        }) + 1 >
         max_out(limits_.zone_share, zone_sizes_.at(facts.zone)))
-        return "as much of zone " + facts.zone + " as may be is out";
+        return "the limit of zone " + facts.zone + " is reached";
     for (const int shard : facts.shards) {
-        double all = 0, left = 0;
+        double total = 0, remaining = 0;
         int available = 0;
         for (const MachineFacts* holder : shard_holders_.at(shard)) {
-            all += holder->capacity;
+            total += holder->capacity;
             if (holder->name == machine || down.contains(holder->name)) continue;
-            left += holder->capacity, ++available;
+            remaining += holder->capacity, ++available;
         }
         if (available < limits_.min_replicas)
             return "shard " + std::to_string(shard) + " would have " + std::to_string(available) +
-                   " sound replicas, " + std::to_string(limits_.min_replicas) + " must stay";
-        if (left < all * (1 - limits_.shard_share) - 1e-9)
-            return "shard " + std::to_string(shard) + " would lose too much of its power";
+                   " available replicas, " + std::to_string(limits_.min_replicas) + " must stay";
+        if (remaining < total * (1 - limits_.shard_share) - 1e-9)
+            return "shard " + std::to_string(shard) + " would lose too much of its capacity";
     }
     return {};
 }
@@ -141,7 +145,7 @@
         command);
 }
 
-// A request that was done is not done again: its answer was lost on the way.
+// A request that was already accepted is not applied again: it is repeated because its answer was lost.
 CommandResult MaintenanceSchedule::apply(const Command& command) {
     ++applied_commands_;
     const std::string request = request_id_of(command);
@@ -174,9 +178,9 @@
 
 std::string MaintenanceSchedule::violation(const std::string& machine,
                                            const std::set<std::string>& down) const {
-    std::set<std::string> all = machines_out();
-    all.insert(down.begin(), down.end());
-    return Constraints(limits_, fleet_, voters_).violation(machine, all);
+    std::set<std::string> unavailable = machines_out();
+    unavailable.insert(down.begin(), down.end());
+    return Constraints(limits_, fleet_, voters_).violation(machine, unavailable);
 }
 
 MaintenanceJob* MaintenanceSchedule::job_with_fence(const std::string& machine, FencingToken fence) {
@@ -186,7 +190,8 @@
 
 CommandResult MaintenanceSchedule::execute(const UpdateFleet& command) {
     limits_ = command.limits, voters_ = command.voters;
-    // A machine that is out may well be in no list: it is still one, and still down.
+    // A machine that is out of service may be missing in the list; it stays part of the fleet, and
+    // unavailable.
     std::erase_if(fleet_, [this](auto& entry) {
         const MaintenanceJob* existing = job(entry.first);
         return existing == nullptr || is_finished(existing->state);
@@ -197,24 +202,24 @@
 
 CommandResult MaintenanceSchedule::execute(const AddJobs& command) {
     if (command.latest != 0 && command.latest <= command.earliest)
-        return rejected("it ends before it begins");
+        return rejected("the latest time is not after the earliest time");
     for (const std::string& machine : command.machines) {
-        if (!fleet_.contains(machine)) return rejected("no machine is named " + machine);
+        if (!fleet_.contains(machine)) return rejected("unknown machine: " + machine);
         if (const MaintenanceJob* existing = job(machine);
             existing != nullptr && !is_finished(existing->state))
-            return rejected(machine + " stands in the order already");
+            return rejected(machine + " is already scheduled");
     }
     if (command.machines.empty() || jobs_.size() + command.machines.size() > kMaxJobs)
-        return rejected(command.machines.empty() ? "no machine is named" : "too many machines");
+        return rejected(command.machines.empty() ? "no machine is given" : "too many machines");
     ++last_order_.value;
     for (const std::string& machine : command.machines) {
-        const MaintenanceJob* old = job(machine);
-        MaintenanceJob is_new;
-        is_new.machine = machine, is_new.order = last_order_;
-        is_new.earliest = command.earliest, is_new.latest = command.latest;
-        is_new.reason = command.note.empty() ? "added by " + command.requested_by : command.note;
-        if (old != nullptr) is_new.fence = old->fence; // it never falls
-        jobs_[machine] = std::move(is_new);
+        const MaintenanceJob* previous = job(machine);
+        MaintenanceJob added;
+        added.machine = machine, added.order = last_order_;
+        added.earliest = command.earliest, added.latest = command.latest;
+        added.reason = command.note.empty() ? "added by " + command.requested_by : command.note;
+        if (previous != nullptr) added.fence = previous->fence; // fencing tokens never decrease
+        jobs_[machine] = std::move(added);
     }
     return kAccepted();
 }
@@ -222,7 +227,7 @@
 CommandResult MaintenanceSchedule::execute(const WithdrawJob& command) {
     const auto found = jobs_.find(command.machine);
     if (found == jobs_.end() || is_finished(found->second.state))
-        return rejected(command.machine + " does not stand in the order");
+        return rejected(command.machine + " is not scheduled");
     MaintenanceJob& job = found->second;
     job.withdrawn = true, job.reason = command.reason.empty() ? "withdrawn" : command.reason;
     if (job.state == JobState::kProposed) job.state = JobState::kGivenUp;
@@ -242,22 +247,24 @@
 CommandResult MaintenanceSchedule::execute(const PrioritizeJob& command) {
     const auto found = jobs_.find(command.machine);
     if (found == jobs_.end() || is_finished(found->second.state))
-        return rejected(command.machine + " does not stand in the order");
+        return rejected(command.machine + " is not scheduled");
     found->second.prioritized = true;
     return kAccepted();
 }
 
-// The one place where a machine may go out. The floor is looked at here once more, by what all know, however
-// the giver came to its choice: a leader that has been deposed, or sees another fleet, takes no second one.
+// The only place where a machine may go out of service. The limits are checked here against the replicated
+// state, whatever the granting node observed: a deposed leader, or one with another view of the fleet, cannot
+// take a second machine.
 CommandResult MaintenanceSchedule::execute(const GrantLease& command) {
     MaintenanceJob* job = job_with_fence(command.machine, command.previous_fence);
-    if (job == nullptr || is_finished(job->state)) return rejected("another grant came first");
+    if (job == nullptr || is_finished(job->state)) return rejected("another lease was granted first");
     const bool is_new = job->state == JobState::kProposed;
-    if (!is_new && !job->holder.empty()) return rejected("it has a holder");
-    if (is_new && held_) return rejected("the evening is held: " + hold_reason_);
+    if (!is_new && !job->holder.empty()) return rejected("the job has a holder");
+    if (is_new && held_) return rejected("the schedule is on hold: " + hold_reason_);
     if (is_new && command.wall_time != 0) {
-        if (command.wall_time < job->earliest) return rejected("it is too early");
-        if (job->latest != 0 && command.wall_time > job->latest) return rejected("it is too late");
+        if (command.wall_time < job->earliest) return rejected("it is before the job's earliest time");
+        if (job->latest != 0 && command.wall_time > job->latest)
+            return rejected("it is after the job's latest time");
     }
     if (is_new)
         if (std::string reason = violation(command.machine, command.down); !reason.empty())
@@ -270,16 +277,18 @@
 
 CommandResult MaintenanceSchedule::execute(const ConfirmLease& command) {
     MaintenanceJob* job = job_with_fence(command.machine, command.fence);
-    if (job == nullptr || job->holder != command.holder) return rejected("it belongs to another");
-    if (command.holder_time < job->holder_time) return rejected("an older word");
+    if (job == nullptr || job->holder != command.holder) return rejected("the job belongs to another holder");
+    if (command.holder_time < job->holder_time)
+        return rejected("the confirmation is older than the latest one");
     job->lease_confirmed = true, job->holder_time = command.holder_time;
     return kAccepted();
 }
 
 CommandResult MaintenanceSchedule::execute(const AdvanceJob& command) {
     MaintenanceJob* job = job_with_fence(command.machine, command.fence);
-    if (job == nullptr || job->holder.empty()) return rejected("it belongs to another");
-    if (!transition_allowed(job->state, command.to)) return rejected("it is not there");
+    if (job == nullptr || job->holder.empty()) return rejected("the job belongs to another holder");
+    if (!transition_allowed(job->state, command.to))
+        return rejected("the job is in a state that does not allow this transition");
     job->state = command.to, job->lease_expiries = 0;
     if (!command.reason.empty()) job->reason = command.reason;
     job->recalled = job->recalled || command.incomplete;
@@ -291,22 +300,22 @@
     return kAccepted();
 }
 
-// The machine stays out: whoever gets the turn next goes on where it stands.
+// The machine stays out of service: the next holder continues from the current state.
 CommandResult MaintenanceSchedule::execute(const ExpireLease& command) {
     MaintenanceJob* job = job_with_fence(command.machine, command.fence);
-    if (job == nullptr || job->holder.empty()) return rejected("it has lapsed already");
+    if (job == nullptr || job->holder.empty()) return rejected("the lease has already expired");
     job->holder.clear(), job->lease_confirmed = false, ++job->lease_expiries;
     return kAccepted();
 }
 
 CommandResult MaintenanceSchedule::execute(const RecallJob& command) {
     MaintenanceJob* job = job_with_fence(command.machine, command.fence);
-    if (job == nullptr || !is_out(job->state)) return rejected("it is not out");
+    if (job == nullptr || !is_out(job->state)) return rejected("the machine is not out of service");
     job->recalled = true, job->reason = command.reason;
     return kAccepted();
 }
 
-// ---- as bytes
+// ---- encoding
 
 std::string MaintenanceSchedule::encode() const {
     codec::Json jobs = codec::Json::array(), fleet = codec::Json::array();
@@ -318,7 +327,7 @@
 
 std::optional<MaintenanceSchedule> MaintenanceSchedule::decode(std::string_view bytes) {
     return codec::unpack_cbor<MaintenanceSchedule>(bytes, [](const codec::Json& row) {
-        if (row.at(0) != 1 || row.size() != 11) throw std::out_of_range("another version");
+        if (row.at(0) != 1 || row.size() != 11) throw std::out_of_range("unknown format version");
         MaintenanceSchedule schedule;
         schedule.limits_ = codec::decode_limits(row[1]);
         for (const auto& facts : row[2])
--- a/src/maintenance/maintenance_schedule.hpp
+++ b/src/maintenance/maintenance_schedule.hpp
@@ -1,7 +1,7 @@
-// The order of work as all agree on it: a state machine that the council's log drives. Every node that
-// applies the same commands in the same order holds the same state; it asks neither clock nor chance nor
-// network. What it refuses, it refuses everywhere: a grant that would leave a shard under its floor is void
-// whoever gave it, and whatever that node believed.
+// The maintenance schedule as a replicated state machine. Nodes that apply the same commands in the same
+// order hold the same state: it uses neither clock nor randomness nor network. A command that is rejected is
+// rejected on every node: a lease that would leave a shard with fewer than `min_replicas` replicas is void,
+// whoever granted it and whatever that node believed.
 #pragma once
 #include "maintenance/types.hpp"
 
@@ -12,7 +12,7 @@
 
 namespace ivyrill::maintenance {
 
-std::string request_id_of(const Command& command); // empty where it bears none
+std::string request_id_of(const Command& command); // empty for commands without a request id
 
 class MaintenanceSchedule {
   public:
@@ -26,13 +26,11 @@
     bool held() const { return held_; }
     const std::string& hold_reason() const { return hold_reason_; }
     FencingToken last_fence() const { return last_fence_; }
-    std::uint64_t applied_commands() const {
-        return applied_commands_;
-    } // commands, the refused ones among them
+    std::uint64_t applied_commands() const { return applied_commands_; } // including rejected ones
     std::set<std::string> machines_out() const;
-    std::size_t open_jobs() const; // turns that are not over
+    std::size_t open_jobs() const; // number of unfinished jobs
 
-    // Why that machine may not go, with those `down` as well; empty: it may.
+    // Why the machine may not go out of service while those in `down` are unavailable too; empty if it may.
     std::string violation(const std::string& machine, const std::set<std::string>& down) const;
 
     std::string encode() const; // CBOR
@@ -55,8 +53,8 @@
     Limits limits_;
     std::map<std::string, MachineFacts> fleet_;
     std::set<std::string> voters_;
-    std::map<std::string, MaintenanceJob> jobs_; // by machine: the latest
-    std::deque<std::string> requests_;           // the latest, so that one heard twice is done once
+    std::map<std::string, MaintenanceJob> jobs_; // latest job of each machine
+    std::deque<std::string> requests_;           // ids of recent requests, to ignore duplicates
     bool held_ = false;
     std::string hold_reason_;
     FencingToken last_fence_;
@@ -64,12 +62,12 @@
     std::uint64_t applied_commands_ = 0;
 };
 
-// What may go with what, and how much of it at once. Shared by the state machine, the plan and its baselines.
+// Which machines may be out of service together. Shared by the state machine, the plan and its baselines.
 class Constraints {
   public:
     Constraints(const Limits& limits, const std::map<std::string, MachineFacts>& fleet,
                 const std::set<std::string>& voters);
-    // Why `machine` may not be down beside `down`; empty: it may.
+    // Why `machine` may not be out of service while those in `down` are; empty if it may.
     std::string violation(const std::string& machine, const std::set<std::string>& down) const;
 
   private:
--- a/src/maintenance/plan.cpp
+++ b/src/maintenance/plan.cpp
@@ -26,19 +26,19 @@
     }
     std::vector<Running> running;
     std::set<std::string> out = down;
-    std::map<std::string, std::string> wait_reasons; // what each waits for, as last asked
+    std::map<std::string, std::string> wait_reasons; // latest reason why each job waits
     Tenths now = 0;
     while (!waiting.empty()) {
         for (auto next = waiting.begin(); next != waiting.end();) {
             const PlannedJob& job = **next;
-            std::string reason =
-                job.earliest > now ? "its earliest time" : constraints.violation(job.machine, out);
+            std::string reason = job.earliest > now ? "its earliest time is not reached"
+                                                    : constraints.violation(job.machine, out);
             if (reason.empty()) {
                 plan.steps.push_back({job.machine, now, now + job.duration,
                                       wait_reasons.contains(job.machine)
                                           ? "waited: " + wait_reasons[job.machine]
                                       : job.prioritized ? "hurried"
-                                                        : "nothing stands against it"});
+                                                        : "no limit prevents it"});
                 running.push_back({now + job.duration, job.machine});
                 out.insert(job.machine);
                 next = waiting.erase(next);
@@ -55,7 +55,7 @@
         for (const PlannedJob* job : waiting)
             if (job->earliest > now && (next_time < 0 || job->earliest < next_time))
                 next_time = job->earliest;
-        if (next_time < 0) break; // nothing runs and nobody may go: told apart above, so it cannot be
+        if (next_time < 0) break; // unreachable: jobs that can never start were removed above
         now = next_time;
         std::erase_if(running, [&](const Running& entry) {
             return entry.end <= now && (out.erase(entry.machine), true);
@@ -65,17 +65,18 @@
     return plan;
 }
 
-// How much work must pass through the narrowest place that this machine passes through, by how many abreast.
+// For each machine the load of its tightest limit: the work of all jobs under that limit, divided by how many
+// may run in parallel.
 class BottleneckLoad {
   public:
     BottleneckLoad(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs)
         : schedule_(schedule) {
         std::map<std::string, std::size_t> zones;
         std::map<int, int> holders;
-        std::size_t servers = 0, fronts = 0;
+        std::size_t servers = 0, front_nodes = 0;
         for (const auto& [name, facts] : schedule.fleet()) {
             if (facts.front_node) {
-                ++fronts;
+                ++front_nodes;
                 continue;
             }
             ++servers, ++zones[facts.zone];
@@ -91,15 +92,17 @@
             const MachineFacts& facts = found->second;
             const auto work = static_cast<double>(job.duration);
             if (facts.front_node) {
-                load_["front"] += work / max_parallel(limits.front_share, fronts);
+                load_["front"] += work / max_parallel(limits.front_share, front_nodes);
                 continue;
             }
             load_["fleet"] += work / max_parallel(limits.fleet_share, servers);
             load_["z" + facts.zone] += work / max_parallel(limits.zone_share, zones[facts.zone]);
             for (const int shard : facts.shards) {
-                const int by_floor = holders[shard] - limits.min_replicas;
-                const int by_power = static_cast<int>(std::floor(limits.shard_share * holders[shard] + 1e-9));
-                load_["s" + std::to_string(shard)] += work / std::max(1, std::min(by_floor, by_power));
+                const int by_min_replicas = holders[shard] - limits.min_replicas;
+                const int by_capacity =
+                    static_cast<int>(std::floor(limits.shard_share * holders[shard] + 1e-9));
+                load_["s" + std::to_string(shard)] +=
+                    work / std::max(1, std::min(by_min_replicas, by_capacity));
             }
         }
     }
@@ -113,9 +116,9 @@
         return max_load;
     }
     double max_load() const {
-        double max_load = 0;
-        for (const auto& [name, load] : load_) max_load = std::max(max_load, load);
-        return max_load;
+        double highest = 0;
+        for (const auto& [name, load] : load_) highest = std::max(highest, load);
+        return highest;
     }
 
   private:
@@ -127,7 +130,8 @@
     std::map<std::string, double> load_;
 };
 
-// Places each task as early as it fits among those placed before it; over all orders this finds the best.
+// Places each job at the earliest time that fits among the jobs placed before it; tried over all orders this
+// finds the optimum.
 class EarliestFit {
   public:
     EarliestFit(const Constraints& constraints, const std::set<std::string>& down)
--- a/src/maintenance/plan.hpp
+++ b/src/maintenance/plan.hpp
@@ -1,5 +1,6 @@
-// In which order machines go out for work: computed, with its reason for each step, and measured against
-// first come, first served and, on small cases, the best that there is. Free of I/O; chance is seeded.
+// Computes the order in which machines go out of service, with a reason for each step, and the baselines it
+// is compared with: first come, first served and, for small cases, the optimum. Free of I/O; the random
+// generator is seeded.
 #pragma once
 #include "maintenance/maintenance_schedule.hpp"
 
@@ -7,41 +8,41 @@
 
 namespace ivyrill::maintenance {
 
-struct PlannedJob { // what the plan asks of a turn
+struct PlannedJob { // a job as the planner sees it
     std::string machine;
     Tenths duration = 0;
     bool prioritized = false;
-    Tenths earliest = 0; // from the plan's start
+    Tenths earliest = 0; // relative to the start of the plan
 };
 
 struct PlanStep {
     std::string machine;
     Tenths start = 0, end = 0;
-    std::string reason; // what held it until then, or makes it go first
+    std::string reason; // what delayed it, or why it goes first
 };
 
 struct Plan {
-    std::vector<PlanStep> steps;                   // by their beginning
-    std::map<std::string, std::string> impossible; // what can't go however long one waits, and why
+    std::vector<PlanStep> steps;                   // sorted by start
+    std::map<std::string, std::string> impossible; // machines that can never go out, and why
     Tenths duration = 0;
 };
 
-// Starts whatever may go at each moment, those named first before the others.
+// Starts every job that is allowed at each point in time, in the given order of preference.
 Plan plan_in_order(const Constraints& constraints, const std::vector<PlannedJob>& order,
                    const std::set<std::string>& down);
-// One after the other as they came; nobody overtakes.
+// Strictly in the given order, without overtaking.
 Plan plan_first_come_first_served(const Constraints& constraints, const std::vector<PlannedJob>& order,
                                   const std::set<std::string>& down);
-// Most constrained first, then bettered by exchanges within so many trials.
+// Most constrained first, then improved by exchanging jobs in `trials` random trials.
 Plan plan_optimized(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs,
                     const std::set<std::string>& down, std::uint64_t seed, int trials = 200);
-// Every order tried, for `most` machines at the most; nothing above that.
+// The optimum by trying every order; empty for more than `max_jobs` jobs.
 std::optional<Plan> plan_exhaustive(const Constraints& constraints, const std::vector<PlannedJob>& jobs,
                                     const std::set<std::string>& down, std::size_t max_jobs = 8);
-// No order is shorter than this: the work that must come one after the other.
+// Lower bound of the duration of any order: the work that must run sequentially.
 Tenths duration_lower_bound(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs);
 
-// The open turns of an evening as tasks, `now` in Unix time.
+// The proposed jobs of a schedule; `now` in Unix time.
 std::vector<PlannedJob> pending_jobs(const MaintenanceSchedule& schedule, Tenths now);
 
 } // namespace ivyrill::maintenance
--- a/src/maintenance/raft_store.hpp
+++ b/src/maintenance/raft_store.hpp
@@ -1,6 +1,6 @@
-// What a voter must not forget: log, term, vote, snapshot, its own lives and those it has heard of. The rota
-// asks for it through this interface; what is written is there after any crash once a call has returned. One
-// that cannot write throws LedgerError, and has then written nothing of it.
+// Persistent state of a voter: log, term, vote, snapshot, its own incarnation and those of other voters.
+// Writes are durable once a call has returned. An implementation that cannot write throws RaftStoreError and
+// has then written nothing.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -20,22 +20,22 @@
 
 struct LogEntry {
     std::uint64_t term = 0;
-    int kind = 0; // the library's word
+    int kind = 0; // entry type of libraft
     std::string bytes;
 };
 struct StoredSnapshot {
     std::uint64_t index = 0, term = 0, configuration_index = 0;
-    std::string voters, state; // the first in the library's own form
+    std::string voters, state; // `voters` is the encoded raft_configuration
 };
 struct StoredState {
     std::uint64_t term = 0, vote = 0;
     std::optional<StoredSnapshot> snapshot;
-    std::uint64_t first = 1; // index of the first entry
+    std::uint64_t first = 1; // log index of the first entry
     std::vector<LogEntry> entries;
 };
-struct VoterIncarnation {                // of a voter's ledger: raised at each start
-    std::uint64_t number = 0, nonce = 0; // the latter is drawn anew each time
-    std::uint64_t identity = 0;          // under which it votes: 0 of a founder's first ledger
+struct VoterIncarnation {                // of a voter's store; changes at each start
+    std::uint64_t number = 0, nonce = 0; // increases at each start; random at each start
+    std::uint64_t identity = 0; // part of its Raft server id; 0 for the first store of an initial voter
     friend bool operator==(const VoterIncarnation&, const VoterIncarnation&) = default;
 };
 
@@ -43,27 +43,27 @@
   public:
     virtual ~RaftStore() = default;
     virtual StoredState load() = 0;
-    virtual void set_term(std::uint64_t term) = 0; // and nobody voted for
+    virtual void set_term(std::uint64_t term) = 0; // clears the vote
     virtual void set_vote(std::uint64_t vote) = 0;
     virtual void append(std::uint64_t first, const std::vector<LogEntry>& entries) = 0;
-    virtual void truncate(std::uint64_t from) = 0; // that one and all behind it
-    // All entries up to its index less `trailing` go; with 0 all go.
+    virtual void truncate(std::uint64_t from) = 0; // that entry and all after it
+    // Also deletes the entries up to the snapshot's index minus `trailing`; with 0 deletes all entries.
     virtual void put_snapshot(const StoredSnapshot& snapshot, std::uint64_t trailing) = 0;
-    virtual void clear() = 0; // the log, term, vote and snapshot; not the lives
+    virtual void clear() = 0; // log, term, vote, snapshot and voters; keeps the incarnations
 
-    // Something beside the disk, that a restart of the process outlives, says that this is all that was
-    // written.
+    // A witness outside of the disk, which survives a restart of the process, confirms that the store
+    // contains everything that was written.
     virtual bool is_verified() const = 0;
-    virtual void mark_verified() = 0; // from here on: others have confirmed that nothing is missing from it
+    virtual void mark_verified() = 0; // from now on; peers have confirmed that nothing is missing
     virtual VoterIncarnation incarnation() = 0;
     virtual void set_incarnation(VoterIncarnation incarnation) = 0;
-    virtual std::vector<std::string> voters() = 0; // as last known here; empty: never
+    virtual std::vector<std::string> voters() = 0; // as last stored; empty if never stored
     virtual void set_voters(const std::vector<std::string>& names) = 0;
-    virtual std::map<std::string, VoterIncarnation> known_incarnations() = 0; // of others
+    virtual std::map<std::string, VoterIncarnation> known_incarnations() = 0; // of other voters
     virtual void record_incarnation(const std::string& name, VoterIncarnation incarnation) = 0;
 };
 
-// In memory: for virtual time, where a test keeps it over a crash, or does not.
+// In-memory store for simulations, which keep or drop it at a crash.
 class InMemoryRaftStore : public RaftStore {
   public:
     StoredState load() override { return state_; }
@@ -122,12 +122,12 @@
         write();
         known_incarnations_[name] = incarnation;
     }
-    void copy_from(const InMemoryRaftStore& other) { // another disk in its place
+    void copy_from(const InMemoryRaftStore& other) { // replaces the disk
         state_ = other.state_, incarnation_ = other.incarnation_, voters_ = other.voters_,
         known_incarnations_ = other.known_incarnations_;
         verified = other.verified;
     }
-    bool disk_full = false; // nothing more can be written
+    bool disk_full = false; // all writes fail
     bool verified = false;
 
   protected:
--- a/src/maintenance/scheduler.cpp
+++ b/src/maintenance/scheduler.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-constexpr int kMaxTrialWork = 10'000; // trials of a plan, times its machines squared
+constexpr int kMaxTrialWork = 10'000; // upper bound of trials times the square of the number of jobs
 constexpr int kMaxTrials = 100;
-constexpr int kForgetSettleSpans = 60; // spans until a front node that nobody sees is no machine any more
+// Settle times until an unobserved front node is removed from the fleet.
+constexpr int kForgetSettleSpans = 60;
 constexpr std::size_t kExpiredHolderLoad = 100;
-constexpr std::size_t kOwnJobLoad =
-    1000; // turns that another would have to hold to be as unfit as one that is to go
-constexpr double kMinMeasureLeases = 0.5;    // grants' spans, over which a clock is measured at the least
-constexpr double kMeasureNoiseLeases = 0.05; // of that: what delays may make of it, beside the error assumed
+constexpr std::size_t kOwnJobLoad = 1000; // above any load by jobs: a node with an own job is the last choice
+constexpr double kMinMeasureLeases = 0.5; // minimum measuring time, in lease durations
+constexpr double kMeasureNoiseLeases = 0.05; // allowance for message delays, in lease durations
 
 } // namespace
 
 Tenths Scheduler::lease_expiry_wait() const {
-    // The holder counts from when it asked, we from when we heard it agreed on: ours begins later in any
-    // case. Its clock may be slow and ours fast.
+    // The holder counts from its request and the leader from the commit, which is always later. The holder's
+    // clock may be slow and the leader's fast.
     return static_cast<Tenths>(std::ceil(static_cast<double>(settings_.timing.lease) *
                                          (1 + 2 * settings_.timing.clock_error))) +
            1;
 }
 
 std::set<std::string> Scheduler::down(const MaintenanceSchedule& schedule, const FleetObservation& observed) {
-    std::set<std::string> names = observed.lost_store; // there, and of no use to the council
+    std::set<std::string> names = observed.lost_store; // reachable, but without a vote
     const auto is_out_by_schedule = [&](const std::string& name) {
         const MaintenanceJob* job = schedule.job(name);
         return job != nullptr && is_out(job->state);
@@ -35,7 +35,7 @@
     for (const auto& [name, facts] : schedule.fleet()) {
         if (is_out_by_schedule(name)) continue;
         const auto observed_machine = observed.machines.find(name);
-        // One that came back counts only when it is warm.
+        // A machine that came back counts as available only once it is warm.
         if (observed_machine == observed.machines.end() ||
             observed_machine->second.health != MachineHealth::kWarm)
             names.insert(name);
@@ -49,7 +49,8 @@
     update.limits.voter_count = static_cast<int>(observed.voters.size());
     for (const auto& [name, observed_machine] : observed.machines)
         update.fleet.push_back(observed_machine.facts);
-    // Front nodes that do not answer are machines still, and so is whatever has a turn.
+    // Front nodes that do not answer stay in the fleet for a while, and machines with an unfinished job
+    // always.
     for (const auto& [name, facts] : schedule.fleet()) {
         const MaintenanceJob* job = schedule.job(name);
         const bool has_job = job != nullptr && !is_finished(job->state);
@@ -84,17 +85,18 @@
     } else if (fleet_changing_since_ == 0) {
         fleet_changing_since_ = now;
     }
-    // A list that flaps is not taken up at once; the very first is.
+    // Changes are debounced against a flapping list; the first list is used at once.
     if (fleet_changing_since_ != 0 &&
         (schedule.fleet().empty() || now >= fleet_changing_since_ + settings_.timing.fleet_settle) &&
         !update.fleet.empty()) {
         decision.commands.emplace_back(std::move(update));
-        decision.reason = "the fleet is being surveyed";
+        decision.reason = "the fleet is being updated";
         return decision;
     }
     check_leases(now, leader_since, schedule, observed, decision);
     const std::set<std::string> down = Scheduler::down(schedule, observed);
-    // What holds a machine's shards up has failed while it was out: what can come back is brought back first.
+    // Another replica of a machine's shards failed while the machine was out: machines that can come back are
+    // recalled first.
     const std::set<std::string> out = schedule.machines_out();
     if (settings_.failure_policy.neighbour_down != FailureAction::kWait && !schedule.fleet().empty()) {
         const Constraints constraints(schedule.limits(), schedule.fleet(), schedule.voters());
@@ -103,7 +105,8 @@
             if (job.recalled || job.withdrawn || job.state == JobState::kReturning) continue;
             std::set<std::string> others = out;
             others.erase(machine);
-            if (!constraints.violation(machine, others).empty()) continue; // it is out beside them as agreed
+            if (!constraints.violation(machine, others).empty())
+                continue; // already in conflict with other planned jobs, not with a failure
             others.insert(down.begin(), down.end());
             const std::string reason = constraints.violation(machine, others);
             if (reason.empty()) continue;
@@ -116,7 +119,7 @@
         if (job.state != JobState::kProposed) continue;
         if (job.setbacks > settings_.timing.max_setbacks)
             decision.commands.emplace_back(
-                WithdrawJob{{}, machine, "put back " + std::to_string(job.setbacks) + " times"});
+                WithdrawJob{{}, machine, "rolled back " + std::to_string(job.setbacks) + " times"});
         else if (job.latest != 0 && observed.wall_time > job.latest)
             decision.commands.emplace_back(WithdrawJob{{}, machine, "its latest time has passed"});
     }
@@ -124,13 +127,13 @@
     return decision;
 }
 
-// A grant that was not said again for as long as it may last belongs to nobody; the machine stays out until
-// another holder goes on with it. Its old holder has stopped by then, by its own clock.
+// A lease that was not renewed within its validity has expired; the machine stays out until another holder
+// continues the job. By then the old holder has stopped, by its own clock.
 void Scheduler::check_leases(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
                              const FleetObservation& observed, SchedulerDecision& decision) {
     std::erase_if(leases_, [&](auto& entry) {
         const MaintenanceJob* job = schedule.job(entry.first);
-        // It gave its turn back: perhaps it alone cannot reach the machine.
+        // It released its lease: perhaps only this node cannot reach the machine.
         if (job != nullptr && job->holder.empty() && job->fence == entry.second.fence &&
             !is_finished(job->state))
             expired_holders_.insert(entry.second.holder);
@@ -152,17 +155,17 @@
             measure_clock(now, job);
             lease = {job.holder, job.fence, job.holder_time, now};
         }
-        // A new leader does not know when the last word came: at the latest when it began to lead.
+        // A new leader does not know when the lease was last renewed: at the latest when it was elected.
         if (now > std::max(lease.at, leader_since) + lease_expiry_wait())
             decision.commands.emplace_back(ExpireLease{machine, job.fence}),
                 expired_holders_.insert(job.holder);
         else if (job.state != JobState::kGranted && job.lease_expiries == 0)
-            expired_holders_.erase(job.holder); // it has brought a machine on
+            expired_holders_.erase(job.holder); // it has made progress with a machine
     }
 }
 
-// Grants rest on clocks that run at nearly the same rate. That is assumed, so it is looked at: each word of a
-// holder bears its own time.
+// Leases assume clocks that run at nearly the same rate. This checks the assumption: each confirmation
+// carries the holder's time.
 void Scheduler::measure_clock(Tenths now, const MaintenanceJob& job) {
     ClockSample& clock = clock_samples_[job.holder];
     if (clock.holder_time == 0 || job.holder_time < clock.holder_time) {
@@ -173,7 +176,7 @@
     const auto theirs = static_cast<double>(job.holder_time - clock.holder_time);
     const auto span = static_cast<double>(settings_.timing.lease) * kMinMeasureLeases;
     if (ours < span) return;
-    // Delays of single words weigh less the longer the span is.
+    // The effect of message delays shrinks with the measuring time.
     const double noise = kMeasureNoiseLeases * static_cast<double>(settings_.timing.lease) / ours;
     if (std::abs(theirs / ours - 1) > 2 * settings_.timing.clock_error + noise &&
         ours > 10 * static_cast<double>(settings_.timing.lease))
@@ -193,11 +196,11 @@
             continue;
         std::size_t load = 0;
         for (const auto& [name, other] : schedule.jobs()) load += other.holder == voter ? 2 : 0;
-        load += voter == observed.self ? 1 : 0; // the leader has enough to do
+        load += voter == observed.self ? 1 : 0; // the leader is already busy
         load +=
-            expired_holders_.contains(voter) ? kExpiredHolderLoad : 0; // it let a grant lapse: others first
+            expired_holders_.contains(voter) ? kExpiredHolderLoad : 0; // it let a lease expire: prefer others
         if (own != nullptr && !is_finished(own->state))
-            load += kOwnJobLoad; // it could not go while it holds one
+            load += kOwnJobLoad; // it could not go out while it holds a lease
         if (best.empty() || load < least) best = voter, least = load;
     }
     return best;
@@ -207,13 +210,13 @@
                              const FleetObservation& observed, const std::set<std::string>& down,
                              SchedulerDecision& decision) {
     if (schedule.held()) return void(decision.reason = "held: " + schedule.hold_reason());
-    if (!observed.lost_zone.empty()) return void(decision.reason = "site " + observed.lost_zone + " is lost");
+    if (!observed.lost_zone.empty()) return void(decision.reason = "zone " + observed.lost_zone + " is lost");
     if (observed.rejected_share > settings_.timing.max_rejected_share) {
-        // It may be our own trouble: cut off from the servers, we would hold up an evening that others see
-        // room for.
+        // The cause may be local: a leader that is cut off from the servers would block jobs that other nodes
+        // could allow.
         if (overloaded_since_ == 0) overloaded_since_ = now;
         decision.transfer_leadership = now > overloaded_since_ + settings_.timing.lease;
-        return void(decision.reason = "load leaves no room");
+        return void(decision.reason = "too many searches are rejected");
     }
     overloaded_since_ = 0;
     if (fleet_changing_since_ != 0) return void(decision.reason = "the fleet is changing");
@@ -247,26 +250,27 @@
         const MaintenanceJob* job = schedule.job(machine);
         if (job == nullptr || job->state != JobState::kProposed) continue;
         if (std::ranges::find(jobs, machine, &PlannedJob::machine) == jobs.end()) continue;
-        // One that is gone already costs nothing more; one that comes or goes by itself is waited for.
+        // A machine that is gone already costs nothing more; one that is starting or draining outside of
+        // maintenance is waited for.
         const auto observed_machine = observed.machines.find(machine);
         if (down.contains(machine) && observed_machine != observed.machines.end() &&
             observed_machine->second.health != MachineHealth::kGone) {
-            decision.reason = machine + " is coming or going by itself";
+            decision.reason = machine + " is changing state outside of maintenance";
             continue;
         }
         if (std::string reason = constraints.violation(machine, unavailable); !reason.empty()) {
             decision.reason = machine + ": " + reason;
             continue;
         }
-        // A front node that carries out turns goes once they are over.
+        // A front node that is executing jobs goes out once they are finished.
         const bool holds =
             std::ranges::any_of(schedule.jobs(), [&](auto& entry) { return entry.second.holder == machine; });
         if (holds) {
-            decision.reason = machine + " carries out other turns";
+            decision.reason = machine + " is executing other jobs";
             continue;
         }
         if (observed.voters.contains(machine) && !observed.voters_settled) {
-            decision.reason = machine + ": the council is changing";
+            decision.reason = machine + ": the voters are changing";
             continue;
         }
         if (machine == observed.self) {
@@ -274,7 +278,7 @@
             return;
         }
         const std::string holder = holder_for(*job, schedule, observed);
-        if (holder.empty()) return void(decision.reason = "no voter is there to carry it out");
+        if (holder.empty()) return void(decision.reason = "no voter is available to execute the job");
         decision.commands.emplace_back(GrantLease{machine, holder, job->fence, down, observed.wall_time});
         unavailable.insert(machine);
     }
--- a/src/maintenance/scheduler.hpp
+++ b/src/maintenance/scheduler.hpp
@@ -1,6 +1,6 @@
-// The leader's part: looks at the evening as agreed and at the fleet as it sees it, and says what should be
-// agreed on next. It holds nothing that has to outlive it but what it has heard of grants, by its own clock;
-// a new leader hears everything anew from the moment that it leads.
+// The leader's part: compares the committed schedule with the observed fleet and decides which commands to
+// propose next. Its only state of its own is when leases were last renewed, by its own clock; a new leader
+// starts to count from its election.
 #pragma once
 #include "maintenance/fleet_observation.hpp"
 #include "maintenance/plan.hpp"
@@ -19,13 +19,14 @@
 
 struct SchedulerDecision {
     std::vector<Command> commands;
-    bool transfer_leadership = false; // the next machine is the leader itself
-    std::string reason;               // why nothing more goes out at present, for those who ask
+    bool transfer_leadership = false; // the next machine is this leader itself
+    std::string reason;               // why no further machine goes out at present; shown to operators
 };
 
 class Scheduler {
   public:
     explicit Scheduler(SchedulerSettings settings) : settings_(std::move(settings)) {}
+    // The commands to propose now.
     SchedulerDecision decide(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
                              const FleetObservation& observed);
     void reset() {
@@ -33,9 +34,9 @@
                          clock_samples_.clear(), expired_holders_.clear();
     }
 
-    // Machines that do not serve and were not sent out.
+    // Machines that do not serve although they are not out for maintenance.
     static std::set<std::string> down(const MaintenanceSchedule& schedule, const FleetObservation& observed);
-    // What our count allows a grant to last, from when we heard of it.
+    // How long after its last renewal was applied here a lease counts as expired.
     Tenths lease_expiry_wait() const;
     std::uint64_t distrusted_clocks() const { return distrusted_clocks_; }
 
@@ -46,7 +47,7 @@
         std::uint64_t holder_time = 0;
         Tenths at = 0;
     };
-    struct ClockSample { // of a holder: one word of it, against which later ones are measured
+    struct ClockSample { // reference sample of a holder's clock
         std::uint64_t holder_time = 0;
         Tenths at = 0;
     };
@@ -61,14 +62,14 @@
                            const FleetObservation& observed) const;
 
     SchedulerSettings settings_;
-    std::map<std::string, LeaseRecord> leases_;       // of each grant, by machine
-    std::map<std::string, Tenths> rolled_back_since_; // since when a machine waits that was put back
-    std::map<std::string, Tenths> missing_since_; // front nodes of the fleet that we do not see, since when
+    std::map<std::string, LeaseRecord> leases_;       // by machine
+    std::map<std::string, Tenths> rolled_back_since_; // by machine, since when it waits after a rollback
+    std::map<std::string, Tenths> missing_since_;     // since when a machine of the fleet is not observed
     std::map<std::string, ClockSample> clock_samples_;
-    std::set<std::string> distrusted_holders_; // holders whose clock goes otherwise than is assumed
-    std::set<std::string> expired_holders_;    // holders that let a grant lapse, until they keep one
+    std::set<std::string> distrusted_holders_; // holders whose clock rate exceeds the assumed error
+    std::set<std::string> expired_holders_; // holders that let a lease expire, until they make progress again
     Tenths fleet_changing_since_ = 0, overloaded_since_ = 0;
-    std::vector<std::string> planned_order_; // of the plan, and for what it was made
+    std::vector<std::string> planned_order_; // order of the cached plan
     std::string plan_key_;
     std::uint64_t distrusted_clocks_ = 0;
 };
--- a/src/raft_storage/sqlite_raft_store.cpp
+++ b/src/raft_storage/sqlite_raft_store.cpp
@@ -71,12 +71,12 @@
     : witness_file_(std::move(witness_file)) {
     if (sqlite3_open_v2(file.c_str(), &database_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) !=
         SQLITE_OK) {
-        const std::string reason = database_ != nullptr ? sqlite3_errmsg(database_) : "no memory";
+        const std::string reason = database_ != nullptr ? sqlite3_errmsg(database_) : "out of memory";
         sqlite3_close(database_);
         throw RaftStoreError(file + ": " + reason);
     }
     try {
-        // Two processes on one ledger would each believe that it is theirs: the lock is kept for good.
+        // Two processes on one store would each act as the same voter, so the lock is held until close.
         run("pragma locking_mode = exclusive");
         run("pragma journal_mode = delete");
         run("pragma synchronous = extra");
@@ -85,7 +85,7 @@
         run(kSchema);
         run("commit");
         Statement check(database_, "pragma quick_check(1)");
-        if (!check.next() || check.bytes(0) != "ok") throw RaftStoreError(file + ": it is spoilt");
+        if (!check.next() || check.bytes(0) != "ok") throw RaftStoreError(file + ": the database is corrupt");
         write_count_ = number("writes");
     } catch (const RaftStoreError&) {
         sqlite3_close(database_);
@@ -96,7 +96,7 @@
     std::uint64_t witnessed_count = 0;
     verified_ = marked_verified_ =
         write_count_ > 0 && witness >> witnessed_count && witnessed_count == write_count_;
-    // One that was put back is not to vouch for itself by what it writes from now on.
+    // A restored copy must not become verified by its own later writes.
     if (!verified_) unlink(witness_file_.c_str());
 }
 
@@ -129,7 +129,8 @@
     if (marked_verified_) write_witness();
 }
 
-// Written in place: a crash between the ledger's word and this one leaves them apart, and nothing is proven.
+// Written in place: after a crash between the commit and this write the counts differ, and the store is not
+// verified.
 void SqliteRaftStore::write_witness() const {
     if (witness_file_.empty()) return;
     const int file = open(witness_file_.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
@@ -161,7 +162,7 @@
     Statement entries(database_, "select place, term, kind, bytes from entry order by place");
     std::uint64_t index = stored.first;
     while (entries.next()) {
-        if (entries.number(0) != index++) throw RaftStoreError("an entry is missing");
+        if (entries.number(0) != index++) throw RaftStoreError("a log entry is missing");
         stored.entries.push_back({entries.number(1), static_cast<int>(entries.number(2)), entries.bytes(3)});
     }
     return stored;
@@ -242,10 +243,10 @@
 }
 
 std::map<std::string, VoterIncarnation> SqliteRaftStore::known_incarnations() {
-    std::map<std::string, VoterIncarnation> all;
+    std::map<std::string, VoterIncarnation> incarnations;
     Statement query(database_, "select name, number, mark, seat from life");
-    while (query.next()) all[query.bytes(0)] = {query.number(1), query.number(2), query.number(3)};
-    return all;
+    while (query.next()) incarnations[query.bytes(0)] = {query.number(1), query.number(2), query.number(3)};
+    return incarnations;
 }
 
 void SqliteRaftStore::record_incarnation(const std::string& name, VoterIncarnation incarnation) {
--- a/src/raft_storage/sqlite_raft_store.hpp
+++ b/src/raft_storage/sqlite_raft_store.hpp
@@ -1,7 +1,7 @@
-// A voter's ledger in one SQLite file: each call is one transaction, synced before it returns. Beside it,
-// best in a folder of memory that outlives the process and not the machine's start (`witness`), stands the
-// number of the last write: where both agree at a start, the file is the one that this machine wrote last,
-// and not a copy that somebody has put back.
+// RaftStore in one SQLite file: each call is one transaction, synced before it returns. A witness file, best
+// kept in a memory-backed folder that survives a restart of the process but not of the machine, holds the
+// number of the last write: if both agree at a start, the file is the one that this machine wrote last and
+// not a restored copy.
 #pragma once
 #include "maintenance/raft_store.hpp"
 
@@ -15,8 +15,8 @@
 
 class SqliteRaftStore : public maintenance::RaftStore {
   public:
-    // Throws LedgerError where the file cannot be used at all. An empty witness: nothing vouches.
-    // `most_pages` bounds the file, 0: not at all.
+    // Throws RaftStoreError if the file cannot be used. Without a witness file the store is never verified.
+    // `max_pages` limits the size of the file; 0: unlimited.
     explicit SqliteRaftStore(const std::string& file, std::string witness_file = {}, int max_pages = 0);
     ~SqliteRaftStore() override;
     SqliteRaftStore(const SqliteRaftStore&) = delete;
@@ -38,13 +38,13 @@
     std::map<std::string, maintenance::VoterIncarnation> known_incarnations() override;
     void record_incarnation(const std::string& name, maintenance::VoterIncarnation incarnation) override;
 
-    // Of the member that lives here, raised at each start.
+    // Incarnation of this node in the membership protocol; increases at each start.
     std::uint64_t next_member_incarnation();
     std::uint64_t write_count() const { return write_count_; }
 
   private:
     class Statement;
-    template <class Body> void write(Body&& body); // one transaction, all or nothing
+    template <class Body> void write(Body&& body); // in one transaction
     void run(const char* sql);
     std::uint64_t number(const char* name);
     void set_number(const char* name, std::uint64_t value);
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -514,7 +514,7 @@
     world.pass(20 * kS);
     assert(world.leader() >= 0);
     const auto shown = world.front(world.leader()).warden->answer_query({{"verb", "show"}});
-    assert(shown.value("waits_for", "").find("site b is lost") != std::string::npos);
+    assert(shown.value("waits_for", "").find("zone b is lost") != std::string::npos);
     assert(world.kept());
 }
 
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -142,8 +142,8 @@
                shown["voters"].size() == 3 && shown["leader"] != "";
     };
     assert(rig.await([&] {
-        return rig.log_of(0).find("its ledger is another one") != std::string::npos ||
-               rig.log_of(2).find("its ledger is another one") != std::string::npos;
+        return rig.log_of(0).find("its store was lost or replaced") != std::string::npos ||
+               rig.log_of(2).find("its store was lost or replaced") != std::string::npos;
     }));
     assert(rig.await([&] { return seated("n"); }));
     rig.kill(2);
