--- a/fuzz/parcels.cpp
+++ b/fuzz/parcels.cpp
@@ -1,5 +1,6 @@
-// Any bytes as a piece of a parcel, sealed and not; what is whole goes to a warden, as commands, letters,
-// views and questions. Never a crash, and the room for pieces has its bound.
+// Feeds arbitrary bytes as sealed and unsealed fragments, and reassembled messages to a maintenance node, as
+// commands, consensus messages, schedules and requests. It must not crash, and datagrams stay within their
+// size.
 #include "maintenance/codec.hpp"
 #include "maintenance/maintenance_node.hpp"
 
@@ -14,13 +15,14 @@
     const std::string bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
     membership::DatagramCodec seal(kSecret);
     if (FragmentTransport("x", "10.0.0.9:1", seal, 1).receive(1, bytes))
-        std::abort(); // nobody guesses the seal
+        std::abort(); // unsealed input must be rejected
     (void)decode(bytes);
     (void)MaintenanceSchedule::decode(bytes);
     InMemoryRaftStore store;
     MaintenanceSettings settings;
     settings.name = "n0", settings.address = "10.0.0.1:7", settings.secret = kSecret;
-    settings.candidates = {{"n0", settings.address}}, settings.voter_count = 1; // one alone leads at once
+    settings.candidates = {{"n0", settings.address}},
+    settings.voter_count = 1; // a single voter leads at once
     MaintenanceNode node(settings, &store, 1, 1);
     for (Tenths now = 1; now < 5 * kTenthsPerSecond; now += kTenthsPerSecond / 4) node.step(now, now);
     FragmentTransport other("x", "10.0.0.9:1", seal, 1);
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -1,5 +1,5 @@
-// Machines taken out for work, in virtual time: front nodes' wardens round their machines, with faults
-// between them. `rota_tests NAME`.
+// Tests of the maintenance schedule: units, and whole groups of front nodes and machines in simulated time
+// with faults injected between them. Usage: `maintenance_tests NAME`.
 #include "fake_host.hpp"
 #include "lab/evening_world.hpp"
 #include "maintenance/chart.hpp"
@@ -24,94 +24,94 @@
 
 constexpr Tenths kS = kTenthsPerSecond;
 
-WorldPlan five_of_five() {
+WorldPlan five_voters() {
     WorldPlan plan;
     plan.council = 5;
     return plan;
 }
 
-// A world whose council has begun and knows the fleet.
-struct Begun : EveningWorld {
-    explicit Begun(const WorldPlan& plan = {}, Planted planted = {})
+// A simulation whose consensus group has a leader and knows the fleet.
+struct ReadyWorld : EveningWorld {
+    explicit ReadyWorld(const WorldPlan& plan = {}, Planted planted = {})
         : EveningWorld(plan, std::move(planted)) {
         assert(until([&] { return leader() >= 0 && !evening().fleet().empty(); }, 30 * kS));
     }
-    void ordered(const std::vector<std::string>& machines, int at = 0) {
-        order(at, machines, "order" + std::to_string(machines.size()) + machines[0]);
+    void add_jobs(const std::vector<std::string>& machines, int node = 0) {
+        order(node, machines, "order" + std::to_string(machines.size()) + machines[0]);
         assert(until([&] { return evening().job(machines.back()) != nullptr; }, 20 * kS));
     }
     JobState state(const std::string& machine) const { return evening().job(machine)->state; }
-    bool comes_to(const std::string& machine, JobState wanted, Tenths bound = 60 * kS) {
-        return until([&] { return state(machine) == wanted; }, bound);
+    bool reaches(const std::string& machine, JobState may_pass, Tenths bound = 60 * kS) {
+        return until([&] { return state(machine) == may_pass; }, bound);
     }
-    bool ends(Tenths bound = 300 * kS) {
+    bool all_jobs_end(Tenths bound = 300 * kS) {
         return until([&] { return all_over(); }, bound);
     }
     int number(const std::string& name) const { return std::stoi(name.substr(1)); }
     const std::string& holder(const std::string& machine) const { return evening().job(machine)->holder; }
-    bool kept() const {
-        for (const std::string& what : broken()) std::printf("%s\n", what.c_str());
+    bool rules_hold() const {
+        for (const std::string& violation : broken()) std::printf("%s\n", violation.c_str());
         return broken().empty();
     }
 };
 
-// ---- what is agreed on
+// ---- replicated state machine
 
 MaintenanceSchedule small_schedule(int servers = 6, int fronts = 5) {
     MaintenanceSchedule schedule;
-    UpdateFleet survey{{2, 1, 0.5, 0.5, 0.4, 3}, {}, {"n0", "n1", "n2"}};
+    UpdateFleet update{{2, 1, 0.5, 0.5, 0.4, 3}, {}, {"n0", "n1", "n2"}};
     for (int i = 0; i < servers; ++i)
-        survey.fleet.push_back(
+        update.fleet.push_back(
             {"s" + std::to_string(i), false, i < servers / 2 ? "a" : "b", {i % 2}, 1, 10 * kS});
     for (int i = 0; i < fronts; ++i)
-        survey.fleet.push_back({"n" + std::to_string(i), true, "", {}, 1, 10 * kS});
-    assert(schedule.apply(survey).accepted);
+        update.fleet.push_back({"n" + std::to_string(i), true, "", {}, 1, 10 * kS});
+    assert(schedule.apply(update).accepted);
     assert(schedule.apply(AddJobs{"r1", "op", "", {"s0", "s1", "s2", "s4", "n0", "n1"}, 0, 0}).accepted);
     return schedule;
 }
 
-void floor_is_kept_whoever_grants() {
+void min_replicas_holds_for_every_granting_node() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n1", {0}, {}, 0}).accepted);
-    const CommandResult second =
-        schedule.apply(GrantLease{"s2", "n2", {0}, {}, 0}); // holds the same shard, two must stay
+    const CommandResult second = schedule.apply(
+        GrantLease{"s2", "n2", {0}, {}, 0}); // holds the same shard, of which two replicas must stay
     assert(!second.accepted && second.reason.find("shard 0") != std::string::npos);
-    const CommandResult down =
-        schedule.apply(GrantLease{"s1", "n2", {0}, {"s3", "s5"}, 0}); // others are down by themselves
+    const CommandResult down = schedule.apply(
+        GrantLease{"s1", "n2", {0}, {"s3", "s5"}, 0}); // others are down outside of maintenance
     assert(!down.accepted && schedule.machines_out() == std::set<std::string>{"s0"});
 }
 
-void a_grant_that_came_second_is_void() {
+void second_grant_with_an_old_token_is_rejected() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n1", {0}, {}, 0}).accepted);
-    assert(!schedule.apply(GrantLease{"s0", "n2", {0}, {}, 0}).accepted); // by a leader that knew no better
+    assert(!schedule.apply(GrantLease{"s0", "n2", {0}, {}, 0}).accepted); // by a deposed leader
     const FencingToken first = schedule.job("s0")->fence;
     assert(schedule.apply(ExpireLease{"s0", first}).accepted &&
            schedule.apply(GrantLease{"s0", "n2", first, {}, 0}).accepted);
     assert(schedule.job("s0")->fence > first);
-    assert(!schedule.apply(ConfirmLease{"s0", "n1", first, 5}).accepted); // the old holder's word
+    assert(!schedule.apply(ConfirmLease{"s0", "n1", first, 5}).accepted); // from the former holder
     assert(!schedule.apply(AdvanceJob{"s0", first, JobState::kDraining, "", false}).accepted);
     assert(schedule.apply(ConfirmLease{"s0", "n2", schedule.job("s0")->fence, 7}).accepted);
 }
 
-void a_request_heard_twice_is_done_once() {
+void duplicate_request_is_applied_once() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(HoldSchedule{"h", "by hand"}).accepted &&
            schedule.apply(ResumeSchedule{"r"}).accepted);
-    assert(schedule.apply(HoldSchedule{"h", "by hand"}).accepted && !schedule.held()); // its copy came late
+    assert(schedule.apply(HoldSchedule{"h", "by hand"}).accepted && !schedule.held()); // a late duplicate
     assert(!schedule.apply(AddJobs{"x", "op", "", {"nobody"}, 0, 0}).accepted);
     assert(!schedule.apply(AddJobs{"x", "op", "", {"nobody"}, 0, 0})
-                .accepted); // what was refused is refused again
+                .accepted); // a rejected request is rejected again
 }
 
-void council_keeps_its_majority() {
+void majority_of_voters_stays_in_service() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"n0", "n1", {0}, {}, 0}).accepted);
     const CommandResult second = schedule.apply(GrantLease{"n1", "n2", {0}, {}, 0});
     assert(!second.accepted && second.reason.find("majority") != std::string::npos);
 }
 
-void what_is_agreed_outlives_its_bytes() {
+void schedule_and_commands_survive_encoding() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n1", {0}, {"s3"}, 77}).accepted);
     const auto read = MaintenanceSchedule::decode(schedule.encode());
@@ -129,210 +129,213 @@
     assert(!decode("") && !decode(encode(commands[0]).substr(1)));
 }
 
-void a_machine_that_is_out_stays_one_in_any_survey() {
+void machine_that_is_out_stays_in_the_fleet() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n1", {0}, {}, 0}).accepted);
-    UpdateFleet without{schedule.limits(), {}, schedule.voters()};
+    UpdateFleet update_without_s0{schedule.limits(), {}, schedule.voters()};
     for (const auto& [name, facts] : schedule.fleet())
-        if (name != "s0") without.fleet.push_back(facts);
-    assert(schedule.apply(without).accepted && schedule.fleet().contains("s0"));
+        if (name != "s0") update_without_s0.fleet.push_back(facts);
+    assert(schedule.apply(update_without_s0).accepted && schedule.fleet().contains("s0"));
 }
 
-// ---- the order
+// ---- planning
 
-void most_constrained_go_first_and_no_order_is_much_shorter() {
+void optimized_plan_is_close_to_the_optimum() {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        Pcg chance(seed);
+        Pcg random(seed);
         MaintenanceSchedule schedule;
-        UpdateFleet survey{{1, 0.5, 0.67, 0.4, 0.34, 3}, {}, {}};
+        UpdateFleet update{{1, 0.5, 0.67, 0.4, 0.34, 3}, {}, {}};
         for (int i = 0; i < 8; ++i)
-            survey.fleet.push_back({"s" + std::to_string(i),
+            update.fleet.push_back({"s" + std::to_string(i),
                                     false,
                                     std::string(1, static_cast<char>('a' + i % 3)),
                                     {i % 2, 2 + i % 3},
                                     1,
-                                    static_cast<Tenths>((1 + 9 * chance.unit()) * kS)});
-        schedule.apply(survey);
+                                    static_cast<Tenths>((1 + 9 * random.unit()) * kS)});
+        schedule.apply(update);
         std::vector<PlannedJob> jobs;
         for (int i = 0; i < 6; ++i)
-            jobs.push_back({"s" + std::to_string(i), survey.fleet[i].duration, false, 0});
+            jobs.push_back({"s" + std::to_string(i), update.fleet[i].duration, false, 0});
         const Constraints constraints(schedule.limits(), schedule.fleet(), schedule.voters());
         const Plan ours = plan_optimized(schedule, jobs, {}, seed),
-                   come = plan_first_come_first_served(constraints, jobs, {});
+                   first_come = plan_first_come_first_served(constraints, jobs, {});
         const auto best = plan_exhaustive(constraints, jobs, {}, 6);
         assert(best && ours.steps.size() == 6 && best->steps.size() == 6);
-        assert(ours.duration <= come.duration && ours.duration >= best->duration);
+        assert(ours.duration <= first_come.duration && ours.duration >= best->duration);
         assert(static_cast<double>(ours.duration) <= 1.25 * static_cast<double>(best->duration));
         assert(duration_lower_bound(schedule, jobs) <= best->duration);
     }
 }
 
-void a_plan_says_what_can_never_go() {
+void plan_lists_machines_that_can_never_go_out() {
     MaintenanceSchedule schedule = small_schedule();
     const Constraints constraints(schedule.limits(), schedule.fleet(), schedule.voters());
     const Plan plan =
-        plan_in_order(constraints, pending_jobs(schedule, 0), {"s4", "s2"}); // shard 0 has one left
+        plan_in_order(constraints, pending_jobs(schedule, 0), {"s4", "s2"}); // one replica of shard 0 is left
     assert(plan.impossible.contains("s0") && plan.impossible.at("s0").find("shard 0") != std::string::npos);
     assert(std::ranges::any_of(plan.steps,
                                [](const PlanStep& step) { return step.reason.starts_with("waited"); }));
 }
 
-// ---- evenings
+// ---- simulations
 
-void an_evening_goes_by_itself() {
-    Begun world;
-    world.ordered({"s0", "s1", "s2", "s3", "s4", "n0", "n3"});
-    assert(world.ends() && world.counts().turns_done == 7 && world.kept() && world.under_floor() == 0);
+void all_jobs_finish_without_faults() {
+    ReadyWorld world;
+    world.add_jobs({"s0", "s1", "s2", "s3", "s4", "n0", "n3"});
+    assert(world.all_jobs_end() && world.counts().turns_done == 7 && world.rules_hold() &&
+           world.under_floor() == 0);
     assert(world.machines_out().empty());
 }
 
-void a_holder_that_stalls_past_its_grant_wakes_to_another_holder() {
-    Begun world(five_of_five());
+void stalled_holder_loses_its_lease_to_another_node() {
+    ReadyWorld world(five_voters());
     world.machine("s0").works_for = 20 * kS;
-    world.ordered({"s0"});
-    assert(world.comes_to("s0", JobState::kOut));
+    world.add_jobs({"s0"});
+    assert(world.reaches("s0", JobState::kOut));
     const std::string first = world.holder("s0");
     const FencingToken fence = world.evening().job("s0")->fence;
     world.stall(world.number(first), 15 * kS);
     assert(world.until([&] { return world.evening().job("s0")->fence > fence; }, 14 * kS));
     assert(world.holder("s0") != first);
-    assert(world.ends() && world.kept() && world.counts().turns_done == 1);
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done == 1);
 }
 
-void a_leader_cut_off_gives_nothing_out() {
-    Begun world(five_of_five());
+void isolated_leader_grants_nothing() {
+    ReadyWorld world(five_voters());
     const int old = world.leader();
     world.cut({old});
     world.order(old, {"s1"}, "cut off");
     world.pass(2 * kS);
     assert(world.until([&] { return world.leader() >= 0 && world.leader() != old; }, 30 * kS));
     const int fresh = world.leader();
-    world.ordered({"s0"}, fresh);
-    assert(world.comes_to("s0", JobState::kDone));
+    world.add_jobs({"s0"}, fresh);
+    assert(world.reaches("s0", JobState::kDone));
     assert(world.front(old).warden->schedule().job("s0") == nullptr);
     world.pass(12 * kS);
-    assert(world.answers.contains("cut off") && !world.answers["cut off"].first); // and its operator hears so
+    assert(world.answers.contains("cut off") &&
+           !world.answers["cut off"].first); // and its operator gets an error
     world.heal();
     assert(world.until([&] { return world.front(old).warden->schedule().job("s0") != nullptr; }, 20 * kS));
-    assert(world.kept());
+    assert(world.rules_hold());
 }
 
-void five_cut_into_two_and_three() {
-    Begun world(five_of_five());
+void majority_side_of_a_partition_continues() {
+    ReadyWorld world(five_voters());
     world.cut({0, 1});
     assert(world.until([&] { return world.leader() >= 2; }, 30 * kS));
-    world.ordered({"s0", "s1", "s2"}, 3);
-    assert(world.until([&] { return world.all_over(); }, 200 * kS) && world.kept());
+    world.add_jobs({"s0", "s1", "s2"}, 3);
+    assert(world.until([&] { return world.all_over(); }, 200 * kS) && world.rules_hold());
 }
 
-void without_a_majority_nobody_goes_out() {
-    Begun world(five_of_five());
+void no_machine_goes_out_without_a_majority() {
+    ReadyWorld world(five_voters());
     world.cut({0, 1}), world.cut({1, 2}), world.cut({3});
     world.order(0, {"s0"}, "a"), world.order(4, {"s1"}, "b");
     world.pass(60 * kS);
     assert(world.machines_out().empty() && world.counts().turns_done == 0);
     world.heal();
-    world.ordered({"s3"}, 2);
-    assert(world.ends() && world.kept());
+    world.add_jobs({"s3"}, 2);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void every_second_datagram_of_a_link_is_lost() {
-    Begun world(five_of_five());
-    int nth = 0;
-    world.drops = [&nth](int from, int to) { return (from == 0 || to == 0) && ++nth % 2 == 0; };
-    world.ordered({"s0", "s1", "s2", "n3"}, 1);
-    assert(world.ends() && world.kept());
+void jobs_finish_with_half_of_the_datagrams_lost() {
+    ReadyWorld world(five_voters());
+    int count = 0;
+    world.drops = [&count](int from, int to) { return (from == 0 || to == 0) && ++count % 2 == 0; };
+    world.add_jobs({"s0", "s1", "s2", "n3"}, 1);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void one_way_silence_of_the_leader() {
-    Begun world(five_of_five());
+void leader_that_cannot_send_is_replaced() {
+    ReadyWorld world(five_voters());
     const int old = world.leader();
-    world.ordered({"s0", "s1", "s2", "s3"});
-    world.cut({old}, false); // it hears, and is not heard
+    world.add_jobs({"s0", "s1", "s2", "s3"});
+    world.cut({old}, false); // it receives but cannot send
     assert(world.until([&] { return world.leader() >= 0 && world.leader() != old; }, 40 * kS));
     world.pass(10 * kS);
     world.heal();
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void all_restarted_in_the_middle_of_a_turn() {
-    Begun world;
+void jobs_finish_after_a_restart_of_all_nodes() {
+    ReadyWorld world;
     world.machine("s0").works_for = 10 * kS;
-    world.ordered({"s0", "s1", "s2"});
-    assert(world.comes_to("s0", JobState::kOut));
+    world.add_jobs({"s0", "s1", "s2"});
+    assert(world.reaches("s0", JobState::kOut));
     for (int i = 0; i < 5; ++i) world.kill(i), world.front(i).failed = true;
     world.pass(kS);
     for (int i = 0; i < 5; ++i) world.front(i).failed = false, world.start(i);
     assert(world.until([&] { return world.evening().job("s0") != nullptr; }, 60 * kS));
-    assert(world.ends() && world.kept() && world.counts().turns_done >= 3);
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done >= 3);
 }
 
-void a_stopped_evening_outlives_a_restart() {
-    Begun world;
+void hold_survives_a_restart_of_all_nodes() {
+    ReadyWorld world;
     world.machine("s0").never_back = true;
-    world.ordered({"s0", "s1", "s2"});
-    assert(world.until([&] { return world.evening().held(); }, 120 * kS)); // it does not come back: stop
+    world.add_jobs({"s0", "s1", "s2"});
+    assert(world.until([&] { return world.evening().held(); }, 120 * kS)); // the machine does not come back
     for (int i = 0; i < 5; ++i) world.kill(i), world.front(i).failed = true;
     for (int i = 0; i < 5; ++i) world.front(i).failed = false, world.start(i);
     assert(world.until([&] { return world.leader() >= 0 && world.evening().job("s0") != nullptr; }, 60 * kS));
     assert(world.evening().held() && world.evening().hold_reason().find("s0") != std::string::npos);
     world.machine("s0").never_back = false;
     world.ask(1, {{"request", "on"}, {"verb", "resume"}});
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void one_with_a_lost_disk_votes_only_under_a_new_seat() {
-    Begun world;
-    world.ordered({"s0", "s1"});
-    assert(world.ends());
+void node_with_a_lost_disk_votes_under_a_new_identity() {
+    ReadyWorld world;
+    world.add_jobs({"s0", "s1"});
+    assert(world.all_jobs_end());
     world.kill(0);
     world.start(0, EveningWorld::Disk::kLost);
-    const auto seated = [&] {
-        const int led = world.leader();
-        return led >= 0 && world.front(0).warden->consensus() != nullptr &&
+    const auto votes_again = [&] {
+        const int leader_index = world.leader();
+        return leader_index >= 0 && world.front(0).warden->consensus() != nullptr &&
                world.front(0).warden->consensus()->incarnation().identity != 0 &&
-               world.front(led).warden->consensus()->voters().contains("n0") &&
-               world.front(led).warden->consensus()->votes_as(
-                   "n0", world.front(0).warden->consensus()->incarnation());
+               world.front(leader_index).warden->consensus()->voters().contains("n0") &&
+               world.front(leader_index)
+                   .warden->consensus()
+                   ->votes_as("n0", world.front(0).warden->consensus()->incarnation());
     };
-    assert(world.until(seated, 120 * kS));
-    world.ordered({"s2", "s3"}, 0);
-    assert(world.ends() && world.kept());
+    assert(world.until(votes_again, 120 * kS));
+    world.add_jobs({"s2", "s3"}, 0);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void one_with_an_old_disk_is_known_for_it() {
-    Begun world;
+void node_with_a_restored_disk_is_detected() {
+    ReadyWorld world;
     world.keep_copy(0);
-    world.ordered({"s0", "s1"}); // it tells the others more than its copy holds
-    assert(world.ends());
+    world.add_jobs({"s0", "s1"}); // its peers know more than its copy holds
+    assert(world.all_jobs_end());
     world.kill(0);
     world.start(0, EveningWorld::Disk::kOld);
     assert(world.until([&] { return world.front(0).warden->consensus()->incarnation().identity != 0; },
                        60 * kS));
-    world.ordered({"s2"}, 1);
-    assert(world.ends() && world.kept());
+    world.add_jobs({"s2"}, 1);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void a_full_disk_takes_no_part_until_there_is_room() {
-    Begun world;
+void node_with_a_full_disk_does_not_participate() {
+    ReadyWorld world;
     world.front(0).ledger->disk_full = true;
-    world.ordered({"s0", "s1"}, 1);
-    assert(world.ends());
+    world.add_jobs({"s0", "s1"}, 1);
+    assert(world.all_jobs_end());
     const ConsensusNode& node = *world.front(0).warden->consensus();
     assert(node.phase() == ConsensusPhase::kUnavailable ||
            node.schedule().applied_commands() < world.evening().applied_commands());
     world.front(0).ledger->disk_full = false;
     assert(world.until(
         [&] { return node.schedule().applied_commands() == world.evening().applied_commands(); }, 60 * kS));
-    assert(world.kept());
+    assert(world.rules_hold());
 }
 
-void one_without_a_disk_is_told() {
+void node_without_a_store_receives_the_schedule() {
     WorldPlan plan;
     plan.candidates = 3;
-    Begun world(plan);
-    world.ordered({"s0"}, 4); // it votes nowhere, and takes an order
-    assert(world.ends());
+    ReadyWorld world(plan);
+    world.add_jobs({"s0"}, 4); // not a voter, but it accepts requests
+    assert(world.all_jobs_end());
     assert(world.front(4).warden->consensus() == nullptr);
     assert(world.until(
         [&] {
@@ -340,40 +343,40 @@
                    world.front(4).warden->schedule().job("s0")->state == JobState::kDone;
         },
         20 * kS));
-    const auto told = world.front(4).warden->answer_query({{"verb", "show"}});
-    assert(told["turns"].size() == 1 && told["age_ms"].get<std::int64_t>() < 10'000);
+    const auto reply = world.front(4).warden->answer_query({{"verb", "show"}});
+    assert(reply["turns"].size() == 1 && reply["age_ms"].get<std::int64_t>() < 10'000);
 }
 
-void another_holder_dies_while_one_is_out() {
-    Begun world;
+void job_is_recalled_when_another_replica_fails() {
+    ReadyWorld world;
     world.machine("s0").works_for = 25 * kS;
-    world.ordered({"s0", "s1", "s2", "s3"});
+    world.add_jobs({"s0", "s1", "s2", "s3"});
     assert(world.until([&] { return world.evening().job("s0")->state == JobState::kOut; }, 120 * kS));
-    std::string other; // holds what s0 holds
+    std::string other; // holds the same shards as s0
     for (const auto& [name, machine] : world.machines())
         if (name != "s0" && machine.facts.shards == world.machine("s0").facts.shards) other = name;
     world.kill_machine(other);
     assert(world.until([&] { return world.evening().job("s0")->recalled; }, 30 * kS));
     const std::size_t done = world.counts().turns_done;
-    assert(world.comes_to("s0", JobState::kProposed, 120 * kS)); // back, to come again later
+    assert(world.reaches("s0", JobState::kProposed, 120 * kS)); // rolled back, to be retried later
     assert(world.machine("s0").serves() && world.counts().turns_done <= done + 3);
     world.revive_machine(other);
     world.machine("s0").works_for = 2 * kS;
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void withdrawn_during_its_own_drain() {
-    Begun world;
+void job_is_withdrawn_while_draining() {
+    ReadyWorld world;
     world.machine("s0").drains_for = 15 * kS;
-    world.ordered({"s0", "s1"});
-    assert(world.comes_to("s0", JobState::kDraining));
+    world.add_jobs({"s0", "s1"});
+    assert(world.reaches("s0", JobState::kDraining));
     world.ask(2, {{"request", "w"}, {"verb", "withdraw"}, {"machine", "s0"}});
-    assert(world.comes_to("s0", JobState::kGivenUp) && world.machine("s0").is == HallMachine::Is::kServing);
-    assert(world.ends() && world.kept() && world.counts().turns_done == 1);
+    assert(world.reaches("s0", JobState::kGivenUp) && world.machine("s0").is == HallMachine::Is::kServing);
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done == 1);
 }
 
-void two_operators_on_both_sides_of_a_cut() {
-    Begun world(five_of_five());
+void requests_on_both_sides_of_a_partition() {
+    ReadyWorld world(five_voters());
     world.cut({0, 1});
     world.pass(10 * kS);
     world.order(0, {"s0", "s1"}, "minority"), world.order(3, {"s1", "s2"}, "majority");
@@ -381,35 +384,34 @@
         [&] { return world.answers.contains("minority") && world.answers.contains("majority"); }, 40 * kS));
     assert(!world.answers["minority"].first && world.answers["majority"].first);
     world.heal();
-    assert(world.ends() && world.kept() && world.evening().job("s0") == nullptr);
+    assert(world.all_jobs_end() && world.rules_hold() && world.evening().job("s0") == nullptr);
 }
 
-void keepers_answer_twice_late_or_never() {
+void controllers_answer_twice_late_or_never() {
     for (int how = 0; how < 3; ++how) {
-        Begun world;
+        ReadyWorld world;
         world.answers_as = [how](const std::string& machine) -> std::vector<Tenths> {
             if (how == 0) return {10, 10, 300};
-            if (how == 1) return {kS * 9 / 10}; // an act's span is a second
+            if (how == 1) return {kS * 9 / 10}; // the timeout of an action is one second
             return machine == "s0" ? std::vector<Tenths>{} : std::vector<Tenths>{10};
         };
-        world.ordered({"s0", "s1"});
+        world.add_jobs({"s0", "s1"});
         if (how == 2) {
-            assert(world.until([&] { return world.evening().held(); }, 100 * kS)); // the operator is wanted
+            assert(world.until([&] { return world.evening().held(); }, 100 * kS)); // waits for the operator
             world.answers_as = {};
             world.ask(0, {{"request", "on"}, {"verb", "resume"}});
         }
-        assert(world.ends() && world.kept());
+        assert(world.all_jobs_end() && world.rules_hold());
     }
 }
 
-void an_answer_for_another_machine_is_no_answer() {
+void unexpected_controller_answers_are_dropped() {
     Executor executor({"n0", {}, {}});
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n0", {0}, {}, 0}).accepted);
     FleetObservation observed;
     ExecutorOutput output = executor.run(kS, schedule, observed);
-    assert(output.actions.empty() &&
-           output.commands.size() == 1); // nothing before the grant is known to be held
+    assert(output.actions.empty() && output.commands.size() == 1); // no action before the lease is confirmed
     assert(schedule.apply(output.commands[0]).accepted);
     output = executor.run(kS + 1, schedule, observed);
     assert(output.actions.size() == 1 && output.actions[0].action == MachineAction::kQueryState &&
@@ -418,15 +420,15 @@
     executor.on_status(kS + 2, output.actions[0].serial + 7, "s0", MachineStatus::kDrained);
     assert(executor.counts().unmatched_replies == 2);
     executor.on_status(kS + 3, output.actions[0].serial, "s0", MachineStatus::kServing);
-    executor.on_status(kS + 3, output.actions[0].serial, "s0", MachineStatus::kDrained); // again
+    executor.on_status(kS + 3, output.actions[0].serial, "s0", MachineStatus::kDrained); // duplicate
     assert(executor.counts().unmatched_replies == 3);
     output = executor.run(kS + 4 * kS, schedule, observed);
     assert(output.actions.size() == 1 && output.actions[0].action == MachineAction::kDrain);
-    assert(executor.run(kS + 11 * kS, schedule, observed).actions.empty()); // its grant has run out
+    assert(executor.run(kS + 11 * kS, schedule, observed).actions.empty()); // its lease has expired
 }
 
-// Its keeper is silent to it: it gives the turn back, and holds it no more from the moment that it says so.
-void what_is_given_back_is_not_held() {
+// A holder whose controller does not answer releases the lease and must not use it from then on.
+void released_lease_is_not_used() {
     Executor executor({"n0", {}, {}});
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n0", {0}, {}, 0}).accepted);
@@ -443,105 +445,105 @@
     assert(given);
 }
 
-void one_that_does_not_drain_is_put_back() {
-    Begun world;
+void machine_that_does_not_drain_is_rolled_back() {
+    ReadyWorld world;
     world.machine("s0").never_drains = true;
-    world.ordered({"s0", "s1"});
+    world.add_jobs({"s0", "s1"});
     assert(world.until([&] { return world.evening().job("s0")->setbacks > 0; }, 100 * kS));
     assert(world.machine("s0").is == HallMachine::Is::kServing);
-    assert(world.ends(600 * kS) && world.kept());
+    assert(world.all_jobs_end(600 * kS) && world.rules_hold());
     assert(world.state("s0") == JobState::kGivenUp && world.state("s1") == JobState::kDone);
 }
 
-void one_that_comes_back_broken_stops_the_evening() {
-    Begun world;
+void machine_that_comes_back_broken_holds_the_schedule() {
+    ReadyWorld world;
     world.machine("s0").back_broken = true;
-    world.ordered({"s0", "s3", "s4", "s5"});
+    world.add_jobs({"s0", "s3", "s4", "s5"});
     assert(world.until([&] { return world.evening().held(); }, 100 * kS));
     assert(world.evening().hold_reason().find("broken") != std::string::npos);
     const std::size_t done = world.counts().turns_done;
     world.pass(20 * kS);
-    assert(world.counts().turns_done <= done + 1); // what is out comes back, nothing more goes
+    assert(world.counts().turns_done <= done + 1); // machines that are out come back, no further one goes out
     world.revive_machine("s0");
     world.ask(0, {{"request", "on"}, {"verb", "resume"}});
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void a_leader_hands_over_before_its_own_turn() {
-    Begun world;
-    const std::string led = "n" + std::to_string(world.leader());
-    world.ordered({led}, world.leader());
-    assert(world.until([&] { return world.state(led) == JobState::kGranted; }, 60 * kS));
-    assert(world.leader() >= 0 && "n" + std::to_string(world.leader()) != led);
-    assert(world.ends() && world.kept());
+void leader_transfers_leadership_before_its_own_job() {
+    ReadyWorld world;
+    const std::string leader_index = "n" + std::to_string(world.leader());
+    world.add_jobs({leader_index}, world.leader());
+    assert(world.until([&] { return world.state(leader_index) == JobState::kGranted; }, 60 * kS));
+    assert(world.leader() >= 0 && "n" + std::to_string(world.leader()) != leader_index);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void a_voter_gone_for_long_gives_its_seat_to_another() {
-    Begun world;
+void voter_gone_for_long_is_replaced() {
+    ReadyWorld world;
     world.kill(1);
     world.front(1).failed = true;
     const auto replaced = [&] {
-        const int led = world.leader();
-        if (led < 0) return false;
-        const auto voters = world.front(led).warden->consensus()->voters();
+        const int leader_index = world.leader();
+        if (leader_index < 0) return false;
+        const auto voters = world.front(leader_index).warden->consensus()->voters();
         return !voters.contains("n1") && voters.size() == 3;
     };
     assert(world.until(replaced, 120 * kS));
-    world.ordered({"s0"}, world.leader());
-    assert(world.ends() && world.kept());
+    world.add_jobs({"s0"}, world.leader());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-// A fifth process bears the first one's name, with a ledger of its own.
-void two_with_one_name_do_no_harm() {
+// A fifth process has the name of the first one and a store of its own.
+void two_nodes_with_one_name_do_no_harm() {
     Planted planted;
     planted.terms = [](int front, MaintenanceSettings& settings) {
         settings.name = front == 4 ? "n0" : settings.name;
     };
     WorldPlan plan;
     plan.candidates = 4;
-    Begun world(plan, planted);
-    world.ordered({"s0", "s1", "s2"}, 1);
-    assert(world.ends() && world.kept());
+    ReadyWorld world(plan, planted);
+    world.add_jobs({"s0", "s1", "s2"}, 1);
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void a_site_is_lost_and_nothing_more_goes() {
-    Begun world;
-    world.ordered({"s0", "s1"});
+void no_machine_goes_out_while_a_zone_is_lost() {
+    ReadyWorld world;
+    world.add_jobs({"s0", "s1"});
     assert(world.until([&] { return world.count(JobState::kDone) > 0; }, 100 * kS));
     for (const auto& [name, machine] : world.machines())
         if (machine.facts.zone == "b") world.kill_machine(name);
     world.order(0, {"s0"}, "again");
     world.pass(20 * kS);
     assert(world.leader() >= 0);
-    const auto shown = world.front(world.leader()).warden->answer_query({{"verb", "show"}});
-    assert(shown.value("waits_for", "").find("zone b is lost") != std::string::npos);
-    assert(world.kept());
+    const auto reply_json = world.front(world.leader()).warden->answer_query({{"verb", "show"}});
+    assert(reply_json.value("waits_for", "").find("zone b is lost") != std::string::npos);
+    assert(world.rules_hold());
 }
 
-void a_hold_stands_until_it_is_lifted() {
-    Begun world;
+void hold_lasts_until_resume() {
+    ReadyWorld world;
     world.ask(0, {{"request", "h"}, {"verb", "hold"}, {"why", "the final is on"}});
     assert(world.until([&] { return world.evening().held(); }, 20 * kS));
-    world.ordered({"s0"});
+    world.add_jobs({"s0"});
     world.pass(20 * kS);
     assert(world.state("s0") == JobState::kProposed && world.machines_out().empty());
     world.ask(1, {{"request", "r"}, {"verb", "resume"}});
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void clocks_that_differ_as_is_assumed_do_no_harm() {
-    WorldPlan plan = five_of_five();
+void clock_error_within_the_assumption_does_no_harm() {
+    WorldPlan plan = five_voters();
     plan.clock_error = 0.02, plan.loss = 0.05, plan.doubled = 0.1;
-    Begun world(plan);
-    world.ordered({"s0", "s1", "s2", "s3", "s4"});
+    ReadyWorld world(plan);
+    world.add_jobs({"s0", "s1", "s2", "s3", "s4"});
     for (int i = 0; i < 5; ++i) {
         world.pass(3 * kS);
         world.stall(i, 6 * kS);
     }
-    assert(world.ends() && world.kept());
+    assert(world.all_jobs_end() && world.rules_hold());
 }
 
-void a_hundred_front_nodes() {
+void jobs_finish_with_100_front_nodes() {
     WorldPlan plan;
     plan.fronts = 100, plan.candidates = 7, plan.council = 5, plan.servers = 60, plan.shards = 20,
     plan.zones = 4;
@@ -553,68 +555,72 @@
     assert(world.until([&] { return world.all_over(); }, 120 * kS) && world.broken().empty());
 }
 
-// ---- schedules that once broke something
+// ---- fault schedules that have failed before
 
-void a_follower_tells_no_more_than_was_shown_to_be_the_same() { // libraft's empty AppendEntries
+void follower_acknowledges_only_matching_entries() { // see ConsensusNode::Raft::limit_acknowledged
     assert(lab::play(lab::draw_schedule(920)).broken.empty());
 }
-void an_old_ledger_does_not_vouch_for_itself() { assert(lab::play(lab::draw_schedule(624)).broken.empty()); }
-void a_transfer_to_one_that_is_silent_ends() { assert(lab::play(lab::draw_schedule(537)).broken.empty()); }
-void a_leader_just_started_surveys_nothing() { assert(lab::play(lab::draw_schedule(990)).broken.empty()); }
-void schedules_of_all_sorts() {
+void old_store_is_not_marked_verified() { assert(lab::play(lab::draw_schedule(624)).broken.empty()); }
+void leadership_transfer_to_a_silent_node_ends() {
+    assert(lab::play(lab::draw_schedule(537)).broken.empty());
+}
+void new_leader_does_not_shrink_the_fleet() { assert(lab::play(lab::draw_schedule(990)).broken.empty()); }
+void random_fault_schedules() {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
         assert(lab::play(lab::draw_schedule(seed)).broken.empty());
 }
 
-// ---- faults that are planted, and found by the checker
+// ---- planted faults, which the checker must find
 
-bool found(const Planted& planted, std::uint64_t from = 1, std::uint64_t most = 400) {
+bool fault_is_found(const Planted& planted, std::uint64_t from = 1, std::uint64_t most = 400) {
     for (std::uint64_t seed = from; seed < from + most; ++seed)
         if (!lab::play(lab::draw_schedule(seed), planted).broken.empty())
             return std::printf("found by schedule %llu\n", static_cast<unsigned long long>(seed)), true;
     return false;
 }
 
-struct Forgetful : InMemoryRaftStore {
-    bool term = false, vote = false, entries = false, incarnations = false, lies = false;
+struct FaultyStore : InMemoryRaftStore {
+    bool drop_term = false, drop_vote = false, drop_last_entry = false, drop_incarnations = false,
+         always_verified = false;
     void set_term(std::uint64_t value) override {
-        if (!term) InMemoryRaftStore::set_term(value);
+        if (!drop_term) InMemoryRaftStore::set_term(value);
     }
     void set_vote(std::uint64_t value) override {
-        if (!vote) InMemoryRaftStore::set_vote(value);
+        if (!drop_vote) InMemoryRaftStore::set_vote(value);
     }
-    void append(std::uint64_t first, const std::vector<LogEntry>& more) override {
-        InMemoryRaftStore::append(first, more);
-        if (entries && more.size() > 1) InMemoryRaftStore::truncate(first + more.size() - 1);
+    void append(std::uint64_t first, const std::vector<LogEntry>& added) override {
+        InMemoryRaftStore::append(first, added);
+        if (drop_last_entry && added.size() > 1) InMemoryRaftStore::truncate(first + added.size() - 1);
     }
     void record_incarnation(const std::string& name, VoterIncarnation incarnation) override {
-        if (!incarnations) InMemoryRaftStore::record_incarnation(name, incarnation);
+        if (!drop_incarnations) InMemoryRaftStore::record_incarnation(name, incarnation);
     }
-    bool is_verified() const override { return lies || InMemoryRaftStore::is_verified(); }
+    bool is_verified() const override { return always_verified || InMemoryRaftStore::is_verified(); }
 };
-template <class Set> Planted forgetful(Set set) {
+template <class Set> Planted with_store_fault(Set set) {
     Planted planted;
     planted.ledger = [set] {
-        auto made = std::make_shared<Forgetful>();
-        set(*made);
-        return made;
+        auto store = std::make_shared<FaultyStore>();
+        set(*store);
+        return store;
     };
     return planted;
 }
-template <class Set> Planted altered(Set set) {
+template <class Set> Planted with_settings(Set set) {
     Planted planted;
     planted.terms = [set](int front, MaintenanceSettings& settings) { set(front, settings); };
     return planted;
 }
 
-void planted_a_term_that_is_not_kept() {
-    assert(found(forgetful([](Forgetful& f) { f.term = true; }), 9));
+void planted_term_is_not_stored() {
+    assert(fault_is_found(with_store_fault([](FaultyStore& store) { store.drop_term = true; }), 9));
 }
-// Three voters by hand, so that a crash falls between two votes of one term: `leaders` of that term.
-struct Trio {
-    Trio(std::uint64_t first, bool keeps_votes) : seed(first) {
+// Three voters without a network, so that a crash can be placed between two votes of one term.
+struct ThreeVoters {
+    ThreeVoters(std::uint64_t first, bool keeps_votes) : seed(first) {
         for (std::size_t i = 0; i < 3; ++i) {
-            stores[i].vote = !keeps_votes, stores[i].lies = true; // nobody's word is needed after a crash
+            stores[i].drop_vote = !keeps_votes,
+            stores[i].always_verified = true; // no store check after a crash
             start(i);
         }
     }
@@ -624,35 +630,36 @@
         settings.seed = 3 * seed + i;
         nodes[i] = std::make_unique<ConsensusNode>(settings, stores[i], now);
     }
-    struct Post {
+    struct HeldMessage {
         std::size_t from, to;
         std::string bytes;
     };
-    // What the three have written, but what `holds` keeps back, until nobody writes any more.
+    // Delivers all messages, except those held back, until no more are sent.
     void deliver() {
         for (bool moved = true; moved;) {
             moved = false;
             for (std::size_t i = 0; i < 3; ++i)
                 for (const ConsensusMessage& message : nodes[i]->take_messages()) {
                     const auto to = static_cast<std::size_t>(message.to[1] - '0');
-                    if (!open[i][to] || (votes_only && !wanted(i, message.bytes))) continue;
+                    if (!open[i][to] || (votes_only && !may_pass(i, message.bytes))) continue;
                     moved = true;
-                    if (is_vote(message.bytes) && i == held_from)
-                        held.push_back({i, to, message.bytes});
+                    if (is_real_vote_request(message.bytes) && i == held_sender)
+                        held_messages.push_back({i, to, message.bytes});
                     else
                         nodes[to]->receive(now, names[i], message.bytes);
                 }
         }
     }
-    static bool asks(const std::string& bytes) { // for a vote, or whether it would get one
-        return nlohmann::json::from_cbor(bytes)[0] == nlohmann::json(kVoteAsked);
+    static bool is_vote_request(const std::string& bytes) { // vote or pre-vote
+        return nlohmann::json::from_cbor(bytes)[0] == nlohmann::json(kVoteRequest);
     }
-    // n1 stands for nothing itself, and hears nothing from a leader before it crashes.
-    static bool wanted(std::size_t from, const std::string& bytes) {
-        return from == 1 ? !asks(bytes) : nlohmann::json::from_cbor(bytes)[0] != nlohmann::json(kEntries);
+    // n1 must neither stand for election nor receive entries from a leader before it crashes.
+    static bool may_pass(std::size_t from, const std::string& bytes) {
+        return from == 1 ? !is_vote_request(bytes)
+                         : nlohmann::json::from_cbor(bytes)[0] != nlohmann::json(kEntries);
     }
-    static bool is_vote(const std::string& bytes) {
-        return asks(bytes) && nlohmann::json::from_cbor(bytes)[7] == false;
+    static bool is_real_vote_request(const std::string& bytes) {
+        return is_vote_request(bytes) && nlohmann::json::from_cbor(bytes)[7] == false;
     }
     bool until(const std::function<bool()>& holds) {
         for (const Tenths end = now + 30 * kS; now < end && !holds(); now += kS / 100) {
@@ -661,132 +668,137 @@
         }
         return holds();
     }
-    static constexpr int kEntries = 1, kVoteAsked = 3; // the library's words
+    static constexpr int kEntries = 1, kVoteRequest = 3; // message types of libraft
     std::uint64_t seed;
     std::vector<std::string> names{"n0", "n1", "n2"};
-    std::array<Forgetful, 3> stores;
+    std::array<FaultyStore, 3> stores;
     std::array<std::unique_ptr<ConsensusNode>, 3> nodes;
     std::array<std::array<bool, 3>, 3> open{{{true, true, true}, {true, true, true}, {true, true, true}}};
-    std::size_t held_from = 3; // nobody
+    std::size_t held_sender = 3; // none
     bool votes_only = false;
-    std::vector<Post> held;
+    std::vector<HeldMessage> held_messages;
     Tenths now = 100 * kS;
 };
 
-// n2 asks for n1's vote and its letter is long on its way; n0 is given that vote and leads; n1 crashes, and
-// the letter comes. How many lead in that term; 0: chance had it otherwise.
-std::size_t leaders_of_one_term(std::uint64_t seed, bool keeps_votes) {
-    Trio trio(seed, keeps_votes);
-    const auto leads = [&](std::size_t i) { return trio.nodes[i]->is_leader(); };
-    assert(trio.until([&] { return leads(0) || leads(1) || leads(2); }));
-    for (auto& row : trio.open) row = {};
-    assert(trio.until([&] { return !leads(0) && !leads(1) && !leads(2); })); // each by itself
-    trio.open[1][2] = trio.open[2][1] = trio.votes_only = true, trio.held_from = 2;
-    if (!trio.until([&] { return !trio.held.empty() || leads(1); }) || leads(1)) return 0;
-    const Trio::Post late = trio.held.front();
-    const std::uint64_t term = trio.nodes[2]->term();
-    trio.open[1][2] = trio.open[2][1] = false;
-    trio.open[0][1] = trio.open[1][0] = true;
-    if (!trio.until([&] { return leads(0) || leads(1); }) || !leads(0)) return 0;
-    if (trio.nodes[0]->term() != term || trio.nodes[2]->term() != term) return 0;
-    trio.start(1);
-    trio.nodes[1]->step(trio.now);
-    trio.nodes[1]->receive(trio.now, "n2", late.bytes);
-    for (const ConsensusMessage& message : trio.nodes[1]->take_messages())
-        if (message.to == "n2") trio.nodes[2]->receive(trio.now, "n1", message.bytes);
-    return (leads(0) ? 1U : 0U) + (leads(2) && trio.nodes[2]->term() == term ? 1U : 0U);
-}
-
-void planted_a_vote_that_is_not_kept() {
+// n2's vote request to n1 is delayed; n0 gets that vote and leads; n1 crashes, and then the request arrives.
+// Returns the number of leaders in that term, or 0 if the random timeouts led to another course.
+std::size_t count_leaders_of_one_term(std::uint64_t seed, bool keeps_votes) {
+    ThreeVoters voters(seed, keeps_votes);
+    const auto leads = [&](std::size_t i) { return voters.nodes[i]->is_leader(); };
+    assert(voters.until([&] { return leads(0) || leads(1) || leads(2); }));
+    for (auto& row : voters.open) row = {};
+    assert(voters.until([&] { return !leads(0) && !leads(1) && !leads(2); })); // all isolated
+    voters.open[1][2] = voters.open[2][1] = voters.votes_only = true, voters.held_sender = 2;
+    if (!voters.until([&] { return !voters.held_messages.empty() || leads(1); }) || leads(1)) return 0;
+    const ThreeVoters::HeldMessage late = voters.held_messages.front();
+    const std::uint64_t term = voters.nodes[2]->term();
+    voters.open[1][2] = voters.open[2][1] = false;
+    voters.open[0][1] = voters.open[1][0] = true;
+    if (!voters.until([&] { return leads(0) || leads(1); }) || !leads(0)) return 0;
+    if (voters.nodes[0]->term() != term || voters.nodes[2]->term() != term) return 0;
+    voters.start(1);
+    voters.nodes[1]->step(voters.now);
+    voters.nodes[1]->receive(voters.now, "n2", late.bytes);
+    for (const ConsensusMessage& message : voters.nodes[1]->take_messages())
+        if (message.to == "n2") voters.nodes[2]->receive(voters.now, "n1", message.bytes);
+    return (leads(0) ? 1U : 0U) + (leads(2) && voters.nodes[2]->term() == term ? 1U : 0U);
+}
+
+void planted_vote_is_not_stored() {
     int doubled = 0, single = 0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        doubled += leaders_of_one_term(seed, false) == 2 ? 1 : 0;
-        const std::size_t leaders = leaders_of_one_term(seed, true);
+        doubled += count_leaders_of_one_term(seed, false) == 2 ? 1 : 0;
+        const std::size_t leaders = count_leaders_of_one_term(seed, true);
         assert(leaders < 2);
         single += static_cast<int>(leaders);
     }
     assert(doubled > 0 && single > 0);
 }
 
-void planted_an_entry_that_is_not_kept() {
-    assert(found(forgetful([](Forgetful& f) { f.entries = true; })));
+void planted_entry_is_not_stored() {
+    assert(fault_is_found(with_store_fault([](FaultyStore& store) { store.drop_last_entry = true; })));
 }
-void planted_a_witness_that_lies() {
-    assert(found(forgetful([](Forgetful& f) { f.lies = true; }), 285));
+void planted_store_is_always_verified() {
+    assert(fault_is_found(with_store_fault([](FaultyStore& store) { store.always_verified = true; }), 285));
 }
-void planted_a_floor_that_is_ignored() {
-    assert(found(
-        altered([](int, MaintenanceSettings& t) { t.limits.min_replicas = 1, t.limits.shard_share = 1; })));
+void planted_min_replicas_too_low() {
+    assert(fault_is_found(with_settings([](int, MaintenanceSettings& settings) {
+        settings.limits.min_replicas = 1, settings.limits.shard_share = 1;
+    })));
 }
-void planted_a_council_that_goes_out() {
-    assert(found(altered([](int front, MaintenanceSettings& t) {
-        t.limits.front_share = 1;
-        if (front < 3) t.candidates.resize(1), t.voter_count = 1; // each believes that it is one alone
+void planted_majority_goes_out() {
+    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+        settings.limits.front_share = 1;
+        if (front < 3)
+            settings.candidates.resize(1), settings.voter_count = 1; // each is configured as the only voter
     })));
 }
-void planted_two_councils() {
-    assert(found(altered([](int front, MaintenanceSettings& t) {
-        if (front == 0) t.candidates.resize(1), t.voter_count = 1;
+void planted_two_consensus_groups() {
+    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+        if (front == 0) settings.candidates.resize(1), settings.voter_count = 1;
     })));
 }
-void planted_grants_that_outlast_the_leaders_patience() {
-    assert(found(altered([](int, MaintenanceSettings& t) { t.timing.clock_error = -0.4; })));
+void planted_leases_outlast_the_expiry_wait() {
+    assert(fault_is_found(
+        with_settings([](int, MaintenanceSettings& settings) { settings.timing.clock_error = -0.4; })));
 }
-void planted_one_that_counts_its_grant_too_long() {
-    assert(
-        found(altered([](int front, MaintenanceSettings& t) { t.timing.lease *= front == 1 ? 4 : 1; }), 19));
+void planted_holder_counts_its_lease_too_long() {
+    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+                              settings.timing.lease *= front == 1 ? 4 : 1;
+                          }),
+                          19));
 }
-void planted_keepers_that_take_older_numbers() {
+void planted_controllers_accept_old_tokens() {
     Planted planted;
     planted.careless_keepers = true;
-    bool caught = false; // an act that has been long on its way comes after another holder's
+    bool old_token_accepted = false; // a delayed action arrives after one of a later holder
     HallMachine machine;
     machine.checks_fence = false;
     machine.act(1, MachineAction::kDrain, {7});
-    caught = machine.act(2, MachineAction::kBringBack, {3}) != MachineStatus::kRefused;
+    old_token_accepted = machine.act(2, MachineAction::kBringBack, {3}) != MachineStatus::kRefused;
     HallMachine careful;
     careful.act(1, MachineAction::kDrain, {7});
-    assert(caught && careful.act(2, MachineAction::kBringBack, {3}) == MachineStatus::kRefused &&
+    assert(old_token_accepted && careful.act(2, MachineAction::kBringBack, {3}) == MachineStatus::kRefused &&
            careful.is != HallMachine::Is::kServing);
 }
-void planted_a_machine_that_two_keep_apart() { // one node surveys another fleet: it knows of no shards
-    Planted planted = altered([](int front, MaintenanceSettings& t) {
+void planted_node_without_limits() { // one node is configured without limits
+    Planted planted = with_settings([](int front, MaintenanceSettings& settings) {
         if (front == 0)
-            t.limits.min_replicas = 0, t.limits.shard_share = 1, t.limits.fleet_share = 1,
-            t.limits.zone_share = 1;
+            settings.limits.min_replicas = 0, settings.limits.shard_share = 1,
+            settings.limits.fleet_share = 1, settings.limits.zone_share = 1;
     });
-    assert(found(planted));
+    assert(fault_is_found(planted));
 }
 
-// ---- parcels
+// ---- fragments
 
-void pieces_that_are_lost_are_asked_for() {
+void lost_fragments_are_requested_again() {
     membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     std::string large(50'000, 'x');
     for (std::size_t i = 0; i < large.size(); ++i) large[i] = static_cast<char>(i * 7);
     assert(a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, large));
-    Pcg chance(3);
-    std::optional<PeerMessage> got;
-    for (Tenths now = kS; now < 4 * kS && !got; now += kS / 20) {
+    Pcg random(3);
+    std::optional<PeerMessage> received;
+    for (Tenths now = kS; now < 4 * kS && !received; now += kS / 20) {
         for (const OutboundDatagram& sealed : a.take_datagrams())
-            if (chance.unit() > 0.3)
-                if (auto message = b.receive(now, sealed.bytes)) got = message;
+            if (random.unit() > 0.3)
+                if (auto message = b.receive(now, sealed.bytes)) received = message;
         b.step(now);
         for (const OutboundDatagram& sealed : b.take_datagrams())
-            if (chance.unit() > 0.3) a.receive(now, sealed.bytes);
+            if (random.unit() > 0.3) a.receive(now, sealed.bytes);
     }
-    assert(got && got->bytes == large && got->from == "a" && b.counts().resend_requests > 0 &&
+    assert(received && received->bytes == large && received->from == "a" && b.counts().resend_requests > 0 &&
            b.incomplete() == 0);
     assert(!a.send(kS, "x", MessageKind::kConsensus, std::string(1'000'000, 'x')));
 }
 
-void room_for_pieces_has_a_bound() {
+void memory_for_fragments_is_bounded() {
     membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
     FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
     for (int i = 0; i < 500; ++i) {
         a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, std::string(3'000, 'x'));
-        b.receive(kS, a.take_datagrams().front().bytes); // only the first piece of each
+        b.receive(kS, a.take_datagrams().front().bytes); // only the first fragment of each
     }
     assert(b.incomplete() <= FragmentTransport::kMaxIncomplete);
     b.step(10 * kS);
@@ -794,7 +806,7 @@
     assert(!b.receive(kS, "a stranger's bytes") && seal.counts().unauthenticated == 1);
 }
 
-void a_flood_is_dropped_unread() {
+void flood_is_dropped_unread() {
     MaintenanceSettings settings;
     settings.name = "n0", settings.address = "10.0.0.1:7",
     settings.secret = "the secret of a story, thirty-two bytes or more";
@@ -804,20 +816,20 @@
     assert(node.take_effects().empty());
 }
 
-// ---- ledgers on a disk
+// ---- stores on disk
 
-struct Folder {
-    Folder() {
+struct TemporaryFolder {
+    TemporaryFolder() {
         std::string form = (std::filesystem::temp_directory_path() / "ivyrill-ledger-XXXXXX").string();
         assert(mkdtemp(form.data()) != nullptr);
         path = form;
     }
-    ~Folder() { std::filesystem::remove_all(path); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path); }
     std::string path;
 };
 
-void a_ledger_holds_what_it_was_told() {
-    const Folder folder;
+void store_returns_what_was_written() {
+    const TemporaryFolder folder;
     {
         raft_storage::SqliteRaftStore store(folder.path + "/l.db");
         store.set_term(3), store.set_vote(7), store.set_incarnation({2, 99, 0}),
@@ -826,7 +838,7 @@
         store.truncate(3), store.append(3, {{4, 1, "three"}, {4, 1, "four"}});
         store.set_voters({"n0", "n2"});
         store.put_snapshot({2, 3, 1, "voters", "state"}, 1);
-        bool second = false; // two processes on one ledger would each believe that it is theirs
+        bool second = false; // two processes must not use one store
         try {
             raft_storage::SqliteRaftStore other(folder.path + "/l.db");
         } catch (const RaftStoreError&) { second = true; }
@@ -842,36 +854,37 @@
     assert(store.voters() == std::vector<std::string>({"n0", "n2"}));
 }
 
-void a_ledger_whose_writer_dies_is_whole() {
-    const Folder folder;
+void store_is_consistent_after_its_writer_dies() {
+    const TemporaryFolder folder;
     for (int round = 0; round < 5; ++round) {
-        int ends[2];
-        assert(pipe(ends) == 0);
+        int pipe_ends[2];
+        assert(pipe(pipe_ends) == 0);
         const pid_t writer = fork();
         if (writer == 0) {
             raft_storage::SqliteRaftStore store(folder.path + "/l.db");
             std::uint64_t next = store.load().entries.size() + 1;
             for (;; ++next) {
                 store.append(next, {{next, 1, std::string(2000, 'x')}});
-                if (write(ends[1], &next, sizeof next) < 0) _exit(1);
+                if (write(pipe_ends[1], &next, sizeof next) < 0) _exit(1);
             }
         }
-        std::uint64_t told = 0;
-        for (int i = 0; i < 10 + round; ++i) assert(read(ends[0], &told, sizeof told) == sizeof told);
+        std::uint64_t reply = 0;
+        for (int i = 0; i < 10 + round; ++i) assert(read(pipe_ends[0], &reply, sizeof reply) == sizeof reply);
         kill(writer, SIGKILL);
         waitpid(writer, nullptr, 0);
-        close(ends[1]);
-        while (read(ends[0], &told, sizeof told) == sizeof told) {}
-        close(ends[0]);
+        close(pipe_ends[1]);
+        while (read(pipe_ends[0], &reply, sizeof reply) == sizeof reply) {}
+        close(pipe_ends[0]);
         raft_storage::SqliteRaftStore store(folder.path + "/l.db");
         const StoredState stored = store.load();
-        assert(stored.entries.size() >= told && stored.entries.size() <= told + 1); // what was said is there
+        assert(stored.entries.size() >= reply &&
+               stored.entries.size() <= reply + 1); // all acknowledged entries are there
         for (std::size_t i = 0; i < stored.entries.size(); ++i) assert(stored.entries[i].term == i + 1);
     }
 }
 
-void a_full_ledger_says_so_and_stays_whole() {
-    const Folder folder;
+void full_store_throws_and_stays_consistent() {
+    const TemporaryFolder folder;
     std::size_t written = 0;
     {
         raft_storage::SqliteRaftStore store(folder.path + "/l.db", {}, 40);
@@ -885,10 +898,10 @@
     assert(store.load().entries.size() == written + 1);
 }
 
-void a_witness_tells_a_copy_from_the_ledger() {
-    const Folder folder;
+void witness_detects_a_restored_copy() {
+    const TemporaryFolder folder;
     const std::string file = folder.path + "/l.db", witness = folder.path + "/witness";
-    { // new: nothing vouches, until others have
+    { // a new store is unverified until it is marked
         raft_storage::SqliteRaftStore store(file, witness);
         assert(!store.is_verified());
         store.set_term(1), store.mark_verified(), store.set_term(2);
@@ -904,14 +917,14 @@
     {
         raft_storage::SqliteRaftStore store(file, witness);
         assert(!store.is_verified());
-        store.set_term(4); // and what it writes does not make it so
+        store.set_term(4); // its own writes do not make it verified
     }
     raft_storage::SqliteRaftStore store(file, witness);
     assert(!store.is_verified());
 }
 
-void a_spoilt_ledger_is_not_used() {
-    const Folder folder;
+void corrupt_store_is_rejected() {
+    const TemporaryFolder folder;
     { raft_storage::SqliteRaftStore store(folder.path + "/l.db"); }
     {
         std::FILE* file = std::fopen((folder.path + "/l.db").c_str(), "r+");
@@ -926,79 +939,79 @@
     assert(refused);
 }
 
-void an_evening_is_drawn_from_its_log() {
+void chart_is_rendered_from_a_log() {
     std::istringstream log(
         "x info turn machine=\"s<0\" state=\"draining\" holder=\"n1\" fence=\"1\" at_ms=\"1000\" why=\"\"\n"
         "nothing of ours\n"
         "x info turn machine=\"s<0\" state=\"out\" holder=\"n1\" fence=\"1\" at_ms=\"2000\" why=\"\"\n"
         "x info turn machine=\"s<0\" state=\"done\" holder=\"-\" fence=\"1\" at_ms=\"4000\" why=\"\"\n");
-    const std::string drawn = render_chart(log);
-    assert(drawn.starts_with("<svg") && drawn.find("s&lt;0 out by n1") != std::string::npos);
-    assert(drawn.find("3 s</text>") != std::string::npos);
+    const std::string svg = render_chart(log);
+    assert(svg.starts_with("<svg") && svg.find("s&lt;0 out by n1") != std::string::npos);
+    assert(svg.find("3 s</text>") != std::string::npos);
 }
 
 const Test kTests[] = {
-    TEST(floor_is_kept_whoever_grants),
-    TEST(a_grant_that_came_second_is_void),
-    TEST(a_request_heard_twice_is_done_once),
-    TEST(council_keeps_its_majority),
-    TEST(what_is_agreed_outlives_its_bytes),
-    TEST(a_machine_that_is_out_stays_one_in_any_survey),
-    TEST(most_constrained_go_first_and_no_order_is_much_shorter),
-    TEST(a_plan_says_what_can_never_go),
-    TEST(an_evening_goes_by_itself),
-    TEST(a_holder_that_stalls_past_its_grant_wakes_to_another_holder),
-    TEST(a_leader_cut_off_gives_nothing_out),
-    TEST(five_cut_into_two_and_three),
-    TEST(without_a_majority_nobody_goes_out),
-    TEST(every_second_datagram_of_a_link_is_lost),
-    TEST(one_way_silence_of_the_leader),
-    TEST(all_restarted_in_the_middle_of_a_turn),
-    TEST(a_stopped_evening_outlives_a_restart),
-    TEST(one_with_a_lost_disk_votes_only_under_a_new_seat),
-    TEST(one_with_an_old_disk_is_known_for_it),
-    TEST(a_full_disk_takes_no_part_until_there_is_room),
-    TEST(one_without_a_disk_is_told),
-    TEST(another_holder_dies_while_one_is_out),
-    TEST(withdrawn_during_its_own_drain),
-    TEST(two_operators_on_both_sides_of_a_cut),
-    TEST(keepers_answer_twice_late_or_never),
-    TEST(an_answer_for_another_machine_is_no_answer),
-    TEST(what_is_given_back_is_not_held),
-    TEST(one_that_does_not_drain_is_put_back),
-    TEST(one_that_comes_back_broken_stops_the_evening),
-    TEST(a_leader_hands_over_before_its_own_turn),
-    TEST(a_voter_gone_for_long_gives_its_seat_to_another),
-    TEST(two_with_one_name_do_no_harm),
-    TEST(a_site_is_lost_and_nothing_more_goes),
-    TEST(a_hold_stands_until_it_is_lifted),
-    TEST(clocks_that_differ_as_is_assumed_do_no_harm),
-    TEST(a_hundred_front_nodes),
-    TEST(a_follower_tells_no_more_than_was_shown_to_be_the_same),
-    TEST(an_old_ledger_does_not_vouch_for_itself),
-    TEST(a_transfer_to_one_that_is_silent_ends),
-    TEST(a_leader_just_started_surveys_nothing),
-    TEST(schedules_of_all_sorts),
-    TEST(planted_a_term_that_is_not_kept),
-    TEST(planted_a_vote_that_is_not_kept),
-    TEST(planted_an_entry_that_is_not_kept),
-    TEST(planted_a_witness_that_lies),
-    TEST(planted_a_floor_that_is_ignored),
-    TEST(planted_a_council_that_goes_out),
-    TEST(planted_two_councils),
-    TEST(planted_grants_that_outlast_the_leaders_patience),
-    TEST(planted_one_that_counts_its_grant_too_long),
-    TEST(planted_keepers_that_take_older_numbers),
-    TEST(planted_a_machine_that_two_keep_apart),
-    TEST(pieces_that_are_lost_are_asked_for),
-    TEST(room_for_pieces_has_a_bound),
-    TEST(a_flood_is_dropped_unread),
-    TEST(a_ledger_holds_what_it_was_told),
-    TEST(a_ledger_whose_writer_dies_is_whole),
-    TEST(a_full_ledger_says_so_and_stays_whole),
-    TEST(a_witness_tells_a_copy_from_the_ledger),
-    TEST(a_spoilt_ledger_is_not_used),
-    TEST(an_evening_is_drawn_from_its_log),
+    TEST(min_replicas_holds_for_every_granting_node),
+    TEST(second_grant_with_an_old_token_is_rejected),
+    TEST(duplicate_request_is_applied_once),
+    TEST(majority_of_voters_stays_in_service),
+    TEST(schedule_and_commands_survive_encoding),
+    TEST(machine_that_is_out_stays_in_the_fleet),
+    TEST(optimized_plan_is_close_to_the_optimum),
+    TEST(plan_lists_machines_that_can_never_go_out),
+    TEST(all_jobs_finish_without_faults),
+    TEST(stalled_holder_loses_its_lease_to_another_node),
+    TEST(isolated_leader_grants_nothing),
+    TEST(majority_side_of_a_partition_continues),
+    TEST(no_machine_goes_out_without_a_majority),
+    TEST(jobs_finish_with_half_of_the_datagrams_lost),
+    TEST(leader_that_cannot_send_is_replaced),
+    TEST(jobs_finish_after_a_restart_of_all_nodes),
+    TEST(hold_survives_a_restart_of_all_nodes),
+    TEST(node_with_a_lost_disk_votes_under_a_new_identity),
+    TEST(node_with_a_restored_disk_is_detected),
+    TEST(node_with_a_full_disk_does_not_participate),
+    TEST(node_without_a_store_receives_the_schedule),
+    TEST(job_is_recalled_when_another_replica_fails),
+    TEST(job_is_withdrawn_while_draining),
+    TEST(requests_on_both_sides_of_a_partition),
+    TEST(controllers_answer_twice_late_or_never),
+    TEST(unexpected_controller_answers_are_dropped),
+    TEST(released_lease_is_not_used),
+    TEST(machine_that_does_not_drain_is_rolled_back),
+    TEST(machine_that_comes_back_broken_holds_the_schedule),
+    TEST(leader_transfers_leadership_before_its_own_job),
+    TEST(voter_gone_for_long_is_replaced),
+    TEST(two_nodes_with_one_name_do_no_harm),
+    TEST(no_machine_goes_out_while_a_zone_is_lost),
+    TEST(hold_lasts_until_resume),
+    TEST(clock_error_within_the_assumption_does_no_harm),
+    TEST(jobs_finish_with_100_front_nodes),
+    TEST(follower_acknowledges_only_matching_entries),
+    TEST(old_store_is_not_marked_verified),
+    TEST(leadership_transfer_to_a_silent_node_ends),
+    TEST(new_leader_does_not_shrink_the_fleet),
+    TEST(random_fault_schedules),
+    TEST(planted_term_is_not_stored),
+    TEST(planted_vote_is_not_stored),
+    TEST(planted_entry_is_not_stored),
+    TEST(planted_store_is_always_verified),
+    TEST(planted_min_replicas_too_low),
+    TEST(planted_majority_goes_out),
+    TEST(planted_two_consensus_groups),
+    TEST(planted_leases_outlast_the_expiry_wait),
+    TEST(planted_holder_counts_its_lease_too_long),
+    TEST(planted_controllers_accept_old_tokens),
+    TEST(planted_node_without_limits),
+    TEST(lost_fragments_are_requested_again),
+    TEST(memory_for_fragments_is_bounded),
+    TEST(flood_is_dropped_unread),
+    TEST(store_returns_what_was_written),
+    TEST(store_is_consistent_after_its_writer_dies),
+    TEST(full_store_throws_and_stays_consistent),
+    TEST(witness_detects_a_restored_copy),
+    TEST(corrupt_store_is_rejected),
+    TEST(chart_is_rendered_from_a_log),
 };
 
 } // namespace
