--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -122,7 +122,7 @@
         while (!waiting.empty() && world.now() < at + 60 * kS) {
             world.pass(kS / 5);
             std::erase_if(waiting, [&](int i) {
-                if (world.front(i).warden->roster().state_of(name) != membership::MemberState::kFailed)
+                if (world.front(i).warden->member_list().state_of(name) != membership::MemberState::kFailed)
                     return false;
                 took.push_back(world.now() - at);
                 return true;
--- a/src/maintenance/consensus_node.cpp
+++ b/src/maintenance/consensus_node.cpp
@@ -617,7 +617,7 @@
     if (!is_leader()) was_leader_ = up_to_date_ = false;
 }
 
-Tenths ConsensusNode::next() const {
+Tenths ConsensusNode::next_step() const {
     if (incarnation_.number == 0) return open_at_;
     Tenths first = confirmed_by_.size() + 1 < settings_.candidates.size() ? store_check_at_
                                                                           : now_ + kTenthsPerSecond * 3600;
--- a/src/maintenance/consensus_node.hpp
+++ b/src/maintenance/consensus_node.hpp
@@ -51,7 +51,7 @@
 
     void receive(Tenths now, const std::string& from, std::string_view bytes);
     void step(Tenths now);
-    Tenths next() const; // when `step` has to be called next
+    Tenths next_step() const; // when `step` has to be called next
     std::vector<ConsensusMessage> take_messages();
 
     ConsensusPhase phase() const;
--- a/src/maintenance/executor.cpp
+++ b/src/maintenance/executor.cpp
@@ -37,7 +37,7 @@
     return found == executions_.end() ? 0 : found->second.lease_until;
 }
 
-Tenths Executor::next(Tenths now) const {
+Tenths Executor::next_step(Tenths now) const {
     Tenths first = now + settings_.timing.lease;
     for (const auto& [machine, execution] : executions_) {
         first = std::min(first, execution.confirm_at);
--- a/src/maintenance/executor.hpp
+++ b/src/maintenance/executor.hpp
@@ -71,7 +71,7 @@
     Tenths lease_until(const std::string& machine) const;
     // On shutdown: releases all leases, so that other holders can continue at once.
     std::vector<Command> release_leases(const MaintenanceSchedule& schedule);
-    Tenths next(Tenths now) const; // when `run` has to be called next
+    Tenths next_step(Tenths now) const; // when `run` has to be called next
     const ExecutorCounts& counts() const { return counts_; }
 
   private:
--- a/src/maintenance/fragment_transport.cpp
+++ b/src/maintenance/fragment_transport.cpp
@@ -38,7 +38,7 @@
     ++counts_.fragments;
     const Json row = Json::array({kVersion, static_cast<int>(kind), name_, address_, serial, fragment_index,
                                   fragment_count, binary(bytes)});
-    outgoing_.push_back({to, seal_.sign(codec::pack_cbor(row))});
+    outgoing_.push_back({to, datagram_codec_.sign(codec::pack_cbor(row))});
 }
 
 bool FragmentTransport::send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes) {
@@ -56,11 +56,11 @@
     return true;
 }
 
-std::optional<PeerMessage> FragmentTransport::receive(Tenths now, std::string_view sealed) {
-    const auto opened = seal_.verify(sealed);
-    if (!opened) return {};
+std::optional<PeerMessage> FragmentTransport::receive(Tenths now, std::string_view datagram) {
+    const auto verified = datagram_codec_.verify(datagram);
+    if (!verified) return {};
     try {
-        const Json row = Json::from_cbor(opened->begin(), opened->end());
+        const Json row = Json::from_cbor(verified->begin(), verified->end());
         if (!row.is_array() || row.size() != kFieldCount || row[0] != kVersion)
             throw std::out_of_range("unknown format version");
         const std::uint64_t kind = decode_count(row[1]), serial = decode_count(row[4]),
@@ -71,7 +71,7 @@
             payload.size() > kFragmentBytes)
             throw std::out_of_range("the fragment is malformed");
         PeerMessage message{static_cast<MessageKind>(kind), decode_name(row[2]), decode_name(row[3]), {}};
-        seal_.count_accepted();
+        datagram_codec_.count_accepted();
         const std::string bytes(payload.begin(), payload.end());
         if (message.kind == MessageKind::kResendRequest) {
             const Json wanted = Json::from_cbor(payload.begin(), payload.end());
@@ -115,7 +115,7 @@
         for (const std::string& fragment : incomplete.fragments) message.bytes += fragment;
         incomplete_.erase(found);
         return ++counts_.reassembled, message;
-    } catch (const std::exception&) { return seal_.count_malformed(), std::nullopt; }
+    } catch (const std::exception&) { return datagram_codec_.count_malformed(), std::nullopt; }
 }
 
 void FragmentTransport::step(Tenths now) {
@@ -137,7 +137,7 @@
     }
 }
 
-std::optional<Tenths> FragmentTransport::next() const {
+std::optional<Tenths> FragmentTransport::next_step() const {
     std::optional<Tenths> first;
     for (const auto& [key, incomplete] : incomplete_)
         first = first ? std::min(*first, incomplete.resend_at) : incomplete.resend_at;
--- a/src/maintenance/fragment_transport.hpp
+++ b/src/maintenance/fragment_transport.hpp
@@ -1,4 +1,4 @@
-// Messages of any size over datagrams: splits them into fragments, each sealed on its own, and reassembles
+// Messages of any size over datagrams: splits them into fragments, each signed on its own, and reassembles
 // them in bounded memory. Missing fragments are requested again by index. Free of I/O. Complete messages may
 // arrive twice, late or not at all; the callers handle that.
 #pragma once
@@ -45,17 +45,18 @@
     static constexpr Tenths kRetention = 5 * kTenthsPerSecond;
     static constexpr Tenths kResendAfter = kTenthsPerSecond / 20;
 
-    FragmentTransport(std::string name, std::string address, membership::DatagramCodec& seal,
+    FragmentTransport(std::string name, std::string address, membership::DatagramCodec& datagram_codec,
                       std::uint64_t first_serial)
-        : name_(std::move(name)), address_(std::move(address)), seal_(seal), serial_(first_serial) {}
+        : name_(std::move(name)), address_(std::move(address)), datagram_codec_(datagram_codec),
+          serial_(first_serial) {}
 
     // Returns false if the message is too large.
     bool send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes);
     // Tells a fragment from a membership datagram by its first byte.
     static bool is_fragment(std::string_view bytes);
-    std::optional<PeerMessage> receive(Tenths now, std::string_view bytes);
-    void step(Tenths now);              // requests missing fragments, drops expired messages
-    std::optional<Tenths> next() const; // when `step` has to be called next
+    std::optional<PeerMessage> receive(Tenths now, std::string_view datagram);
+    void step(Tenths now);                   // requests missing fragments, drops expired messages
+    std::optional<Tenths> next_step() const; // when `step` has to be called next
     std::vector<OutboundDatagram> take_datagrams() { return std::exchange(outgoing_, {}); }
     const FragmentCounts& counts() const { return counts_; }
     std::size_t incomplete() const { return incomplete_.size(); }
@@ -80,7 +81,7 @@
                        std::size_t fragment_index, std::size_t fragment_count, std::string_view bytes);
 
     std::string name_, address_;
-    membership::DatagramCodec& seal_;
+    membership::DatagramCodec& datagram_codec_;
     std::uint64_t serial_;
     std::map<std::pair<std::string, std::uint64_t>, Incomplete> incomplete_; // by sender address and serial
     std::deque<Retained> retained_; // sent messages of several fragments, kept for resend requests
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -23,18 +23,18 @@
 // A zone counts as lost if this share of its machines is gone outside of maintenance.
 constexpr double kLostZoneShare = 0.6;
 
-membership::MemberListOptions roster_settings(const MaintenanceSettings& settings) {
+membership::MemberListOptions member_list_options(const MaintenanceNodeSettings& settings) {
     membership::MemberListOptions result;
     result.name = settings.name, result.address = settings.address, result.peers = settings.peers;
     for (const Candidate& candidate : settings.candidates)
         if (std::ranges::find(result.peers, candidate.address) == result.peers.end())
             result.peers.push_back(candidate.address);
     result.incarnation = settings.incarnation, result.seed = settings.seed ^ 0x5eedULL;
-    result.probe_interval = settings.probe_gap, result.probe_timeout = settings.probe_gap / 5;
+    result.probe_interval = settings.probe_interval, result.probe_timeout = settings.probe_interval / 5;
     return result;
 }
 
-ConsensusSettings consensus_settings(const MaintenanceSettings& settings) {
+ConsensusSettings consensus_settings(const MaintenanceNodeSettings& settings) {
     ConsensusSettings result;
     result.name = settings.name, result.voter_count = settings.voter_count,
     result.heartbeat = settings.heartbeat;
@@ -43,7 +43,7 @@
     return result;
 }
 
-bool may_vote(const MaintenanceSettings& settings, const RaftStore* store) {
+bool may_vote(const MaintenanceNodeSettings& settings, const RaftStore* store) {
     return store != nullptr && std::ranges::find(settings.candidates, settings.name, &Candidate::name) !=
                                    settings.candidates.end();
 }
@@ -59,10 +59,11 @@
 
 } // namespace
 
-MaintenanceNode::MaintenanceNode(MaintenanceSettings settings, RaftStore* store, Tenths now, Tenths wall_time)
+MaintenanceNode::MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Tenths now,
+                                 Tenths wall_time)
     : settings_(std::move(settings)), now_(now), started_at_(now), wall_time_(wall_time),
-      seal_(settings_.secret), roster_(roster_settings(settings_), now),
-      transport_(settings_.name, settings_.address, seal_,
+      datagram_codec_(settings_.secret), member_list_(member_list_options(settings_), now),
+      transport_(settings_.name, settings_.address, datagram_codec_,
                  // A later process must not reuse the serials of this one.
                  (settings_.seed ^ static_cast<std::uint64_t>(wall_time) * 0x9e3779b97f4a7c15ULL) >> 16U),
       scheduler_({settings_.limits, settings_.timing, settings_.failure_policy, settings_.seed}),
@@ -98,7 +99,7 @@
 std::string MaintenanceNode::leader() const { return is_voter() ? consensus_->leader() : remote_leader_; }
 
 const std::string* MaintenanceNode::address_of(const std::string& name) const {
-    if (const std::string* known = roster_.address_of(name)) return known;
+    if (const std::string* known = member_list_.address_of(name)) return known;
     const auto found = std::ranges::find(settings_.candidates, name, &Candidate::name);
     return found == settings_.candidates.end() ? nullptr : &found->address;
 }
@@ -127,12 +128,13 @@
         !take_token(now_, peer_buckets_[from], settings_.max_datagrams_per_peer))
         return void(++counts_.rate_limited);
     if (!FragmentTransport::is_fragment(bytes)) {
-        if (const auto datagram = seal_.decode(bytes)) handle_roster_effects(roster_.receive(now_, *datagram));
+        if (const auto datagram = datagram_codec_.decode(bytes))
+            handle_member_list_effects(member_list_.receive(now_, *datagram));
         return;
     }
     if (const auto message = transport_.receive(now_, bytes)) dispatch(*message);
-    for (auto& sealed : transport_.take_datagrams())
-        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+    for (auto& datagram : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(datagram.address), std::move(datagram.bytes)});
 }
 
 void MaintenanceNode::dispatch(const PeerMessage& message) {
@@ -157,20 +159,20 @@
     }
 }
 
-void MaintenanceNode::handle_roster_effects(std::vector<membership::Effect> effects) {
+void MaintenanceNode::handle_member_list_effects(std::vector<membership::Effect> effects) {
     for (auto& effect : effects) {
         if (const auto* sent = std::get_if<membership::SendDatagram>(&effect)) {
-            if (auto bytes = seal_.encode(sent->datagram))
+            if (auto bytes = datagram_codec_.encode(sent->datagram))
                 effects_.emplace_back(SendDatagram{sent->address, std::move(*bytes)});
             continue;
         }
         const auto& changed = std::get<membership::MemberChanged>(effect);
-        static constexpr const char* kStandings[] = {"alive", "suspect", "failed", "left"};
+        static constexpr const char* kStateNames[] = {"alive", "suspect", "failed", "left"};
         log_event("member", {{"name", changed.name},
-                             {"standing", kStandings[static_cast<int>(changed.state)]},
+                             {"standing", kStateNames[static_cast<int>(changed.state)]},
                              {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present = roster_.present_count(); present != present_members_) {
+    if (const std::size_t present = member_list_.present_count(); present != present_members_) {
         present_members_ = present;
         effects_.emplace_back(MemberCount{present});
     }
@@ -196,8 +198,8 @@
 
 void MaintenanceNode::send_to(const std::string& address, MessageKind kind, const std::string& bytes) {
     transport_.send(now_, address, kind, bytes);
-    for (auto& sealed : transport_.take_datagrams())
-        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+    for (auto& datagram : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(datagram.address), std::move(datagram.bytes)});
 }
 
 void MaintenanceNode::send_consensus_messages() {
@@ -285,10 +287,10 @@
 
 void MaintenanceNode::step(Tenths now, Tenths wall_time) {
     now_ = std::max(now_, now), wall_time_ = wall_time;
-    if (now_ >= roster_.next_step()) handle_roster_effects(roster_.step(now_));
+    if (now_ >= member_list_.next_step()) handle_member_list_effects(member_list_.step(now_));
     transport_.step(now_);
     if (consensus_) {
-        if (now_ >= consensus_->next()) consensus_->step(now_);
+        if (now_ >= consensus_->next_step()) consensus_->step(now_);
         run_scheduler();
         send_consensus_messages();
     }
@@ -313,7 +315,7 @@
         }
         for (const std::string& notification : output.notifications)
             log_event("call", {{"why", notification}}, true);
-        executor_at_ = executor_.next(now_);
+        executor_at_ = executor_.next_step(now_);
         if (is_voter() && leaderless()) executor_at_ = std::min(executor_at_, now_ + settings_.timing.action);
     }
     for (auto next = pending_requests_.begin(); next != pending_requests_.end();) {
@@ -331,14 +333,15 @@
         }
         ++next;
     }
-    for (auto& sealed : transport_.take_datagrams())
-        effects_.emplace_back(SendDatagram{std::move(sealed.address), std::move(sealed.bytes)});
+    for (auto& datagram : transport_.take_datagrams())
+        effects_.emplace_back(SendDatagram{std::move(datagram.address), std::move(datagram.bytes)});
 }
 
-Tenths MaintenanceNode::next() const {
-    Tenths first = std::min(roster_.next_step(), transport_.next().value_or(now_ + kTenthsPerSecond));
+Tenths MaintenanceNode::next_step() const {
+    Tenths first =
+        std::min(member_list_.next_step(), transport_.next_step().value_or(now_ + kTenthsPerSecond));
     if (!settings_.candidates.empty()) first = std::min(first, executor_at_);
-    if (consensus_) first = std::min(first, consensus_->next());
+    if (consensus_) first = std::min(first, consensus_->next_step());
     if (consensus_ && consensus_->is_leader() && pending_proposals_ == 0)
         first = std::min(first, scheduler_at_);
     if (!is_voter() && !settings_.candidates.empty()) first = std::min(first, request_schedule_at_);
@@ -361,7 +364,7 @@
         if (!reachable) observed.unreachable.insert(name);
     };
     add_front_node(settings_.name, true);
-    for (const auto& member : roster_.members()) {
+    for (const auto& member : member_list_.members()) {
         if (member.state == MemberState::kLeft && !schedule().fleet().contains(member.name)) continue;
         add_front_node(member.name,
                        member.state == MemberState::kAlive || member.state == MemberState::kSuspect);
@@ -369,7 +372,7 @@
     }
     for (const std::string& voter : observed.voters) {
         if (voter == settings_.name) continue;
-        if (roster_.address_of(voter) == nullptr) observed.unreachable.insert(voter);
+        if (member_list_.address_of(voter) == nullptr) observed.unreachable.insert(voter);
         // A voter that has lost its store is reachable but cannot vote.
         const auto incarnation = consensus_ ? consensus_->known_incarnations().find(voter)
                                             : std::map<std::string, VoterIncarnation>::const_iterator{};
@@ -489,7 +492,7 @@
         for (const Command& command : executor_.release_leases(schedule())) propose(command);
     if (consensus_ && consensus_->is_leader())
         transfer_leadership(observe_fleet()), send_consensus_messages();
-    handle_roster_effects(roster_.leave(now_));
+    handle_member_list_effects(member_list_.leave(now_));
 }
 
 // ---- schedule copies of nodes that do not vote
@@ -601,7 +604,7 @@
                 {"age_ms", schedule_age(now_) * 1000 / kTenthsPerSecond},
                 {"leader", leader()},
                 {"voters", observed.voters},
-                {"members", roster_.present_count()},
+                {"members", member_list_.present_count()},
                 {"held", state.held()},
                 {"held_why", state.hold_reason()},
                 {"applied", state.applied_commands()}};
--- a/src/maintenance/maintenance_node.hpp
+++ b/src/maintenance/maintenance_node.hpp
@@ -19,7 +19,7 @@
     std::string name, address;
 };
 
-struct MaintenanceSettings {
+struct MaintenanceNodeSettings {
     std::string name, address, secret;
     std::vector<std::string> peers; // addresses; those of the candidates are always added
     // Front nodes with a Raft store; empty: membership only, no maintenance.
@@ -28,7 +28,7 @@
     Limits limits;
     Timing timing;
     FailurePolicy failure_policy;
-    Tenths probe_gap = kTenthsPerSecond;
+    Tenths probe_interval = kTenthsPerSecond;
     Tenths heartbeat = kTenthsPerSecond / 10;
     Tenths replace_voter_after = 60 * kTenthsPerSecond; // a voter unreachable for this long is replaced
     Tenths front_node_duration = 60 * kTenthsPerSecond; // planned maintenance time of a front node
@@ -60,7 +60,7 @@
 class MaintenanceNode {
   public:
     // `store` may be null: the node is then a member but never a voter.
-    MaintenanceNode(MaintenanceSettings settings, RaftStore* store, Tenths now, Tenths wall_time);
+    MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Tenths now, Tenths wall_time);
 
     void receive(Tenths now, const std::string& from, std::string_view bytes);
     // The index servers from the list, and the share of recent searches that this node has rejected.
@@ -69,13 +69,13 @@
                            MachineStatus status);
     void step(Tenths now, Tenths wall_time);
     void leave(Tenths now);
-    Tenths next() const; // when `step` has to be called next
+    Tenths next_step() const; // when `step` has to be called next
     std::vector<MaintenanceEffect> take_effects() { return std::exchange(effects_, {}); }
 
     // Called for each command when it is committed.
     std::function<void(const Command&, const CommandResult&)> on_committed;
 
-    const membership::MemberList& roster() const { return roster_; }
+    const membership::MemberList& member_list() const { return member_list_; }
     const ConsensusNode* consensus() const { return consensus_ ? consensus_.get() : nullptr; }
     const MaintenanceSchedule& schedule() const;
     // Time since this node's copy of the schedule was known to be current.
@@ -84,7 +84,7 @@
     const Scheduler& scheduler() const { return scheduler_; }
     const MaintenanceCounts& counts() const { return counts_; }
     const FragmentCounts& fragment_counts() const { return transport_.counts(); }
-    const membership::CodecCounts& seal_counts() const { return seal_.counts(); }
+    const membership::CodecCounts& codec_counts() const { return datagram_codec_.counts(); }
     nlohmann::json answer_query(const nlohmann::json& query); // answers an operator's read-only request
     FleetObservation observe_fleet() const;
 
@@ -99,7 +99,7 @@
         Command command;
     };
     bool take_token(Tenths now, TokenBucket& bucket, double rate) const;
-    void handle_roster_effects(std::vector<membership::Effect> effects);
+    void handle_member_list_effects(std::vector<membership::Effect> effects);
     void dispatch(const PeerMessage& message);
     void send_consensus_messages();
     void send(const std::string& name, MessageKind kind, const std::string& bytes);
@@ -122,12 +122,12 @@
     bool is_voter() const;
     bool leaderless() const;
 
-    MaintenanceSettings settings_;
+    MaintenanceNodeSettings settings_;
     Tenths now_, started_at_, wall_time_ = 0;
     MaintenanceSchedule uncommitted_schedule_;
     Tenths uncommitted_refresh_at_ = 0;
-    membership::DatagramCodec seal_;
-    membership::MemberList roster_;
+    membership::DatagramCodec datagram_codec_;
+    membership::MemberList member_list_;
     FragmentTransport transport_;
     std::unique_ptr<ConsensusNode> consensus_;
     Scheduler scheduler_;
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -37,9 +37,9 @@
         : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.membership->bind)),
           stirred(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           told_out(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-        maintenance::MaintenanceSettings made;
+        maintenance::MaintenanceNodeSettings made;
         made.name = name, made.address = orders.membership->address, made.secret = secret;
-        made.peers = orders.membership->peers, made.probe_gap = orders.membership->probe_interval;
+        made.peers = orders.membership->peers, made.probe_interval = orders.membership->probe_interval;
         made.seed = drawn(seed);
         // Without a store the clock is the one thing that grows from start to start.
         made.incarnation = static_cast<std::uint64_t>(Loop::wall());
@@ -102,7 +102,7 @@
                     warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.kept);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
-            Tenths until = std::min({warden->next(), look_at, counts_at});
+            Tenths until = std::min({warden->next_step(), look_at, counts_at});
             if (machine_controller) until = std::min(until, machine_controller->next_step());
             loop.wait(until);
         }
@@ -131,16 +131,16 @@
     }
 
     void tell_counts() const {
-        const auto& roster = warden->roster().counts();
-        const auto& seals = warden->seal_counts();
+        const auto& roster = warden->member_list().counts();
+        const auto& seals = warden->codec_counts();
         const auto& hand = warden->executor().counts();
         log().info(
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
-            warden->roster().present_count(), roster.sent, roster.received, roster.suspected, roster.refuted,
-            roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed, seals.too_long,
-            warden->counts().rate_limited, warden->fragment_counts().sent,
+            warden->member_list().present_count(), roster.sent, roster.received, roster.suspected,
+            roster.refuted, roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed,
+            seals.too_long, warden->counts().rate_limited, warden->fragment_counts().sent,
             warden->fragment_counts().fragments, warden->fragment_counts().resend_requests, hand.actions,
             hand.unmatched_replies, hand.fenced_off, hand.expired_leases, warden->counts().proposals);
     }
--- a/tests/lab/evening_world.cpp
+++ b/tests/lab/evening_world.cpp
@@ -139,7 +139,7 @@
     if (front.ledger && disk == Disk::kLost) front.ledger->copy_from({});
     if (front.ledger && disk == Disk::kOld && copies_.contains(i)) front.ledger->copy_from(copies_.at(i));
     if (front.ledger && disk != Disk::kKept) front.ledger->verified = false;
-    MaintenanceSettings terms;
+    MaintenanceNodeSettings terms;
     terms.name = front.name, terms.address = front.address, terms.secret = kSecret;
     for (int c = 0; c < plan_.candidates; ++c) terms.candidates.push_back({name_of(c), fronts_[c].address});
     if (plan_.candidates == 0) terms.peers = {fronts_[0].address, fronts_[1].address};
@@ -281,7 +281,7 @@
             errands_.push({now_ + 10, ++order_, i, front.starts, *act});
         }
     }
-    dues_[i] = std::max(now_, world_time(front, front.warden->next()));
+    dues_[i] = std::max(now_, world_time(front, front.warden->next_step()));
 }
 
 void EveningWorld::check() {
--- a/tests/lab/evening_world.hpp
+++ b/tests/lab/evening_world.hpp
@@ -65,7 +65,7 @@
 
 // What a front node is given in place of what it should: faults that are planted.
 struct Planted {
-    std::function<void(int, maintenance::MaintenanceSettings&)> terms;
+    std::function<void(int, maintenance::MaintenanceNodeSettings&)> terms;
     std::function<std::shared_ptr<maintenance::InMemoryRaftStore>()> ledger;
     bool careless_keepers = false; // older numbers are taken
 };
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -496,7 +496,7 @@
 // A fifth process has the name of the first one and a store of its own.
 void two_nodes_with_one_name_do_no_harm() {
     Planted planted;
-    planted.terms = [](int front, MaintenanceSettings& settings) {
+    planted.terms = [](int front, MaintenanceNodeSettings& settings) {
         settings.name = front == 4 ? "n0" : settings.name;
     };
     WorldPlan plan;
@@ -608,7 +608,7 @@
 }
 template <class Set> Planted with_settings(Set set) {
     Planted planted;
-    planted.terms = [set](int front, MaintenanceSettings& settings) { set(front, settings); };
+    planted.terms = [set](int front, MaintenanceNodeSettings& settings) { set(front, settings); };
     return planted;
 }
 
@@ -722,28 +722,28 @@
     assert(fault_is_found(with_store_fault([](FaultyStore& store) { store.always_verified = true; }), 285));
 }
 void planted_min_replicas_too_low() {
-    assert(fault_is_found(with_settings([](int, MaintenanceSettings& settings) {
+    assert(fault_is_found(with_settings([](int, MaintenanceNodeSettings& settings) {
         settings.limits.min_replicas = 1, settings.limits.shard_share = 1;
     })));
 }
 void planted_majority_goes_out() {
-    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+    assert(fault_is_found(with_settings([](int front, MaintenanceNodeSettings& settings) {
         settings.limits.front_share = 1;
         if (front < 3)
             settings.candidates.resize(1), settings.voter_count = 1; // each is configured as the only voter
     })));
 }
 void planted_two_consensus_groups() {
-    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+    assert(fault_is_found(with_settings([](int front, MaintenanceNodeSettings& settings) {
         if (front == 0) settings.candidates.resize(1), settings.voter_count = 1;
     })));
 }
 void planted_leases_outlast_the_expiry_wait() {
     assert(fault_is_found(
-        with_settings([](int, MaintenanceSettings& settings) { settings.timing.clock_error = -0.4; })));
+        with_settings([](int, MaintenanceNodeSettings& settings) { settings.timing.clock_error = -0.4; })));
 }
 void planted_holder_counts_its_lease_too_long() {
-    assert(fault_is_found(with_settings([](int front, MaintenanceSettings& settings) {
+    assert(fault_is_found(with_settings([](int front, MaintenanceNodeSettings& settings) {
                               settings.timing.lease *= front == 1 ? 4 : 1;
                           }),
                           19));
@@ -762,7 +762,7 @@
            careful.is != HallMachine::Is::kServing);
 }
 void planted_node_without_limits() { // one node is configured without limits
-    Planted planted = with_settings([](int front, MaintenanceSettings& settings) {
+    Planted planted = with_settings([](int front, MaintenanceNodeSettings& settings) {
         if (front == 0)
             settings.limits.min_replicas = 0, settings.limits.shard_share = 1,
             settings.limits.fleet_share = 1, settings.limits.zone_share = 1;
@@ -773,20 +773,20 @@
 // ---- fragments
 
 void lost_fragments_are_requested_again() {
-    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
-    FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
+    membership::DatagramCodec datagram_codec("the secret of a story, thirty-two bytes or more");
+    FragmentTransport a("a", "10.0.0.1:1", datagram_codec, 1), b("b", "10.0.0.2:1", datagram_codec, 1);
     std::string large(50'000, 'x');
     for (std::size_t i = 0; i < large.size(); ++i) large[i] = static_cast<char>(i * 7);
     assert(a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, large));
     Pcg random(3);
     std::optional<PeerMessage> received;
     for (Tenths now = kS; now < 4 * kS && !received; now += kS / 20) {
-        for (const OutboundDatagram& sealed : a.take_datagrams())
+        for (const OutboundDatagram& datagram : a.take_datagrams())
             if (random.unit() > 0.3)
-                if (auto message = b.receive(now, sealed.bytes)) received = message;
+                if (auto message = b.receive(now, datagram.bytes)) received = message;
         b.step(now);
-        for (const OutboundDatagram& sealed : b.take_datagrams())
-            if (random.unit() > 0.3) a.receive(now, sealed.bytes);
+        for (const OutboundDatagram& datagram : b.take_datagrams())
+            if (random.unit() > 0.3) a.receive(now, datagram.bytes);
     }
     assert(received && received->bytes == large && received->from == "a" && b.counts().resend_requests > 0 &&
            b.incomplete() == 0);
@@ -794,8 +794,8 @@
 }
 
 void memory_for_fragments_is_bounded() {
-    membership::DatagramCodec seal("the secret of a story, thirty-two bytes or more");
-    FragmentTransport a("a", "10.0.0.1:1", seal, 1), b("b", "10.0.0.2:1", seal, 1);
+    membership::DatagramCodec datagram_codec("the secret of a story, thirty-two bytes or more");
+    FragmentTransport a("a", "10.0.0.1:1", datagram_codec, 1), b("b", "10.0.0.2:1", datagram_codec, 1);
     for (int i = 0; i < 500; ++i) {
         a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, std::string(3'000, 'x'));
         b.receive(kS, a.take_datagrams().front().bytes); // only the first fragment of each
@@ -803,16 +803,16 @@
     assert(b.incomplete() <= FragmentTransport::kMaxIncomplete);
     b.step(10 * kS);
     assert(b.incomplete() == 0);
-    assert(!b.receive(kS, "a stranger's bytes") && seal.counts().unauthenticated == 1);
+    assert(!b.receive(kS, "a stranger's bytes") && datagram_codec.counts().unauthenticated == 1);
 }
 
 void flood_is_dropped_unread() {
-    MaintenanceSettings settings;
+    MaintenanceNodeSettings settings;
     settings.name = "n0", settings.address = "10.0.0.1:7",
     settings.secret = "the secret of a story, thirty-two bytes or more";
     MaintenanceNode node(settings, nullptr, kS, kS);
     for (int i = 0; i < 50'000; ++i) node.receive(kS + i / 100, "10.0.0.9:1", "\x88nothing that is sealed");
-    assert(node.counts().rate_limited > 40'000 && node.seal_counts().unauthenticated < 10'000);
+    assert(node.counts().rate_limited > 40'000 && node.codec_counts().unauthenticated < 10'000);
     assert(node.take_effects().empty());
 }
 
