--- a/fuzz/parcels.cpp
+++ b/fuzz/parcels.cpp
@@ -23,11 +23,11 @@
     settings.candidates = {{"n0", settings.address}}, settings.voter_count = 1; // one alone leads at once
     MaintenanceNode node(settings, &store, 1, 1);
     for (Tenths now = 1; now < 5 * kTenthsPerSecond; now += kTenthsPerSecond / 4) node.step(now, now);
-    FragmentTransport other("x", "10.0.0.9:1", sign, 1);
+    FragmentTransport other("x", "10.0.0.9:1", seal, 1);
     other.send(1, settings.address, static_cast<MessageKind>(data[0] % 8), bytes);
     for (const OutboundDatagram& sealed : other.take_datagrams())
         node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", sealed.bytes);
-    node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", sign.sign(bytes));
+    node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", seal.sign(bytes));
     for (Tenths now = 5 * kTenthsPerSecond; now < 6 * kTenthsPerSecond; now += kTenthsPerSecond / 10)
         node.step(now, now);
     for (const MaintenanceEffect& effect : node.take_effects())
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -170,9 +170,9 @@
                              {"standing", kStandings[static_cast<int>(changed.state)]},
                              {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present_count = roster_.present_count(); present_count != present_members_) {
-        present_members_ = present_count;
-        effects_.emplace_back(MemberCount{present_count});
+    if (const std::size_t present = roster_.present_count(); present != present_members_) {
+        present_members_ = present;
+        effects_.emplace_back(MemberCount{present});
     }
 }
 
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -177,7 +177,7 @@
     const Tenths election = 16 * result.heartbeat;
     if (timing.lease <= election)
         spans.fail("grant_ms",
-                   "expected more than 16 heartbeats: grants would expire at each leader election");
+                   "expected more than 16 heartbeats: leases would expire at each leader election");
     spans.reject_unknown();
     FieldReader answers = group("answers");
     maintenance::FailurePolicy& failure_policy = result.failure_policy;
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -55,8 +55,8 @@
             const bool candidate =
                 std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.ledger).parent_path());
-                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.ledger, rota.witness);
+                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
+                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.raft_store, rota.witness);
                 made.incarnation = ledger->next_member_incarnation();
             }
             machine_controller = std::make_unique<MachineController>(
@@ -99,7 +99,7 @@
             if (machine_controller) {
                 machine_controller->step(loop.now());
                 for (const MachineController::Reply& reply : machine_controller->take_replies())
-                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.kept);
+                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.status);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next(), look_at, counts_at});
@@ -113,8 +113,8 @@
         for (maintenance::MaintenanceEffect& effect : warden->take_effects()) {
             if (const auto* sent = std::get_if<maintenance::SendDatagram>(&effect)) {
                 transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
-            } else if (const auto* execute = std::get_if<maintenance::MachineCommand>(&effect)) {
-                if (machine_controller) machine_controller->execute(loop.now(), *execute);
+            } else if (const auto* act = std::get_if<maintenance::MachineCommand>(&effect)) {
+                if (machine_controller) machine_controller->execute(loop.now(), *act);
             } else if (const auto* line = std::get_if<maintenance::LogLine>(&effect)) {
                 std::string words = line->event;
                 for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
--- a/src/program/machine_controller.hpp
+++ b/src/program/machine_controller.hpp
@@ -18,7 +18,7 @@
     struct Reply {
         std::uint64_t serial = 0;
         std::string machine;
-        maintenance::MachineStatus kept = maintenance::MachineStatus::kUnknown;
+        maintenance::MachineStatus status = maintenance::MachineStatus::kUnknown;
     };
     MachineController(transport::Loop& loop, std::vector<std::string> command, std::string address,
                       Tenths timeout);
--- a/src/program/maintenance_commands.cpp
+++ b/src/program/maintenance_commands.cpp
@@ -62,10 +62,10 @@
                                                                   [](const int* d) { close(*d); });
     const std::string node = node_of(ask);
     const std::string address = "127.0.0.1:" + std::to_string(transport::port_of(descriptor));
-    membership::DatagramCodec codec(secret_of(ask));
+    membership::DatagramCodec datagram_codec(secret_of(ask));
     std::uint64_t serial = 0;
     std::memcpy(&serial, access::random_bytes(sizeof serial).data(), sizeof serial);
-    FragmentTransport parcels("operator", address, codec, serial >> 8U);
+    FragmentTransport parcels("operator", address, datagram_codec, serial >> 8U);
     const std::string request =
         ask.request.empty() ? access::base64url(access::random_bytes(12)) : ask.request;
     question["request"] = request;
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -91,7 +91,7 @@
         auto& request_class = request_classes_.at(event.request_class.value);
         Search& search = searches_[event.job];
         search.id = event.id, search.request_class = event.request_class, search.tenant = event.tenant;
-        search.shed = !relief_.admits(event.request_class, event.tenant, random_);
+        search.shed = !failover_policy_.admits(event.request_class, event.tenant, random_);
         search.utility = request_class.config.utility;
         // The latency target counts from the first try; a retry carries the time left of the deadline.
         // Unmarked retries are recognized by a time left that differs from the usual one (a majority vote).
@@ -128,7 +128,7 @@
     }
 
     void apply(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
-    void apply(const SiteRecoveryPlan& plan) { relief_.update(plan); }
+    void apply(const SiteRecoveryPlan& plan) { failover_policy_.update(plan); }
     void apply(const ServerListUpdate& update) {
         if (update.kind == ListKind::kLost) {
             subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
@@ -484,7 +484,7 @@
             const bool open = admits(*server), bad = degraded(*server);
             const auto used =
                 std::ranges::count_if(part.attempts, [&](auto& l) { return l.server == server->id; });
-            const auto eligibility = relief_.eligibility(server->entry.zone, once, random_);
+            const auto eligibility = failover_policy_.eligibility(server->entry.zone, once, random_);
             if (!may_serve(*server) || (!open && !may_test(*server)) || eligibility == Eligibility::kExcluded)
                 continue;
             if (now_ < server->backoff_until) {
@@ -574,9 +574,11 @@
         const double wait = std::min(target_ * kSilenceLimit, static_cast<double>(config_.max_retry_after));
         const auto usual =
             static_cast<Tenths>(wait * (0.5 + (config_.may_send_retry_after ? random_.unit() : 0) / 2));
-        search.retry_after = config_.may_send_retry_after ? relief_.retry_after(usual, random_) : 0;
+        search.retry_after = config_.may_send_retry_after ? failover_policy_.retry_after(usual, random_) : 0;
+    }
+    bool is_omitted(const Part& part) const {
+        return part.left_out || failover_policy_.shard_lost(part.shard);
     }
-    bool is_omitted(const Part& part) const { return part.left_out || relief_.shard_lost(part.shard); }
 
     // Rule 2 and the limit on attempts, for a part without an answer.
     bool may_attempt(const Part& part, const RequestClassState& request_class) const {
@@ -604,7 +606,7 @@
         while (!retries_.empty() && retries_.front() <= now_ - config_.retry_window - 1) retries_.pop_front();
         const double share = config_.retry_ratio * (1 - overload_);
         return retries_.size() + 1 <=
-               (config_.retry_slack + share * arrivals_.size()) * relief_.attempt_budget_share();
+               (config_.retry_slack + share * arrivals_.size()) * failover_policy_.attempt_budget_share();
     }
 
     // Expected time of a part at its best replica, preferring healthy ones.
@@ -612,7 +614,7 @@
         double sound = static_cast<double>(kNever), any = sound;
         const int ahead = backlog_[part.shard];
         for (IndexServer* server : replicas(part.shard)) {
-            if (!may_serve(*server) || relief_.excludes(server->entry.zone)) continue;
+            if (!may_serve(*server) || failover_policy_.excludes(server->entry.zone)) continue;
             if (admits(*server) && !degraded(*server)) sound = std::min(sound, expected_time(*server, ahead));
             if (may_test(*server)) any = std::min(any, expected_time(*server, ahead));
         }
@@ -677,7 +679,7 @@
         RequestClassState& request_class = request_classes_[search.request_class.value];
         if (search.parts.empty() || search.revoked) return;
         const bool begun = std::ranges::any_of(search.parts, [](auto& p) { return !p.attempts.empty(); });
-        if (!begun) relief_.omit_parts(search, request_class.config.floor, search.tenant);
+        if (!begun) failover_policy_.omit_parts(search, request_class.config.floor, search.tenant);
         if (!begun && (search.shed || !admit(search))) return reject_or_fail(search); // also while backlogged
         if (search.crashing) return reject_or_fail(search);
         const bool singly = !search.has_answer && crashes() >= kCrashLimit;
@@ -824,7 +826,7 @@
     Pcg random_;
     limits::SlowStart slow_start_{config_.warm_up_time, config_.cold_capacity_ratio, config_.overload_window,
                                   config_.overload_factor};
-    recovery::FailoverPolicy relief_;
+    recovery::FailoverPolicy failover_policy_;
     double front_nodes_ = config_.front_nodes, target_ = 1e9; // target_: the shortest latency target
     double overload_ = 0;                                     // at the start of this decision
     Tenths now_ = 0, wakeup_ = kNever, armed_ = 0;            // armed_: the wake-up last scheduled
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -48,7 +48,7 @@
         const Tenths took = tenths_to_use(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
         // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
-        if (outcome == Outcome::kConnectTimeout && took < connect_span_)
+        if (outcome == Outcome::kConnectTimeout && took < connect_timeout_)
             outcome = Outcome::kConnectionRefused;
         scheduler_->handle(now, AttemptEnded{PartId{request_id(message)}, attempt,
                                              server_of(message.text("Server")), outcome, took,
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -19,7 +19,7 @@
 class Instance : public SchedulerHost {
   public:
     explicit Instance(SchedulerConfig terms)
-        : connect_span_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
+        : connect_timeout_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
     void apply(Tenths now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
     void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
@@ -38,7 +38,7 @@
   private:
     ServerId server_of(std::string_view name);
 
-    Tenths connect_span_;
+    Tenths connect_timeout_;
     std::unique_ptr<SearchScheduler> scheduler_;
     std::map<std::string, ServerId, std::less<>> ids_;
     std::vector<std::string> names_;
