--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -99,7 +99,7 @@
             if (machine_controller) {
                 machine_controller->step(loop.now());
                 for (const MachineController::Reply& reply : machine_controller->take_replies())
-                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.kept);
+                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.status);
             }
             if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
             Tenths until = std::min({warden->next_step(), look_at, counts_at});
@@ -113,8 +113,8 @@
         for (maintenance::MaintenanceEffect& effect : warden->take_effects()) {
             if (const auto* sent = std::get_if<maintenance::SendDatagram>(&effect)) {
                 transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
-            } else if (const auto* execute = std::get_if<maintenance::MachineCommand>(&effect)) {
-                if (machine_controller) machine_controller->execute(loop.now(), *execute);
+            } else if (const auto* act = std::get_if<maintenance::MachineCommand>(&effect)) {
+                if (machine_controller) machine_controller->execute(loop.now(), *act);
             } else if (const auto* line = std::get_if<maintenance::LogLine>(&effect)) {
                 std::string words = line->event;
                 for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
