--- a/src/limits/connection_budget.cpp
+++ b/src/limits/connection_budget.cpp
@@ -6,60 +6,60 @@
 
 namespace {
 
-// For each deed: how many at once, and how many a second after that, as ratios to the streams a connection
-// may have open. Who works takes back a few searches, opens a window for each answer or two, and sends a PING
-// now and then; who does ten times as much does nothing else.
+// Per action: burst and refill per second, as ratios to the streams that a connection may have open. A normal
+// client cancels a few searches, opens a window for each answer or two and sends a PING occasionally; the
+// limits are about ten times that.
 struct Allowance {
-    double burst, a_second;
+    double burst, per_second;
 };
 constexpr std::array<Allowance, kClientActionCount> kAllowances = {{
-    {2.0, 1.0},   // resets: all open streams twice over, then as many again each second
+    {2.0, 1.0},   // resets: twice all open streams, then all of them each second
     {0.2, 0.1},   // pings
     {0.2, 0.1},   // settings
     {1.0, 0.5},   // empty frames
     {50.0, 50.0}, // windows: two for each frame of a large answer
-    {10.0, 5.0},  // after the end: several frames of each stream may have crossed our word
+    {10.0, 5.0},  // after the end: several frames of each stream may have been on their way
     {1.0, 0.5},   // bad requests
 }};
 
 } // namespace
 
-std::string_view name_of(ClientAction deed) {
+std::string_view name_of(ClientAction action) {
     constexpr std::array<std::string_view, kClientActionCount> kNames = {
         "reset", "ping", "settings", "empty", "window", "after-end", "bad"};
-    return kNames[static_cast<std::size_t>(deed)];
+    return kNames[static_cast<std::size_t>(action)];
 }
 
-ConnectionBudget::ConnectionBudget(const ConnectionLimits& terms, Tenths now) : terms_(terms) {
+ConnectionBudget::ConnectionBudget(const ConnectionLimits& limits, Tenths now) : limits_(limits) {
     for (std::size_t i = 0; i < kClientActionCount; ++i)
-        buckets_[i] = {std::max(4.0, kAllowances[i].burst * static_cast<double>(terms.max_streams)), now};
+        buckets_[i] = {std::max(4.0, kAllowances[i].burst * static_cast<double>(limits.max_streams)), now};
 }
 
-bool ConnectionBudget::spend(ClientAction deed, Tenths now) {
-    const auto at = static_cast<std::size_t>(deed);
+bool ConnectionBudget::spend(ClientAction action, Tenths now) {
+    const auto at = static_cast<std::size_t>(action);
     ++counts_[at];
     Bucket& bucket = buckets_[at];
-    const double streams = static_cast<double>(terms_.max_streams);
+    const double streams = static_cast<double>(limits_.max_streams);
     const double burst = std::max(4.0, kAllowances[at].burst * streams);
-    const double passed = static_cast<double>(std::max<Tenths>(0, now - bucket.filled)) / kTenthsPerSecond;
-    bucket.room = std::min(burst, bucket.room + passed * kAllowances[at].a_second * streams);
-    bucket.filled = std::max(bucket.filled, now);
-    if (bucket.room < 1) return false;
-    bucket.room -= 1;
+    const double passed = static_cast<double>(std::max<Tenths>(0, now - bucket.filled_at)) / kTenthsPerSecond;
+    bucket.tokens = std::min(burst, bucket.tokens + passed * kAllowances[at].per_second * streams);
+    bucket.filled_at = std::max(bucket.filled_at, now);
+    if (bucket.tokens < 1) return false;
+    bucket.tokens -= 1;
     return true;
 }
 
-bool ConnectionBudget::allows_stream(std::size_t open, std::size_t held) const {
-    return open < terms_.max_streams &&
-           held + terms_.max_body_bytes <= terms_.max_buffered_bytes; // a whole request must fit
+bool ConnectionBudget::allows_stream(std::size_t open, std::size_t buffered) const {
+    return open < limits_.max_streams &&
+           buffered + limits_.max_body_bytes <= limits_.max_buffered_bytes; // room for a whole request
 }
 
-bool ConnectionBudget::allows_body(std::size_t of_stream, std::size_t held) const {
-    return of_stream <= terms_.max_body_bytes && held <= terms_.max_buffered_bytes;
+bool ConnectionBudget::allows_body(std::size_t body, std::size_t buffered) const {
+    return body <= limits_.max_body_bytes && buffered <= limits_.max_buffered_bytes;
 }
 
-std::size_t fair_share_of_searches(std::size_t most_open, std::size_t others_that_search) {
-    return std::max<std::size_t>(1, most_open / (1 + others_that_search));
+std::size_t fair_share_of_searches(std::size_t max_open, std::size_t other_connections) {
+    return std::max<std::size_t>(1, max_open / (1 + other_connections));
 }
 
 } // namespace ivyrill::limits
--- a/src/proxy/connect_patience.hpp
+++ b/src/proxy/connect_patience.hpp
@@ -28,7 +28,7 @@
     Tenths patience(Tenths latency_target) const {
         const Tenths most = std::clamp(latency_target, kLeastBound, kMostBound);
         using replica_selection::Mechanism;
-        if (!known_ || !in_use(Mechanism::kConnectPatience)) return most;
+        if (!known_ || !in_use(Mechanism::kConnectTimeout)) return most;
         const auto usual = static_cast<Tenths>(mean_ + kDeviations * deviation_);
         return std::min(most, std::max(usual, kLeast) << doublings_);
     }
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -60,7 +60,7 @@
         ++context_.counters.too_long_to_end;
         co_return reject(kComeBack, "this node ends before the answer may");
     }
-    budget().request(now());
+    budget().count_request(now());
     if (service_->engine)
         context_.demand.requested(service_->name, context_.selector.kv_transfer_time(profile_));
     co_return co_await serve();
@@ -141,37 +141,39 @@
 
 // `again`: another choice may be made; else what is returned is final.
 transport::Async<ExchangeEnd> Exchange::serve_with(const replica_selection::Pair& pair, bool& again) {
-    if (!pair.reader.empty() && handle_.empty()) {
+    if (!pair.prefill_server.empty() && handle_.empty()) {
         const ReadEnd read = co_await read_prompt(pair);
         again = read != ReadEnd::kRead;
         if (again) {
-            tried_.insert(pair.reader);
+            tried_.insert(pair.prefill_server);
             may_hand_over_ = read == ReadEnd::kNotSent && ++unreachable_ < kMostUnreachable;
             co_return ExchangeEnd::kBreakOff;
         }
     }
     if (sends_ > 0 && !spend_further_send()) co_return give_up();
     const bool fetches = !handle_.empty();
-    const model::Instance* reader = context_.selector.instance(reader_);
+    const model::Instance* prefill_server = context_.selector.instance(prefill_server_);
     Forwarding forwarding;
-    if (fetches && reader != nullptr) forwarding.kv_from = reader->address + "/" + handle_;
-    if (fetches && reader == nullptr) handle_.clear();
-    const bool has_stages = context_.selector.instance(pair.runner) != nullptr &&
-                            context_.selector.instance(pair.runner)->stage != model::Stage::kNone;
+    if (fetches && prefill_server != nullptr) forwarding.kv_from = prefill_server->address + "/" + handle_;
+    if (fetches && prefill_server == nullptr) handle_.clear();
+    const bool has_stages = context_.selector.instance(pair.decode_server) != nullptr &&
+                            context_.selector.instance(pair.decode_server)->stage != model::Stage::kNone;
     const Work work = !has_stages                  ? Work::kUnstaged
                       : forwarding.kv_from.empty() ? Work::kPrefillAndDecode
                                                    : Work::kFetchAndDecode;
     forwarding.last_event_id = last_event_id_;
     std::optional<double> tokens = 0;
     if (work == Work::kPrefillAndDecode)
-        tokens = pair.reader.empty() && pair.tokens_to_prefill > 0 ? std::optional(pair.tokens_to_prefill)
-                                                                   : std::nullopt;
-    const CallEnd end = co_await call(pair.runner, work, std::move(forwarding), tokens, route_->idempotent());
+        tokens = pair.prefill_server.empty() && pair.tokens_to_prefill > 0
+                     ? std::optional(pair.tokens_to_prefill)
+                     : std::nullopt;
+    const CallEnd end =
+        co_await call(pair.decode_server, work, std::move(forwarding), tokens, route_->idempotent());
     switch (end) {
     case CallEnd::kAnswer: {
         if (fetches) {
-            context_.selector.record_handle_use(reader_, true);
-            handle_.clear(), reader_.clear();
+            context_.selector.record_handle_use(prefill_server_, true);
+            handle_.clear(), prefill_server_.clear();
         }
         if (fetches) context_.demand.moved(service_->name, context_.selector.kv_transfer_time(profile_));
         note_answering(true);
@@ -180,7 +182,7 @@
         if (relayed == RelayEnd::kComplete) co_return ExchangeEnd::kAnswered;
         if (relayed == RelayEnd::kClientGone) ++context_.counters.client_gone;
         if (relayed != RelayEnd::kCutOff) co_return head_sent_ ? ExchangeEnd::kBreakOff : give_up();
-        tried_.insert(pair.runner);
+        tried_.insert(pair.decode_server);
         ++context_.counters.resumed;
         again = route_->idempotent();
         co_return again ? ExchangeEnd::kBreakOff : fail(502, "the server broke its answer off");
@@ -188,25 +190,25 @@
     case CallEnd::kNotRun:
         if (fetches) {
             // The memory is gone, or the server is full: without it the same server tells which.
-            context_.selector.record_handle_use(reader_, false);
+            context_.selector.record_handle_use(prefill_server_, false);
             ++context_.counters.lost_handles;
             release_handle();
             may_hand_over_ = false;
         } else {
-            tried_.insert(pair.runner);
+            tried_.insert(pair.decode_server);
         }
         again = true;
         break;
     case CallEnd::kMisdirected:
     case CallEnd::kNotSent:
-        tried_.insert(pair.runner);
+        tried_.insert(pair.decode_server);
         again = ++unreachable_ < kMostUnreachable;
         if (!again) co_return give_up();
         break;
     case CallEnd::kBroken:
     case CallEnd::kSilent:
         may_have_run_ = true;
-        tried_.insert(pair.runner);
+        tried_.insert(pair.decode_server);
         handle_.clear();
         if (fetches) may_hand_over_ = false; // a second reading would count as a further send
         if (!route_->idempotent()) co_return fail(502, "the server's answer was lost");
@@ -236,7 +238,7 @@
 
 bool Exchange::spend_further_send() {
     if (std::exchange(further_paid_, false)) return true;
-    if (!budget().spend(now())) return false;
+    if (!budget().try_retry(now())) return false;
     ++context_.counters.further_sends;
     return true;
 }
@@ -245,9 +247,9 @@
     Forwarding forwarding;
     forwarding.prefill_only = true;
     const CallEnd end =
-        co_await call(pair.reader, Work::kPrefillOnly, forwarding, pair.tokens_to_prefill, true);
+        co_await call(pair.prefill_server, Work::kPrefillOnly, forwarding, pair.tokens_to_prefill, true);
     if (end == CallEnd::kNotSent || end == CallEnd::kMisdirected) co_return ReadEnd::kNotSent;
-    if (end == CallEnd::kNotRun) budget().charge(now());
+    if (end == CallEnd::kNotRun) budget().count_retry(now());
     if (end != CallEnd::kAnswer) co_return ReadEnd::kFailed;
     const bool whole = co_await await_whole_answer(std::min(deadline_, now() + profile_.latency_target));
     std::string handle;
@@ -261,7 +263,7 @@
     }
     end_call(whole);
     if (handle.empty()) co_return ReadEnd::kFailed;
-    reader_ = pair.reader, handle_ = handle;
+    prefill_server_ = pair.prefill_server, handle_ = handle;
     ++context_.counters.hand_overs;
     co_return ReadEnd::kRead;
 }
@@ -269,15 +271,15 @@
 void Exchange::release_handle() {
     if (handle_.empty()) return;
     const std::string handle = std::exchange(handle_, {});
-    const model::Instance* reader = context_.selector.instance(reader_);
-    if (reader == nullptr) return;
-    auto connection = context_.connections.take_idle(reader_, kTenthsPerSecond);
-    if (!connection) connection = context_.connections.open(reader->address);
+    const model::Instance* prefill_server = context_.selector.instance(prefill_server_);
+    if (prefill_server == nullptr) return;
+    auto connection = context_.connections.take_idle(prefill_server_, kTenthsPerSecond);
+    if (!connection) connection = context_.connections.open(prefill_server->address);
     if (!connection) return;
     connection->stream().send(
         fmt::format("DELETE /kv-handle/{} HTTP/1.1\r\nhost: {}\r\ntarget-instance: {}\r\n"
                     "content-length: 0\r\n\r\n",
-                    handle, reader->address, reader_));
+                    handle, prefill_server->address, prefill_server_));
     // Its answer is of no interest; the connection is freed once it has had time to leave.
     auto held = std::make_shared<std::unique_ptr<http::ClientConnection>>(std::move(connection));
     context_.reactor.call_after(kTenthsPerSecond / 2, [held] { held->reset(); });
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -106,8 +106,8 @@
     int sends_ = 0, unreachable_ = 0;
     bool further_paid_ = false; // the next send was paid for when the last one was left
     bool may_hand_over_ = true, may_have_run_ = false, head_sent_ = false, answering_ = false;
-    bool counted_ = false;        // as one that began to run, however often it is sent or resumed
-    std::string reader_, handle_; // whose memory is held for this request
+    bool counted_ = false;                // as one that began to run, however often it is sent or resumed
+    std::string prefill_server_, handle_; // whose memory is held for this request
     std::string last_event_id_;
 
     std::unique_ptr<http::ClientConnection> connection_;
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -104,12 +104,12 @@
         sent_to_.erase(instance);
         end_call(false);
     } else if (end == CallEnd::kNotRun) {
-        if (forwarding.kv_from.empty()) context_.selector.refused(attempt_, now());
+        if (forwarding.kv_from.empty()) context_.selector.rejected(attempt_, now());
         // Its connection is sound where the answer is whole.
         const bool whole = connection_->parser().complete();
         end_call(whole);
     } else {
-        if (end == CallEnd::kBroken) context_.selector.broken(attempt_, now());
+        if (end == CallEnd::kBroken) context_.selector.failed(attempt_, now());
         end_call(false);
     }
     co_return end;
@@ -119,7 +119,7 @@
     const Tenths patience =
         std::max(static_cast<Tenths>(kSilentShare * static_cast<double>(profile_.latency_target)),
                  kSilentResponses * context_.selector.expected_response(attempt_));
-    return context_.selector.silent_since(attempt_) + patience;
+    return context_.selector.last_activity(attempt_) + patience;
 }
 
 transport::Async<Exchange::CallEnd> Exchange::await_head(bool may_leave) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -26,7 +26,7 @@
     return static_cast<std::uint64_t>(device()) << 32U | device();
 }
 
-replica_selection::RetryBudget::Terms budget_terms(const settings::Bounds& bounds) {
+replica_selection::RetryBudget::Limits budget_terms(const settings::Bounds& bounds) {
     return {bounds.retry_budget_ratio, static_cast<double>(bounds.retry_slack),
             static_cast<Tenths>(bounds.retry_window_s * kTenthsPerSecond)};
 }
--- a/src/replica_selection/c3.hpp
+++ b/src/replica_selection/c3.hpp
@@ -8,45 +8,45 @@
 
 namespace ivyrill::replica_selection {
 
-// C3's own figures, from the paper and docs/design.md; limits are in requests a window.
-inline constexpr Tenths kWindow = 200;                        // 20 ms
-inline constexpr double kStartLimit = 10, kStepCap = 10;      // ... and smax
-inline constexpr double kLeastLimit = 2, kRecentMultiple = 2; // floors: itself, and times our recent sends
-inline constexpr double kCut = 0.2, kSaddle = 1000, kRecentWeight = 0.3; // beta; 100 ms; a window's in a mean
+// Parameters of C3, from the paper and docs/design.md; limits are in requests per window.
+inline constexpr Tenths kWindow = 200;                   // 20 ms
+inline constexpr double kStartLimit = 10, kStepCap = 10; // ... and smax
+inline constexpr double kMinLimit = 2,
+                        kRecentMultiple = 2; // floors: itself, and a multiple of the recent sends
+inline constexpr double kCut = 0.2, kSaddle = 1000, kRecentWeight = 0.3; // beta; 100 ms; weight of a window
 inline constexpr double kGamma = kCut * kStartLimit / (kSaddle * kSaddle * kSaddle);
 
-// R - 1/mu + q^3/mu: mean response R, mean service time 1/mu, queue q with the request in it; least is best.
+// R - 1/mu + q^3/mu: mean response R, mean service time 1/mu, queue q including the request; lowest is best.
 inline double score(double response, double service, double waiting) {
     return response - service + waiting * waiting * waiting * service;
 }
 
-// What one caller may send to one replica in a window. `now` never goes back. Where neither is sent nor asked
-// for room, `roll` is to be called once a window: one that is passed over counts as one without sends.
+// Cubic rate limiter of one caller for one replica. `now` never goes back. Without calls of `sent` or
+// `has_room`, `advance` must be called once a window: a skipped window counts as one without sends.
 class SendRateLimiter {
   public:
     double limit() const { return limit_; }
-    bool has_room(Tenths now) { return roll(now), sent_ < limit_; }
-    void sent(Tenths now) { roll(now), ++sent_; }
-    void answered(Tenths now) { roll(now), ++answers_; }
-    void roll(Tenths now) {
+    bool has_room(Tenths now) { return advance(now), sent_ < limit_; }
+    void sent(Tenths now) { advance(now), ++sent_; }
+    void answered(Tenths now) { advance(now), ++answers_; }
+    void advance(Tenths now) {
         const Tenths window = now / kWindow;
         if (window == window_) return;
         const bool next = window == window_ + 1;
         recent_sends_ += kRecentWeight * ((next ? sent_ : 0) - recent_sends_);
         last_answers_ = next ? answers_ : 0, window_ = window, sent_ = answers_ = 0;
     }
-    // After an answer: rises by the cubic curve, or is cut where requests wait for want of room
-    // (`backlogged`).
+    // After an answer: raises the limit along the cubic curve, or cuts it while requests wait (`backlogged`).
     void adapt(Tenths now, int outstanding, bool backlogged) {
         const double answers = std::max(answers_, last_answers_);
-        // Answers cannot exceed what is not sent: a full window of which nothing is owed was too narrow.
+        // A full window with nothing outstanding was too small, though answers did not exceed the limit.
         if (answers > limit_ || (sent_ >= limit_ && outstanding == 0)) {
-            const double reach = now - last_cut_ - std::cbrt(kCut * saturation_ / kGamma);
-            const double cubic = kGamma * reach * reach * reach + saturation_;
+            const double offset = now - last_cut_ - std::cbrt(kCut * saturation_ / kGamma);
+            const double cubic = kGamma * offset * offset * offset + saturation_;
             limit_ = std::max(limit_, std::min(limit_ + kStepCap, cubic)), last_rise_ = now;
         } else if (answers < limit_ && backlogged && now - last_rise_ > 2 * kWindow) {
             saturation_ = limit_, last_cut_ = now;
-            limit_ = std::max({limit_ * kCut, kLeastLimit, kRecentMultiple * recent_sends_});
+            limit_ = std::max({limit_ * kCut, kMinLimit, kRecentMultiple * recent_sends_});
         }
     }
 
--- a/src/replica_selection/decode_partition.cpp
+++ b/src/replica_selection/decode_partition.cpp
@@ -12,48 +12,49 @@
 
 namespace {
 
-constexpr Tenths kChangeSpan = 4 * kTenthsPerSecond; // before one runner fewer is kept apart
-constexpr double kAnswerShare = 0.75;                // of a server's slots that long answers are to fill
-// Of a server's slots, places for long answers: below the one a runner is added, above the other one is taken
-// away.
-constexpr double kLeastFreeShare = 0.1, kMostFreeShare = 0.3;
-constexpr double kUnheardShare = 0.5; // of a runner's slots, while it was not reported on
-// Above kMaxLinkUtilization a runner is added, below this one is taken away. Far below, as the few readers of
-// a small service are busy by chance, and long answers go on at a runner that begins to read.
-constexpr double kLeastLinkShare = 0.3;
+constexpr Tenths kReleaseDelay = 4 * kTenthsPerSecond; // before a dedicated server is released
+constexpr double kTargetFill = 0.75;                   // share of a server's slots that long answers may fill
+// Free slots for long answers, as a share of one server's: below the first a server is added, above the
+// second one is released.
+constexpr double kMinFreeShare = 0.1, kMostFreeShare = 0.3;
+constexpr double kUnknownShare = 0.5; // assumed load of a server without a report, as a share of its slots
+// Above kMaxLinkUtilization a server is added, below this one is released. The distance is large because the
+// load of a small service's few prefill servers fluctuates, and long answers keep running at a server that
+// starts to prefill.
+constexpr double kMinLinkUtilization = 0.3;
 
-// Places: what runs anywhere is taken off, as it may be a long answer, also after a loss of this fleet.
-std::size_t needed_for_answers(const std::vector<DecodeServerLoad>& runners, double free_share) {
+// Every running request is counted as a long answer, wherever it runs: after a restart of this fleet too.
+std::size_t needed_for_answers(const std::vector<DecodeServerLoad>& servers, double free_share) {
     double places = 0;
-    for (const DecodeServerLoad& runner : runners)
-        places -= runner.running.value_or(kUnheardShare * runner.slots);
+    for (const DecodeServerLoad& server : servers)
+        places -= server.running.value_or(kUnknownShare * server.slots);
     std::size_t count = 0;
-    while (count < runners.size() && places < free_share * runners[count].slots)
-        places += kAnswerShare * runners[count++].slots;
+    while (count < servers.size() && places < free_share * servers[count].slots)
+        places += kTargetFill * servers[count++].slots;
     return count;
 }
 
-std::size_t needed_for_moves(double links_busy, double link_share) {
-    return static_cast<std::size_t>(std::ceil(links_busy / link_share));
+std::size_t needed_for_transfers(double busy_links, double utilization) {
+    return static_cast<std::size_t>(std::ceil(busy_links / utilization));
 }
 
 } // namespace
 
-std::size_t DecodePartition::dedicated_count(const std::vector<DecodeServerLoad>& runners, double links_busy,
+std::size_t DecodePartition::dedicated_count(const std::vector<DecodeServerLoad>& servers, double busy_links,
                                              Tenths now) {
     const std::size_t least =
-        std::min(runners.size(), std::max(needed_for_answers(runners, kLeastFreeShare),
-                                          needed_for_moves(links_busy, kMaxLinkUtilization)));
-    const std::size_t most =
-        std::max(needed_for_answers(runners, kMostFreeShare), needed_for_moves(links_busy, kLeastLinkShare));
-    // One more at once, one fewer only when it is clear and after a while: what runs there goes on for
-    // seconds, and prompts that were at home elsewhere are read again.
-    if (least > kept_) {
-        kept_ = least, changed_ = now;
-    } else if (most < kept_ && now - changed_ >= kChangeSpan) {
-        --kept_, changed_ = now;
+        std::min(servers.size(), std::max(needed_for_answers(servers, kMinFreeShare),
+                                          needed_for_transfers(busy_links, kMaxLinkUtilization)));
+    const std::size_t most = std::max(needed_for_answers(servers, kMostFreeShare),
+                                      needed_for_transfers(busy_links, kMinLinkUtilization));
+    // Grows at once, shrinks by one server after a delay: requests running there go on for seconds, and
+    // prompts that had other owners are prefilled again.
+    if (least > dedicated_) {
+        dedicated_ = least, changed_at_ = now;
+    } else if (most < dedicated_ && now - changed_at_ >= kReleaseDelay) {
+        --dedicated_, changed_at_ = now;
     }
-    return std::min(kept_, runners.size());
+    return std::min(dedicated_, servers.size());
 }
 
 std::vector<std::size_t> decode_server_order(const std::vector<const model::Instance*>& instances,
@@ -64,10 +65,10 @@
     std::vector<std::size_t> order(instances.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::ranges::sort(order, std::ranges::greater{}, [&](std::size_t index) { return hashes[index]; });
-    std::map<std::string, std::size_t> taken; // of each zone
-    std::vector<std::size_t> turn(instances.size());
-    for (const std::size_t index : order) turn[index] = taken[instances[index]->zone]++;
-    std::ranges::stable_sort(order, std::ranges::less{}, [&](std::size_t index) { return turn[index]; });
+    std::map<std::string, std::size_t> counts; // by zone
+    std::vector<std::size_t> round(instances.size());
+    for (const std::size_t index : order) round[index] = counts[instances[index]->zone]++;
+    std::ranges::stable_sort(order, std::ranges::less{}, [&](std::size_t index) { return round[index]; });
     return order;
 }
 
--- a/src/replica_selection/kv_transfer_load.hpp
+++ b/src/replica_selection/kv_transfer_load.hpp
@@ -1,7 +1,7 @@
-// What hand-overs ask of the links on which prompts' memory moves. Moves of one server go one after another
-// (PROTOCOL, prefill and decode), so they queue as requests do. One node sees too few of all moves to count
-// them: how many there are follows from how busy the readers are, which all nodes learn from the same
-// reports, and from how long a move takes beside the reading before it.
+// Load that KV cache transfers from prefill to decode servers put on the servers' links. Transfers of one
+// server run one after another (PROTOCOL, prefill and decode), so they queue. One node sees too few transfers
+// to count them: their total follows from how busy the prefill servers are, which all nodes learn from the
+// same reports, and from the ratio of transfer time to prefill time.
 #pragma once
 #include "base/time.hpp"
 
@@ -12,60 +12,59 @@
 
 class KvTransferLoad {
   public:
-    // One hand-over: how long its move holds a link within a zone (tenths of a millisecond), and the tokens
-    // that were read for it.
-    void add(double move, double tokens_read) {
-        seen_ = std::min(seen_ + 1, kMostSeen);
-        move_ += (move - move_) / seen_;
-        tokens_read_ += (tokens_read - tokens_read_) / seen_;
+    // One transfer: the time it occupies a link within a zone (tenths of a millisecond), and the tokens that
+    // were prefilled for it.
+    void add(double transfer_time, double prefilled_tokens) {
+        samples_ = std::min(samples_ + 1, kMaxSamples);
+        transfer_time_ += (transfer_time - transfer_time_) / samples_;
+        prefilled_tokens_ += (prefilled_tokens - prefilled_tokens_) / samples_;
     }
-    // A reading by a reader, from the request to the answer. The quickest of late tells the pace at which
-    // readers read: all others waited as well.
-    void read(double tokens, double took) {
-        if (tokens < kLeastTokens) return;
-        const double pace = took / tokens;
-        pace_ = pace_ > 0 ? std::min(pace, pace_ * kPaceForgets) : pace;
+    // One prefill at a prefill server, from the request to the answer. The fastest recent one gives the
+    // prefill speed; all others include queueing.
+    void add_prefill(double tokens, double took) {
+        if (tokens < kMinTokens) return;
+        const double time_per_token = took / tokens;
+        time_per_token_ =
+            time_per_token_ > 0 ? std::min(time_per_token, time_per_token_ * kSpeedDecay) : time_per_token;
     }
-    // How many links the moves of a reader that reads all the time keep busy.
-    double links_for_reader() const { return std::min(kMostLinks, move_per_read()); }
-    // Whether a link moves prompts so much faster than its runner, which reads at half the pace (PROTOCOL),
-    // would read them that a runner is better kept for it: in half the time, as the reader is taken up as
-    // well.
-    bool worth_a_runner() const { return move_per_read() < 1; }
-    // The wait before a move where that share of the links' time is taken (M/D/1), in tenths of a
-    // millisecond.
-    double wait(double share) const {
-        const double bounded = std::clamp(share, 0.0, kMostShare);
-        return move_ * bounded / (2 * (1 - bounded));
+    // Links that the transfers of a fully busy prefill server occupy.
+    double links_per_prefill_server() const { return std::min(kMaxLinks, transfer_per_prefill()); }
+    // Whether transferring a prompt is so much faster than prefilling it at the decode server (at half the
+    // speed, PROTOCOL) that a decode server should be dedicated to transfers: at most half the time, since a
+    // prefill server is occupied as well.
+    bool worth_dedicated_server() const { return transfer_per_prefill() < 1; }
+    // Mean wait before a transfer at this link utilization (M/D/1), in tenths of a millisecond.
+    double wait(double utilization) const {
+        const double bounded = std::clamp(utilization, 0.0, kMaxUtilization);
+        return transfer_time_ * bounded / (2 * (1 - bounded));
     }
-    // How long a runner took to fetch a prompt and answer, in tenths of a millisecond.
-    void fetched(double took, Tenths now) {
+    // Time a decode server took to fetch a prompt and answer, in tenths of a millisecond.
+    void add_fetch(double took, Tenths now) {
         const double known = fetch_time(now);
-        fetch_ = known + (known > 0 ? kFreshFetch : 1) * (took - known), fetched_ = now;
+        fetch_time_ = known + (known > 0 ? kFetchWeight : 1) * (took - known), fetched_at_ = now;
     }
-    // ... of late; forgotten where prompts are no longer fetched.
+    // Mean of the recent fetch times; decays to 0 without fetches.
     double fetch_time(Tenths now) const {
-        return fetch_ * std::exp(-static_cast<double>(now - fetched_) / kFetchSpan);
+        return fetch_time_ * std::exp(-static_cast<double>(now - fetched_at_) / kFetchDecay);
     }
 
   private:
-    static constexpr double kMostSeen = 20;      // hand-overs that the means stand for
-    static constexpr double kLeastTokens = 500;  // of a reading that tells a pace
-    static constexpr double kPaceForgets = 1.01; // a reading: a pace twice as slow is believed after 70
-    static constexpr double kUnseenRatio =
-        0.35;                                  // before any was seen: a prompt of which two thirds were held
-    static constexpr double kMostLinks = 1;    // a reader's own link carries no more
-    static constexpr double kMostShare = 0.98; // no wait is endless
-    static constexpr double kFreshFetch = 0.2, kFetchSpan = 4.0 * kTenthsPerSecond;
+    static constexpr double kMaxSamples = 20;       // transfers that the means stand for
+    static constexpr double kMinTokens = 500;       // of a prefill that counts for the speed
+    static constexpr double kSpeedDecay = 1.01;     // per prefill: half the speed is adopted after 70
+    static constexpr double kDefaultRatio = 0.35;   // before the first sample: two thirds of a prompt cached
+    static constexpr double kMaxLinks = 1;          // a prefill server has one link
+    static constexpr double kMaxUtilization = 0.98; // keeps the wait finite
+    static constexpr double kFetchWeight = 0.2, kFetchDecay = 4.0 * kTenthsPerSecond;
 
-    double move_per_read() const {
-        const double read = pace_ * tokens_read_;
-        return seen_ == 0 || read <= 0 ? kUnseenRatio : move_ / read;
+    double transfer_per_prefill() const {
+        const double prefill_time = time_per_token_ * prefilled_tokens_;
+        return samples_ == 0 || prefill_time <= 0 ? kDefaultRatio : transfer_time_ / prefill_time;
     }
-    double seen_ = 0, move_ = 0, tokens_read_ = 0;
-    double pace_ = 0; // tenths of a millisecond a token
-    double fetch_ = 0;
-    Tenths fetched_ = 0;
+    double samples_ = 0, transfer_time_ = 0, prefilled_tokens_ = 0;
+    double time_per_token_ = 0; // tenths of a millisecond
+    double fetch_time_ = 0;
+    Tenths fetched_at_ = 0;
 };
 
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/mechanism.hpp
+++ b/src/replica_selection/mechanism.hpp
@@ -1,5 +1,5 @@
-// What docs/design.md lists as departures from C3, each of which a build can leave out, so that its worth can
-// be measured: cmake -DIVYRILL_WITHOUT=N. An ordinary build leaves out none.
+// Departures from C3 listed in docs/design.md. A build can leave one out to measure its effect: cmake
+// -DIVYRILL_WITHOUT=N. A normal build leaves out none.
 #pragma once
 
 #ifndef IVYRILL_WITHOUT
@@ -8,18 +8,20 @@
 
 namespace ivyrill::replica_selection {
 
+// The comments say what happens with and without each.
 enum class Mechanism {
     kNone = 0,
-    kRunnersForLinks = 1, // runners are kept apart for moves; without: for long answers only
-    kDrawnRunners = 2, // of the runners kept apart a few are drawn for each request; without: all are ranked
-    kReaderAsSecond = 3,  // the second home is a reader while links are free; without: the next of any kind
-    kSecondHome = 4,      // a slow home has a second; without: one home
-    kRunnersApart = 5,    // long answers run at a few runners; without: at all
-    kHomes = 6,           // prompts are read at their homes; without: wherever C3 ranks best
-    kRejection = 7,       // some are turned away where readings are late; without: none
-    kSilenceCounts = 8,   // an unanswered attempt counts as a response; without: only answers do
-    kConnectPatience = 9, // patience for a connection by what connections took; without: the latency target
-    kLinksWatched = 10    // moves that take long count as links that are taken; without: links are free
+    kDecodeServersForTransfers =
+        1,                     // dedicated decode servers for KV transfers; without: for long answers only
+    kSampledDecodeServers = 2, // a sample of the dedicated decode servers is ranked; without: all are
+    kPrefillServerAsSecondOwner = 3, // while links are free; without: the next owner of any kind
+    kSecondOwner = 4,                // a second owner while the first is slow; without: one owner
+    kDedicatedDecodeServers = 5,     // long answers run at a few decode servers; without: at all
+    kPromptOwners = 6,               // prompts are prefilled at their owners; without: wherever C3 ranks best
+    kRejection = 7,                  // some requests are rejected while prefills are late; without: none
+    kSilenceCounts = 8,              // an unanswered attempt counts as a response; without: only answers do
+    kConnectTimeout = 9,             // adaptive, from earlier connections; without: the latency target
+    kLinkLoad = 10                   // slow transfers count as busy links; without: links count as free
 };
 
 constexpr bool in_use(Mechanism mechanism) { return static_cast<int>(mechanism) != IVYRILL_WITHOUT; }
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -10,29 +10,31 @@
 
 namespace {
 
-constexpr double kFresh = 0.3;        // weight of an answer in a server's means
-constexpr double kFreshReport = 0.2;  // weight of a report in the share of time that a server reads
-constexpr double kUnheardShare = 0.1; // of the latency target: expected time while nobody was heard
-constexpr double kUnheardTokens =
-    8000; // a prompt of such a length takes the expected time while nobody was heard
-constexpr double kReadAtRunner = 2;  // a runner reads at half the pace (PROTOCOL, prefill and decode)
-constexpr double kZoneFactor = 2;    // of a move between zones (PROTOCOL)
-constexpr double kFarFactor = 1.5;   // ours: a runner in another zone has to be so much better to be moved to
-constexpr Tenths kRefusedRest = 200; // doubled for each refusal in a row
-constexpr Tenths kUnreachableRest = 2500;
-constexpr Tenths kMisdirectedRest = 100'000; // until the list tells of its end
-constexpr int kMostDoublings = 4;
-constexpr Tenths kChangePatience = 100'000; // for a change of stage: what runs there comes to its end first
-constexpr double kMostTargets =
-    0.8; // expected latency targets until the prompt is read, from which some are rejected
-constexpr std::size_t kDrawn = 2, kDrawnFar = 1; // servers that C3 ranks for one request: near ones, others
-constexpr double kLongestComeBack = 3000;        // tenths of a millisecond
-
-void mix(double& mean, double fresh, double weight) { mean += weight * (fresh - mean); }
+constexpr double kAnswerWeight = 0.3;     // weight of an answer in a server's means
+constexpr double kReportWeight = 0.2;     // weight of a report in prefill_share
+constexpr double kUnknownTimeShare = 0.1; // of the latency target: expected time before the first answer
+constexpr double kUnknownTokens =
+    8000; // length of a prompt that takes the expected time before the first answer
+constexpr double kDecodeServerSlowdown =
+    2;                            // a decode server prefills at half the speed (PROTOCOL, prefill and decode)
+constexpr double kZoneFactor = 2; // of a transfer between zones (PROTOCOL)
+constexpr double kRemoteFactor = 1.5;     // a decode server in another zone must be better by this factor
+constexpr Tenths kRejectionBackoff = 200; // doubled for each rejection in a row
+constexpr Tenths kUnreachableBackoff = 2500;
+constexpr Tenths kMisdirectedBackoff = 100'000; // until the server list drops it
+constexpr int kMaxDoublings = 4;
+constexpr Tenths kMaxStageChange = 100'000; // running requests are completed first
+constexpr double kMaxTargets =
+    0.8; // expected prefill time, in latency targets, above which requests are rejected
+constexpr std::size_t kSampled = 2,
+                      kSampledRemote = 1; // servers ranked for one request: in the zone, elsewhere
+constexpr double kMaxRetryAfter = 3000;   // tenths of a millisecond
+
+void mix(double& mean, double may_reject, double weight) { mean += weight * (may_reject - mean); }
 
 std::size_t index(Work work) { return static_cast<std::size_t>(work); }
 
-Tenths doubled(Tenths rest, int times) { return rest << std::min(times, kMostDoublings); }
+Tenths doubled(Tenths backoff, int times) { return backoff << std::min(times, kMaxDoublings); }
 
 } // namespace
 
@@ -49,59 +51,60 @@
     });
     for (const auto& [id, instance] : instances) {
         if (instance.state == model::InstanceState::kGone) continue;
-        const auto [place, fresh] = servers_.try_emplace(id);
+        const auto [place, may_reject] = servers_.try_emplace(id);
         Server& server = place->second;
         const model::Stage stage_before = server.instance.stage;
-        const bool told_anew = server.told_stage != instance.stage;
-        server.instance = instance, server.told_stage = instance.stage;
-        if (fresh) {
-            server.last_answer = server.relaxed = now;
+        const bool stage_changed = server.heartbeat_stage != instance.stage;
+        server.instance = instance, server.heartbeat_stage = instance.stage;
+        if (may_reject) {
+            server.last_answer = server.decayed_at = now;
             continue;
         }
-        // A report may have told of a change before this heartbeat, which then repeats what was.
+        // A report of a stage change may arrive before the heartbeat; an unchanged heartbeat must not undo
+        // it.
         server.instance.stage = stage_before;
-        if (told_anew) set_stage(server, instance.stage);
+        if (stage_changed) set_stage(server, instance.stage);
     }
 }
 
-// What was learnt of it in its other stage says little; the memory that it kept there may be gone.
+// Estimates from the other stage do not apply, and its cache may be lost.
 void PairSelector::set_stage(Server& server, model::Stage stage) {
     if (server.instance.stage == stage) return;
     server.instance.stage = stage;
     server.cache.clear();
     server.estimates = {};
-    server.lost_handles = server.breaks = 0;
-    server.refusals = 0;
+    server.handle_loss_rate = server.break_rate = 0;
+    server.rejections = 0;
     server.avoided_until = server.changing_until = 0;
 }
 
 void PairSelector::set_services(const std::vector<model::Service>& services) {
-    std::map<std::string, ServiceView> views;
+    std::map<std::string, ServiceState> states;
     for (const model::Service& service : services) {
-        views[service.name] = services_[service.name];
-        views[service.name].service = service;
+        states[service.name] = services_[service.name];
+        states[service.name].service = service;
     }
-    services_ = std::move(views);
+    services_ = std::move(states);
 }
 
 void PairSelector::set_load(const model::Load& load, Tenths now) {
     Server* server = find(load.instance);
     if (server == nullptr || load.orders_accepted < server->orders_accepted) return;
     server->orders_accepted = load.orders_accepted;
-    server->changing_until = load.changing ? now + kChangePatience : 0;
-    // Without an order the heartbeats tell all there is to know.
+    server->changing_until = load.changing ? now + kMaxStageChange : 0;
+    // Without an order the heartbeats are sufficient.
     const bool was_ordered = load.orders_accepted > 0 && load.stage != model::Stage::kNone;
     if (was_ordered && !load.changing) set_stage(*server, load.stage);
     server->queue = static_cast<double>(load.waiting);
-    server->running_there = static_cast<double>(load.running);
-    mix(server->reading_share, load.running > 0 ? 1 : 0, kFreshReport);
+    server->reported_running = static_cast<double>(load.running);
+    mix(server->prefill_share, load.running > 0 ? 1 : 0, kReportWeight);
 }
 
 void PairSelector::record_stage_order(const std::string& instance, std::int64_t orders_accepted, Tenths now) {
     Server* server = find(instance);
     if (server == nullptr || orders_accepted <= server->orders_accepted) return;
     server->orders_accepted = orders_accepted;
-    server->changing_until = now + kChangePatience;
+    server->changing_until = now + kMaxStageChange;
 }
 
 PairSelector::Server* PairSelector::find(const std::string& id) {
@@ -121,89 +124,93 @@
 }
 
 Choice PairSelector::choose(const Request& request, const std::set<std::string>& tried, bool may_split,
-                            bool fresh, Tenths now) {
+                            bool may_reject, Tenths now) {
     const Candidates found = candidates(request, tried, now);
     if (const auto pair = best_pair(request, found, may_split, now)) {
-        if (fresh)
+        if (may_reject)
             if (const auto late = overloaded(request, *pair, now)) return *late;
         return *pair;
     }
     if (!found.limited) return NoServer{};
-    backlog_at_ = now;
+    backlogged_at_ = now;
     return Backlogged{(now / kWindow + 1) * kWindow};
 }
 
-// Where more comes than can be read, a queue only makes everything late. So many are turned away at once that
-// the rest is served in time; what is let in tells how long it takes now. So one is always let in: where this
-// node waits for no other prompt, a late answer of before is no queue.
+// When more arrives than can be prefilled, a queue makes everything late. Rejects as large a share as is
+// needed for the rest to be in time; admitted requests measure the current time. So one is always admitted:
+// if this node waits for no other prefill, an earlier late answer does not imply a queue.
 std::optional<Overloaded> PairSelector::overloaded(const Request& request, const Pair& pair, Tenths now) {
     if (!in_use(Mechanism::kRejection)) return std::nullopt;
-    if (pair.reader.empty() && streams(request)) return std::nullopt;
-    if (!waits_for_a_reading(request.service)) return std::nullopt;
-    const Server& reader = servers_.at(pair.reader.empty() ? pair.runner : pair.reader);
-    const Work work = pair.reader.empty() ? Work::kPrefillAndDecode : Work::kPrefillOnly;
-    const double usual = usual_time(work, pair.tokens_to_prefill, false, request.latency_target);
-    const double expected = response_of(reader, work, usual, now);
-    const double most = kMostTargets * static_cast<double>(request.latency_target);
+    if (pair.prefill_server.empty() && is_streaming(request)) return std::nullopt;
+    if (!has_pending_prefill(request.service)) return std::nullopt;
+    const Server& prefill_server =
+        servers_.at(pair.prefill_server.empty() ? pair.decode_server : pair.prefill_server);
+    const Work work = pair.prefill_server.empty() ? Work::kPrefillAndDecode : Work::kPrefillOnly;
+    const double usual = typical_time(work, pair.tokens_to_prefill, false, request.latency_target);
+    const double expected = response_of(prefill_server, work, usual, now);
+    const double most = kMaxTargets * static_cast<double>(request.latency_target);
     if (expected <= most || random_.unit() < most / expected) return std::nullopt;
-    return Overloaded{static_cast<Tenths>(std::min(expected - most, kLongestComeBack))};
+    return Overloaded{static_cast<Tenths>(std::min(expected - most, kMaxRetryAfter))};
 }
 
-// Of this node's own prompts, for that service.
-bool PairSelector::waits_for_a_reading(const std::string& service) const {
+// Whether this node has an unanswered prefill at that service.
+bool PairSelector::has_pending_prefill(const std::string& service) const {
     return std::ranges::any_of(attempts_, [&](const auto& entry) {
         const Attempt& attempt = entry.second;
-        const bool reads = attempt.work == Work::kPrefillOnly || attempt.work == Work::kPrefillAndDecode;
+        const bool prefills = attempt.work == Work::kPrefillOnly || attempt.work == Work::kPrefillAndDecode;
         const model::Instance* server = instance(attempt.server);
-        return reads && !attempt.answered && server != nullptr && server->service == service;
+        return prefills && !attempt.answered && server != nullptr && server->service == service;
     });
 }
 
-bool PairSelector::streams(const Request& request) { return request.output_tokens > request.prompt_tokens(); }
+bool PairSelector::is_streaming(const Request& request) {
+    return request.output_tokens > request.prompt_tokens();
+}
 
-// A pair of two servers competes with each runner that reads the prompt itself: a hand-over has to earn its
-// way.
+// A pair of servers competes with each decode server that could prefill the prompt itself: a transfer must
+// pay off.
 std::optional<Pair> PairSelector::best_pair(const Request& request, const Candidates& candidates,
                                             bool may_split, Tenths now) {
-    const bool apart = !streams(request);
-    const auto& runners =
-        candidates.stream_runners.empty() ? candidates.reading_runners : candidates.stream_runners;
-    if (runners.empty()) {
-        const auto plain = best_of(candidates.plain, request, Work::kUnstaged, nullptr, now);
-        if (!plain) return std::nullopt;
-        return Pair{"", plain->server->instance.id, 0};
+    const bool separate = !is_streaming(request);
+    const auto& decode_servers =
+        candidates.dedicated_servers.empty() ? candidates.mixed_servers : candidates.dedicated_servers;
+    if (decode_servers.empty()) {
+        const auto unstaged = best_of(candidates.unstaged, request, Work::kUnstaged, nullptr, now);
+        if (!unstaged) return std::nullopt;
+        return Pair{"", unstaged->server->instance.id, 0};
     }
-    // Where no prompt is named there is nothing to read, and a reader runs such a request itself.
-    const bool hands_over = may_split && !candidates.readers.empty() && !request.prompt.empty();
+    // Without a named prompt there is nothing to prefill, and a prefill server would run the request itself.
+    const bool may_transfer = may_split && !candidates.prefill_servers.empty() && !request.prompt.empty();
     std::optional<Scored> alone;
-    if (!apart || !candidates.reading_runners.empty() || !hands_over) {
-        const bool elsewhere = apart && !candidates.reading_runners.empty();
-        alone = best_of(elsewhere ? candidates.reading_runners : drawn(runners, ""), request,
-                        Work::kPrefillAndDecode, candidates.home, now);
-        if (!hands_over) return Pair{"", alone->server->instance.id, alone->tokens};
+    if (!separate || !candidates.mixed_servers.empty() || !may_transfer) {
+        const bool use_mixed = separate && !candidates.mixed_servers.empty();
+        alone = best_of(use_mixed ? candidates.mixed_servers : sample(decode_servers, ""), request,
+                        Work::kPrefillAndDecode, candidates.owner, now);
+        if (!may_transfer) return Pair{"", alone->server->instance.id, alone->tokens};
     }
-    const auto reader = best_of(candidates.readers, request, Work::kPrefillOnly, candidates.home, now);
-    const Server* runner = nullptr;
+    const auto prefill_server =
+        best_of(candidates.prefill_servers, request, Work::kPrefillOnly, candidates.owner, now);
+    const Server* decode_server = nullptr;
     double best = 0;
-    for (const Server* server : drawn(runners, reader->server->instance.zone)) {
-        const bool near = server->instance.zone == reader->server->instance.zone;
+    for (const Server* server : sample(decode_servers, prefill_server->server->instance.zone)) {
+        const bool near = server->instance.zone == prefill_server->server->instance.zone;
         const double total =
-            score(*server, request, Work::kFetchAndDecode, 0, now) * (near ? 1 : kFarFactor) +
-            move_time(*reader->server, *server, request);
-        if (runner == nullptr || total < best) runner = server, best = total;
+            score(*server, request, Work::kFetchAndDecode, 0, now) * (near ? 1 : kRemoteFactor) +
+            transfer_time(*prefill_server->server, *server, request);
+        if (decode_server == nullptr || total < best) decode_server = server, best = total;
     }
     best += link_wait(request.service);
-    if (alone && reader->score + best >= alone->score)
+    if (alone && prefill_server->score + best >= alone->score)
         return Pair{"", alone->server->instance.id, alone->tokens};
-    return Pair{reader->server->instance.id, runner->instance.id, reader->tokens};
+    return Pair{prefill_server->server->instance.id, decode_server->instance.id, prefill_server->tokens};
 }
 
-// Reports are some hundred ms old, and all nodes have the same: whoever looked best in them would be sent
-// everything until the next. So each request has a few drawn for it, of which C3 ranks the best (M.
-// Mitzenmacher, "How Useful Is Old Information?", 2000); those of `zone` come first.
-std::vector<PairSelector::Server*> PairSelector::drawn(const std::vector<Server*>& servers,
-                                                       const std::string& zone) {
-    if (!in_use(Mechanism::kDrawnRunners)) return servers;
+// Reports are a few hundred ms old and the same at all nodes: the best server by them would get everything
+// until the next ones. So C3 ranks a small random sample for each request (M. Mitzenmacher, "How Useful Is
+// Old Information?", 2000), servers of `zone` first.
+std::vector<PairSelector::Server*> PairSelector::sample(const std::vector<Server*>& servers,
+                                                        const std::string& zone) {
+    if (!in_use(Mechanism::kSampledDecodeServers)) return servers;
     std::vector<Server*> left = servers;
     const auto far = std::ranges::stable_partition(
         left, [&](const Server* server) { return server->instance.zone == zone; });
@@ -215,54 +222,55 @@
         }
     };
     std::vector<Server*> chosen;
-    draw(left.begin(), far.begin(), kDrawn, chosen);
-    draw(far.begin(), left.end(), chosen.empty() ? kDrawn : kDrawnFar, chosen);
+    draw(left.begin(), far.begin(), kSampled, chosen);
+    draw(far.begin(), left.end(), chosen.empty() ? kSampled : kSampledRemote, chosen);
     return chosen;
 }
 
 std::optional<PairSelector::Scored> PairSelector::best_of(const std::vector<Server*>& servers,
                                                           const Request& request, Work work,
-                                                          const Server* home, Tenths now) {
+                                                          const Server* owner, Tenths now) {
     std::optional<Scored> best;
     int ties = 1;
     for (Server* server : servers) {
-        const double tokens = tokens_of(*server, request, work, server == home, now);
+        const double tokens = missing_tokens(*server, request, work, server == owner, now);
         const double here = score(*server, request, work, tokens, now);
         if (!best || here < best->score)
             best = Scored{server, here, tokens}, ties = 1;
         else if (here == best->score && random_.unit() < 1.0 / ++ties)
-            best = Scored{server, here, tokens}; // nodes that know the same must not all pick the same
+            best =
+                Scored{server, here, tokens}; // nodes with the same reports must not all pick the same server
     }
     return best;
 }
 
-double PairSelector::tokens_of(const Server& server, const Request& request, Work work, bool is_home,
-                               Tenths now) const {
+double PairSelector::missing_tokens(const Server& server, const Request& request, Work work, bool is_owner,
+                                    Tenths now) const {
     if (work == Work::kFetchAndDecode || work == Work::kUnstaged || request.prompt.empty()) return 0;
     const std::int64_t all = request.prompt_tokens();
-    std::int64_t held = server.cache.held(request.prompt, now);
-    if (is_home) held = std::max(held, all - request.prompt.back().tokens);
+    std::int64_t held = server.cache.cached_tokens(request.prompt, now);
+    if (is_owner) held = std::max(held, all - request.prompt.back().tokens);
     return static_cast<double>(std::max<std::int64_t>(0, all - held));
 }
 
-// While nobody was heard of such work, a long prompt takes a tenth of its target.
-double PairSelector::usual_time(Work work, double tokens, bool streams, Tenths latency_target) const {
-    const LatencyModel& model = times_[streams ? 1 : 0][index(work)];
+// Before the first answer to such work, a long prompt is assumed to take a tenth of its latency target.
+double PairSelector::typical_time(Work work, double tokens, bool is_streaming, Tenths latency_target) const {
+    const LatencyModel& model = times_[is_streaming ? 1 : 0][index(work)];
     if (model.known()) return std::max(1.0, model.time(tokens));
-    const double pace = work == Work::kPrefillAndDecode ? kReadAtRunner : 1;
-    const double length = (kUnheardTokens + pace * tokens) / (2 * kUnheardTokens);
-    return std::max(1.0, static_cast<double>(latency_target) * kUnheardShare * length);
+    const double pace = work == Work::kPrefillAndDecode ? kDecodeServerSlowdown : 1;
+    const double length = (kUnknownTokens + pace * tokens) / (2 * kUnknownTokens);
+    return std::max(1.0, static_cast<double>(latency_target) * kUnknownTimeShare * length);
 }
 
-// Silence counts as a response of its length: an attempt unanswered is news too.
+// Silence counts as a response of that length.
 double PairSelector::response_of(const Server& server, Work work, double usual, Tenths now) const {
     const double known = server.estimates[index(work)].response * usual;
     if (!in_use(Mechanism::kSilenceCounts) || server.unanswered.empty()) return known;
-    const Tenths oldest = server.unanswered.begin()->second; // attempts are numbered as they are sent
+    const Tenths oldest = server.unanswered.begin()->second; // attempts are numbered in send order
     return std::max(known, static_cast<double>(now - std::max(oldest, server.last_answer)));
 }
 
-// A part is outstanding until its first word; from then on it takes one of the server's slots.
+// An attempt is outstanding until its first event; from then on it occupies one of the server's slots.
 double PairSelector::outstanding(const Server& server) {
     const auto slots = static_cast<double>(std::max<std::int64_t>(1, server.instance.slots));
     return static_cast<double>(server.unanswered.size()) + static_cast<double>(server.running) / slots;
@@ -270,29 +278,30 @@
 
 double PairSelector::score(const Server& server, const Request& request, Work work, double tokens,
                            Tenths now) const {
-    const double usual =
-        usual_time(work, tokens, work != Work::kPrefillOnly && streams(request), request.latency_target);
+    const double usual = typical_time(work, tokens, work != Work::kPrefillOnly && is_streaming(request),
+                                      request.latency_target);
     const double service = server.estimates[index(work)].service * usual;
     const double waiting = 1 + outstanding(server) * edge_nodes_ + server.queue;
     return replica_selection::score(response_of(server, work, usual, now), service, waiting);
 }
 
-double PairSelector::near_move_time(const Request& request) const {
+double PairSelector::local_transfer_time(const Request& request) const {
     const model::Engine* engine = this->engine(request.service);
     if (engine == nullptr || engine->link_mbps <= 0) return 0;
     const double bits = static_cast<double>(request.prompt_tokens()) * engine->token_bytes * 8;
     return bits / (engine->link_mbps * 1e6) * kTenthsPerSecond;
 }
 
-double PairSelector::move_time(const Server& reader, const Server& runner, const Request& request) const {
-    const double time = near_move_time(request);
-    return reader.instance.zone == runner.instance.zone ? time : time * kZoneFactor;
+double PairSelector::transfer_time(const Server& prefill_server, const Server& decode_server,
+                                   const Request& request) const {
+    const double time = local_transfer_time(request);
+    return prefill_server.instance.zone == decode_server.instance.zone ? time : time * kZoneFactor;
 }
 
 double PairSelector::link_wait(const std::string& service) const {
     const auto found = services_.find(service);
     if (found == services_.end()) return 0;
-    return found->second.hand_overs.wait(found->second.links_taken);
+    return found->second.kv_transfers.wait(found->second.link_utilization);
 }
 
 AttemptNo PairSelector::sent(const std::string& instance, const Request& request, Work work,
@@ -303,50 +312,50 @@
     Attempt& attempt = attempts_[number];
     attempt.server = instance, attempt.work = work;
     attempt.sent = now, attempt.latency_target = request.latency_target;
-    attempt.tokens = tokens_to_prefill.value_or(tokens_of(*server, request, work, false, now));
+    attempt.tokens = tokens_to_prefill.value_or(missing_tokens(*server, request, work, false, now));
     attempt.waiting = server->queue;
-    attempt.streams = work != Work::kPrefillOnly && streams(request);
-    server->limit.sent(now);
+    attempt.is_streaming = work != Work::kPrefillOnly && is_streaming(request);
+    server->limiter.sent(now);
     server->unanswered[number] = now;
     if (work == Work::kPrefillOnly)
-        services_[request.service].hand_overs.add(near_move_time(request), attempt.tokens);
+        services_[request.service].kv_transfers.add(local_transfer_time(request), attempt.tokens);
     if (work == Work::kUnstaged || request.prompt.empty()) return number;
     const model::Engine* engine = this->engine(request.service);
-    server->cache.used(request.prompt, engine == nullptr ? 0 : engine->memory_tokens, edge_nodes_, now);
+    server->cache.record_use(request.prompt, engine == nullptr ? 0 : engine->memory_tokens, edge_nodes_, now);
     return number;
 }
 
-PairSelector::Attempt* PairSelector::out(AttemptNo attempt) {
+PairSelector::Attempt* PairSelector::find_attempt(AttemptNo attempt) {
     const auto found = attempts_.find(attempt);
     return found == attempts_.end() ? nullptr : &found->second;
 }
 
 void PairSelector::answered(AttemptNo number, Tenths now) {
-    Attempt* attempt = out(number);
+    Attempt* attempt = find_attempt(number);
     if (attempt == nullptr || std::exchange(attempt->answered, true)) return;
     Server* server = find(attempt->server);
     if (server == nullptr) return;
     const double took = std::max(1.0, static_cast<double>(now - attempt->sent));
-    LatencyModel& times = times_[attempt->streams ? 1 : 0][index(attempt->work)];
+    LatencyModel& times = times_[attempt->is_streaming ? 1 : 0][index(attempt->work)];
     const double multiple = times.known() ? took / std::max(1.0, times.time(attempt->tokens)) : 1;
     times.add(attempt->tokens, took);
     Estimate& estimate = server->estimates[index(attempt->work)];
-    mix(estimate.response, multiple, kFresh);
-    mix(estimate.service, multiple / (1 + attempt->waiting), kFresh);
-    KvTransferLoad& hand_overs = services_[server->instance.service].hand_overs;
-    if (attempt->work == Work::kFetchAndDecode) hand_overs.fetched(took, now);
-    if (attempt->work == Work::kPrefillOnly) hand_overs.read(attempt->tokens, took);
-    mix(server->breaks, 0, kFresh);
-    server->last_answer = server->relaxed = now;
-    server->refusals = server->failures = 0;
-    server->limit.answered(now);
+    mix(estimate.response, multiple, kAnswerWeight);
+    mix(estimate.service, multiple / (1 + attempt->waiting), kAnswerWeight);
+    KvTransferLoad& kv_transfers = services_[server->instance.service].kv_transfers;
+    if (attempt->work == Work::kFetchAndDecode) kv_transfers.add_fetch(took, now);
+    if (attempt->work == Work::kPrefillOnly) kv_transfers.add_prefill(attempt->tokens, took);
+    mix(server->break_rate, 0, kAnswerWeight);
+    server->last_answer = server->decayed_at = now;
+    server->rejections = server->connect_failures = 0;
+    server->limiter.answered(now);
     if (server->unanswered.erase(number) > 0) ++server->running;
-    server->limit.adapt(now, static_cast<int>(server->unanswered.size()),
-                        backlog_at_ >= 0 && now - backlog_at_ <= 2 * kWindow);
+    server->limiter.adapt(now, static_cast<int>(server->unanswered.size()),
+                          backlogged_at_ >= 0 && now - backlogged_at_ <= 2 * kWindow);
 }
 
-void PairSelector::close(AttemptNo number) {
-    Attempt* attempt = out(number);
+void PairSelector::remove_attempt(AttemptNo number) {
+    Attempt* attempt = find_attempt(number);
     if (attempt == nullptr) return;
     if (Server* server = find(attempt->server)) {
         const bool waited = server->unanswered.erase(number) > 0;
@@ -356,45 +365,45 @@
 }
 
 void PairSelector::ended(AttemptNo number, Tenths now) {
-    Attempt* attempt = out(number);
-    // Given up on without an answer: what it took so far is the least that it would have taken.
+    Attempt* attempt = find_attempt(number);
+    // Abandoned without an answer: the elapsed time is a lower bound of its response time.
     if (attempt != nullptr && !attempt->answered) {
         Server* server = find(attempt->server);
         const double usual =
-            usual_time(attempt->work, attempt->tokens, attempt->streams, attempt->latency_target);
+            typical_time(attempt->work, attempt->tokens, attempt->is_streaming, attempt->latency_target);
         const double multiple = static_cast<double>(now - attempt->sent) / std::max(usual, 1.0);
         if (server != nullptr) {
             Estimate& estimate = server->estimates[index(attempt->work)];
-            if (multiple > estimate.response) mix(estimate.response, multiple, kFresh);
-            server->relaxed = now;
+            if (multiple > estimate.response) mix(estimate.response, multiple, kAnswerWeight);
+            server->decayed_at = now;
         }
     }
-    close(number);
+    remove_attempt(number);
 }
 
-// An error comes fast and leaves nothing behind: it must not look like a quick server with an empty queue.
-void PairSelector::refused(AttemptNo number, Tenths now) {
-    if (Attempt* attempt = out(number))
+// A fast rejection must not look like a fast server with an empty queue, so it does not update the means.
+void PairSelector::rejected(AttemptNo number, Tenths now) {
+    if (Attempt* attempt = find_attempt(number))
         if (Server* server = find(attempt->server))
-            server->avoided_until = now + doubled(kRefusedRest, server->refusals++);
-    close(number);
+            server->avoided_until = now + doubled(kRejectionBackoff, server->rejections++);
+    remove_attempt(number);
 }
 
-void PairSelector::broken(AttemptNo number, Tenths now) {
-    if (Attempt* attempt = out(number))
+void PairSelector::failed(AttemptNo number, Tenths now) {
+    if (Attempt* attempt = find_attempt(number))
         if (Server* server = find(attempt->server)) {
-            mix(server->breaks, 1, kFresh);
-            server->relaxed = now;
+            mix(server->break_rate, 1, kAnswerWeight);
+            server->decayed_at = now;
         }
-    close(number);
+    remove_attempt(number);
 }
 
 void PairSelector::unreachable(const std::string& instance, Tenths now) {
     if (Server* server = find(instance))
-        server->avoided_until = now + doubled(kUnreachableRest, server->failures++);
+        server->avoided_until = now + doubled(kUnreachableBackoff, server->connect_failures++);
 }
 
-Tenths PairSelector::silent_since(AttemptNo number) const {
+Tenths PairSelector::last_activity(AttemptNo number) const {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return 0;
     const auto server = servers_.find(found->second.server);
@@ -406,18 +415,19 @@
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return 0;
     const Attempt& attempt = found->second;
-    const double usual = usual_time(attempt.work, attempt.tokens, attempt.streams, attempt.latency_target);
+    const double usual =
+        typical_time(attempt.work, attempt.tokens, attempt.is_streaming, attempt.latency_target);
     const auto server = servers_.find(attempt.server);
     if (server == servers_.end()) return static_cast<Tenths>(usual);
     return static_cast<Tenths>(usual * std::max(1.0, server->second.estimates[index(attempt.work)].response));
 }
 
 void PairSelector::misdirected(const std::string& instance, Tenths now) {
-    if (Server* server = find(instance)) server->avoided_until = now + kMisdirectedRest;
+    if (Server* server = find(instance)) server->avoided_until = now + kMisdirectedBackoff;
 }
 
-void PairSelector::record_handle_use(const std::string& reader, bool found) {
-    if (Server* server = find(reader)) mix(server->lost_handles, found ? 0 : 1, kFresh);
+void PairSelector::record_handle_use(const std::string& prefill_server, bool found) {
+    if (Server* server = find(prefill_server)) mix(server->handle_loss_rate, found ? 0 : 1, kAnswerWeight);
 }
 
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/prompt_cache_view.hpp
+++ b/src/replica_selection/prompt_cache_view.hpp
@@ -1,6 +1,6 @@
-// What this node believes a server holds of the prompts' shared parts: what it sent there lately itself. A
-// server keeps parts by least recent use, so how long one stays follows from the server's memory and the flow
-// of tokens into it.
+// Estimate of a server's prompt cache from what this node has recently sent there. Servers evict the least
+// recently used parts, so the time a part stays cached follows from the server's memory and the rate of
+// tokens into it.
 #pragma once
 #include "base/time.hpp"
 
@@ -18,18 +18,19 @@
 
 class PromptCacheView {
   public:
-    // `senders`: nodes that send to the server as much as this one, as far as known.
-    void used(const std::vector<PromptPart>& prompt, std::int64_t memory_tokens, double senders, Tenths now);
-    // Tokens of the longest run of leading parts that is believed to be held.
-    std::int64_t held(const std::vector<PromptPart>& prompt, Tenths now) const;
+    // `senders`: number of nodes that are assumed to send as much as this one.
+    void record_use(const std::vector<PromptPart>& prompt, std::int64_t memory_tokens, double senders,
+                    Tenths now);
+    // Tokens of the leading parts that are believed to be cached.
+    std::int64_t cached_tokens(const std::vector<PromptPart>& prompt, Tenths now) const;
     void clear() { last_used_.clear(); }
 
   private:
-    void forget_old(Tenths now);
+    void evict_old(Tenths now);
 
     std::unordered_map<std::string, Tenths> last_used_;
-    double tokens_per_second_ = 0; // into the server, all senders together
-    Tenths last_use_ = 0, horizon_ = 0, cleaned_ = 0;
+    double tokens_per_second_ = 0; // into the server, from all senders
+    Tenths last_use_ = 0, retention_ = 0, evicted_at_ = 0;
 };
 
 } // namespace ivyrill::replica_selection
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -402,7 +402,7 @@
 
     // Without answers, high means fall at the rate of service and low ones decay, towards the fleet's means.
     void decay_means(IndexServer& server) {
-        server.limiter.roll(now_);
+        server.limiter.advance(now_);
         const double passed = static_cast<double>(now_ - server.decayed_at);
         server.decayed_at = now_;
         if (server.in_flight() > 0 || passed <= 0 || !server.measured) return;
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -63,7 +63,7 @@
             return 0; // trailers: unread
         Stream& stream = found->second;
         stream.fields += name_size + value_size + kFieldCost;
-        if (stream.fields > self.budget_.terms().max_header_list_bytes) return stream.too_large = true, 0;
+        if (stream.fields > self.budget_.limits().max_header_list_bytes) return stream.too_large = true, 0;
         std::string key(reinterpret_cast<const char*>(name), name_size);
         std::string text(reinterpret_cast<const char*>(value), value_size);
         if (key == ":method")
@@ -211,7 +211,7 @@
 
 std::size_t Http2Session::feed(std::string_view bytes) {
     if (!reads()) return bytes.size();
-    bytes = bytes.substr(0, budget_.terms().read_quantum_bytes);
+    bytes = bytes.substr(0, budget_.limits().read_quantum_bytes);
     const ssize_t taken =
         nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
     if (taken < 0) {
@@ -221,7 +221,7 @@
         nghttp2_session_terminate_session(session_,
                                           flood ? NGHTTP2_ENHANCE_YOUR_CALM : NGHTTP2_PROTOCOL_ERROR);
         counts_.calmed += flood && !calmed_;
-        out_ = take_out(budget_.terms().read_quantum_bytes);
+        out_ = take_out(budget_.limits().read_quantum_bytes);
         failed_ = true;
         return bytes.size();
     }
@@ -229,7 +229,7 @@
     // meanwhile.
     if (in_block_) block_bytes_ += bytes.size();
     if (in_block_ &&
-        block_bytes_ > 2 * budget_.terms().max_header_list_bytes + budget_.terms().read_quantum_bytes)
+        block_bytes_ > 2 * budget_.limits().max_header_list_bytes + budget_.limits().read_quantum_bytes)
         end_calmly(ClientAction::kBad);
     return static_cast<std::size_t>(taken);
 }
@@ -271,7 +271,7 @@
         news_.emplace_back(AnsweredHere{});
     };
     if (stream.too_large)
-        return refuse(stream.fields > budget_.terms().max_header_list_bytes ? 431 : 413, "too large");
+        return refuse(stream.fields > budget_.limits().max_header_list_bytes ? 431 : 413, "too large");
     const std::string_view host = message.header("host");
     if (!host.empty() && !stream.authority.empty() && lower(std::string(host)) != lower(stream.authority))
         return refuse(400, "host and :authority differ");
--- a/tests/c3_tests.cpp
+++ b/tests/c3_tests.cpp
@@ -1,5 +1,4 @@
-// C3's score and sending limit by hand-worked figures, and in lockstep with the code that the decision module
-// held before.
+// C3's score and rate limiter against hand-computed values and an earlier implementation.
 #define BOOST_TEST_MODULE c3
 #include <boost/test/included/unit_test.hpp>
 
@@ -12,7 +11,7 @@
 
 namespace {
 
-// So many are sent and answered, all in the window that holds `now`.
+// Sends or answers `count` times in the window of `now`.
 void send(SendRateLimiter& limit, Tenths now, int count) {
     for (int i = 0; i < count; ++i) limit.sent(now);
 }
@@ -21,8 +20,8 @@
     for (int i = 0; i < count; ++i) limit.answered(now);
 }
 
-// As it stood in src/search_scheduler.cpp, with the server's fields and the turn's time in one place.
-struct FormerLimit {
+// An earlier, independent implementation.
+struct EarlierLimiter {
     double limit = 10, saturation = 10, recent_sends = 0;
     Tenths last_cut = 0, last_rise = 0, window = 0;
     int sent = 0, answers = 0, last_answers = 0;
@@ -37,11 +36,11 @@
     }
 
     void adapt(Tenths now, int outstanding, bool backlogged) {
-        constexpr double kFormerGamma = 0.2 * 10.0 / (1000.0 * 1000.0 * 1000.0);
+        constexpr double kEarlierGamma = 0.2 * 10.0 / (1000.0 * 1000.0 * 1000.0);
         const double most = std::max(answers, last_answers);
         if (most > limit || (sent >= limit && outstanding == 0)) {
-            const double reach = now - last_cut - std::cbrt(0.2 * saturation / kFormerGamma);
-            const double cubic = kFormerGamma * reach * reach * reach + saturation;
+            const double offset = now - last_cut - std::cbrt(0.2 * saturation / kEarlierGamma);
+            const double cubic = kEarlierGamma * offset * offset * offset + saturation;
             limit = std::max(limit, std::min(limit + 10.0, cubic));
             last_rise = now;
         } else if (most < limit && backlogged && now - last_rise > 2 * 200) {
@@ -61,7 +60,7 @@
     BOOST_TEST(score(400, 100, 0) == 300);
 }
 
-BOOST_AUTO_TEST_CASE(a_long_queue_outweighs_a_quick_server) {
+BOOST_AUTO_TEST_CASE(long_queue_outweighs_a_fast_server) {
     BOOST_TEST(score(50, 10, 6) > score(200, 100, 2));
     BOOST_TEST(score(50, 10, 2) < score(200, 100, 2));
 }
@@ -78,8 +77,8 @@
     BOOST_TEST(limit.has_room(5200));
 }
 
-BOOST_AUTO_TEST_CASE(more_answers_than_the_limit_let_it_rise_by_the_cubic_curve) {
-    // The saddle lies 100 ms after the last cut; 30 ms past it the curve stands at 10 + 2e-9 * 300^3.
+BOOST_AUTO_TEST_CASE(more_answers_than_the_limit_raise_it_along_the_cubic_curve) {
+    // The saddle lies 100 ms after the last cut; 30 ms past it the curve is at 10 + 2e-9 * 300^3.
     SendRateLimiter limit;
     answer(limit, 1300, 11);
     limit.adapt(1300, 5, true);
@@ -91,7 +90,7 @@
     answer(limit, 30'000, 11);
     limit.adapt(30'000, 5, false);
     BOOST_TEST(limit.limit() == 20);
-    answer(limit, 30'000, 9); // twenty answers do not exceed the limit now
+    answer(limit, 30'000, 9); // twenty answers do not exceed the new limit
     limit.adapt(30'000, 5, false);
     BOOST_TEST(limit.limit() == 20);
     answer(limit, 30'000, 1);
@@ -101,7 +100,7 @@
 
 BOOST_AUTO_TEST_CASE(the_curve_never_lowers_the_limit) {
     SendRateLimiter limit;
-    answer(limit, 100, 11); // the curve stands below the limit before its saddle
+    answer(limit, 100, 11); // the curve is below the limit before its saddle
     limit.adapt(100, 5, false);
     BOOST_TEST(limit.limit() == 10);
 }
@@ -118,16 +117,16 @@
     BOOST_TEST(older.limit() == 10);
 }
 
-BOOST_AUTO_TEST_CASE(a_full_window_of_which_nothing_is_owed_rises) {
-    SendRateLimiter idle, owing, half;
+BOOST_AUTO_TEST_CASE(full_window_with_nothing_outstanding_raises_the_limit) {
+    SendRateLimiter idle, outstanding, half;
     send(idle, 30'000, 10);
     idle.adapt(30'000, 0, false);
-    send(owing, 30'000, 10);
-    owing.adapt(30'000, 1, false);
+    send(outstanding, 30'000, 10);
+    outstanding.adapt(30'000, 1, false);
     send(half, 30'000, 9);
     half.adapt(30'000, 0, false);
     BOOST_TEST(idle.limit() == 20);
-    BOOST_TEST(owing.limit() == 10);
+    BOOST_TEST(outstanding.limit() == 10);
     BOOST_TEST(half.limit() == 10);
 }
 
@@ -182,7 +181,7 @@
     BOOST_TEST(limit.limit() == 6);
 }
 
-BOOST_AUTO_TEST_CASE(a_window_passed_over_counts_as_one_without_sends) {
+BOOST_AUTO_TEST_CASE(skipped_window_counts_as_one_without_sends) {
     SendRateLimiter limit;
     send(limit, 5000, 10);
     limit.answered(5400);
@@ -190,7 +189,7 @@
     BOOST_TEST(limit.limit() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(after_a_cut_the_curve_leads_back_to_where_it_was) {
+BOOST_AUTO_TEST_CASE(after_a_cut_the_curve_returns_to_the_former_limit) {
     SendRateLimiter limit;
     limit.answered(5000);
     limit.adapt(5000, 5, true); // cut from 10 to 2: the saddle lies 100 ms from here, at 10
@@ -202,32 +201,32 @@
     BOOST_TEST(limit.limit() == 10, boost::test_tools::tolerance(1e-12));
 }
 
-BOOST_AUTO_TEST_CASE(it_goes_in_lockstep_with_the_code_it_was) {
-    Pcg chance(7);
+BOOST_AUTO_TEST_CASE(matches_the_earlier_implementation) {
+    Pcg random(7);
     int rises = 0, cuts = 0;
     for (int run = 0; run < 200; ++run) {
         SendRateLimiter limit;
-        FormerLimit former;
-        Tenths now = static_cast<Tenths>(chance.unit() * 1000);
+        EarlierLimiter earlier;
+        Tenths now = static_cast<Tenths>(random.unit() * 1000);
         for (int step = 0; step < 2000; ++step) {
-            if (chance.unit() < 0.2) now += static_cast<Tenths>(chance.unit() * 300);
-            former.roll_window(now);
-            BOOST_REQUIRE_EQUAL(limit.has_room(now), !(former.sent >= former.limit));
-            const double before = former.limit;
-            if (chance.unit() < 0.5) {
+            if (random.unit() < 0.2) now += static_cast<Tenths>(random.unit() * 300);
+            earlier.roll_window(now);
+            BOOST_REQUIRE_EQUAL(limit.has_room(now), !(earlier.sent >= earlier.limit));
+            const double before = earlier.limit;
+            if (random.unit() < 0.5) {
                 limit.sent(now);
-                ++former.sent;
+                ++earlier.sent;
             } else {
-                const int outstanding = static_cast<int>(chance.unit() * 3);
-                const bool backlogged = chance.unit() < 0.2;
+                const int outstanding = static_cast<int>(random.unit() * 3);
+                const bool backlogged = random.unit() < 0.2;
                 limit.answered(now);
                 limit.adapt(now, outstanding, backlogged);
-                ++former.answers;
-                former.adapt(now, outstanding, backlogged);
+                ++earlier.answers;
+                earlier.adapt(now, outstanding, backlogged);
             }
-            rises += former.limit > before ? 1 : 0;
-            cuts += former.limit < before ? 1 : 0;
-            BOOST_REQUIRE(limit.limit() == former.limit);
+            rises += earlier.limit > before ? 1 : 0;
+            cuts += earlier.limit < before ? 1 : 0;
+            BOOST_REQUIRE(limit.limit() == earlier.limit);
         }
     }
     BOOST_TEST(rises > 1000);
