--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -446,7 +446,7 @@
 void Node::carry_out(const routing::RejectClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return;
-    client->session->reject(effect.stream, effect.status, effect.why, effect.challenge, effect.close);
+    client->session->reject(effect.stream, effect.status, effect.message, effect.challenge, effect.close);
     spoken_.insert(effect.client);
 }
 
@@ -579,7 +579,7 @@
     for (;;) {
         transport::Slot& asked = discovery_->asked; // named: GCC 12 keeps no reference that comes from a call
         while (!discovery_->ask) co_await asked;
-        const routing::DiscoveryCallId id = discovery_->ask->ask;
+        const routing::DiscoveryCallId id = discovery_->ask->call;
         const std::string request = protocol::list_request(discovery_->ask->address, discovery_->ask->after,
                                                            discovery_->ask->wait_ms, discovery_->ask->whole);
         std::optional<protocol::HttpMessage> answer;
@@ -628,7 +628,7 @@
 }
 
 void Node::carry_out(const routing::CancelDiscoveryCall& effect) {
-    log_limited("discovery: its connection is closed: {}", effect.why);
+    log_limited("discovery: its connection is closed: {}", effect.reason);
     discovery_task_ = {};
     discovery_.emplace(loop_);
     discovery_task_ = serve_discovery(), discovery_task_.start();
--- a/src/routing/events.hpp
+++ b/src/routing/events.hpp
@@ -1,5 +1,5 @@
-// What happens to a front node, and what it asks for in return. Handles are serial numbers that are never
-// used again: news about something that has ended finds nothing.
+// Events of a front node, and the effects it asks for in return. Handles are serial numbers that are never
+// reused, so an event about something that has ended is ignored.
 #pragma once
 #include "access/gate.hpp"
 #include "base/ids.hpp"
@@ -15,38 +15,38 @@
 
 using ClientId = Id<struct ClientTag, std::uint64_t>;         // a client's connection
 using ConnectionId = Id<struct ConnectionTag, std::uint64_t>; // a connection to an index server
-using StreamNo = std::uint32_t; // of a search on its client's connection, 0 where there is one at a time
-using DiscoveryCallId = Id<struct DiscoveryCallTag, std::uint64_t>; // a call to discovery
+using StreamNo = std::uint32_t; // of a search on its client's connection; 0 for protocols without streams
+using DiscoveryCallId = Id<struct DiscoveryCallTag, std::uint64_t>;
 
 struct ClientOpened {
     ClientId client;
-    bool guarded = true; // its listener asks for a credential, where access is on
-    bool sealed = false; // it must shake hands first
+    bool requires_credential = true; // by its listener, if access control is on
+    bool tls = false;                // a handshake comes first
 };
-struct HandshakeReady { // its bytes have come, its handshake can go on
+struct HandshakeReady { // bytes have arrived, its handshake can continue
     ClientId client;
 };
-struct HandshakeCompleted { // its handshake is done; the chain that it showed, or null
+struct HandshakeCompleted { // `chain`: the client's certificate chain, or null
     ClientId client;
     std::shared_ptr<const access::Chain> chain;
 };
 struct SearchReceived {
     ClientId client;
     protocol::SearchRequest request;
-    Tenths age = 0; // it reached this machine so long ago
+    Tenths age = 0; // time since it reached this machine
     StreamNo stream = 0;
 };
-struct SearchCancelled { // its client has taken it back, and keeps its connection
+struct SearchCancelled { // by its client, which keeps its connection
     ClientId client;
     StreamNo stream = 0;
 };
-struct RequestStarted { // a request has begun and is not whole
+struct RequestStarted { // the first bytes of a request; it is not complete
     ClientId client;
 };
-struct OtherRequestAnswered { // it asked for something else than a search, and has its answer
+struct OtherRequestAnswered { // a request other than a search has been answered
     ClientId client;
 };
-struct ClientFinalAnswerSent { // its last answer is with the system; what it still sends is not read
+struct ClientFinalAnswerSent { // the system has its last answer; further input is discarded
     ClientId client;
 };
 struct ClientDisconnected {
@@ -55,17 +55,17 @@
 struct ConnectionEstablished {
     ConnectionId connection;
 };
-struct ConnectionBytesWritten { // so many of its bytes has the system taken
+struct ConnectionBytesWritten { // total bytes that the system has taken
     ConnectionId connection;
     std::uint64_t total = 0;
 };
-struct ConnectionClosed { // refused, broken or closed by the other side
+struct ConnectionClosed { // refused, lost or closed by the peer
     ConnectionId connection;
 };
-struct FrameStarted { // a frame has begun and is not whole
+struct FrameStarted { // the first bytes of a frame; it is not complete
     ConnectionId connection;
 };
-struct MalformedDataReceived { // what came cannot be read; the answer names this part, or none
+struct MalformedDataReceived { // `part`: the part it names, or empty
     ConnectionId connection;
     std::string part;
 };
@@ -79,29 +79,29 @@
     protocol::LoadAnswer answer;
 };
 struct ServerListReceived {
-    DiscoveryCallId ask;
+    DiscoveryCallId call;
     protocol::ServerList list;
 };
 struct ServerListFailed {
-    DiscoveryCallId ask;
+    DiscoveryCallId call;
 };
-struct DiscoveryConnected { // its connection has come up
-    DiscoveryCallId ask;
+struct DiscoveryConnected {
+    DiscoveryCallId call;
 };
-struct DiscoveryAddressChanged { // the configuration was read again
+struct DiscoveryAddressChanged { // by a reload of the configuration
     std::string address;
 };
-struct PolicyLoaded { // access was read again, whole and checked
+struct PolicyLoaded { // a checked access policy, after a reload
     std::shared_ptr<const access::Policy> policy;
 };
-struct WallClockRead { // what the system's clock says now
+struct WallClockRead {
     Tenths wall = 0;
 };
-struct FrontNodesCounted { // front nodes that are there, ourselves among them
+struct FrontNodesCounted { // live front nodes, including this one
     std::size_t present = 1;
 };
-struct DrainStarted {};   // answers go out with the last word on their connection
-struct TrafficStopped {}; // no request can be on its way any more: idle connections may go
+struct DrainStarted {};   // answers tell clients that their connection closes
+struct TrafficStopped {}; // no request can be on its way any more: idle connections may be closed
 using Event =
     std::variant<ClientOpened, HandshakeReady, HandshakeCompleted, PolicyLoaded, WallClockRead,
                  SearchReceived, SearchCancelled, RequestStarted, OtherRequestAnswered, ClientFinalAnswerSent,
@@ -127,31 +127,31 @@
     bool close = false;
     StreamNo stream = 0;
 };
-struct RejectClient { // an error in the request itself, or a search we know already
+struct RejectClient { // an error in the request itself, or a duplicate search
     ClientId client;
     int status = 400;
-    std::string why;
+    std::string message;
     bool close = false;
-    std::string_view challenge = {}; // of a credential that is not good: text that stands for ever
-    StreamNo stream = 0;             // 0 also where the connection itself is meant
+    std::string_view challenge = {}; // WWW-Authenticate for a bad credential; static text
+    StreamNo stream = 0;             // 0 also if the connection itself is meant
 };
-struct ContinueHandshake { // one step of its handshake
+struct ContinueHandshake { // by one step
     ClientId client;
 };
-struct Audit { // for the audit log; nothing secret is in it
+struct Audit { // a record of the audit log, without secrets
     access::Reason reason = access::Reason::kNoCredential;
     std::string_view what;         // `refused`, `barred`, `distrusted`, `swapped`, `kept`
-    std::string club, member, key; // the first two only where they are proven
+    std::string club, member, key; // the first two only if they are proven
     std::string request_class, search;
 };
-struct DrainClient { // it should go elsewhere, where its protocol can say so
+struct DrainClient { // asks it to go elsewhere, if its protocol has a message for that
     ClientId client;
 };
 struct CloseClient {
     ClientId client;
 };
-// Nothing more is said to it; what it has sent already is heard first, what comes later is read and dropped
-// until it closes.
+// Closes the sending side. What has been received is still handled; later input is read and discarded until
+// the client closes.
 struct HalfCloseClient {
     ClientId client;
 };
@@ -159,13 +159,13 @@
     bool on = true;
 };
 struct QueryDiscovery {
-    DiscoveryCallId ask;
+    DiscoveryCallId call;
     std::string address;
     std::int64_t after = 0, wait_ms = 0;
     bool whole = false;
 };
-struct CancelDiscoveryCall { // the call that is out, if any, and the connection to discovery
-    std::string why;
+struct CancelDiscoveryCall { // the pending call, if any, and the connection to discovery
+    std::string reason;
 };
 struct ArmTimer {
     Tenths at = 0;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// The platform's word: a connection on which no request is open may be closed after this; who sends nothing
-// that can be used is owed an error or a close within half as long again.
-constexpr Tenths kWordSpan = 2 * kTenthsPerSecond;
+// By the platform's contract a connection without an open request may be closed after this time; a client
+// that sends nothing usable must get an error or a close within 1.5 times as long.
+constexpr Tenths kClientTimeout = 2 * kTenthsPerSecond;
 
 } // namespace
 
@@ -18,7 +18,7 @@
                std::size_t descriptors, Tenths now)
     : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.opening)), descriptors_(descriptors),
       now_(now), discovery_(std::move(discovery)) {
-    take_list(known, ListKind::kSaved);
+    apply_list(known, ListKind::kSaved);
 }
 
 void Router::handle(Tenths now, Event event) {
@@ -28,17 +28,17 @@
 
 std::vector<Effect> Router::turn(Tenths now) {
     now_ = std::max(now_, now);
-    let_shake();
-    while (!alarms_.empty() && alarms_.begin()->first <= now_) {
-        const Alarm alarm = std::move(alarms_.begin()->second);
-        alarms_.erase(alarms_.begin());
-        std::visit([this](const auto& what) { due(what); }, alarm);
+    run_handshakes();
+    while (!timers_.empty() && timers_.begin()->first <= now_) {
+        const Timer timer = std::move(timers_.begin()->second);
+        timers_.erase(timers_.begin());
+        std::visit([this](const auto& what) { on_timer(what); }, timer);
     }
     if (std::exchange(decision_due_, false)) {
         scheduler_->decide(now_, *this);
         send_calls();
     }
-    const Tenths next = alarms_.empty() ? 0 : alarms_.begin()->first;
+    const Tenths next = timers_.empty() ? 0 : timers_.begin()->first;
     if (next != armed_) effects_.push_back(ArmTimer{armed_ = next});
     return std::exchange(effects_, {});
 }
@@ -47,52 +47,53 @@
 
 void Router::apply(const ClientOpened& event) {
     Client& client = clients_[event.client];
-    client.idle_since = now_, client.guarded = event.guarded;
+    client.idle_since = now_, client.requires_credential = event.requires_credential;
     if (draining_) effects_.push_back(DrainClient{event.client});
-    if (event.sealed && handshakes_)
+    if (event.tls && handshakes_)
         if (const auto gone = handshakes_->begin(event.client)) close_client(*gone);
-    await_word(event.client, client);
-    make_room(event.client);
+    start_client_timeout(event.client, client);
+    evict_clients(event.client);
 }
 
-// Who connects and says nothing, or half of something, holds a descriptor for so long and no longer.
-void Router::await_word(ClientId id, Client& client) {
-    client.word_by = now_ + kWordSpan;
-    at(client.word_by, WordDue{id});
+// Bounds the time for which a client without a complete request may hold a descriptor.
+void Router::start_client_timeout(ClientId id, Client& client) {
+    client.deadline = now_ + kClientTimeout;
+    schedule(client.deadline, ClientTimeout{id});
 }
 
-void Router::due(const WordDue& what) {
+void Router::on_timer(const ClientTimeout& what) {
     const auto found = clients_.find(what.client);
-    if (found == clients_.end() || now_ < found->second.word_by || !found->second.searches.empty()) return;
-    if (found->second.leaving)
+    if (found == clients_.end() || now_ < found->second.deadline || !found->second.searches.empty()) return;
+    if (found->second.closing)
         close_client(what.client);
-    else if (found->second.midway)
-        effects_.push_back(RejectClient{what.client, 408, "the request did not come in time", true});
-    else if (!found->second.asked)
-        shut_client(what.client);
+    else if (found->second.request_started)
+        effects_.push_back(RejectClient{what.client, 408, "incomplete request timed out", true});
+    else if (!found->second.has_searched)
+        half_close_client(what.client);
 }
 
 void Router::apply(const RequestStarted& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || !found->second.searches.empty() ||
-        std::exchange(found->second.midway, true))
+        std::exchange(found->second.request_started, true))
         return;
-    if (found->second.asked) await_word(event.client, found->second); // else its time runs since it came
+    if (found->second.has_searched)
+        start_client_timeout(event.client, found->second); // otherwise its time runs from the connect
 }
 
 void Router::apply(const OtherRequestAnswered& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
-    found->second.midway = false;
-    if (std::exchange(found->second.leaving, false)) shut_client(event.client);
+    found->second.request_started = false;
+    if (std::exchange(found->second.closing, false)) half_close_client(event.client);
 }
 
 void Router::apply(const ClientFinalAnswerSent& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || !found->second.searches.empty() ||
-        std::exchange(found->second.leaving, true))
+        std::exchange(found->second.closing, true))
         return;
-    await_word(event.client, found->second);
+    start_client_timeout(event.client, found->second);
 }
 
 void Router::close_client(ClientId id) {
@@ -101,50 +102,50 @@
     effects_.push_back(CloseClient{id});
 }
 
-// A close over bytes that we have not read resets the connection, and an answer that is still on its way goes
-// with it. So who is to go is told, and read on for a while; whether it has asked for something meanwhile is
-// looked at first.
-void Router::shut_client(ClientId id) {
-    if (handshakes_ && handshakes_->open(id)) return close_client(id); // nothing has been said yet
+// Closing a socket with unread input resets the connection, which would lose an answer that is still on its
+// way. So the connection is half-closed and read for a while; a request that arrives in that time is still
+// answered.
+void Router::half_close_client(ClientId id) {
+    if (handshakes_ && handshakes_->open(id)) return close_client(id); // nothing has been sent yet
     Client& client = clients_.at(id);
-    if (std::exchange(client.leaving, true)) return;
+    if (std::exchange(client.closing, true)) return;
     effects_.push_back(HalfCloseClient{id});
-    await_word(id, client);
+    start_client_timeout(id, client);
 }
 
-// At the limit of descriptors those go first that have never asked for a search, the oldest of them, then
-// those idle for longest; where none is, nobody new is let in until one is. Clients may hold a third of the
-// descriptors for their requests and do not close what they have done with: while more than half of that
-// third have asked, idle ones go, lest nobody can come with a new request.
-void Router::make_room(std::optional<ClientId> newest) {
-    const std::size_t most = most_clients(), most_asked = descriptors_ / 3 / 2;
-    if (clients_.size() <= std::min(most, most_asked)) return;
+// At the descriptor limit evicts clients without a search first, the oldest of them, then those idle for
+// longest; if there is none, stops accepting until there is. By contract clients may hold a third of the
+// descriptors for their requests and need not close connections after use: while clients that have searched
+// hold more than half of that third, idle ones are evicted so that new clients can connect.
+void Router::evict_clients(std::optional<ClientId> newest) {
+    const std::size_t most = max_clients(), max_searched = descriptors_ / 3 / 2;
+    if (clients_.size() <= std::min(most, max_searched)) return;
     using Rank = std::pair<bool, Tenths>;
-    std::optional<std::pair<Rank, ClientId>> first, kept;
-    std::optional<std::pair<Tenths, ClientId>> shut; // for the longest time
-    std::size_t asked = 0, shut_ones = 0;
+    std::optional<std::pair<Rank, ClientId>> candidate, idle_searcher;
+    std::optional<std::pair<Tenths, ClientId>> oldest_half_closed;
+    std::size_t searched = 0, half_closed = 0;
     for (const auto& [id, client] : clients_) {
-        if (client.leaving) {
-            const std::pair mine{client.word_by, id};
-            ++shut_ones;
-            if (!shut || mine < *shut) shut = mine;
+        if (client.closing) {
+            const std::pair rank{client.deadline, id};
+            ++half_closed;
+            if (!oldest_half_closed || rank < *oldest_half_closed) oldest_half_closed = rank;
             continue;
         }
-        asked += client.asked;
+        searched += client.has_searched;
         if (!client.searches.empty() || id == newest) continue;
-        const std::pair mine{Rank{client.asked, client.idle_since}, id};
-        if (!first || mine < *first) first = mine;
-        if (client.asked && (!kept || mine < *kept)) kept = mine;
+        const std::pair rank{Rank{client.has_searched, client.idle_since}, id};
+        if (!candidate || rank < *candidate) candidate = rank;
+        if (client.has_searched && (!idle_searcher || rank < *idle_searcher)) idle_searcher = rank;
     }
-    if (clients_.size() - shut_ones > most) {
-        if (first)
-            shut_client(first->second), ++shut_ones;
+    if (clients_.size() - half_closed > most) {
+        if (candidate)
+            half_close_client(candidate->second), ++half_closed;
         else if (std::exchange(accepting_, false))
             effects_.push_back(AcceptClients{false});
-    } else if (kept && asked > most_asked) {
-        shut_client(kept->second), ++shut_ones;
+    } else if (idle_searcher && searched > max_searched) {
+        half_close_client(idle_searcher->second), ++half_closed;
     }
-    if (shut && shut_ones > most_shut()) close_client(shut->second);
+    if (oldest_half_closed && half_closed > max_half_closed()) close_client(oldest_half_closed->second);
 }
 
 void Router::apply(const ClientDisconnected& event) {
@@ -152,20 +153,21 @@
     if (found == clients_.end()) return;
     const auto searches = std::move(found->second.searches);
     close_client(event.client);
-    for (const auto& [stream, search] : searches) lapse(search);
-    let_in();
+    for (const auto& [stream, search] : searches) abandon(search);
+    resume_accepting();
 }
 
-void Router::let_in() {
-    if (!accepting_ && !quiet_) accepting_ = true, effects_.push_back(AcceptClients{true});
+void Router::resume_accepting() {
+    if (!accepting_ && !stopped_) accepting_ = true, effects_.push_back(AcceptClients{true});
 }
 
 void Router::apply(const SearchReceived& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end() || found->second.searches.contains(event.stream)) return;
     const protocol::SearchRequest& request = event.request;
-    found->second.midway = false, found->second.idle_since = now_;
-    if (std::exchange(found->second.leaving, false)) found->second.last = true; // it had asked before
+    found->second.request_started = false, found->second.idle_since = now_;
+    if (std::exchange(found->second.closing, false))
+        found->second.close_after_answer = true; // its request crossed the half-close
     const auto reject = [&](int status, const char* why) {
         effects_.push_back(RejectClient{event.client, status, why, closes(found->second), {}, event.stream});
     };
@@ -173,15 +175,15 @@
     if (decision && decision->reason != access::Reason::kAdmitted)
         return refuse(event.client, event.stream, decision->reason);
     const auto request_class = std::ranges::find(terms_.request_classes, request.request_class);
-    if (request_class == terms_.request_classes.end()) return reject(404, "no such product");
+    if (request_class == terms_.request_classes.end()) return reject(404, "unknown product");
     if (std::ranges::any_of(request.targets, [&](auto& t) { return t.shard >= terms_.shards; }))
-        return reject(400, "no such partition");
-    if (open_ids_.contains(request.id)) return reject(409, "this id is being searched for already");
+        return reject(400, "unknown partition");
+    if (open_ids_.contains(request.id)) return reject(409, "a search with this id is already open");
     ++counts_.searches;
     const Tenths left = tenths_to_use(request.left_us) - event.age;
     const bool full = terms_.most_open > 0 &&
                       searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.most_open);
-    if (full || left <= 0 || over_share(event.client, found->second)) {
+    if (full || left <= 0 || over_fair_share(event.client, found->second)) {
         ++counts_.over_limit, ++counts_.rejected;
         effects_.push_back(AnswerClient{
             event.client, {protocol::Verdict::kRejected, false, {}, 0}, closes(found->second), event.stream});
@@ -190,32 +192,32 @@
     const SearchId id{next_id_++};
     const JobNo job{id.value};
     const auto tenant = std::ranges::find(terms_.tenants, decision ? decision->tenant : request.tenant);
-    const TenantNo payer{
+    const TenantNo tenant_no{
         tenant == terms_.tenants.end() ? -1 : static_cast<std::int32_t>(tenant - terms_.tenants.begin())};
     const RequestClassNo number{static_cast<std::int32_t>(request_class - terms_.request_classes.begin())};
     Search& search = searches_[id];
     search.client = event.client, search.stream = event.stream, search.wire_id = request.id,
     search.query = request.query;
     if (decision) search.proof = decision->proof;
-    found->second.searches[event.stream] = id, found->second.asked = true;
+    found->second.searches[event.stream] = id, found->second.has_searched = true;
     open_ids_.insert(request.id);
-    tell(SearchAccepted{id, job, number, payer, left, request.repeat});
+    notify(SearchAccepted{id, job, number, tenant_no, left, request.repeat});
     for (const protocol::Target& target : request.targets) {
         const PartId part{next_id_++};
         search.parts.push_back(part);
         parts_[part] = {id, ShardNo{target.shard}, request.id + "." + std::to_string(target.shard), 0, {}};
-        tell(PartAdded{part, job, ShardNo{target.shard}, target.share});
+        notify(PartAdded{part, job, ShardNo{target.shard}, target.share});
     }
-    at(now_ + left, SearchDue{id});
+    schedule(now_ + left, SearchTimeout{id});
 }
 
-// The module ends each search ahead of its expiry; should it ever not, the client is not left without a word.
-void Router::due(const SearchDue& what) {
-    if (searches_.contains(what.search)) lapse(what.search);
+// The scheduler ends each search before it expires. This is the fallback that answers the client in any case.
+void Router::on_timer(const SearchTimeout& what) {
+    if (searches_.contains(what.search)) abandon(what.search);
 }
 
-void Router::lapse(SearchId id) {
-    tell(SearchAbandoned{id});
+void Router::abandon(SearchId id) {
+    notify(SearchAbandoned{id});
     ++counts_.abandoned;
     finish(id, {});
 }
@@ -225,25 +227,25 @@
     if (found == searches_.end()) return false;
     Search& search = found->second;
     for (const PartId part : search.parts) {
-        take_back(part);
-        Part& held = parts_.at(part);
-        if (answer.verdict == protocol::Verdict::kDelivered && held.value)
-            answer.results.push_back({held.shard.value, std::move(*held.value)});
+        withdraw_unsent(part);
+        Part& state = parts_.at(part);
+        if (answer.verdict == protocol::Verdict::kDelivered && state.value)
+            answer.results.push_back({state.shard.value, std::move(*state.value)});
         parts_.erase(part);
     }
     if (const auto client = clients_.find(search.client); client != clients_.end()) {
         client->second.searches.erase(search.stream);
         client->second.idle_since = now_;
         const bool close = closes(client->second);
-        if (search.barred != access::Reason::kAdmitted && answer.verdict == protocol::Verdict::kRejected) {
-            const access::Refusal told = access::refusal_of(search.barred); // nothing has run, nor will it
+        if (search.revoked != access::Reason::kAdmitted && answer.verdict == protocol::Verdict::kRejected) {
+            const access::Refusal told = access::refusal_of(search.revoked); // nothing has run or will run
             effects_.push_back(RejectClient{search.client, told.status, std::string(told.words), close,
                                             told.challenge, search.stream});
         } else {
             effects_.push_back(AnswerClient{search.client, std::move(answer), close, search.stream});
         }
-        let_in();
-        make_room({});
+        resume_accepting();
+        evict_clients({});
     }
     open_ids_.erase(search.wire_id);
     searches_.erase(found);
@@ -260,25 +262,26 @@
 
 void Router::fail(SearchId search) { counts_.failed += finish(search, {}); }
 
-void Router::apply(const FrontNodesCounted& event) { tell(FrontNodeCount{static_cast<int>(event.present)}); }
+void Router::apply(const FrontNodesCounted& event) {
+    notify(FrontNodeCount{static_cast<int>(event.present)});
+}
 
 void Router::apply(const DrainStarted&) {
     draining_ = true;
     for (const auto& [id, client] : clients_) effects_.push_back(DrainClient{id});
 }
 
-// The client takes one search back and keeps the others: what is out for it is called off, and it is owed
-// nothing.
+// The client cancels one search and keeps its connection: its attempts are withdrawn, and no answer is due.
 void Router::apply(const SearchCancelled& event) {
     const auto found = clients_.find(event.client);
     if (found == clients_.end()) return;
     const auto search = found->second.searches.find(event.stream);
-    if (search != found->second.searches.end()) lapse(search->second);
+    if (search != found->second.searches.end()) abandon(search->second);
 }
 
-// One connection may carry many searches: beside others that search it may hold no more than its share of
-// what the front node holds. The first of a connection is never held back here.
-bool Router::over_share(ClientId id, const Client& client) const {
+// A connection with many searches may hold only its fair share of the front node's capacity while others
+// search too. The first search of a connection always passes.
+bool Router::over_fair_share(ClientId id, const Client& client) const {
     if (client.searches.empty() || terms_.most_open <= 0) return false;
     const auto others = std::ranges::count_if(
         clients_, [id](auto& held) { return held.first != id && !held.second.searches.empty(); });
@@ -289,11 +292,11 @@
 }
 
 void Router::apply(const TrafficStopped&) {
-    quiet_ = draining_ = true, accepting_ = false;
+    stopped_ = draining_ = true, accepting_ = false;
     effects_.push_back(AcceptClients{false});
     for (auto next = clients_.begin(); next != clients_.end();) {
         const auto here = next++;
-        if (here->second.searches.empty()) shut_client(here->first);
+        if (here->second.searches.empty()) half_close_client(here->first);
     }
 }
 
@@ -302,71 +305,78 @@
 void Router::attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) {
     const auto found = parts_.find(part);
     if (found == parts_.end()) return;
-    Part& held = found->second;
-    const Search& search = searches_.at(held.search);
-    const AttemptKey key{part, AttemptNo{held.attempts++}};
-    attempts_[key] = {server,           {},   held.wire_id,    search.query,
-                      held.shard.value, now_, now_ + time_out, now_ + send_within,
-                      Way::kWaiting,    false};
+    Part& state = found->second;
+    const Search& search = searches_.at(state.search);
+    const AttemptKey key{part, AttemptNo{state.attempts++}};
+    attempts_[key] = {server,
+                      {},
+                      state.wire_id,
+                      search.query,
+                      state.shard.value,
+                      now_,
+                      now_ + time_out,
+                      now_ + send_within,
+                      SendState::kWaiting,
+                      false};
     ++counts_.attempts;
     const auto at_server = servers_.find(server);
     const bool allowed = at_server != servers_.end() && at_server->second.listed == ListedState::kLive &&
-                         terms_.opening.holds(at_server->second.cell, held.shard) && time_out > 0 &&
+                         terms_.opening.holds(at_server->second.cell, state.shard) && time_out > 0 &&
                          key.second.value < static_cast<std::uint32_t>(terms_.opening.max_attempts);
-    if (!allowed) return return_later(key, Outcome::kNotSent);
-    at(now_ + time_out, AttemptDue{key});
-    if (send_within < time_out) at(now_ + send_within, AttemptDue{key});
-    fresh_[server].push_back(key);
+    if (!allowed) return end_attempt_later(key, Outcome::kNotSent);
+    schedule(now_ + time_out, AttemptTimeout{key});
+    if (send_within < time_out) schedule(now_ + send_within, AttemptTimeout{key});
+    new_attempts_[server].push_back(key);
 }
 
-// What one turn sends to one server travels together, as far as a call may hold.
+// Batches a turn's attempts for one server into calls of at most `batch` parts.
 void Router::send_calls() {
-    for (auto& [server, keys] : std::exchange(fresh_, {})) {
-        std::erase_if(keys, [this](auto& key) { return attempts_.at(key).given_up; });
+    for (auto& [server, keys] : std::exchange(new_attempts_, {})) {
+        std::erase_if(keys, [this](auto& key) { return attempts_.at(key).withdrawn; });
         for (std::size_t begin = 0; begin < keys.size(); begin += static_cast<std::size_t>(terms_.batch)) {
             const auto first = keys.begin() + static_cast<std::ptrdiff_t>(begin);
             const auto size = std::min<std::size_t>(terms_.batch, keys.size() - begin);
-            put_on_connection(server, Call(first, first + static_cast<std::ptrdiff_t>(size)));
+            enqueue_call(server, Call(first, first + static_cast<std::ptrdiff_t>(size)));
         }
     }
 }
 
-void Router::put_on_connection(ServerId server, Call call) {
+void Router::enqueue_call(ServerId server, Call call) {
     const auto id = connection_for(server, call);
     if (!id) {
-        for (const AttemptKey& key : call) return_later(key, Outcome::kNotSent); // no room of ours
+        for (const AttemptKey& key : call) end_attempt_later(key, Outcome::kNotSent); // no free connection
         return;
     }
     Connection& connection = connections_.at(*id);
     connection.parts += static_cast<int>(call.size());
     for (const AttemptKey& key : call) attempts_.at(key).connection = *id;
     connection.waiting.push_back(std::move(call));
-    hand_over(*id);
+    write_calls(*id);
 }
 
-void Router::return_later(const AttemptKey& key, Outcome outcome) {
-    at(now_ + 1, AttemptReturn{key, outcome});
+void Router::end_attempt_later(const AttemptKey& key, Outcome outcome) {
+    schedule(now_ + 1, DeferredAttemptEnd{key, outcome});
 }
 
-void Router::due(const AttemptReturn& what) { return_attempt(what.attempt, what.outcome); }
+void Router::on_timer(const DeferredAttemptEnd& what) { end_attempt(what.attempt, what.outcome); }
 
-// The one place where an attempt ends: the module hears of each exactly once.
-void Router::return_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report, Tenths age) {
+// The only place where an attempt ends: the scheduler gets exactly one end for each.
+void Router::end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report, Tenths age) {
     const auto found = attempts_.find(key);
     if (found == attempts_.end()) return;
     const Attempt attempt = std::move(found->second);
     attempts_.erase(found);
     if (const auto at_connection = connections_.find(attempt.connection);
-        at_connection != connections_.end() && !attempt.given_up) {
+        at_connection != connections_.end() && !attempt.withdrawn) {
         --at_connection->second.parts;
-        at_connection->second.out.erase(attempt.wire_id);
+        at_connection->second.in_flight.erase(attempt.wire_id);
     }
-    rest(attempt.connection);
-    const Tenths took = std::max<Tenths>(0, now_ - age - attempt.made_at);
-    tell(AttemptEnded{key.first, key.second, attempt.server, outcome, took, report});
+    check_idle(attempt.connection);
+    const Tenths took = std::max<Tenths>(0, now_ - age - attempt.created_at);
+    notify(AttemptEnded{key.first, key.second, attempt.server, outcome, took, report});
 }
 
-void Router::forget_waiting(Connection& connection, const AttemptKey& key) {
+void Router::remove_waiting(Connection& connection, const AttemptKey& key) {
     for (auto call = connection.waiting.begin(); call != connection.waiting.end(); ++call) {
         if (std::erase(*call, key) == 0) continue;
         if (call->empty()) connection.waiting.erase(call);
@@ -374,207 +384,208 @@
     }
 }
 
-// Takes an attempt off its connection: unsent, it vanishes; else the server is told, and its late answer is
-// kept from being taken for that of a later attempt of the same part.
-void Router::give_up(const AttemptKey& key, Attempt& attempt) {
-    attempt.given_up = true;
+// Takes an attempt off its connection. An unsent one is dropped; otherwise the server is told to cancel it,
+// and its wire id is kept so that a late answer is not taken for that of a later attempt of the same part.
+void Router::withdraw(const AttemptKey& key, Attempt& attempt) {
+    attempt.withdrawn = true;
     const auto found = connections_.find(attempt.connection);
     if (found == connections_.end()) return;
     Connection& connection = found->second;
     --connection.parts;
-    if (attempt.way == Way::kWaiting) {
-        forget_waiting(connection, key);
+    if (attempt.send_state == SendState::kWaiting) {
+        remove_waiting(connection, key);
     } else {
-        connection.out.erase(attempt.wire_id);
-        connection.given_up[attempt.wire_id] = attempt.until;
+        connection.in_flight.erase(attempt.wire_id);
+        connection.withdrawn[attempt.wire_id] = attempt.expires_at;
         std::string bytes = protocol::give_up_frame(attempt.wire_id);
-        connection.handed += bytes.size(), connection.used = now_;
+        connection.bytes_queued += bytes.size(), connection.last_used = now_;
         effects_.push_back(WriteConnection{attempt.connection, std::move(bytes)});
-        // A client that leaves early, or an answer that is complete, calls off what was not overdue.
-        if (parts_.contains(key.first) || now_ >= attempt.made_at + terms_.opening.connect_timeout)
-            doubt(attempt.connection, attempt);
-        await_ring(attempt.connection, connection);
+        // An early disconnect or a complete answer withdraws attempts that were not overdue.
+        if (parts_.contains(key.first) || now_ >= attempt.created_at + terms_.opening.connect_timeout)
+            suspect_connection(attempt.connection, attempt);
+        arm_send_timeout(attempt.connection, connection);
     }
-    rest(attempt.connection);
+    check_idle(attempt.connection);
 }
 
-// Its search has ended: what has not been sent for it never is, whoever forgets to call it off.
-void Router::take_back(PartId part) {
+// Its search has ended: withdraws unsent attempts, even if the scheduler does not cancel them.
+void Router::withdraw_unsent(PartId part) {
     for (auto next = attempts_.lower_bound({part, AttemptNo{0}});
          next != attempts_.end() && next->first.first == part; ++next) {
-        if (next->second.given_up) continue;
-        if (next->second.way == Way::kHanded)
-            await_ring(next->second.connection, connections_.at(next->second.connection));
-        if (next->second.way != Way::kWaiting) continue;
-        give_up(next->first, next->second);
-        return_later(next->first, Outcome::kNotSent);
+        if (next->second.withdrawn) continue;
+        if (next->second.send_state == SendState::kWriting)
+            arm_send_timeout(next->second.connection, connections_.at(next->second.connection));
+        if (next->second.send_state != SendState::kWaiting) continue;
+        withdraw(next->first, next->second);
+        end_attempt_later(next->first, Outcome::kNotSent);
     }
 }
 
 void Router::cancel_attempt(PartId part, AttemptNo number) {
     const AttemptKey key{part, number};
     const auto found = attempts_.find(key);
-    if (found == attempts_.end() || found->second.given_up) return;
-    counts_.cancellations += parts_.contains(part); // for a search that goes on
-    give_up(key, found->second);
-    return_recalled(key);
+    if (found == attempts_.end() || found->second.withdrawn) return;
+    counts_.cancellations += parts_.contains(part); // only of searches that go on
+    withdraw(key, found->second);
+    end_cancelled_attempt(key);
 }
 
-// A copy that replaces it must not reach its server before our word reaches the other.
-void Router::return_recalled(const AttemptKey& key) {
-    at(now_ + terms_.opening.decision_interval, AttemptReturn{key, Outcome::kCancelled});
+// Delayed so that a replacement does not reach its server before the cancellation reaches this one.
+void Router::end_cancelled_attempt(const AttemptKey& key) {
+    schedule(now_ + terms_.opening.decision_interval, DeferredAttemptEnd{key, Outcome::kCancelled});
 }
 
-void Router::due(const AttemptDue& what) {
+void Router::on_timer(const AttemptTimeout& what) {
     const auto found = attempts_.find(what.attempt);
-    if (found == attempts_.end() || found->second.given_up) return;
-    const bool unsent = found->second.way == Way::kWaiting, over = now_ >= found->second.until;
-    if (found->second.way == Way::kHanded)
-        return close_connection(found->second.connection); // see await_ring
-    if (!over && !unsent) return;                          // its time to be sent is over, and it was
-    give_up(what.attempt, found->second);
+    if (found == attempts_.end() || found->second.withdrawn) return;
+    const bool unsent = found->second.send_state == SendState::kWaiting,
+               over = now_ >= found->second.expires_at;
+    if (found->second.send_state == SendState::kWriting)
+        return close_connection(found->second.connection); // see arm_send_timeout
+    if (!over && !unsent) return;                          // `send_by` has passed, but it was sent in time
+    withdraw(what.attempt, found->second);
     const Outcome lost = over ? Outcome::kConnectTimeout : Outcome::kNotSent;
-    return_attempt(what.attempt, unsent ? lost : Outcome::kTimedOut);
+    end_attempt(what.attempt, unsent ? lost : Outcome::kTimedOut);
 }
 
 void Router::apply(const PartAnswered& event) {
     const auto at_connection = connections_.find(event.connection);
     if (at_connection == connections_.end()) return;
     Connection& connection = at_connection->second;
-    hear_from(connection);
-    const auto found = connection.out.find(event.answer.id);
-    if (found == connection.out.end()) {
+    record_activity(connection);
+    const auto found = connection.in_flight.find(event.answer.id);
+    if (found == connection.in_flight.end()) {
         ++counts_.late_answers;
-        const bool late = connection.given_up.erase(event.answer.id) > 0,
-                   again = event.answer.id == connection.last;
-        if (late) connection.last = event.answer.id;
-        if (!late && !again) apply(MalformedDataReceived{event.connection, {}}); // nobody asked for it here
+        const bool late = connection.withdrawn.erase(event.answer.id) > 0,
+                   again = event.answer.id == connection.last_answered;
+        if (late) connection.last_answered = event.answer.id;
+        if (!late && !again) apply(MalformedDataReceived{event.connection, {}}); // an unsolicited answer
         return;
     }
-    connection.last = event.answer.id;
+    connection.last_answered = event.answer.id;
     const AttemptKey key = found->second;
     const auto part = parts_.find(key.first);
     if (part != parts_.end() && event.answer.outcome == Outcome::kAnswered)
         part->second.value = event.answer.value;
-    return_attempt(key, event.answer.outcome, event.answer.report, event.age);
+    end_attempt(key, event.answer.outcome, event.answer.report, event.age);
 }
 
 // ---- connections to index servers
 
 bool Router::idle(const Connection& connection) {
-    return connection.parts == 0 && std::ranges::all_of(connection.probes, &ProbeOut::over);
+    return connection.parts == 0 && std::ranges::all_of(connection.probes, &PendingProbe::timed_out);
 }
 
-// What its server may count there. At the limit of a connection nothing more is read, our word that a part is
-// given up neither: the part would be out twice once it goes elsewhere, and a sound server looks silent. So
-// one place stays free (most_carried). A server may work on at what was given up without a word, and that
-// counts there too: it keeps its place until it is answered, or for as long as an answer is waited for.
-int Router::carried(const Connection& connection) const {
-    return connection.parts + static_cast<int>(connection.given_up.size());
+// Parts that the server may count on this connection. At its limit the server reads nothing more, not even a
+// cancellation: the part would run twice once it is sent elsewhere, and a healthy server would look silent.
+// So one slot stays free (max_occupied_slots). A server may keep working on a withdrawn part, so the part
+// keeps its slot until it is answered or no answer is expected any more.
+int Router::occupied_slots(const Connection& connection) const {
+    return connection.parts + static_cast<int>(connection.withdrawn.size());
 }
 
-// We close before the index server does: what is written to a connection that it closes is lost.
+// Closes before the index server does: a request written to a connection that it is closing is lost.
 Tenths Router::idle_limit() const {
     return std::max(terms_.idle_span / 2, terms_.idle_span - 2 * terms_.opening.connect_timeout);
 }
 
 std::optional<ConnectionId> Router::connection_for(ServerId server, const Call& call) {
-    std::optional<ConnectionId> best, crowded;
+    std::optional<ConnectionId> best, fallback;
     int least = 0;
     std::vector<ConnectionId> stale;
     for (const ConnectionId id : servers_.at(server).connections) {
         Connection& connection = connections_.at(id);
-        if (connection.retired || connection.midway > 0) continue;
-        if (idle(connection) && terms_.idle_span > 0 && now_ >= connection.used + idle_limit()) {
+        if (connection.retired || connection.frame_started_at > 0) continue;
+        if (idle(connection) && terms_.idle_span > 0 && now_ >= connection.last_used + idle_limit()) {
             stale.push_back(id);
             continue;
         }
-        std::erase_if(connection.given_up, [this](auto& late) { return late.second + idle_limit() < now_; });
+        std::erase_if(connection.withdrawn, [this](auto& late) { return late.second + idle_limit() < now_; });
         const bool known = std::ranges::any_of(call, [&](auto& key) {
             const std::string& wire_id = attempts_.at(key).wire_id;
-            return connection.given_up.contains(wire_id) || connection.out.contains(wire_id);
+            return connection.withdrawn.contains(wire_id) || connection.in_flight.contains(wire_id);
         });
-        if (known) continue; // an answer there could be that of the earlier attempt
-        const int then = carried(connection) + static_cast<int>(call.size());
-        if (then <= terms_.calls_a_connection && (!crowded || then < least)) crowded = id, least = then;
-        if (then > most_carried()) continue;
-        const auto rank = [](const Connection& held) { return held.up ? (held.doubted ? 1 : 2) : 0; };
+        if (known) continue; // an answer there could belong to the earlier attempt
+        const int then = occupied_slots(connection) + static_cast<int>(call.size());
+        if (then <= terms_.calls_a_connection && (!fallback || then < least)) fallback = id, least = then;
+        if (then > max_occupied_slots()) continue;
+        const auto rank = [](const Connection& held) { return held.up ? (held.suspect ? 1 : 2) : 0; };
         if (!best || rank(connection) > rank(connections_.at(*best))) best = id;
     }
     for (const ConnectionId id : stale) close_connection(id);
     if (best) return best;
     const auto fresh = open_connection(server);
-    return fresh ? fresh : crowded;
+    return fresh ? fresh : fallback;
 }
 
-bool Router::sound_connection(const Server& server, bool up) const {
+bool Router::has_healthy_connection(const Server& server, bool up) const {
     return std::ranges::any_of(server.connections, [this, up](ConnectionId id) {
         const Connection& connection = connections_.at(id);
-        return !connection.retired && !connection.doubted && (connection.up || !up);
+        return !connection.retired && !connection.suspect && (connection.up || !up);
     });
 }
 
-// Two attempts in a row were given up and nothing has come over their connection since the first was made:
-// it may lead nowhere while its server is well. One alone may be a slow part: among many front nodes each
-// connection carries one at a time, and a second connection for each slow part would cost its server more
-// than the part. Another one is opened beside it and takes what follows once it is up; until then nothing
-// changes, so that a server that cannot be reached is not found out with an attempt.
-void Router::doubt(ConnectionId id, const Attempt& attempt) {
+// Suspects a connection, not its server, after two withdrawn attempts in a row with nothing received since
+// the first. One alone may be a slow part: with many front nodes each connection carries one part at a time,
+// and a second connection per slow part would cost its server more than the part. A second connection is
+// opened and preferred once it is established; until then nothing changes, so that an unreachable server does
+// not cost an attempt.
+void Router::suspect_connection(ConnectionId id, const Attempt& attempt) {
     Connection& connection = connections_.at(id);
-    if (attempt.way != Way::kSent || connection.heard >= attempt.made_at || connection.retired ||
-        connection.doubted)
+    if (attempt.send_state != SendState::kSent || connection.last_received >= attempt.created_at ||
+        connection.retired || connection.suspect)
         return;
     if (!std::exchange(connection.unanswered, true)) return;
-    connection.doubted = true;
+    connection.suspect = true;
     ++counts_.connections_suspected;
     const Server& server = servers_.at(connection.server);
-    if (server.listed == ListedState::kLive && !sound_connection(server, false))
+    if (server.listed == ListedState::kLive && !has_healthy_connection(server, false))
         open_connection(connection.server);
 }
 
-void Router::hear_from(Connection& connection) {
-    connection.used = connection.heard = now_;
-    connection.midway = 0, connection.unanswered = connection.doubted = false;
+void Router::record_activity(Connection& connection) {
+    connection.last_used = connection.last_received = now_;
+    connection.frame_started_at = 0, connection.unanswered = connection.suspect = false;
 }
 
 std::optional<ConnectionId> Router::open_connection(ServerId server) {
-    if (connections_.size() >= most_connections()) {
+    if (connections_.size() >= max_connections()) {
         const auto spare = std::ranges::find_if(connections_, [](auto& held) { return idle(held.second); });
         if (spare == connections_.end()) return {};
         close_connection(spare->first);
     }
     const ConnectionId id{next_connection_++};
     connections_[id].server = server;
-    connections_[id].used = now_;
+    connections_[id].last_used = now_;
     servers_.at(server).connections.insert(id);
     ++counts_.connections_opened;
     effects_.push_back(OpenConnection{id, servers_.at(server).address});
-    at(now_ + terms_.opening.connect_timeout, ConnectDue{id});
+    schedule(now_ + terms_.opening.connect_timeout, ConnectTimeout{id});
     return id;
 }
 
 void Router::apply(const ConnectionEstablished& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
-    found->second.up = true, found->second.used = now_;
-    hand_over(event.connection);
+    found->second.up = true, found->second.last_used = now_;
+    write_calls(event.connection);
 }
 
-// One frame at a time is in the ring: until its first byte has gone, what waits behind can be taken back.
-void Router::hand_over(ConnectionId id) {
+// Only one frame is in the write queue at a time, so that the calls behind it can still be withdrawn.
+void Router::write_calls(ConnectionId id) {
     Connection& connection = connections_.at(id);
-    while (connection.up && connection.in_ring.empty() && !connection.waiting.empty()) {
+    while (connection.up && connection.write_queue.empty() && !connection.waiting.empty()) {
         Call call = std::move(connection.waiting.front());
         connection.waiting.pop_front();
         std::string bytes;
         const bool probe = call.empty();
-        // Guards against a connection that comes up together with the end of an attempt's time: its timer
-        // is looked at only after what has happened.
+        // The connection may be established in the same turn in which the attempt expires: events are handled
+        // before timers.
         std::erase_if(call, [&](auto& key) {
             Attempt& attempt = attempts_.at(key);
-            if (now_ < std::min(attempt.until, attempt.send_by)) return false;
-            attempt.given_up = true, --connection.parts;
-            return_later(key, Outcome::kNotSent);
+            if (now_ < std::min(attempt.expires_at, attempt.send_by)) return false;
+            attempt.withdrawn = true, --connection.parts;
+            end_attempt_later(key, Outcome::kNotSent);
             return true;
         });
         if (call.empty() && !probe) continue;
@@ -584,38 +595,38 @@
             std::vector<protocol::PartCall> parts;
             for (const AttemptKey& key : call) {
                 Attempt& attempt = attempts_.at(key);
-                attempt.way = Way::kHanded;
-                connection.out[attempt.wire_id] = key;
-                const Tenths left = attempt.until - now_;
+                attempt.send_state = SendState::kWriting;
+                connection.in_flight[attempt.wire_id] = key;
+                const Tenths left = attempt.expires_at - now_;
                 parts.push_back(
                     {attempt.wire_id, attempt.shard, std::max<Tenths>(1, left / 10), attempt.query});
             }
             bytes = protocol::call_frame(parts);
         }
-        connection.handed += bytes.size(), connection.used = now_;
-        connection.in_ring.push_back({connection.handed, call});
+        connection.bytes_queued += bytes.size(), connection.last_used = now_;
+        connection.write_queue.push_back({connection.bytes_queued, call});
         effects_.push_back(WriteConnection{id, std::move(bytes)});
     }
 }
 
-// What is in the ring goes out at once, or the connection takes nothing. Guards against a frame that leaves
-// long after it should not any more, when a server that stood still reads on: past its time or its window,
-// for a client that has gone, to a server that drains. It cannot be taken out of the ring, so its connection
-// ends, and as its last byte has not gone it never ran.
-void Router::await_ring(ConnectionId id, const Connection& connection) {
-    if (!connection.in_ring.empty())
-        at(now_ + std::max<Tenths>(1, terms_.opening.decision_interval), RingDue{id});
+// A queued frame is written at once unless the peer does not read. Guards against a frame that is sent long
+// after it became obsolete, when a stalled server reads again: expired, past its deduplication window, for a
+// client that has gone, or to a draining server. It cannot be removed from the write queue, so its connection
+// is closed; without its last byte it never ran.
+void Router::arm_send_timeout(ConnectionId id, const Connection& connection) {
+    if (!connection.write_queue.empty())
+        schedule(now_ + std::max<Tenths>(1, terms_.opening.decision_interval), SendTimeout{id});
 }
 
-void Router::due(const RingDue& what) {
+void Router::on_timer(const SendTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end()) return;
     const Connection& connection = found->second;
     const bool unwanted = connection.retired || servers_.at(connection.server).listed != ListedState::kLive;
-    const bool stuck = std::ranges::any_of(connection.in_ring, [&](const Handed& frame) {
+    const bool stuck = std::ranges::any_of(connection.write_queue, [&](const QueuedFrame& frame) {
         return std::ranges::any_of(frame.call, [&](const AttemptKey& key) {
             const auto attempt = attempts_.find(key);
-            return unwanted || attempt == attempts_.end() || attempt->second.given_up ||
+            return unwanted || attempt == attempts_.end() || attempt->second.withdrawn ||
                    !parts_.contains(key.first);
         });
     });
@@ -626,23 +637,22 @@
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
     Connection& connection = found->second;
-    while (!connection.in_ring.empty() && connection.in_ring.front().end <= event.total) {
-        for (const AttemptKey& key : connection.in_ring.front().call)
+    while (!connection.write_queue.empty() && connection.write_queue.front().end <= event.total) {
+        for (const AttemptKey& key : connection.write_queue.front().call)
             if (const auto attempt = attempts_.find(key); attempt != attempts_.end())
-                attempt->second.way = Way::kSent;
-        connection.in_ring.pop_front();
+                attempt->second.send_state = SendState::kSent;
+        connection.write_queue.pop_front();
     }
-    hand_over(event.connection);
+    write_calls(event.connection);
 }
 
 void Router::apply(const ConnectionClosed& event) {
     if (connections_.contains(event.connection)) close_connection(event.connection);
 }
 
-// Whatever is on the connection ends: what was wholly with the system may have run, the rest has not, so that
-// what was handed over in this very turn must not be written any more. Where the connection is spoilt, it is
-// we who call off what is out.
-void Router::close_connection(ConnectionId id, bool spoilt) {
+// Ends all attempts on the connection: a completely written one may have run, the others have not, so writes
+// of this turn are dropped. After malformed data, attempts in flight count as cancelled.
+void Router::close_connection(ConnectionId id, bool malformed) {
     const auto found = connections_.find(id);
     const Connection connection = std::move(found->second);
     connections_.erase(found);
@@ -652,85 +662,86 @@
         return write != nullptr && write->connection == id;
     });
     effects_.push_back(CloseConnection{id});
-    // Neither ran; only that a connection never came up says something of its server.
-    const bool overdue = now_ >= connection.used + terms_.opening.connect_timeout; // used when it was opened
+    // Neither has run; only a failed connect says something about the server.
+    const bool overdue =
+        now_ >= connection.last_used + terms_.opening.connect_timeout; // last_used: when it was opened
     const Outcome unsent = connection.up ? Outcome::kNotSent
                            : overdue     ? Outcome::kConnectTimeout
                                          : Outcome::kConnectionRefused;
     for (const Call& call : connection.waiting)
-        for (const AttemptKey& key : call) return_attempt(key, unsent);
-    for (const auto& [wire_id, key] : connection.out) {
+        for (const AttemptKey& key : call) end_attempt(key, unsent);
+    for (const auto& [wire_id, key] : connection.in_flight) {
         Attempt& attempt = attempts_.at(key);
-        if (attempt.way == Way::kSent && spoilt)
-            attempt.given_up = true, return_recalled(key);
+        if (attempt.send_state == SendState::kSent && malformed)
+            attempt.withdrawn = true, end_cancelled_attempt(key);
         else
-            return_attempt(key, attempt.way == Way::kSent ? Outcome::kConnectionLost : unsent);
+            end_attempt(key, attempt.send_state == SendState::kSent ? Outcome::kConnectionLost : unsent);
     }
-    for (const ProbeOut& probe : connection.probes)
-        if (!probe.over) tell(ProbeEnded{connection.server, false, now_ - probe.made_at, {}});
+    for (const PendingProbe& probe : connection.probes)
+        if (!probe.timed_out) notify(ProbeEnded{connection.server, false, now_ - probe.created_at, {}});
 }
 
-// What came there cannot be read, or is not what was asked for: the attempt that it answered has failed and
-// may have run, and no further answer can be told from what follows. The others out there are called off by
-// closing the connection. That says nothing of their server, which has answered: it is no broken one. Where
-// no attempt is named, the one that has been out for longest is taken for the one answered.
+// Malformed or unsolicited data: the attempt that it answers has failed and may have run, and what follows on
+// the connection cannot be parsed. The other attempts in flight are cancelled by closing the connection. The
+// server has answered, so it is not treated as failed. If the data names no attempt, the oldest in flight is
+// taken as the answered one.
 void Router::apply(const MalformedDataReceived& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end()) return;
     ++counts_.malformed;
     std::optional<AttemptKey> answered;
-    for (const auto& [wire_id, key] : found->second.out) {
+    for (const auto& [wire_id, key] : found->second.in_flight) {
         const Attempt& attempt = attempts_.at(key);
-        if (attempt.way != Way::kSent) continue;
+        if (attempt.send_state != SendState::kSent) continue;
         const bool named = wire_id == event.part;
-        if (named || !answered || attempt.made_at < attempts_.at(*answered).made_at) answered = key;
+        if (named || !answered || attempt.created_at < attempts_.at(*answered).created_at) answered = key;
         if (named) break;
     }
-    if (answered) return_attempt(*answered, Outcome::kError);
+    if (answered) end_attempt(*answered, Outcome::kError);
     if (connections_.contains(event.connection)) close_connection(event.connection, true);
 }
 
-// A frame that has begun comes at once or not at all. Until it is whole its connection takes nothing new.
+// A started frame must be completed within the connect timeout. Until then its connection gets no new calls.
 void Router::apply(const FrameStarted& event) {
     const auto found = connections_.find(event.connection);
-    if (found == connections_.end() || found->second.midway > 0) return;
-    found->second.midway = now_;
-    at(now_ + terms_.opening.connect_timeout, MidwayDue{event.connection});
+    if (found == connections_.end() || found->second.frame_started_at > 0) return;
+    found->second.frame_started_at = now_;
+    schedule(now_ + terms_.opening.connect_timeout, FrameTimeout{event.connection});
 }
 
-void Router::due(const MidwayDue& what) {
+void Router::on_timer(const FrameTimeout& what) {
     const auto found = connections_.find(what.connection);
-    if (found == connections_.end() || found->second.midway == 0) return;
-    if (now_ >= found->second.midway + terms_.opening.connect_timeout)
+    if (found == connections_.end() || found->second.frame_started_at == 0) return;
+    if (now_ >= found->second.frame_started_at + terms_.opening.connect_timeout)
         apply(MalformedDataReceived{what.connection, {}});
 }
 
-void Router::due(const ConnectDue& what) {
+void Router::on_timer(const ConnectTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found != connections_.end() && !found->second.up) close_connection(what.connection);
 }
 
-// After something on it has ended: a connection with nothing left is closed when it has been idle for long
-// enough, or at once where nothing new may go there.
-void Router::rest(ConnectionId id) {
+// Called when something on the connection has ended: closes an idle connection at the idle limit, or at once
+// if it may get no new calls.
+void Router::check_idle(ConnectionId id) {
     const auto found = connections_.find(id);
     if (found == connections_.end() || !idle(found->second)) return;
     Connection& connection = found->second;
-    // A connection full of what was given up takes nothing more: its end frees its server of it.
-    if (connection.retired || carried(connection) >= most_carried() ||
-        (connection.doubted && sound_connection(servers_.at(connection.server), true)))
+    // A connection full of withdrawn parts gets no new calls; closing it lets the server drop them.
+    if (connection.retired || occupied_slots(connection) >= max_occupied_slots() ||
+        (connection.suspect && has_healthy_connection(servers_.at(connection.server), true)))
         return close_connection(id);
     if (terms_.idle_span == 0 || std::exchange(connection.idle_armed, true)) return;
-    at(connection.used + idle_limit(), IdleDue{id});
+    schedule(connection.last_used + idle_limit(), IdleTimeout{id});
 }
 
-void Router::due(const IdleDue& what) {
+void Router::on_timer(const IdleTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end()) return;
     found->second.idle_armed = false;
     if (!idle(found->second)) return;
-    if (now_ >= found->second.used + idle_limit()) return close_connection(what.connection);
-    rest(what.connection);
+    if (now_ >= found->second.last_used + idle_limit()) return close_connection(what.connection);
+    check_idle(what.connection);
 }
 
 void Router::close_idle_connections(ServerId server) {
@@ -743,7 +754,7 @@
     const auto connections = server.connections;
     for (const ConnectionId id : connections) {
         connections_.at(id).retired = true;
-        rest(id);
+        check_idle(id);
     }
 }
 
@@ -752,157 +763,160 @@
 void Router::probe(ServerId server) {
     const auto id = connection_for(server, {});
     ++counts_.probes;
-    if (!id) return at(now_ + 1, ProbeReturn{server});
+    if (!id) return schedule(now_ + 1, DeferredProbeEnd{server});
     Connection& connection = connections_.at(*id);
     connection.probes.push_back({next_probe_++, now_, false});
-    at(now_ + terms_.opening.connect_timeout, ProbeDue{*id, connection.probes.back().serial});
+    schedule(now_ + terms_.opening.connect_timeout, ProbeTimeout{*id, connection.probes.back().serial});
     connection.waiting.push_back({});
-    hand_over(*id);
+    write_calls(*id);
 }
 
-void Router::due(const ProbeReturn& what) { tell(ProbeEnded{what.server, false, 1, {}}); }
+void Router::on_timer(const DeferredProbeEnd& what) { notify(ProbeEnded{what.server, false, 1, {}}); }
 
-// A connection that leaves a probe without an answer may lead nowhere any more: nothing new goes there, and
-// the next probe tries a new one.
-void Router::due(const ProbeDue& what) {
+// A connection with an unanswered probe may be dead: it gets no new calls, and the next probe opens a new
+// one.
+void Router::on_timer(const ProbeTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end()) return;
     Connection& connection = found->second;
-    const auto probe = std::ranges::find(connection.probes, what.serial, &ProbeOut::serial);
-    if (probe == connection.probes.end() || probe->over) return;
-    probe->over = true;
-    tell(ProbeEnded{connection.server, false, now_ - probe->made_at, {}});
+    const auto probe = std::ranges::find(connection.probes, what.serial, &PendingProbe::serial);
+    if (probe == connection.probes.end() || probe->timed_out) return;
+    probe->timed_out = true;
+    notify(ProbeEnded{connection.server, false, now_ - probe->created_at, {}});
     connection.retired = true;
-    rest(what.connection);
+    check_idle(what.connection);
 }
 
 void Router::apply(const LoadReceived& event) {
     const auto found = connections_.find(event.connection);
     if (found == connections_.end() || found->second.probes.empty()) return;
     Connection& connection = found->second;
-    hear_from(connection);
-    const ProbeOut probe = connection.probes.front();
+    record_activity(connection);
+    const PendingProbe probe = connection.probes.front();
     connection.probes.pop_front();
-    if (!probe.over)
-        tell(ProbeEnded{connection.server, event.answer.passed, now_ - probe.made_at, event.answer.report});
-    rest(event.connection);
+    if (!probe.timed_out)
+        notify(
+            ProbeEnded{connection.server, event.answer.passed, now_ - probe.created_at, event.answer.report});
+    check_idle(event.connection);
 }
 
 // ---- the list of index servers
 
-ServerId Router::server_of(const std::string& name) {
+ServerId Router::server_id(const std::string& name) {
     const auto [place, fresh] =
         server_ids_.try_emplace(name, ServerId{static_cast<std::uint32_t>(server_ids_.size())});
     if (fresh) servers_.try_emplace(place->second);
     return place->second;
 }
 
-std::int32_t Router::number_of(std::vector<std::string>& names, const std::string& name) {
+std::int32_t Router::index_of(std::vector<std::string>& names, const std::string& name) {
     const auto found = std::ranges::find(names, name);
     if (found != names.end()) return static_cast<std::int32_t>(found - names.begin());
     names.push_back(name);
     return static_cast<std::int32_t>(names.size() - 1);
 }
 
-// What still waits for a connection to a server that drains or is gone has not left and does not leave.
-void Router::pull_waiting(Server& server) {
+// Withdraws attempts that wait for a connection to a draining or removed server.
+void Router::withdraw_waiting(Server& server) {
     const auto connections = server.connections;
     for (const ConnectionId id : connections) {
-        await_ring(id, connections_.at(id));
+        arm_send_timeout(id, connections_.at(id));
         std::vector<AttemptKey> keys;
         for (const Call& call : connections_.at(id).waiting)
             keys.insert(keys.end(), call.begin(), call.end());
         for (const AttemptKey& key : keys) {
             Attempt& attempt = attempts_.at(key);
-            give_up(key, attempt);
-            return_later(key, Outcome::kNotSent);
+            withdraw(key, attempt);
+            end_attempt_later(key, Outcome::kNotSent);
         }
     }
 }
 
-void Router::take_list(const protocol::ServerList& list, ListKind kind) {
+void Router::apply_list(const protocol::ServerList& list, ListKind kind) {
     version_ = list.version;
-    ServerListUpdate news{kind, {}};
+    ServerListUpdate update{kind, {}};
     std::set<ServerId> named;
     for (const protocol::ServerEntry& row : list.servers) {
-        const ServerId id = server_of(row.id);
+        const ServerId id = server_id(row.id);
         Server& server = servers_.at(id);
         named.insert(id);
         const std::string address = row.address.empty() ? server.address : row.address;
         const CellNo cell{row.cell};
-        if (address != server.address || cell != server.cell) { // there may be another server by now
-            pull_waiting(server);
+        if (address != server.address || cell != server.cell) { // another server may have the old address
+            withdraw_waiting(server);
             retire_connections(server);
         }
         server.address = address;
         server.listed = row.listed, server.cell = cell;
         ListEntry entry;
         entry.server = id;
-        entry.zone = ZoneNo{number_of(terms_.zones, row.zone)};
-        entry.kind = KindNo{number_of(terms_.kinds, row.kind)};
+        entry.zone = ZoneNo{index_of(terms_.zones, row.zone)};
+        entry.kind = KindNo{index_of(terms_.kinds, row.kind)};
         entry.cell = cell;
         entry.listed = row.listed, entry.weight = row.weight;
         entry.started = std::max<Tenths>(0, row.started_ms) * (kTenthsPerSecond / 1000);
-        news.entries.push_back(entry);
+        update.entries.push_back(entry);
     }
     for (auto& [id, server] : servers_) {
         if (kind != ListKind::kChanges && !named.contains(id)) server.listed = ListedState::kGone;
         if (server.listed == ListedState::kLive) continue;
-        pull_waiting(server);
+        withdraw_waiting(server);
         if (server.listed == ListedState::kGone) retire_connections(server);
     }
-    tell(news);
+    notify(update);
 }
 
 void Router::subscribe() {
-    if (!ask_) watch_on();
+    if (!discovery_call_) query_discovery();
 }
 
-// One call after another, so that a watch never ends of itself. Its wait is half of the time after which
-// news counts as told, whatever became of the call; an answer is overdue a fifth of that wait later, and so
-// is a connection: what is left of the time is for a call or two that replace it.
-void Router::watch_on() {
-    ask_ = DiscoveryCallId{next_ask_++}, ask_sent_ = false;
+// Long polling, one call after another. A call waits for half of the time after which a change counts as
+// known; an answer is overdue a fifth of that wait later, as is a connect. The rest of the time allows one or
+// two more calls.
+void Router::query_discovery() {
+    discovery_call_ = DiscoveryCallId{next_ask_++}, discovery_connected_ = false;
     const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation) / 2;
-    effects_.push_back(QueryDiscovery{*ask_, discovery_, version_, wait / 10, whole_wanted_});
-    at(now_ + wait / 5, AskDue{*ask_, false});
-    at(now_ + wait + wait / 5, AskDue{*ask_});
+    effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
+    schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
+    schedule(now_ + wait + wait / 5, DiscoveryTimeout{*discovery_call_});
 }
 
-void Router::apply(const DiscoveryConnected& event) { ask_sent_ = ask_sent_ || ask_ == event.ask; }
+void Router::apply(const DiscoveryConnected& event) {
+    discovery_connected_ = discovery_connected_ || discovery_call_ == event.call;
+}
 
 void Router::apply(const ServerListReceived& event) {
-    if (ask_ != event.ask) return;
+    if (discovery_call_ != event.call) return;
     ++counts_.lists;
-    const bool behind = !event.list.full && event.list.version < version_; // it has started anew
-    if (!behind) take_list(event.list, event.list.full ? ListKind::kWhole : ListKind::kChanges);
-    whole_wanted_ = behind;
-    watch_on();
+    const bool behind = !event.list.full && event.list.version < version_; // discovery has restarted
+    if (!behind) apply_list(event.list, event.list.full ? ListKind::kWhole : ListKind::kChanges);
+    full_list_wanted_ = behind;
+    query_discovery();
 }
 
 void Router::apply(const ServerListFailed& event) {
-    if (ask_ != event.ask) return;
-    ask_.reset();
+    if (discovery_call_ != event.call) return;
+    discovery_call_.reset();
     ++counts_.lists_lost;
-    tell(ServerListUpdate{ListKind::kLost, {}});
+    notify(ServerListUpdate{ListKind::kLost, {}});
 }
 
-void Router::due(const AskDue& what) {
-    if (ask_ != what.ask || (!what.sent && ask_sent_)) return;
+void Router::on_timer(const DiscoveryTimeout& what) {
+    if (discovery_call_ != what.call || (!what.sent && discovery_connected_)) return;
     effects_.push_back(CancelDiscoveryCall{"no answer in time"});
-    apply(ServerListFailed{what.ask});
+    apply(ServerListFailed{what.call});
 }
 
-// Discovery has moved: the old one's word counts no more, and the new one, whose versions need not follow on,
-// is asked for the whole list at once.
+// Discovery has moved: answers from the old address are ignored, and the new one is queried for the whole
+// list at once, as its versions are independent.
 void Router::apply(const DiscoveryAddressChanged& event) {
     if (event.address == discovery_) return;
-    discovery_ = event.address, whole_wanted_ = true;
-    effects_.push_back(CancelDiscoveryCall{"it has moved to " + discovery_});
-    watch_on();
+    discovery_ = event.address, full_list_wanted_ = true;
+    effects_.push_back(CancelDiscoveryCall{"discovery has moved to " + discovery_});
+    query_discovery();
 }
 
-void Router::schedule_wakeup(Tenths in) { at(now_ + std::max<Tenths>(1, in), Wake{}); }
-void Router::due(const Wake&) { decision_due_ = true; }
+void Router::schedule_wakeup(Tenths in) { schedule(now_ + std::max<Tenths>(1, in), Wakeup{}); }
+void Router::on_timer(const Wakeup&) { decision_due_ = true; }
 
 } // namespace ivyrill::routing
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -1,7 +1,7 @@
-// The reducer: all state of a front node changes here, by events, and what is to be read or written comes out
-// as effects. It holds the decision module and keeps the promises that the module is given: exactly one
-// return an attempt, outcomes by how far the bytes went, lists in order. It makes no choice of its own among
-// servers, searches or times; where it must bound something, the bound is one of the settings.
+// State machine of a front node: all its state changes here, by events, and its I/O is returned as effects.
+// It owns the search scheduler and gives it these guarantees: exactly one end per attempt, outcomes by how
+// much was written, server lists in order. It makes no choice among servers, searches or times itself; its
+// limits come from the settings.
 #pragma once
 #include "access/clock.hpp"
 #include "access/gate.hpp"
@@ -30,25 +30,25 @@
 
 class Router : private SchedulerHost {
   public:
-    // `descriptors`: so many connections may be held, clients and index servers together.
+    // `descriptors`: limit on connections to clients and index servers together.
     Router(protocol::NodeTerms terms, const protocol::ServerList& known, std::string discovery,
            std::size_t descriptors, Tenths now);
 
-    // Searches ask for a credential from here on, on the listeners that say so. Without it nobody is asked.
+    // From here on searches need a credential, on the listeners that require one.
     void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now,
                                Tenths wall);
     void limit_handshakes(access::HandshakeTerms terms, Tenths now);
 
-    void handle(Tenths now, Event event); // one thing that happened
-    std::vector<Effect> turn(Tenths now); // what is due by now, one decision, and the effects of it all
+    void handle(Tenths now, Event event); // one event
+    std::vector<Effect> turn(Tenths now); // expired timers, one decision, and all resulting effects
 
     std::size_t open_searches() const { return searches_.size(); }
     std::size_t open_clients() const { return clients_.size(); }
-    // More are not taken on before a turn has made room for them.
-    std::size_t room_for_clients() const { return most_clients() + most_shut() + 1; }
+    // Further clients are accepted only after a turn has evicted others.
+    std::size_t room_for_clients() const { return max_clients() + max_half_closed() + 1; }
     std::size_t open_connections() const { return connections_.size(); }
     std::size_t open_attempts() const { return attempts_.size(); }
-    std::size_t alarms() const { return alarms_.size(); }
+    std::size_t timers() const { return timers_.size(); }
     const Counts& counts() const { return counts_; }
     const access::Gate* gate() const { return gate_ ? &*gate_ : nullptr; }
     std::size_t open_handshakes() const { return handshakes_ ? handshakes_->open() : 0; }
@@ -57,15 +57,15 @@
     using AttemptKey = std::pair<PartId, AttemptNo>;
 
     struct Client {
-        std::map<StreamNo, SearchId> searches; // that are open
+        std::map<StreamNo, SearchId> searches; // open ones
         Tenths idle_since = 0;
-        Tenths word_by = 0;      // until when its request is waited for, or its leaving
-        bool asked = false;      // for a search, once at least
-        bool midway = false;     // a request has begun and is not whole
-        bool leaving = false;    // its last answer is out
-        bool guarded = true;     // asks for a credential
-        bool distrusted = false; // its certificate counts no more: closed after its answer
-        bool last = false;       // it asked just as it was to be shut: closed after its answer
+        Tenths deadline = 0;          // for its complete request, or for its close
+        bool has_searched = false;    // at least once
+        bool request_started = false; // and not complete
+        bool closing = false;         // its last answer has been given
+        bool requires_credential = true;
+        bool certificate_revoked = false; // closed after its answer
+        bool close_after_answer = false;  // its request crossed the half-close
         std::shared_ptr<const access::Chain> chain;
     };
     struct Part {
@@ -73,7 +73,7 @@
         ShardNo shard;
         std::string wire_id;
         std::uint32_t attempts = 0;
-        std::optional<std::string> value; // once it is in
+        std::optional<std::string> value; // once it is answered
     };
     struct Search {
         ClientId client;
@@ -81,44 +81,44 @@
         std::string wire_id;
         std::string query;
         std::vector<PartId> parts;
-        std::optional<access::Proof> proof;                // what let it in
-        access::Reason barred = access::Reason::kAdmitted; // why nothing more is attempted for it
+        std::optional<access::Proof> proof;                 // by which it was admitted
+        access::Reason revoked = access::Reason::kAdmitted; // why no further attempt is made
     };
-    enum class Way { kWaiting, kHanded, kSent }; // not yet, partly and wholly with the system
+    enum class SendState { kWaiting, kWriting, kSent }; // not yet, partly and completely with the system
     struct Attempt {
         ServerId server;
         ConnectionId connection;
         std::string wire_id, query;
         int shard = 0;
-        Tenths made_at = 0, until = 0, send_by = 0; // not sent by then, it is not sent at all
-        Way way = Way::kWaiting;
-        bool given_up = false; // recalled: its return is on the way
+        Tenths created_at = 0, expires_at = 0, send_by = 0; // if not sent by then, it is never sent
+        SendState send_state = SendState::kWaiting;
+        bool withdrawn = false; // cancelled: its end will be reported
     };
-    using Call = std::vector<AttemptKey>; // what travels in one frame; empty: a probe
-    struct ProbeOut {
+    using Call = std::vector<AttemptKey>; // the attempts of one frame; empty: a probe
+    struct PendingProbe {
         std::uint64_t serial = 0;
-        Tenths made_at = 0;
-        bool over = false; // timed out; its answer may still come
+        Tenths created_at = 0;
+        bool timed_out = false; // its answer may still come
     };
-    struct Handed { // a frame in the ring, not yet with the system
+    struct QueuedFrame { // in the write queue, not yet with the system
         std::uint64_t end = 0;
         Call call;
     };
     struct Connection {
         ServerId server;
-        bool up = false, retired = false; // retired: nothing new goes there
-        std::uint64_t handed = 0;         // bytes, so far
+        bool up = false, retired = false; // retired: no new calls
+        std::uint64_t bytes_queued = 0;   // in total
         std::deque<Call> waiting;
-        std::deque<Handed> in_ring;
-        std::map<std::string, AttemptKey> out;  // sent, by wire id
-        std::map<std::string, Tenths> given_up; // an answer may still come until then
-        std::deque<ProbeOut> probes;            // in the order in which they are answered
-        int parts = 0;                          // waiting, in the ring or out, given up ones apart
-        std::string last;                       // the part answered last
-        Tenths midway = 0;                      // since when a frame has begun and is not whole
-        Tenths used = 0, heard = 0;             // the latter: something came
-        bool unanswered = false;                // an attempt was given up on it without a word from it
-        bool doubted = false;                   // ... and another: other connections go first
+        std::deque<QueuedFrame> write_queue;
+        std::map<std::string, AttemptKey> in_flight; // by wire id
+        std::map<std::string, Tenths> withdrawn;     // an answer may still come until then
+        std::deque<PendingProbe> probes;             // in the order of their answers
+        int parts = 0;                               // waiting, queued or in flight, without withdrawn ones
+        std::string last_answered;                   // part
+        Tenths frame_started_at = 0;                 // of an incomplete frame
+        Tenths last_used = 0, last_received = 0;
+        bool unanswered = false; // an attempt was withdrawn without anything received since it was created
+        bool suspect = false;    // ... and another one: other connections are preferred
         bool idle_armed = false;
     };
     struct Server {
@@ -128,50 +128,51 @@
         std::set<ConnectionId> connections;
     };
 
-    // What falls due; each looks whether it still applies.
-    struct AttemptDue {
+    // Timers are never cancelled: each checks whether it still applies.
+    struct AttemptTimeout {
         AttemptKey attempt;
     };
-    struct AttemptReturn {
+    struct DeferredAttemptEnd {
         AttemptKey attempt;
         Outcome outcome;
     };
-    struct WordDue { // a client's request, whole
+    struct ClientTimeout { // for a complete request, or for the client's close
         ClientId client;
     };
-    struct SearchDue {
+    struct SearchTimeout {
         SearchId search;
     };
-    struct ConnectDue {
+    struct ConnectTimeout {
         ConnectionId connection;
     };
-    struct MidwayDue {
+    struct FrameTimeout {
         ConnectionId connection;
     };
-    struct RingDue { // a frame in the ring has not gone
+    struct SendTimeout { // a frame is still in the write queue
         ConnectionId connection;
     };
-    struct IdleDue {
+    struct IdleTimeout {
         ConnectionId connection;
     };
-    struct ProbeDue {
+    struct ProbeTimeout {
         ConnectionId connection;
         std::uint64_t serial;
     };
-    struct ProbeReturn {
+    struct DeferredProbeEnd {
         ServerId server;
     };
-    struct AskDue {
-        DiscoveryCallId ask;
-        bool sent = true; // false: due unless its connection is up by now
+    struct DiscoveryTimeout {
+        DiscoveryCallId call;
+        bool sent = true; // false: applies only while its connection is not established
     };
-    struct ShakeDue {};
-    struct AccessDue {}; // a key is gone, a list has run out
-    struct Wake {};
-    using Alarm = std::variant<ShakeDue, AccessDue, AttemptDue, AttemptReturn, WordDue, SearchDue, ConnectDue,
-                               MidwayDue, RingDue, IdleDue, ProbeDue, ProbeReturn, AskDue, Wake>;
+    struct HandshakeTimer {};
+    struct AccessTimer {}; // a key or a revocation list expires
+    struct Wakeup {};
+    using Timer = std::variant<HandshakeTimer, AccessTimer, AttemptTimeout, DeferredAttemptEnd, ClientTimeout,
+                               SearchTimeout, ConnectTimeout, FrameTimeout, SendTimeout, IdleTimeout,
+                               ProbeTimeout, DeferredProbeEnd, DiscoveryTimeout, Wakeup>;
 
-    // SchedulerHost: the module's actions
+    // SchedulerHost
     void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
     void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
@@ -208,71 +209,72 @@
     void apply(const DrainStarted& event);
     void apply(const TrafficStopped& event);
 
-    void due(const ShakeDue& what);
-    void due(const AccessDue& what);
-    void due(const AttemptDue& what);
-    void due(const AttemptReturn& what);
-    void due(const WordDue& what);
-    void due(const SearchDue& what);
-    void due(const ConnectDue& what);
-    void due(const MidwayDue& what);
-    void due(const RingDue& what);
-    void due(const IdleDue& what);
-    void due(const ProbeDue& what);
-    void due(const ProbeReturn& what);
-    void due(const AskDue& what);
-    void due(const Wake& what);
+    void on_timer(const HandshakeTimer& what);
+    void on_timer(const AccessTimer& what);
+    void on_timer(const AttemptTimeout& what);
+    void on_timer(const DeferredAttemptEnd& what);
+    void on_timer(const ClientTimeout& what);
+    void on_timer(const SearchTimeout& what);
+    void on_timer(const ConnectTimeout& what);
+    void on_timer(const FrameTimeout& what);
+    void on_timer(const SendTimeout& what);
+    void on_timer(const IdleTimeout& what);
+    void on_timer(const ProbeTimeout& what);
+    void on_timer(const DeferredProbeEnd& what);
+    void on_timer(const DiscoveryTimeout& what);
+    void on_timer(const Wakeup& what);
 
-    void tell(const ivyrill::Event& news) { scheduler_->handle(now_, news), decision_due_ = true; }
-    void at(Tenths when, Alarm alarm) { alarms_.emplace(when, std::move(alarm)); }
-    bool finish(SearchId id, protocol::FinalAnswer answer); // false where it has ended already
-    void lapse(SearchId id);
+    void notify(const ivyrill::Event& event) { scheduler_->handle(now_, event), decision_due_ = true; }
+    void schedule(Tenths when, Timer timer) { timers_.emplace(when, std::move(timer)); }
+    bool finish(SearchId id, protocol::FinalAnswer answer); // false: it has already ended
+    void abandon(SearchId id);
     std::optional<access::Decision> admit(const Client& client, const SearchReceived& event);
-    void judge_all_again();
-    void bar(SearchId id, access::Reason why);
+    void recheck_access();
+    void revoke(SearchId id, access::Reason why);
     void refuse(ClientId client, StreamNo stream, access::Reason why);
-    bool over_share(ClientId id, const Client& client) const;
-    void let_shake();
-    void await_access_change();
+    bool over_fair_share(ClientId id, const Client& client) const;
+    void run_handshakes();
+    void schedule_access_change();
     Tenths access_now() const { return clock_.at(now_); }
-    void let_in();
-    void return_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report = {},
-                        Tenths age = 0);
-    void return_later(const AttemptKey& key, Outcome outcome);
+    void resume_accepting();
+    void end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report = {}, Tenths age = 0);
+    void end_attempt_later(const AttemptKey& key, Outcome outcome);
     void send_calls();
-    void put_on_connection(ServerId server, Call call);
+    void enqueue_call(ServerId server, Call call);
     std::optional<ConnectionId> connection_for(ServerId server, const Call& call);
     std::optional<ConnectionId> open_connection(ServerId server);
-    void hand_over(ConnectionId id);
-    void await_ring(ConnectionId id, const Connection& connection);
+    void write_calls(ConnectionId id);
+    void arm_send_timeout(ConnectionId id, const Connection& connection);
     static bool idle(const Connection& connection);
-    bool sound_connection(const Server& server, bool up) const; // has it one, perhaps not up yet
-    void doubt(ConnectionId id, const Attempt& attempt);
-    void hear_from(Connection& connection);
-    int carried(const Connection& connection) const;
-    int most_carried() const { return std::max(1, terms_.calls_a_connection - 1); }
+    bool has_healthy_connection(const Server& server, bool up) const; // `up`: an established one
+    void suspect_connection(ConnectionId id, const Attempt& attempt);
+    void record_activity(Connection& connection);
+    int occupied_slots(const Connection& connection) const;
+    int max_occupied_slots() const { return std::max(1, terms_.calls_a_connection - 1); }
     Tenths idle_limit() const;
-    void close_connection(ConnectionId id, bool spoilt = false);
-    void rest(ConnectionId id);
+    void close_connection(ConnectionId id, bool malformed = false);
+    void check_idle(ConnectionId id);
     void retire_connections(Server& server);
-    void pull_waiting(Server& server);
-    void take_list(const protocol::ServerList& list, ListKind kind);
-    ServerId server_of(const std::string& name);
-    void watch_on();
-    void await_word(ClientId id, Client& client);
-    void make_room(std::optional<ClientId> newest);
+    void withdraw_waiting(Server& server);
+    void apply_list(const protocol::ServerList& list, ListKind kind);
+    ServerId server_id(const std::string& name);
+    void query_discovery();
+    void start_client_timeout(ClientId id, Client& client);
+    void evict_clients(std::optional<ClientId> newest);
     void close_client(ClientId id);
-    void shut_client(ClientId id);
-    bool closes(const Client& client) const { return draining_ || client.distrusted || client.last; }
-    void take_back(PartId part);
-    void give_up(const AttemptKey& key, Attempt& attempt);
-    void return_recalled(const AttemptKey& key);
-    void forget_waiting(Connection& connection, const AttemptKey& key);
-    std::size_t most_connections() const { return descriptors_ / 2; }
-    // Clients that have been shut may hold a few descriptors beside the others until they close.
-    std::size_t most_shut() const { return descriptors_ / 16; }
-    std::size_t most_clients() const { return descriptors_ - most_connections() - most_shut(); }
-    std::int32_t number_of(std::vector<std::string>& names, const std::string& name);
+    void half_close_client(ClientId id);
+    bool closes(const Client& client) const {
+        return draining_ || client.certificate_revoked || client.close_after_answer;
+    }
+    void withdraw_unsent(PartId part);
+    void withdraw(const AttemptKey& key, Attempt& attempt);
+    void end_cancelled_attempt(const AttemptKey& key);
+    void remove_waiting(Connection& connection, const AttemptKey& key);
+    std::size_t max_connections() const { return descriptors_ / 2; }
+    // Half-closed clients may hold a few more descriptors until they close.
+    std::size_t max_half_closed() const { return descriptors_ / 16; }
+    std::size_t max_clients() const { return descriptors_ - max_connections() - max_half_closed(); }
+    std::int32_t index_of(std::vector<std::string>& names, const std::string& name);
 
     protocol::NodeTerms terms_;
     std::unique_ptr<SearchScheduler> scheduler_;
@@ -284,23 +286,23 @@
     std::map<SearchId, Search> searches_;
     std::map<PartId, Part> parts_;
     std::map<AttemptKey, Attempt> attempts_;
-    std::set<std::string> open_ids_; // of searches, as clients gave them
+    std::set<std::string> open_ids_; // of searches, as given by clients
     std::map<ConnectionId, Connection> connections_;
     std::map<ServerId, Server> servers_;
     std::map<std::string, ServerId> server_ids_;
-    std::map<ServerId, std::vector<AttemptKey>> fresh_; // attempts of this turn
-    std::multimap<Tenths, Alarm> alarms_;
-    std::string discovery_; // its address
-    std::optional<DiscoveryCallId> ask_;
-    bool ask_sent_ = false;
+    std::map<ServerId, std::vector<AttemptKey>> new_attempts_; // attempts of this turn
+    std::multimap<Tenths, Timer> timers_;
+    std::string discovery_; // address
+    std::optional<DiscoveryCallId> discovery_call_;
+    bool discovery_connected_ = false;
     std::int64_t version_ = 0;
-    bool whole_wanted_ = false, draining_ = false, quiet_ = false, accepting_ = true;
+    bool full_list_wanted_ = false, draining_ = false, stopped_ = false, accepting_ = true;
     bool decision_due_ = true;
     std::optional<access::Gate> gate_;
     access::TrustedClock clock_{0, 0};
     bool key_is_query_ = false;
     std::optional<access::Handshakes<ClientId>> handshakes_;
-    Tenths shake_at_ = 0, access_at_ = 0; // what is armed, 0: nothing
+    Tenths handshake_timer_ = 0, access_timer_ = 0; // armed for; 0: not armed
     Counts counts_;
     std::vector<Effect> effects_;
 };
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -1,5 +1,5 @@
-// Tests of the reducer with the gate in front: who is taken on, and what becomes of searches and
-// connections whose right is taken back. Events in, effects out.
+// Tests of access control in the router: admission, and revocation for open searches and connections. Events
+// in, effects out.
 #include "desk.hpp"
 #include "lab/pki.hpp"
 
@@ -22,7 +22,7 @@
     return terms;
 }
 
-// A desk whose one key signs for anna and bruno.
+// A router with access control and one signing key, for the members anna and bruno.
 struct Guarded : Desk {
     explicit Guarded(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent, int servers = 2)
         : Desk(node_terms(idempotency), servers) {
@@ -84,7 +84,7 @@
     int asked = 0;
 };
 
-void stranger_is_refused_before_any_attempt() {
+void unauthenticated_search_is_refused_before_any_attempt() {
     Guarded desk;
     const ClientId none = desk.asks(""), bad = desk.asks("a.b.c");
     assert(desk.status(none) == 401 && desk.status(bad) == 401 && desk.all<OpenConnection>().empty());
@@ -95,29 +95,29 @@
     assert(desk.all<RejectClient>()[0].challenge == "Bearer realm=\"ivyrill\"");
     desk.asks(desk.token("anna"));
     assert(desk.router.open_searches() == 1 && desk.all<OpenConnection>().size() == 1);
-    desk.asks("", {}, false); // a listener that asks nobody
+    desk.asks("", {}, false); // a listener without access control
     assert(desk.router.open_searches() == 2);
 }
 
-// A stranger does not learn which request classes, partitions or ids there are.
-void stranger_learns_nothing_of_what_is_open() {
+// An unauthenticated client learns nothing about request classes, partitions or ids.
+void unauthenticated_client_learns_nothing() {
     Guarded desk;
     desk.asks(desk.token("anna"), "same");
     assert(desk.status(desk.asks("", "same")) == 401);
     const ClientId bruno = desk.asks(desk.token("bruno"), "same");
-    assert(desk.status(bruno) == 409); // and no word of anna's answer
+    assert(desk.status(bruno) == 409); // nothing of anna's answer
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     desk.Desk::answers(connection, "same.0");
     assert(desk.all<AnswerClient>().size() == 1 && desk.all<AnswerClient>()[0].client == ClientId{1});
 }
 
-// Revoked while nothing of its search has left: refused, with 401, and nothing leaves.
-void search_that_waits_for_a_attempt_is_refused() {
+// Revoked before anything was sent: refused with 401, and nothing is sent.
+void revoked_search_without_sent_attempt_is_refused() {
     for (const auto idempotency : {ivyrill::Idempotency::kIdempotent, ivyrill::Idempotency::kNonIdempotent}) {
         Guarded desk(idempotency);
         const ClientId anna = desk.asks(desk.token("anna")), bruno = desk.asks(desk.token("bruno"));
-        desk.revoke("anna"); // no connection is up yet
+        desk.revoke("anna"); // no connection is established yet
         desk.pass(ms(10));
         assert(desk.status(anna) == 401 && desk.answers(anna) == 1 && desk.answers(bruno) == 0);
         for (const OpenConnection& open : desk.all<OpenConnection>())
@@ -128,8 +128,8 @@
     }
 }
 
-// Without a server to send to, nothing is attempted: the search is in the module's hands alone.
-void search_that_nobody_can_serve_yet_is_refused() {
+// Without a server there is no attempt: only the scheduler has the search.
+void revoked_search_without_a_server_is_refused() {
     Guarded desk(ivyrill::Idempotency::kIdempotent, 0);
     const ClientId anna = desk.asks(desk.token("anna"));
     const bool open = desk.router.open_searches() == 1;
@@ -138,8 +138,8 @@
     assert(desk.router.open_searches() == 0);
 }
 
-// Revoked while its attempt is out: it may answer, and there is no second attempt whatever becomes of it.
-void search_that_is_out_ends_by_the_rules() {
+// Revoked while its attempt is in flight: it may answer, and no second attempt follows in any case.
+void revoked_search_in_flight_ends_by_the_rules() {
     for (const Outcome outcome : {Outcome::kAnswered, Outcome::kError, Outcome::kRejected}) {
         Guarded desk;
         const ClientId anna = desk.asks(desk.token("anna"));
@@ -154,11 +154,11 @@
         if (outcome == Outcome::kAnswered)
             assert(desk.verdict(anna) == Verdict::kDelivered);
         else
-            assert(desk.status(anna) == 401); // idempotent: nothing is said of what ran
+            assert(desk.status(anna) == 401); // idempotent: whether it ran does not matter
     }
 }
 
-void write_that_may_have_run_is_never_called_refused() {
+void write_that_may_have_run_is_never_refused() {
     Guarded desk(ivyrill::Idempotency::kNonIdempotent);
     const ClientId anna = desk.asks(desk.token("anna"));
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -169,8 +169,8 @@
     assert(desk.verdict(anna) == Verdict::kFailed && desk.answers(anna) == 1 && desk.sent('S') == 1);
 }
 
-// An overdue attempt of a barred search gets no company and is not called off to go elsewhere.
-void overdue_attempt_of_a_barred_search_stays_alone() {
+// An overdue attempt of a revoked search is neither hedged nor moved.
+void overdue_attempt_of_a_revoked_search_is_not_hedged() {
     Guarded desk;
     const ClientId anna = desk.asks(desk.token("anna"));
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -182,7 +182,7 @@
     assert(desk.verdict(anna) == Verdict::kDelivered);
 }
 
-void key_that_goes_by_time_bars_what_it_let_in() {
+void expired_key_revokes_its_searches() {
     Guarded desk;
     desk.key.times.outgoing = kWall, desk.key.times.gone = kWall + s(1);
     desk.reload();
@@ -193,7 +193,7 @@
     assert(desk.status(second) == 0 && desk.router.open_searches() == 2);
     desk.pass(s(1) - 1);
     assert(desk.router.counts().revoked == 0);
-    desk.pass(2); // nobody asked anything: the moment itself does it
+    desk.pass(2); // by the timer, without a request
     assert(desk.router.counts().revoked ==
            desk.router.open_searches() + (desk.answers(first) + desk.answers(second)));
     assert(desk.status(desk.asks(desk.token("anna"))) == 401);
@@ -234,7 +234,7 @@
     assert(closed(desk, idle) && !closed(desk, other));
 }
 
-void revoked_certificate_with_a_search_out_closes_after_its_answer() {
+void revoked_certificate_with_an_open_search_closes_after_its_answer() {
     for (const bool draining : {false, true}) {
         Guarded desk;
         const lab::Issued anna =
@@ -253,7 +253,7 @@
     }
 }
 
-void reload_that_changes_nothing_touches_nobody() {
+void reload_without_changes_affects_nobody() {
     Guarded desk;
     const lab::Issued anna =
         desk.root.issue({"a", {"spiffe://t/anna"}, {}, kWall - s(1), kWall + s(1000), false});
@@ -265,15 +265,15 @@
 
 // ---- handshakes
 
-void half_handshakes_make_room_for_the_next_and_end_in_time() {
+void incomplete_handshakes_are_evicted_and_time_out() {
     Guarded desk;
     for (int i = 0; i < 9; ++i) desk.tell(ClientOpened{ClientId{++desk.clients}, true, true});
     assert(desk.router.open_handshakes() == 8 && closed(desk, ClientId{1}) && !closed(desk, ClientId{2}));
-    desk.pass(s(2) + 1); // those that never say a word
+    desk.pass(s(2) + 1); // handshakes without any bytes
     assert(desk.router.open_handshakes() == 0 && closed(desk, ClientId{9}));
 }
 
-void handshakes_wait_their_turn_and_searches_do_not() {
+void handshakes_are_queued_and_searches_are_not() {
     Guarded desk;
     std::vector<ClientId> many;
     for (int i = 0; i < 8; ++i) {
@@ -288,7 +288,7 @@
     assert(desk.all<ContinueHandshake>().size() == 8);
 }
 
-void clock_set_right_by_a_day_expires_keys_once_it_has_stood() {
+void clock_correction_by_a_day_expires_keys_after_settling() {
     Guarded desk;
     desk.key.times.outgoing = kWall, desk.key.times.gone = kWall + s(3600);
     desk.reload();
@@ -300,7 +300,7 @@
     tell_wall(s(86'400));
     assert(desk.router.counts().revoked == 0);
     desk.now += ms(100);
-    tell_wall(0); // for a moment only
+    tell_wall(0); // a transient jump
     assert(desk.router.counts().revoked == 0);
     tell_wall(s(86'400));
     desk.now += s(1);
@@ -314,20 +314,20 @@
 }
 
 const Test kTests[] = {
-    TEST(stranger_is_refused_before_any_attempt),
-    TEST(stranger_learns_nothing_of_what_is_open),
-    TEST(search_that_waits_for_a_attempt_is_refused),
-    TEST(search_that_nobody_can_serve_yet_is_refused),
-    TEST(search_that_is_out_ends_by_the_rules),
-    TEST(write_that_may_have_run_is_never_called_refused),
-    TEST(overdue_attempt_of_a_barred_search_stays_alone),
-    TEST(key_that_goes_by_time_bars_what_it_let_in),
+    TEST(unauthenticated_search_is_refused_before_any_attempt),
+    TEST(unauthenticated_client_learns_nothing),
+    TEST(revoked_search_without_sent_attempt_is_refused),
+    TEST(revoked_search_without_a_server_is_refused),
+    TEST(revoked_search_in_flight_ends_by_the_rules),
+    TEST(write_that_may_have_run_is_never_refused),
+    TEST(overdue_attempt_of_a_revoked_search_is_not_hedged),
+    TEST(expired_key_revokes_its_searches),
     TEST(revoked_certificate_closes_its_idle_connection),
-    TEST(revoked_certificate_with_a_search_out_closes_after_its_answer),
-    TEST(reload_that_changes_nothing_touches_nobody),
-    TEST(half_handshakes_make_room_for_the_next_and_end_in_time),
-    TEST(handshakes_wait_their_turn_and_searches_do_not),
-    TEST(clock_set_right_by_a_day_expires_keys_once_it_has_stood),
+    TEST(revoked_certificate_with_an_open_search_closes_after_its_answer),
+    TEST(reload_without_changes_affects_nobody),
+    TEST(incomplete_handshakes_are_evicted_and_time_out),
+    TEST(handshakes_are_queued_and_searches_are_not),
+    TEST(clock_correction_by_a_day_expires_keys_after_settling),
 };
 
 } // namespace
--- a/tests/desk.hpp
+++ b/tests/desk.hpp
@@ -1,4 +1,4 @@
-// A reducer at a desk: events in, effects kept; no socket anywhere.
+// Test fixture for the router without sockets: takes events and records effects.
 #pragma once
 #include "fake_host.hpp"
 #include "routing/router.hpp"
@@ -34,7 +34,7 @@
             0};
 }
 
-// A router, and the effects it has asked for so far.
+// A router and the effects that it has returned so far.
 struct Desk {
     explicit Desk(protocol::NodeTerms terms = node_terms(), int servers = 2, std::size_t descriptors = 1000)
         : router(std::move(terms), list(servers), "10.0.1.1:1", descriptors, ms(1000)) {
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -1,4 +1,4 @@
-// Tests of the reducer: events in, effects out; no socket anywhere.
+// Tests of the router: events in, effects out, without sockets.
 #include "desk.hpp"
 
 namespace ivyrill::routing {
@@ -9,7 +9,7 @@
     Desk desk;
     const ClientId client = desk.search({0, 1});
     assert(desk.all<OpenConnection>().size() == 2 &&
-           desk.sent('S') == 0); // nothing before a connection is up
+           desk.sent('S') == 0); // nothing before a connection is established
     for (const OpenConnection& open : desk.all<OpenConnection>())
         desk.up(open.connection), desk.wrote_all(open.connection);
     assert(desk.sent('S') == 2);
@@ -25,7 +25,7 @@
     assert(desk.router.open_searches() == 0 && desk.router.open_attempts() == 0);
 }
 
-void parts_for_one_server_travel_together() {
+void parts_for_one_server_are_batched() {
     protocol::NodeTerms terms = node_terms();
     terms.batch = 2, terms.shards = 3;
     Desk desk(terms, 1);
@@ -35,13 +35,13 @@
     const auto calls = desk.frames(connection, 'S');
     assert(calls.size() == 2 && desk.all<OpenConnection>().size() == 1); // two parts and one
     assert(calls[0].find("q1.0 0 ") == 0 && calls[0].find("textq1.1 1 ") != std::string::npos);
-    for (const char* id : {"q1.0", "q1.1", "q1.2"}) desk.answers(connection, id); // each by itself
+    for (const char* id : {"q1.0", "q1.1", "q1.2"}) desk.answers(connection, id); // answered separately
     assert(desk.verdict(client) == Verdict::kDelivered);
 }
 
-void full_connection_gets_company() {
+void full_connection_opens_a_second_one() {
     protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 3; // one place of it stays free
+    terms.calls_a_connection = 3; // of which one slot stays free
     Desk desk(terms, 1);
     desk.search({0, 1});
     assert(desk.all<OpenConnection>().size() == 1);
@@ -54,8 +54,8 @@
         assert(desk.frames(open.connection, 'S').size() == 2);
 }
 
-// How far the bytes went decides what is proved.
-void broken_before_the_last_byte_never_ran() {
+// A search that was not completely written has not run.
+void lost_before_the_last_byte_never_ran() {
     for (const bool written : {false, true}) {
         Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
         const ClientId client = desk.search();
@@ -72,12 +72,12 @@
     }
 }
 
-void each_frame_has_its_own_boundary() {
+void each_frame_is_tracked_separately() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId first = desk.search(), second = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection);
-    assert(desk.sent('S') == 1); // one frame at a time is in the ring, so the other can be taken back
+    assert(desk.sent('S') == 1); // one frame at a time is queued, so the other can be withdrawn
     const std::uint64_t size = desk.all<WriteConnection>()[0].bytes.size();
     desk.tell(ConnectionBytesWritten{connection, size});
     assert(desk.sent('S') == 2);
@@ -87,7 +87,7 @@
     assert(desk.verdict(first) == Verdict::kFailed && desk.verdict(second) == Verdict::kRejected);
 }
 
-void refused_connection_sends_the_part_elsewhere() {
+void refused_connection_moves_the_part() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     const ConnectionId refused = desk.all<OpenConnection>()[0].connection;
@@ -97,7 +97,7 @@
     assert(opened.size() >= 2 && opened[1].address != opened[0].address);
 }
 
-void connection_that_never_comes_is_given_up_in_time() {
+void connect_times_out() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     desk.pass(ms(249));
@@ -106,32 +106,32 @@
     assert(desk.all<CloseConnection>().size() >= 1 && desk.all<OpenConnection>().size() >= 2);
 }
 
-// One answer an attempt, and never that of an earlier attempt of the same part.
+// One answer per attempt, and never that of an earlier attempt of the same part.
 void late_answer_is_not_taken_for_a_later_attempt() {
     Desk desk(node_terms(), 1);
     const ClientId client = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     desk.tell(ClientDisconnected{client});
-    assert(desk.frames(connection, 'C') == std::vector<std::string>{"q1.0"}); // given up
+    assert(desk.frames(connection, 'C') == std::vector<std::string>{"q1.0"}); // withdrawn
     desk.pass(ms(10));
     assert(desk.router.open_attempts() == 0);
-    const ClientId other = desk.client(); // the same id once more
+    const ClientId other = desk.client(); // the same id again
     desk.tell(SearchReceived{other, {"q1", "find", "acme", "text", 2'000'000, false, {{0, 1.0}}}, 0});
     const auto opened = desk.all<OpenConnection>();
-    assert(opened.size() == 2); // not where the first answer may still come
+    assert(opened.size() == 2); // not on the connection where the first answer may still come
     desk.up(opened[1].connection), desk.wrote_all(opened[1].connection);
     desk.answers(connection, "q1.0");
     assert(!desk.verdict(other) && desk.router.counts().late_answers == 1);
     desk.answers(opened[1].connection, "q1.0");
     assert(desk.verdict(other) == Verdict::kDelivered);
-    desk.answers(opened[1].connection, "q1.0"); // once is enough
+    desk.answers(opened[1].connection, "q1.0"); // a duplicate is ignored
     assert(desk.all<AnswerClient>().size() == 1);
 }
 
-// A connection that takes nothing more: what is in our ring cannot be taken out of it, and must not go when
-// its server reads on later. Its last byte has not gone, so it never ran.
-void frame_stuck_in_the_ring_leaves_with_nothing() {
+// A peer that does not read: a queued frame cannot be removed from the write queue and must not be sent when
+// the server reads again later. Its last byte was not written, so it never ran.
+void frame_stuck_in_the_write_queue_closes_its_connection() {
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
         protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
@@ -143,7 +143,7 @@
         assert(desk.frames(connection, 'S').size() == 1);
         if (ends == kItsClient) desk.tell(ClientDisconnected{client});
         if (ends == kItsServer)
-            desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+            desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].call,
                                          {2, false, {entry(0, ListedState::kDraining)}}});
         desk.pass(ms(ends == kItsTime ? 420 : 10));
         assert(desk.all<CloseConnection>().size() == 1 &&
@@ -152,9 +152,10 @@
     }
 }
 
-// A server that works on at what was given up reads nothing past the limit of a connection, our word to give
-// up neither: nothing more goes there until it has answered, and one place stays free for that word.
-void part_given_up_keeps_its_place_on_the_connection() {
+// A server that still works on withdrawn parts reads nothing beyond the connection's limit, not even a
+// cancellation: withdrawn parts keep their slots until answered, and one slot stays free for the
+// cancellation.
+void withdrawn_part_keeps_its_slot() {
     protocol::NodeTerms terms = node_terms();
     terms.calls_a_connection = 4, terms.shards = 4;
     Desk desk(terms, 1);
@@ -166,7 +167,7 @@
     desk.pass(ms(5));
     assert(desk.frames(connection, 'C').size() == 2 && desk.router.open_attempts() == 1);
     desk.search({0});
-    assert(desk.all<OpenConnection>().size() == 2); // two places are kept, one is taken, the last stays free
+    assert(desk.all<OpenConnection>().size() == 2); // two slots withdrawn, one in use, the last stays free
     desk.answers(connection, "q1.0");               // late
     desk.search({0});
     desk.wrote_all(connection);
@@ -175,8 +176,8 @@
     assert(desk.verdict(staying) == Verdict::kDelivered);
 }
 
-// Nothing new could go there, and its end frees the server of what it still works on.
-void connection_full_of_what_was_given_up_is_closed() {
+// It could get no new calls, and closing it lets the server drop the withdrawn parts.
+void connection_full_of_withdrawn_parts_is_closed() {
     protocol::NodeTerms terms = node_terms();
     terms.calls_a_connection = 3;
     Desk desk(terms, 1);
@@ -189,8 +190,8 @@
            desk.all<CloseConnection>()[0].connection == connection);
 }
 
-// Where no other connection can be opened the last place is taken, but nothing goes past the limit.
-void nothing_goes_past_the_limit_of_a_connection() {
+// If no other connection can be opened, the last slot is used, but the limit is never exceeded.
+void limit_of_a_connection_is_never_exceeded() {
     protocol::NodeTerms terms = node_terms();
     terms.calls_a_connection = 2;
     Desk desk(terms, 1, 2); // one connection to index servers
@@ -203,10 +204,9 @@
     assert(desk.router.counts().delivered == 2);
 }
 
-// The answer to one of three attempts is spoilt: it has failed and the others on that connection are lost
-// with it, but their server has answered. It gets all three again, on a new connection, and no other server
-// is met.
-void spoilt_answer_costs_its_connection_and_not_its_server() {
+// A malformed answer to one of three attempts: that attempt fails, the others on the connection are
+// cancelled, and all three are retried at the same server on a new connection.
+void malformed_answer_closes_its_connection_only() {
     for (const bool named : {true, false}) {
         Desk desk(node_terms(), 1);
         for (int i = 0; i < 3; ++i) desk.search();
@@ -215,7 +215,7 @@
             desk.wrote_all(connection);
         assert(desk.frames(connection, 'S').size() == 3);
         desk.tell(MalformedDataReceived{connection, named ? "q2.0" : "%&"});
-        desk.answers(connection, "q1.0"); // nothing counts that follows
+        desk.answers(connection, "q1.0"); // ignored after malformed data
         assert(desk.router.counts().delivered == 0 && desk.all<CloseConnection>().size() == 1);
         desk.pass(ms(20));
         assert(desk.all<OpenConnection>().size() == 2);
@@ -227,47 +227,47 @@
     }
 }
 
-// It may have run: a non-idempotent search is failed, as is one whose attempt was called off with it; one
-// that had not left goes elsewhere.
-void spoilt_answer_may_have_run() {
+// The attempts may have run, so non-idempotent searches fail, the malformed one and those cancelled with it.
+// One that was not sent is retried.
+void malformed_answer_may_have_run() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
-    const ClientId spoilt = desk.search(), beside = desk.search(), unsent = desk.search();
+    const ClientId malformed = desk.search(), beside = desk.search(), unsent = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     const std::uint64_t size = desk.all<WriteConnection>()[0].bytes.size();
     desk.tell(ConnectionBytesWritten{connection, 2 * size});
     desk.tell(MalformedDataReceived{connection, "q1.0"});
     desk.pass(ms(20));
-    assert(desk.verdict(spoilt) == Verdict::kFailed && desk.verdict(beside) == Verdict::kFailed);
+    assert(desk.verdict(malformed) == Verdict::kFailed && desk.verdict(beside) == Verdict::kFailed);
     assert(!desk.verdict(unsent) && desk.all<OpenConnection>().size() == 2);
 }
 
-void frame_that_does_not_fill_holds_nobody_up() {
+void incomplete_frame_blocks_nobody() {
     Desk desk(node_terms(), 1);
     const ClientId first = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     desk.tell(FrameStarted{connection});
-    const ClientId second = desk.search(); // goes over another connection
+    const ClientId second = desk.search(); // on another connection
     assert(desk.all<OpenConnection>().size() == 2);
     const ConnectionId other = desk.all<OpenConnection>()[1].connection;
     desk.up(other), desk.wrote_all(other), desk.answers(other, "q2.0");
     assert(desk.verdict(second) == Verdict::kDelivered && desk.all<CloseConnection>().empty());
     desk.pass(ms(260));
     assert(desk.all<CloseConnection>()[0].connection == connection && desk.router.counts().malformed == 1);
-    assert(desk.frames(other, 'S').size() == 2 && !desk.verdict(first)); // and the first goes again
-    desk.tell(FrameStarted{other}), desk.answers(other, "q1.0");         // whole in time
+    assert(desk.frames(other, 'S').size() == 2 && !desk.verdict(first)); // the first is retried
+    desk.tell(FrameStarted{other}), desk.answers(other, "q1.0");         // complete in time
     desk.pass(ms(260));
     assert(desk.verdict(first) == Verdict::kDelivered && desk.all<CloseConnection>().size() == 1);
 }
 
-void answer_that_nobody_asked_for_spoils_its_connection() {
+void unsolicited_answer_closes_its_connection() {
     Desk desk(node_terms(), 1);
     desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.wrote_all(connection);
     desk.answers(connection, "q1.0"),
-        desk.answers(connection, "q1.0"); // a second copy of a good one does no harm
+        desk.answers(connection, "q1.0"); // a duplicate of a valid answer is ignored
     const ClientId client = desk.search();
     desk.wrote_all(connection);
     assert(desk.all<OpenConnection>().size() == 1 && desk.all<CloseConnection>().empty());
@@ -277,39 +277,39 @@
            !desk.verdict(client));
 }
 
-// A connection falls silent, its server is well: two attempts called off there as overdue, with no word in
-// between, are a sign; one is a slow part, and 300 front nodes that open a connection for each crowd their
-// servers. A second connection is opened, and once that is up it takes what follows.
-void silent_connection_is_replaced_before_its_server_is_blamed() {
+// A connection goes silent while its server is healthy. Two overdue attempts withdrawn in a row, with nothing
+// received in between, make it suspect; one may be a slow part, and 300 front nodes that open a connection
+// for each would overload their servers. A second connection is opened and preferred once it is established.
+void silent_connection_is_replaced_before_its_server_is_ejected() {
     Desk desk(node_terms(), 1);
     desk.search();
     const ConnectionId first = desk.all<OpenConnection>()[0].connection;
     desk.up(first), desk.wrote_all(first), desk.answers(first, "q1.0");
     const ClientId gone = desk.search();
     desk.wrote_all(first), desk.pass(ms(10));
-    desk.tell(ClientDisconnected{gone}); // called off, and no sign of anything
+    desk.tell(ClientDisconnected{gone}); // withdrawn early, which says nothing
     assert(desk.sent('C') == 1 && desk.all<OpenConnection>().size() == 1);
     desk.search({0}, 300'000);
-    desk.wrote_all(first), desk.pass(ms(340)); // it gets no answer
+    desk.wrote_all(first), desk.pass(ms(340)); // no answer
     assert(desk.sent('C') == 2 && desk.all<OpenConnection>().size() == 1);
     desk.search({0}, 300'000);
-    desk.wrote_all(first), desk.pass(ms(340)); // nor does the next one
+    desk.wrote_all(first), desk.pass(ms(340)); // no answer again
     assert(desk.sent('C') == 3 && desk.all<OpenConnection>().size() == 2 &&
            desk.all<CloseConnection>().empty());
     const ConnectionId second = desk.all<OpenConnection>()[1].connection;
     desk.search();
     desk.wrote_all(first);
-    assert(desk.frames(first, 'S').size() == 5); // the new one is not up yet
+    assert(desk.frames(first, 'S').size() == 5); // the new one is not established yet
     desk.up(second), desk.search();
     desk.wrote_all(second);
     assert(desk.frames(first, 'S').size() == 5 && desk.frames(second, 'S').size() == 1);
-    desk.answers(first, "q5.0"); // it has spoken: no doubt any more
+    desk.answers(first, "q5.0"); // an answer: no longer suspect
     desk.answers(second, "q6.0");
     desk.pass(ms(100));
     assert(desk.router.open_connections() == 2 && desk.all<CloseConnection>().empty());
 }
 
-void client_gone_while_its_part_waits_leaves_nothing() {
+void client_that_disconnects_early_leaves_nothing() {
     Desk desk;
     const ClientId client = desk.search();
     desk.tell(ClientDisconnected{client});
@@ -330,12 +330,12 @@
     assert(desk.router.open_attempts() == 0 && desk.sent('S') == desk.sent('C'));
 }
 
-void drained_server_gets_nothing_that_still_waits() {
+void draining_server_gets_no_waiting_attempt() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent));
     desk.search();
     const OpenConnection first = desk.all<OpenConnection>()[0];
     const int number = first.address == "10.0.0.0:1" ? 0 : 1;
-    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].call,
                                  {2, false, {entry(number, ListedState::kDraining)}}});
     desk.up(first.connection);
     desk.pass(ms(5));
@@ -344,31 +344,31 @@
     assert(opened.size() == 2 && opened[1].address != first.address);
 }
 
-void moved_server_is_met_at_its_new_address() {
+void moved_server_is_used_at_its_new_address() {
     Desk desk(node_terms(), 1);
     desk.search();
     const ConnectionId old = desk.all<OpenConnection>()[0].connection;
     desk.up(old), desk.wrote_all(old), desk.answers(old, "q1.0");
-    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].call,
                                  {2, true, {entry(0, ListedState::kLive, "2")}}});
     desk.search();
     assert(desk.all<OpenConnection>().back().address == "10.0.0.0:2" &&
            desk.all<CloseConnection>()[0].connection == old);
 }
 
-// At its old address there may be another server by now, without that shard.
-void what_waits_for_a_moved_server_is_taken_back() {
+// Another server, without that shard, may have the old address by now.
+void attempt_waiting_for_a_moved_server_is_withdrawn() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     desk.search();
     const ConnectionId old = desk.all<OpenConnection>()[0].connection;
-    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask,
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].call,
                                  {2, true, {entry(0, ListedState::kLive, "2")}}});
     desk.up(old);
     desk.pass(ms(5));
     assert(desk.frames(old, 'S').empty() && desk.all<OpenConnection>().back().address == "10.0.0.0:2");
 }
 
-// A search that lay unread while the front node stood still has less time left, one that lay too long none.
+// A search that was buffered while the front node was stalled has less time left, or none.
 void age_of_a_search_counts() {
     Desk desk(node_terms(), 1);
     const ClientId aged = desk.client(), dead = desk.client();
@@ -379,7 +379,7 @@
     assert(desk.verdict(aged));
 }
 
-// What is written to a connection that the index server closes as idle would be lost.
+// A request written to a connection that the index server is closing as idle would be lost.
 void idle_connection_is_closed_before_the_server_does() {
     Desk desk(node_terms(), 1);
     desk.search();
@@ -391,12 +391,12 @@
     assert(desk.all<CloseConnection>().size() == 1 && desk.router.open_connections() == 0);
 }
 
-void silent_probe_retires_its_connection() {
+void unanswered_probe_retires_its_connection() {
     Desk desk(node_terms(), 1);
     const ClientId client = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection), desk.search(), desk.wrote_all(connection), desk.wrote_all(connection);
-    desk.pass(ms(1990)); // silent twice: set aside and probed
+    desk.pass(ms(1990)); // silent twice: ejected and probed
     assert(desk.verdict(client) && desk.frames(connection, 'M').size() == 1);
     const auto closed = desk.all<CloseConnection>();
     assert(std::ranges::count(closed, connection, &CloseConnection::connection) == 1 &&
@@ -406,43 +406,44 @@
     assert(desk.frames(fresh, 'M').size() == 1);
 }
 
-void watch_goes_on_and_a_silent_one_is_dropped() {
+void long_poll_is_repeated_and_times_out() {
     Desk desk;
     assert(desk.all<QueryDiscovery>().size() == 1 && desk.all<QueryDiscovery>()[0].after == 1);
-    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].ask, {4, false, {}}});
+    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[0].call, {4, false, {}}});
     const auto asked = desk.all<QueryDiscovery>();
     assert(asked.size() == 2 && asked[1].after == 4 && asked[1].wait_ms == 3000); // in the same turn
-    desk.tell(ServerListReceived{asked[0].ask, {9, true, {}}});                   // an answer to nothing
+    desk.tell(ServerListReceived{asked[0].call, {9, true, {}}}); // of an earlier call: ignored
     assert(desk.all<QueryDiscovery>().size() == 2);
-    desk.tell(DiscoveryConnected{asked[1].ask});
+    desk.tell(DiscoveryConnected{asked[1].call});
     desk.pass(ms(3599));
     assert(desk.all<CancelDiscoveryCall>().empty());
-    desk.pass(ms(1)); // with time left for another call before its news counts as told
+    desk.pass(ms(1)); // with time left for another call before the change counts as known
     assert(desk.all<CancelDiscoveryCall>().size() == 1 && desk.router.counts().lists_lost == 1);
     desk.pass(ms(1000));
     assert(desk.all<QueryDiscovery>().size() == 3 && desk.all<QueryDiscovery>()[2].after == 4);
-    desk.tell(ServerListReceived{desk.all<QueryDiscovery>()[2].ask, {2, false, {}}}); // it has started anew
+    desk.tell(
+        ServerListReceived{desk.all<QueryDiscovery>()[2].call, {2, false, {}}}); // discovery has restarted
     assert(desk.all<QueryDiscovery>()[3].whole);
 }
 
-void discovery_that_moved_is_asked_for_everything_at_once() {
+void moved_discovery_is_queried_for_the_whole_list() {
     Desk desk;
-    const DiscoveryCallId old = desk.all<QueryDiscovery>()[0].ask;
-    desk.tell(DiscoveryAddressChanged{"10.0.1.1:1"}); // the same: the watch goes on
+    const DiscoveryCallId old = desk.all<QueryDiscovery>()[0].call;
+    desk.tell(DiscoveryAddressChanged{"10.0.1.1:1"}); // unchanged: polling goes on
     assert(desk.all<QueryDiscovery>().size() == 1 && desk.all<CancelDiscoveryCall>().empty());
     desk.tell(DiscoveryAddressChanged{"10.0.1.2:1"});
     const auto asked = desk.all<QueryDiscovery>();
     assert(desk.all<CancelDiscoveryCall>().size() == 1 && asked.size() == 2);
     assert(asked[0].address == "10.0.1.1:1" && asked[1].address == "10.0.1.2:1" && asked[1].whole);
     desk.tell(ServerListReceived{
-        old, {9, true, {entry(0, ListedState::kDraining)}}}); // the old one's word counts no more
+        old, {9, true, {entry(0, ListedState::kDraining)}}}); // from the old address: ignored
     desk.search();
     assert(desk.all<QueryDiscovery>().size() == 2 && desk.all<OpenConnection>().size() == 1);
-    desk.tell(ServerListReceived{asked[1].ask, {1, true, {entry(1)}}}); // its versions need not follow on
+    desk.tell(ServerListReceived{asked[1].call, {1, true, {entry(1)}}}); // its versions are independent
     assert(desk.all<QueryDiscovery>()[2].after == 1 && !desk.all<QueryDiscovery>()[2].whole);
 }
 
-void too_many_at_once_are_rejected_unseen() {
+void searches_over_the_limit_are_rejected_at_once() {
     protocol::NodeTerms terms = node_terms();
     terms.most_open = 3;
     Desk desk(terms);
@@ -451,7 +452,7 @@
     assert(desk.router.counts().over_limit == 1 && desk.router.open_searches() == 1);
 }
 
-void errors_of_a_request_never_reach_the_module() {
+void invalid_requests_never_reach_the_scheduler() {
     Desk desk;
     const ClientId client = desk.client(), twin = desk.client();
     desk.tell(SearchReceived{client, {"a", "other", "acme", "t", 1000, false, {{0, 1.0}}}, 0});
@@ -463,11 +464,11 @@
     assert(rejected[0].status == 404 && rejected[1].status == 400 && rejected[2].status == 409);
 }
 
-void order_to_stop_answers_all_that_was_taken() {
+void drain_answers_all_accepted_searches() {
     Desk desk;
     const ClientId idle = desk.client(), client = desk.search();
     desk.tell(DrainStarted{});
-    const ClientId late = desk.search({1}); // still arrives, is still served
+    const ClientId late = desk.search({1}); // arrives late and is still served
     assert(desk.all<HalfCloseClient>().empty());
     desk.tell(TrafficStopped{});
     assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == idle);
@@ -481,7 +482,7 @@
     assert(desk.router.open_searches() == 0);
 }
 
-void full_house_lets_the_longest_idle_go() {
+void longest_idle_client_is_evicted_at_the_limit() {
     Desk desk(node_terms(), 2, 8); // four for clients, four for index servers
     const ClientId busy = desk.search();
     desk.pass(1);
@@ -489,13 +490,14 @@
     desk.pass(1), desk.client(), desk.client(), desk.client();
     assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == oldest);
     for (int i = 0; i < 4; ++i) desk.search();
-    assert(desk.all<AcceptClients>().size() == 1 && !desk.all<AcceptClients>()[0].on); // all busy: nobody new
+    assert(desk.all<AcceptClients>().size() == 1 &&
+           !desk.all<AcceptClients>()[0].on); // all busy: stops accepting
     desk.tell(ClientDisconnected{busy});
     assert(desk.all<AcceptClients>().size() == 2 && desk.all<AcceptClients>()[1].on);
 }
 
-// Who is told to go may have asked just before: it has its answer first.
-void search_that_crosses_the_close_is_answered() {
+// A request that crosses the half-close is still answered.
+void search_that_crosses_the_half_close_is_answered() {
     Desk desk(node_terms(), 1);
     const ClientId idle = desk.client();
     desk.tell(TrafficStopped{});
@@ -508,9 +510,9 @@
     assert(desk.router.open_clients() == 0);
 }
 
-// Idle ones make room; the only idle one has just been answered, and its answer is not on its way yet.
-void answer_is_not_lost_to_the_room_that_its_client_makes() {
-    Desk desk(node_terms(), 1, 30); // five may have asked
+// The only idle client has just been answered: evicting it must not drop the answer that is not yet written.
+void eviction_does_not_lose_an_answer() {
+    Desk desk(node_terms(), 1, 30); // five may have searched
     for (int i = 0; i < 6; ++i) desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
     desk.up(connection);
@@ -519,8 +521,8 @@
     assert(desk.verdict(ClientId{3}) == Verdict::kDelivered && desk.all<CloseClient>().empty());
 }
 
-// The client has gone and nothing may be called off: what was not sent then is not sent later.
-void nothing_is_sent_for_a_client_that_has_gone() {
+// The client has disconnected and nothing may be cancelled: an unsent attempt is not sent later.
+void nothing_is_sent_for_a_disconnected_client() {
     protocol::NodeTerms terms = node_terms();
     terms.opening.may_cancel = false;
     Desk desk(terms, 1);
@@ -532,7 +534,7 @@
     assert(desk.router.open_attempts() == 0);
 }
 
-// The process stood still: a connection comes up together with the end of the search's time.
+// The process was stalled: a connection is established in the turn in which the search expires.
 void connection_up_at_the_deadline_sends_nothing() {
     Desk desk(node_terms(), 1);
     desk.search({0}, 100'000);
@@ -542,8 +544,8 @@
     assert(desk.sent('S') == 0);
 }
 
-// Repeats are dropped for 300 ms; the second connection comes up later than that.
-void keyed_part_is_not_sent_once_its_window_has_closed() {
+// Servers drop repeats for 300 ms; the second connection is established later than that.
+void keyed_part_is_not_sent_after_its_dedup_window() {
     for (const bool in_time : {true, false}) {
         protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
         terms.opening.request_classes[0].dedup_window = ms(300);
@@ -561,8 +563,8 @@
     }
 }
 
-// Handed over and closed in one turn: what counts as never sent is not written either.
-void what_is_taken_back_with_its_connection_is_not_written() {
+// Queued and closed in one turn: an attempt that counts as not sent is not written either.
+void attempt_withdrawn_with_its_connection_is_not_written() {
     Desk desk(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId client = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -571,36 +573,36 @@
     desk.turn();
     assert(desk.sent('S') == 0 && desk.all<CloseConnection>()[0].connection == connection);
     desk.pass(ms(20));
-    assert(!desk.verdict(client)); // it goes again
+    assert(!desk.verdict(client)); // it is retried
 }
 
-// Discovery is away for a minute: the calls that find it again come soon enough for what counts as told.
-void return_of_discovery_is_not_slept_through() {
+// While discovery is down, queries are retried often enough for the propagation time of the server list.
+void return_of_discovery_is_noticed_in_time() {
     Desk desk;
     Tenths lost_at = 0;
     for (int i = 0; i < 40; ++i) {
         const auto asked = desk.all<QueryDiscovery>().size();
-        desk.tell(ServerListFailed{desk.all<QueryDiscovery>().back().ask});
+        desk.tell(ServerListFailed{desk.all<QueryDiscovery>().back().call});
         for (lost_at = desk.now; desk.all<QueryDiscovery>().size() == asked;) desk.pass(ms(5));
         assert(desk.now - lost_at <= ms(1510));
     }
 }
 
-// A connection to discovery that never comes up is not waited for as long as a watch.
-void call_that_does_not_get_through_is_made_anew() {
+// A connect to discovery times out sooner than a long poll.
+void failed_discovery_connect_is_retried() {
     Desk desk;
     desk.pass(ms(600));
     assert(desk.all<CancelDiscoveryCall>().size() == 1);
     desk.pass(ms(1510));
     assert(desk.all<QueryDiscovery>().size() >= 2);
     const auto calls = desk.all<CancelDiscoveryCall>().size();
-    desk.tell(DiscoveryConnected{desk.all<QueryDiscovery>().back().ask});
+    desk.tell(DiscoveryConnected{desk.all<QueryDiscovery>().back().call});
     desk.pass(ms(1000));
     assert(desk.all<CancelDiscoveryCall>().size() == calls);
 }
 
-// Clients may hold a third of the descriptors for their requests and do not close what they have done with.
-void clients_that_ask_once_and_stay_keep_nobody_out() {
+// By contract clients may hold a third of the descriptors and need not close connections after use.
+void idle_clients_are_evicted_for_new_ones() {
     Desk desk(node_terms(), 1, 60);
     const auto served = [&desk] {
         const ClientId client = desk.search();
@@ -618,7 +620,7 @@
     assert(closed.size() == 2 && closed[0].client == first && closed[1].client == second);
 }
 
-void those_who_never_asked_go_first() {
+void clients_without_a_search_are_evicted_first() {
     Desk desk(node_terms(), 2, 8);
     const ClientId asked = desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -630,22 +632,22 @@
     assert(desk.all<HalfCloseClient>().size() == 1 && desk.all<HalfCloseClient>()[0].client == silent);
     desk.pass(ms(1999));
     assert(desk.all<HalfCloseClient>().size() == 1);
-    desk.pass(ms(1)); // the others are owed no more than that, unless they ask
+    desk.pass(ms(1)); // the timeout of clients without a request
     assert(desk.all<HalfCloseClient>().size() == 4);
-    for (const HalfCloseClient& shut : desk.all<HalfCloseClient>())
-        desk.tell(ClientDisconnected{shut.client});
+    for (const HalfCloseClient& half_closed : desk.all<HalfCloseClient>())
+        desk.tell(ClientDisconnected{half_closed.client});
     assert(desk.router.open_clients() == 1);
-    desk.tell(RequestStarted{asked}); // half of its next request
+    desk.tell(RequestStarted{asked}); // part of its next request
     desk.pass(ms(1999));
     assert(desk.all<RejectClient>().empty());
     desk.pass(ms(2));
     assert(desk.all<RejectClient>()[0].status == 408 && desk.all<RejectClient>()[0].close);
-    desk.tell(ClientFinalAnswerSent{asked}); // it is told, and does not close
+    desk.tell(ClientFinalAnswerSent{asked}); // it has the answer and does not close
     desk.pass(ms(2001));
     assert(desk.router.open_clients() == 0);
 }
 
-void nothing_grows_over_a_long_run() {
+void no_state_leaks_over_a_long_run() {
     Desk desk;
     for (int round = 0; round < 3000; ++round) {
         const ClientId client = desk.search({0, 1});
@@ -660,7 +662,7 @@
                 desk.tell(ConnectionClosed{open.connection});
         desk.pass(ms(round % 7 == 3 ? 60 : 2));
         desk.tell(ClientDisconnected{client});
-        std::vector<Effect> connections; // of those still open, what is needed to answer on
+        std::vector<Effect> connections; // keeps the open ones, needed for answers
         for (Effect& effect : desk.effects)
             if (std::holds_alternative<OpenConnection>(effect) && round % 11 != 0)
                 connections.push_back(std::move(effect));
@@ -668,54 +670,54 @@
     }
     desk.pass(ms(20'000));
     assert(desk.router.open_searches() == 0 && desk.router.open_attempts() == 0);
-    // The servers set aside go on being probed, over one connection each.
+    // Ejected servers are still probed, over one connection each.
     assert(desk.router.open_clients() == 0 && desk.router.open_connections() <= 2 &&
-           desk.router.alarms() < 20);
+           desk.router.timers() < 20);
 }
 
 constexpr Test kTests[] = {
     TEST(search_is_sent_and_answered),
-    TEST(parts_for_one_server_travel_together),
-    TEST(full_connection_gets_company),
-    TEST(broken_before_the_last_byte_never_ran),
-    TEST(each_frame_has_its_own_boundary),
-    TEST(refused_connection_sends_the_part_elsewhere),
-    TEST(connection_that_never_comes_is_given_up_in_time),
+    TEST(parts_for_one_server_are_batched),
+    TEST(full_connection_opens_a_second_one),
+    TEST(lost_before_the_last_byte_never_ran),
+    TEST(each_frame_is_tracked_separately),
+    TEST(refused_connection_moves_the_part),
+    TEST(connect_times_out),
     TEST(late_answer_is_not_taken_for_a_later_attempt),
-    TEST(frame_stuck_in_the_ring_leaves_with_nothing),
-    TEST(part_given_up_keeps_its_place_on_the_connection),
-    TEST(connection_full_of_what_was_given_up_is_closed),
-    TEST(nothing_goes_past_the_limit_of_a_connection),
-    TEST(spoilt_answer_costs_its_connection_and_not_its_server),
-    TEST(spoilt_answer_may_have_run),
-    TEST(frame_that_does_not_fill_holds_nobody_up),
-    TEST(answer_that_nobody_asked_for_spoils_its_connection),
-    TEST(silent_connection_is_replaced_before_its_server_is_blamed),
-    TEST(client_gone_while_its_part_waits_leaves_nothing),
+    TEST(frame_stuck_in_the_write_queue_closes_its_connection),
+    TEST(withdrawn_part_keeps_its_slot),
+    TEST(connection_full_of_withdrawn_parts_is_closed),
+    TEST(limit_of_a_connection_is_never_exceeded),
+    TEST(malformed_answer_closes_its_connection_only),
+    TEST(malformed_answer_may_have_run),
+    TEST(incomplete_frame_blocks_nobody),
+    TEST(unsolicited_answer_closes_its_connection),
+    TEST(silent_connection_is_replaced_before_its_server_is_ejected),
+    TEST(client_that_disconnects_early_leaves_nothing),
     TEST(no_search_outlives_its_expiry),
-    TEST(drained_server_gets_nothing_that_still_waits),
-    TEST(moved_server_is_met_at_its_new_address),
-    TEST(what_waits_for_a_moved_server_is_taken_back),
+    TEST(draining_server_gets_no_waiting_attempt),
+    TEST(moved_server_is_used_at_its_new_address),
+    TEST(attempt_waiting_for_a_moved_server_is_withdrawn),
     TEST(age_of_a_search_counts),
     TEST(idle_connection_is_closed_before_the_server_does),
-    TEST(silent_probe_retires_its_connection),
-    TEST(watch_goes_on_and_a_silent_one_is_dropped),
-    TEST(discovery_that_moved_is_asked_for_everything_at_once),
-    TEST(too_many_at_once_are_rejected_unseen),
-    TEST(errors_of_a_request_never_reach_the_module),
-    TEST(order_to_stop_answers_all_that_was_taken),
-    TEST(full_house_lets_the_longest_idle_go),
-    TEST(clients_that_ask_once_and_stay_keep_nobody_out),
-    TEST(those_who_never_asked_go_first),
-    TEST(search_that_crosses_the_close_is_answered),
-    TEST(answer_is_not_lost_to_the_room_that_its_client_makes),
-    TEST(nothing_is_sent_for_a_client_that_has_gone),
+    TEST(unanswered_probe_retires_its_connection),
+    TEST(long_poll_is_repeated_and_times_out),
+    TEST(moved_discovery_is_queried_for_the_whole_list),
+    TEST(searches_over_the_limit_are_rejected_at_once),
+    TEST(invalid_requests_never_reach_the_scheduler),
+    TEST(drain_answers_all_accepted_searches),
+    TEST(longest_idle_client_is_evicted_at_the_limit),
+    TEST(idle_clients_are_evicted_for_new_ones),
+    TEST(clients_without_a_search_are_evicted_first),
+    TEST(search_that_crosses_the_half_close_is_answered),
+    TEST(eviction_does_not_lose_an_answer),
+    TEST(nothing_is_sent_for_a_disconnected_client),
     TEST(connection_up_at_the_deadline_sends_nothing),
-    TEST(keyed_part_is_not_sent_once_its_window_has_closed),
-    TEST(what_is_taken_back_with_its_connection_is_not_written),
-    TEST(return_of_discovery_is_not_slept_through),
-    TEST(call_that_does_not_get_through_is_made_anew),
-    TEST(nothing_grows_over_a_long_run),
+    TEST(keyed_part_is_not_sent_after_its_dedup_window),
+    TEST(attempt_withdrawn_with_its_connection_is_not_written),
+    TEST(return_of_discovery_is_noticed_in_time),
+    TEST(failed_discovery_connect_is_retried),
+    TEST(no_state_leaks_over_a_long_run),
 };
 
 } // namespace
