--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -1,4 +1,5 @@
-// The fleet's program: `ivyrill-fleet proxy|agent|control` serve, the other commands check or ask.
+// Program of the fleet: `ivyrill-fleet proxy|agent|control` serve; the other commands check files or print
+// information.
 #include "agent/agent.hpp"
 #include "base/log.hpp"
 #include "configuration/parse.hpp"
@@ -20,31 +21,31 @@
 
 namespace {
 
-constexpr int kBadInput = 2, kCantServe = 3; // exit codes
+constexpr int kBadInput = 2, kServeFailed = 3; // exit codes
 
 int report(const Error& error) {
     fmt::print(stderr, "ivyrill-fleet: {}\n", error.message);
     return kBadInput;
 }
 
-// One that comes before the reactor handles it waits until then, where it would end the process.
-void hold_signal(int number) {
-    sigset_t held;
-    sigemptyset(&held);
-    sigaddset(&held, number);
-    pthread_sigmask(SIG_BLOCK, &held, nullptr);
+// Blocks a signal until the reactor handles it; before that it would terminate the process.
+void block_signal(int number) {
+    sigset_t blocked;
+    sigemptyset(&blocked);
+    sigaddset(&blocked, number);
+    pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
 }
 
 Result<settings::Settings> read_settings(const std::string& path) {
     if (path.empty())
         return error(ErrorKind::kInvalidInput,
-                     "IVYRILL_SETTINGS: not set; name the settings file there or by --settings");
+                     "IVYRILL_SETTINGS: not set; name the settings file there or with --settings");
     return settings::read_file(path);
 }
 
-// Runs one of the three programs until it has ended.
+// Runs one of the three programs until it ends.
 int serve(const std::string& path, const std::string& role) {
-    hold_signal(SIGTERM);
+    block_signal(SIGTERM);
     const auto settings = read_settings(path);
     if (settings.has_error()) return report(settings.error());
     std::signal(SIGPIPE, SIG_IGN);
@@ -73,7 +74,7 @@
         use_settings = [&](const settings::Settings& fresh) { agent->use_settings(fresh); };
     } else {
         proxy = std::make_unique<proxy::Proxy>(reactor, settings.value());
-        end = [&] { proxy->begin_end(); };
+        end = [&] { proxy->begin_shutdown(); };
     }
     log_line("started");
     reactor.run();
@@ -85,14 +86,14 @@
         return serve(path, role);
     } catch (const std::exception& failure) {
         fmt::print(stderr, "ivyrill-fleet: {}: {}\n", role, failure.what());
-        return kCantServe;
+        return kServeFailed;
     }
 }
 
 int check_settings(const std::string& path) {
     const auto settings = read_settings(path);
     if (settings.has_error()) return report(settings.error());
-    fmt::print("{}: settings of {} are good\n", path, settings.value().node_name);
+    fmt::print("{}: settings of {} are valid\n", path, settings.value().node_name);
     return 0;
 }
 
@@ -114,7 +115,7 @@
 
 int main(int argc, char** argv) {
     using namespace ivyrill::fleet;
-    hold_signal(SIGHUP);
+    block_signal(SIGHUP);
     CLI::App app{"ivyrill-fleet: a router fleet for split prefill and decode"};
     app.require_subcommand(1);
     const char* const from_environment = std::getenv("IVYRILL_SETTINGS");
@@ -123,11 +124,11 @@
     int status = 0;
     for (const char* role : {"proxy", "agent", "control"}) {
         CLI::App* command = app.add_subcommand(role, std::string("serve as ") + role);
-        command->add_option("--settings", settings, "settings file (YAML); IVYRILL_SETTINGS names it else");
+        command->add_option("--settings", settings, "settings file (YAML); default: IVYRILL_SETTINGS");
         command->callback([&, role] { status = serve_guarded(settings, role); });
     }
     CLI::App* check = app.add_subcommand("check-settings", "check a settings file");
-    check->add_option("--settings", settings, "settings file (YAML); IVYRILL_SETTINGS names it else");
+    check->add_option("--settings", settings, "settings file (YAML); default: IVYRILL_SETTINGS");
     check->callback([&] { status = check_settings(settings); });
     CLI::App* config = app.add_subcommand("check-config", "check an operator's configuration (JSON)");
     config->add_option("file", configuration, "the configuration")->required();
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -6,18 +6,18 @@
 namespace ivyrill::proxy {
 
 std::int64_t priority_of(const model::Route& route, const model::Tenant* tenant) {
-    const bool tenant_ranks = tenant != nullptr && tenant->priority;
-    return std::clamp<std::int64_t>(tenant_ranks ? *tenant->priority : route.priority, 0, 9);
+    const bool has_priority = tenant != nullptr && tenant->priority;
+    return std::clamp<std::int64_t>(has_priority ? *tenant->priority : route.priority, 0, 9);
 }
 
 Caller caller_of(const protocol::HttpMessage& request, const model::Route& route,
                  const model::TenantTable& tenants) {
     if (!tenants.requires_keys()) return {};
     const std::string_view key = request.header("api-key");
-    const bool states_one_key = request.times("api-key") == 1 && !key.empty();
-    const model::Tenant* holder = states_one_key ? tenants.find(key) : nullptr;
+    const bool has_one_key = request.times("api-key") == 1 && !key.empty();
+    const model::Tenant* holder = has_one_key ? tenants.find(key) : nullptr;
     if (holder != nullptr || route.is_public) return {Admission::kAdmitted, holder};
-    return {states_one_key ? Admission::kKeyUnknown : Admission::kKeyMissing, nullptr};
+    return {has_one_key ? Admission::kKeyUnknown : Admission::kKeyMissing, nullptr};
 }
 
 } // namespace ivyrill::proxy
--- a/src/proxy/client_request.cpp
+++ b/src/proxy/client_request.cpp
@@ -11,58 +11,58 @@
 namespace {
 
 constexpr Tenths kTenthsPerMs = kTenthsPerSecond / 1000;
-constexpr std::int64_t kMostPromptTokens =
-    1'000'000'000; // of all parts together: far beyond any server's memory
+constexpr std::int64_t kMaxPromptTokens = 1'000'000'000; // in total: far more than any server's memory
 
-// Of one connection only (RFC 9110, 7.6.1).
+// Hop-by-hop headers (RFC 9110, 7.6.1).
 constexpr std::array<std::string_view, 9> kHopByHop{"connection", "keep-alive",        "proxy-connection",
                                                     "te",         "transfer-encoding", "upgrade",
                                                     "trailer",    "content-length",    "expect"};
-// The system's to set, whatever a client sent.
+// Set only by the system: dropped from client requests.
 constexpr std::array<std::string_view, 8> kSystemHeaders{"serving-stage", "kv-from",     "target-instance",
                                                          "priority",      "deadline-ms", "expect-version",
                                                          "last-event-id", "tenant"};
-constexpr std::string_view kApiKeyHeader = "api-key"; // a secret between the client and the system
+constexpr std::string_view kApiKeyHeader = "api-key"; // secret, never forwarded
 
-constexpr std::size_t kMostPromptParts = 64; // each is remembered for every server that it is sent to
+constexpr std::size_t kMaxPromptParts = 64; // each part is tracked per server
 
 template <std::size_t Size>
 bool is_one_of(const std::array<std::string_view, Size>& names, std::string_view name) {
     return std::ranges::find(names, name) != names.end();
 }
 
-// Names that the Connection header lists go no further either.
+// Whether the Connection header lists the name, which makes it hop-by-hop.
 bool is_listed(std::string_view list, std::string_view name) {
     for (std::size_t begin = 0; begin < list.size();) {
         const std::size_t end = std::min(list.find(',', begin), list.size());
         std::string item;
-        for (const char letter : list.substr(begin, end - begin))
-            if (letter != ' ' && letter != '\t')
-                item.push_back(letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32) : letter);
+        for (const char character : list.substr(begin, end - begin))
+            if (character != ' ' && character != '\t')
+                item.push_back(character >= 'A' && character <= 'Z' ? static_cast<char>(character + 32)
+                                                                    : character);
         if (item == name) return true;
         begin = end + 1;
     }
     return false;
 }
 
-std::optional<std::int64_t> read_number(std::string_view text) {
+std::optional<std::int64_t> parse_number(std::string_view text) {
     std::int64_t number = 0;
     const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (failure != std::errc{} || end != text.data() + text.size()) return std::nullopt;
     return number;
 }
 
-// `ID:TOKENS`, separated by commas; what can't be read, or is one part too many, ends the list, for it guides
-// the choice and nothing else.
-std::vector<replica_selection::PromptPart> read_prompt(std::string_view text) {
+// `ID:TOKENS`, separated by commas. A malformed or excess part ends the list, which is only a hint for the
+// choice of servers.
+std::vector<replica_selection::PromptPart> parse_prompt(std::string_view text) {
     std::vector<replica_selection::PromptPart> parts;
-    std::int64_t left = kMostPromptTokens;
-    while (!text.empty() && parts.size() < kMostPromptParts) {
+    std::int64_t left = kMaxPromptTokens;
+    while (!text.empty() && parts.size() < kMaxPromptParts) {
         const std::size_t end = std::min(text.find(','), text.size());
         const std::string_view item = text.substr(0, end);
         const std::size_t colon = item.find(':');
         if (colon == std::string_view::npos) break;
-        const auto tokens = read_number(item.substr(colon + 1));
+        const auto tokens = parse_number(item.substr(colon + 1));
         if (!tokens || *tokens < 0 || *tokens > left) break;
         left -= *tokens;
         parts.push_back({std::string(item.substr(0, colon)), *tokens});
@@ -71,7 +71,7 @@
     return parts;
 }
 
-std::string_view reason_of(int status) { return status >= 200 && status < 300 ? "OK" : "Status"; }
+std::string_view reason_phrase(int status) { return status >= 200 && status < 300 ? "OK" : "Status"; }
 
 } // namespace
 
@@ -81,11 +81,11 @@
     request.attempt_id = message.header("attempt-id");
     request.model = message.header("model-name");
     request.last_event_id = message.header("last-event-id");
-    request.prompt = read_prompt(message.header("prompt-prefix"));
+    request.prompt = parse_prompt(message.header("prompt-prefix"));
     const std::string_view counts = message.header("token-counts");
     if (const std::size_t comma = counts.find(','); comma != std::string_view::npos)
-        request.output_tokens = std::max<std::int64_t>(0, read_number(counts.substr(comma + 1)).value_or(0));
-    if (const auto span = read_number(message.header("deadline-ms")); span && *span >= 0)
+        request.output_tokens = std::max<std::int64_t>(0, parse_number(counts.substr(comma + 1)).value_or(0));
+    if (const auto span = parse_number(message.header("deadline-ms")); span && *span >= 0)
         request.client_deadline = received + std::min<std::int64_t>(*span, 86'400'000) * kTenthsPerMs;
     request.message = std::move(message);
     return request;
@@ -109,7 +109,7 @@
     if (!forwarding.kv_from.empty()) out.append("kv-from: ").append(forwarding.kv_from).append("\r\n");
     if (!forwarding.last_event_id.empty())
         out.append("last-event-id: ").append(forwarding.last_event_id).append("\r\n");
-    if (forwarding.tells_priority) out.append(fmt::format("priority: {}\r\n", forwarding.priority));
+    if (forwarding.sends_priority) out.append(fmt::format("priority: {}\r\n", forwarding.priority));
     const bool has_body =
         !message.body.empty() || message.times("content-length") + message.times("transfer-encoding") > 0;
     if (has_body) out.append(fmt::format("content-length: {}\r\n", message.body.size()));
@@ -118,7 +118,7 @@
 
 std::string answer_head(const protocol::HttpMessage& answer, std::optional<std::size_t> length, bool close) {
     const std::string_view listed = answer.header("connection");
-    std::string out = fmt::format("HTTP/1.1 {} {}\r\n", answer.status, reason_of(answer.status));
+    std::string out = fmt::format("HTTP/1.1 {} {}\r\n", answer.status, reason_phrase(answer.status));
     for (const auto& [name, value] : answer.headers) {
         if (is_one_of(kHopByHop, name)) continue;
         if (!listed.empty() && name != "server-seal" && name != "attempt-id" && is_listed(listed, name))
--- a/src/proxy/client_request.hpp
+++ b/src/proxy/client_request.hpp
@@ -1,4 +1,4 @@
-// A client's request as the proxy needs it, read out of its message; and the heads that go on from it.
+// Parses a client's request, and builds the request to the server and the head of the answer to the client.
 #pragma once
 #include "base/time.hpp"
 #include "model/configuration.hpp"
@@ -13,33 +13,33 @@
 namespace ivyrill::proxy {
 
 struct ClientRequest {
-    protocol::HttpMessage message; // names of headers in lower case
+    protocol::HttpMessage message; // header names in lower case
     std::string attempt_id, model, last_event_id;
     std::vector<replica_selection::PromptPart> prompt;
-    std::int64_t output_tokens = 0; // the most that it generates
+    std::int64_t output_tokens = 0; // maximum number of generated tokens
     Tenths received = 0;
     std::optional<Tenths> client_deadline; // from Deadline-Ms
 };
 
 ClientRequest read_client_request(protocol::HttpMessage message, Tenths received);
 
-// What the system adds to a request that it sends on.
+// Fields that the system adds to a forwarded request.
 struct Forwarding {
     std::string target_instance;
-    std::string tenant; // that the client's key belongs to; empty: none
+    std::string tenant; // of the client's key; empty: none
     Tenths time_left = 0;
     bool prefill_only = false;
     std::string kv_from;       // empty: none
     std::string last_event_id; // empty: none
     std::int64_t priority = 5; // 0 to 9
-    bool tells_priority = false;
+    bool sends_priority = false;
 };
 
-// Head and body, ready to be sent.
+// Head and body.
 std::string server_request(const ClientRequest& request, const Forwarding& forwarding);
 
-// The head of the answer to the client: the server's status and headers but for those of one connection.
-// `length`: of the body; without one it goes in chunks, or (to HTTP/1.0) until the connection ends.
+// Head of the answer to the client: the server's status and headers without the hop-by-hop ones. `length`: of
+// the body; without it the body is chunked, or (HTTP/1.0) ends with the connection.
 std::string answer_head(const protocol::HttpMessage& answer, std::optional<std::size_t> length, bool close);
 std::string chunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
--- a/src/proxy/context.hpp
+++ b/src/proxy/context.hpp
@@ -1,8 +1,8 @@
-// What all requests of one proxy share.
+// State that all requests of one proxy share.
 #pragma once
 #include "feed/tables.hpp"
 #include "model/routing_table.hpp"
-#include "proxy/connect_patience.hpp"
+#include "proxy/connect_timeout.hpp"
 #include "proxy/demand_meter.hpp"
 #include "proxy/server_connections.hpp"
 #include "proxy/usage_meter.hpp"
@@ -16,28 +16,29 @@
 
 namespace ivyrill::proxy {
 
-// Since the start; logged every so often where they have changed.
+// Since the start; logged periodically if they have changed.
 struct Counters {
     std::uint64_t requests = 0, served = 0, failed = 0, rejected = 0, client_gone = 0;
     std::uint64_t hand_overs = 0, further_sends = 0, lost_handles = 0, resumed = 0, connections = 0;
     std::uint64_t bad_requests = 0, no_route = 0, stray_answers = 0;
     std::uint64_t key_missing = 0, key_unknown = 0; // requests refused with 401
-    std::uint64_t too_long_to_end = 0;              // streams turned away while this node ends
+    std::uint64_t too_long_to_end = 0;              // streams rejected during shutdown
 };
 
 struct Context {
     transport::Reactor& reactor;
-    std::shared_ptr<const model::RoutingTable> routes; // swapped whole; null until the first configuration
+    std::shared_ptr<const model::RoutingTable>
+        routes; // replaced as a whole; null until the first configuration
     replica_selection::PairSelector selector;
     replica_selection::RetryBudgets budgets;
     ServerConnections connections;
-    ConnectPatience connect_patience;
+    ConnectTimeout connect_timeout;
     Pcg random;
     Counters counters;
     DemandMeter demand;
     UsageMeter usage;
-    bool ending = false; // SIGTERM has come
-    Tenths ends_at = 0;  // this process, once it is ending
+    bool shutting_down = false;   // SIGTERM was received
+    Tenths shutdown_deadline = 0; // end of this process, once it is shutting down
 };
 
 } // namespace ivyrill::proxy
--- a/src/proxy/demand_meter.hpp
+++ b/src/proxy/demand_meter.hpp
@@ -1,6 +1,6 @@
-// What this node's requests ask of each service with engines, measured between two takes: how many come and
-// are turned away, how many answers are being made, and what moving their prompts asks of the links between
-// servers. Pure: the clock is handed in.
+// Demand of this node's requests on each service with engines, between two calls of `take`: rates of requests
+// and rejections, answers being generated, and the link load of KV transfers. Pure: the caller supplies the
+// clock.
 #pragma once
 #include "base/time.hpp"
 #include "model/instance.hpp"
@@ -13,35 +13,37 @@
 
 class DemandMeter {
   public:
-    // A request has come; `move`: how long a link would be held by its prompt, 0 where it is not to be moved
+    // `transfer_time`: time for which the transfer of its prompt would occupy a link, 0 without a transfer
     // (tenths of a millisecond).
-    void requested(const std::string& service, double move) {
-        Window& here = windows_[service];
-        ++here.requests, here.asked += move;
+    void count_request(const std::string& service, double transfer_time) {
+        Window& window = windows_[service];
+        ++window.requests, window.requested_transfer += transfer_time;
     }
-    void turned_away(const std::string& service) { ++windows_[service].turned_away; }
-    void moved(const std::string& service, double move) { windows_[service].moved += move; }
-    void answer_begins(const std::string& service, Tenths now) {
-        Window& here = windows_[service];
-        here.answers_until(now);
-        ++here.answers;
+    void count_rejection(const std::string& service) { ++windows_[service].rejections; }
+    void count_transfer(const std::string& service, double transfer_time) {
+        windows_[service].transferred += transfer_time;
     }
-    void answer_ends(const std::string& service, Tenths now) {
-        Window& here = windows_[service];
-        here.answers_until(now);
-        --here.answers;
+    void answer_started(const std::string& service, Tenths now) {
+        Window& window = windows_[service];
+        window.add_answer_time(now);
+        ++window.answers;
     }
-    // Of the time since the last take, or since the start; services of which nothing was seen are left out.
+    void answer_ended(const std::string& service, Tenths now) {
+        Window& window = windows_[service];
+        window.add_answer_time(now);
+        --window.answers;
+    }
+    // Demand since the last take, or since the start, without services that had none.
     std::vector<model::ServiceDemand> take(Tenths now) {
-        const double span = static_cast<double>(now - taken_at_);
+        const double elapsed = static_cast<double>(now - taken_at_);
         std::vector<model::ServiceDemand> demands;
-        if (span <= 0) return demands;
+        if (elapsed <= 0) return demands;
         for (auto next = windows_.begin(); next != windows_.end();) {
-            Window& here = next->second;
-            here.answers_until(now);
-            demands.push_back(here.demand(next->first, span));
-            const Window after{.answers = here.answers, .answers_since = now};
-            next = here.answers > 0 ? (here = after, std::next(next)) : windows_.erase(next);
+            Window& window = next->second;
+            window.add_answer_time(now);
+            demands.push_back(window.demand(next->first, elapsed));
+            const Window next_window{.answers = window.answers, .answers_since = now};
+            next = window.answers > 0 ? (window = next_window, std::next(next)) : windows_.erase(next);
         }
         taken_at_ = now;
         return demands;
@@ -49,23 +51,23 @@
 
   private:
     struct Window {
-        double requests = 0, turned_away = 0;
-        double asked = 0, moved = 0; // tenths of a millisecond of links' time
-        double answers = 0;          // that are being made now
-        double answer_time = 0;      // added up over them
-        Tenths answers_since = 0;    // up to which it is added up
-        void answers_until(Tenths now) {
+        double requests = 0, rejections = 0;
+        double requested_transfer = 0, transferred = 0; // link time in tenths of a millisecond
+        double answers = 0;                             // being generated now
+        double answer_time = 0;                         // sum over all answers, up to answers_since
+        Tenths answers_since = 0;
+        void add_answer_time(Tenths now) {
             answer_time += answers * static_cast<double>(now - answers_since);
             answers_since = now;
         }
-        model::ServiceDemand demand(const std::string& service, double span) const {
+        model::ServiceDemand demand(const std::string& service, double elapsed) const {
             const double second = static_cast<double>(kTenthsPerSecond);
             return {service,
-                    requests / span * second,
-                    turned_away / span * second,
-                    answer_time / span,
-                    moved / span,
-                    asked / span};
+                    requests / elapsed * second,
+                    rejections / elapsed * second,
+                    answer_time / elapsed,
+                    transferred / elapsed,
+                    requested_transfer / elapsed};
         }
     };
     std::map<std::string, Window> windows_; // by service
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -1,4 +1,4 @@
-// Of an exchange: one call to one server, up to the head of its answer.
+// Exchange: one call to one server, up to the head of its answer.
 #include "proxy/exchange.hpp"
 
 #include <algorithm>
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr double kSilentShare = 0.6;   // of the latency target without a word, before another server is asked
-constexpr Tenths kSilentResponses = 4; // ... and expected responses
-constexpr Tenths kIdleForOnce = 20'000; // a connection that rested for longer may be forgotten without a word
-constexpr Tenths kIdleForRepeat = 60'000; // ... which costs nothing where the request may be sent again
+constexpr double kSilenceShare = 0.6;   // of the latency target: silence before another server is tried
+constexpr Tenths kSilenceResponses = 4; // ... and in expected response times
+constexpr Tenths kMaxIdleNonIdempotent =
+    20'000;                                   // a connection idle for longer may have been dropped silently
+constexpr Tenths kMaxIdleIdempotent = 60'000; // ... which is harmless if the request may be sent again
 
-// `timeout=N`, whole seconds.
+// Parses `timeout=N`, whole seconds.
 Tenths idle_bound(std::string_view keep_alive) {
     const std::size_t at = keep_alive.find("timeout=");
     if (at == std::string_view::npos) return 0;
@@ -30,7 +31,8 @@
 
 transport::Async<bool> Exchange::connect(const std::string& instance, const model::Instance& record) {
     const bool repeatable = route_->idempotent();
-    connection_ = context_.connections.take_idle(instance, repeatable ? kIdleForRepeat : kIdleForOnce);
+    connection_ =
+        context_.connections.take_idle(instance, repeatable ? kMaxIdleIdempotent : kMaxIdleNonIdempotent);
     if (connection_) {
         connection_->stream().also_wake(&wake_);
         co_return true;
@@ -41,100 +43,101 @@
     connection_->stream().also_wake(&wake_);
     const Tenths began = now();
     const Tenths until =
-        std::min(deadline_, began + context_.connect_patience.patience(profile_.latency_target));
+        std::min(deadline_, began + context_.connect_timeout.timeout(profile_.latency_target));
     while (!connection_->stream().up()) {
         if (connection_->stream().ended() || client_gone()) co_return false;
         if (now() >= until) {
-            context_.connect_patience.gave_up();
+            context_.connect_timeout.timed_out();
             co_return false;
         }
         co_await wait(until);
     }
-    context_.connect_patience.came_up(now() - began);
+    context_.connect_timeout.connected(now() - began);
     co_return true;
 }
 
-transport::Async<Exchange::CallEnd> Exchange::call(const std::string& instance, Work work,
-                                                   Forwarding forwarding,
-                                                   std::optional<double> tokens_to_prefill, bool may_leave) {
-    end_call(false);
+transport::Async<Exchange::CallResult> Exchange::call(const std::string& instance, Work work,
+                                                      Forwarding forwarding,
+                                                      std::optional<double> tokens_to_prefill,
+                                                      bool may_abandon) {
+    finish_call(false);
     const model::Instance* record = context_.selector.instance(instance);
-    if (record == nullptr) co_return CallEnd::kNotSent;
+    if (record == nullptr) co_return CallResult::kNotSent;
     instance_ = instance;
     if (!co_await connect(instance, *record)) {
-        end_call(false);
-        if (client_gone()) co_return CallEnd::kClientGone;
-        if (now() >= deadline_) co_return CallEnd::kOutOfTime;
+        finish_call(false);
+        if (client_gone()) co_return CallResult::kClientGone;
+        if (now() >= deadline_) co_return CallResult::kDeadlineExceeded;
         context_.selector.unreachable(instance, now());
-        co_return CallEnd::kNotSent;
+        co_return CallResult::kNotSent;
     }
-    // While the connection came up the server may have asked for no more.
+    // The server may have started to drain during the connect.
     record = context_.selector.instance(instance);
     if (record == nullptr || !record->is_routable()) {
-        end_call(false);
-        co_return CallEnd::kNotSent;
+        finish_call(false);
+        co_return CallResult::kNotSent;
     }
     identify_caller();
     if (caller_.admission != Admission::kAdmitted) {
-        end_call(false);
-        co_return CallEnd::kKeyWithdrawn;
+        finish_call(false);
+        co_return CallResult::kKeyRevoked;
     }
     const model::Tenant* tenant = caller_.tenant;
-    told_tenant_ = tenant != nullptr ? tenant->name : "";
-    forwarding.tenant = told_tenant_;
+    sent_tenant_ = tenant != nullptr ? tenant->name : "";
+    forwarding.tenant = sent_tenant_;
     forwarding.target_instance = instance;
     forwarding.time_left = deadline_ - now();
     forwarding.priority = priority_of(*route_, tenant);
-    forwarding.tells_priority = work != Work::kUnstaged;
+    forwarding.sends_priority = work != Work::kUnstaged;
     if (!connection_->stream().send(server_request(request_, forwarding))) {
-        end_call(false);
-        co_return CallEnd::kNotSent;
+        finish_call(false);
+        co_return CallResult::kNotSent;
     }
     attempt_ = context_.selector.sent(instance, profile_, work, tokens_to_prefill, now());
-    attempt_out_ = true, attempt_runs_ = work != Work::kPrefillOnly;
+    attempt_open_ = true, attempt_decodes_ = work != Work::kPrefillOnly;
     if (work != Work::kPrefillOnly) ++sends_, sent_to_.insert(instance);
-    const CallEnd end = co_await await_head(may_leave);
-    if (end == CallEnd::kAnswer) {
+    const CallResult end = co_await await_head(may_abandon);
+    if (end == CallResult::kAnswer) {
         context_.selector.answered(attempt_, now());
         co_return end;
     }
-    if (end == CallEnd::kMisdirected) {
-        // It never came to the server that was meant, which counts as none that it was sent to.
+    if (end == CallResult::kMisdirected) {
+        // It never reached the intended server, which does not count as one it was sent to.
         context_.selector.misdirected(instance, now());
         sent_to_.erase(instance);
-        end_call(false);
-    } else if (end == CallEnd::kNotRun) {
+        finish_call(false);
+    } else if (end == CallResult::kNotRun) {
         if (forwarding.kv_from.empty()) context_.selector.rejected(attempt_, now());
-        // Its connection is sound where the answer is whole.
+        // The connection can be reused if the answer is complete.
         const bool whole = connection_->parser().complete();
-        end_call(whole);
+        finish_call(whole);
     } else {
-        if (end == CallEnd::kBroken) context_.selector.failed(attempt_, now());
-        end_call(false);
+        if (end == CallResult::kLost) context_.selector.failed(attempt_, now());
+        finish_call(false);
     }
     co_return end;
 }
 
-Tenths Exchange::silent_at() const {
+Tenths Exchange::silence_deadline() const {
     const Tenths patience =
-        std::max(static_cast<Tenths>(kSilentShare * static_cast<double>(profile_.latency_target)),
-                 kSilentResponses * context_.selector.expected_response(attempt_));
+        std::max(static_cast<Tenths>(kSilenceShare * static_cast<double>(profile_.latency_target)),
+                 kSilenceResponses * context_.selector.expected_response(attempt_));
     return context_.selector.last_activity(attempt_) + patience;
 }
 
-transport::Async<Exchange::CallEnd> Exchange::await_head(bool may_leave) {
-    bool asked = false; // whether the budget allows to leave: asked once
+transport::Async<Exchange::CallResult> Exchange::await_head(bool may_abandon) {
+    bool checked = false; // whether abandoning was checked; checked once
     for (;;) {
         connection_->read();
         protocol::HttpParser& parser = connection_->parser();
-        if (parser.broken() != 0) co_return CallEnd::kBroken;
+        if (parser.broken() != 0) co_return CallResult::kLost;
         if (parser.head_complete()) {
             const protocol::HttpMessage& head = parser.message();
             const bool interim = head.status < 200;
             const std::string_view id = head.header("attempt-id");
             const bool stray = !id.empty() && id != request_.attempt_id;
-            if (!interim && !stray) co_return judge_head();
-            // Another request's answer that came late, or an interim one: read whole and passed over.
+            if (!interim && !stray) co_return classify_head();
+            // A late answer to another request, or an interim one: read completely and ignored.
             parser.take_body();
             if (parser.complete()) {
                 if (stray) ++context_.counters.stray_answers;
@@ -142,30 +145,30 @@
                 continue;
             }
         }
-        if (connection_->stream().ended()) co_return CallEnd::kBroken;
-        if (client_gone()) co_return CallEnd::kClientGone;
-        if (now() >= deadline_) co_return CallEnd::kOutOfTime;
-        // A server that answers others is slow, not silent, and is waited for.
-        if (may_leave && !asked && now() >= silent_at()) {
-            asked = true;
-            if (leave_is_allowed()) co_return CallEnd::kSilent;
+        if (connection_->stream().ended()) co_return CallResult::kLost;
+        if (client_gone()) co_return CallResult::kClientGone;
+        if (now() >= deadline_) co_return CallResult::kDeadlineExceeded;
+        // A server that answers other requests is slow, not silent: keeps waiting.
+        if (may_abandon && !checked && now() >= silence_deadline()) {
+            checked = true;
+            if (may_abandon_attempt()) co_return CallResult::kSilent;
         }
-        co_await wait(may_leave && !asked ? std::min(silent_at(), deadline_) : deadline_);
+        co_await wait(may_abandon && !checked ? std::min(silence_deadline(), deadline_) : deadline_);
     }
 }
 
-Exchange::CallEnd Exchange::judge_head() {
+Exchange::CallResult Exchange::classify_head() {
     answer_ = connection_->parser().message();
     answer_.body.clear();
     connection_->idle_bound = idle_bound(answer_.header("keep-alive"));
-    if (answer_.status == 421) return CallEnd::kMisdirected;
+    if (answer_.status == 421) return CallResult::kMisdirected;
     const bool says_not_run = answer_.times("not-run") > 0;
-    if (says_not_run && answer_.status >= 400) return CallEnd::kNotRun;
+    if (says_not_run && answer_.status >= 400) return CallResult::kNotRun;
     const bool success = answer_.status >= 200 && answer_.status < 300;
-    // A success without the server's stamp, or with another's id, is not its answer.
-    const bool ours = answer_.header("attempt-id") == request_.attempt_id;
-    if (success && !ours) return CallEnd::kBroken;
-    return CallEnd::kAnswer;
+    // A success without the attempt id, or with another one, is not the answer to this request.
+    const bool id_matches = answer_.header("attempt-id") == request_.attempt_id;
+    if (success && !id_matches) return CallResult::kLost;
+    return CallResult::kAnswer;
 }
 
 transport::Async<bool> Exchange::await_whole_answer(Tenths until) {
@@ -178,16 +181,16 @@
     }
 }
 
-// The connection goes back to the others where the answer was whole and nothing of the request is unsent.
-void Exchange::end_call(bool reusable) {
-    if (attempt_out_) context_.selector.ended(attempt_, now());
-    attempt_out_ = false;
+// Returns the connection to the pool if the answer is complete and the request was sent completely.
+void Exchange::finish_call(bool reusable) {
+    if (attempt_open_) context_.selector.ended(attempt_, now());
+    attempt_open_ = false;
     if (!connection_) return;
     const bool whole = reusable && connection_->parser().complete();
     const bool closes = whole && connection_->parser().message().close;
     if (whole) connection_->parser().take();
     if (whole && !closes)
-        context_.connections.give_back(instance_, std::move(connection_));
+        context_.connections.release(instance_, std::move(connection_));
     else
         context_.connections.discard(std::move(connection_));
     connection_.reset();
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-constexpr std::size_t kMostOut = 16 * 1024 * 1024; // one request with the longest body that may be configured
-constexpr Tenths kOutOfRotation =
-    26'000; // after which the platform, which asks each second, has taken this node out
-constexpr Tenths kEndMargin = 5000; // before the platform kills
-constexpr Tenths kEndCheck = 500;
+constexpr std::size_t kMaxUnsent = 16 * 1024 * 1024; // one request with the largest configurable body
+constexpr Tenths kDeregistrationDelay =
+    26'000; // by then the platform, which checks readiness each second, has removed this node
+constexpr Tenths kShutdownMargin = 5000; // before SIGKILL
+constexpr Tenths kShutdownCheckInterval = 500;
 constexpr Tenths kLogInterval = 100'000;
 constexpr Tenths kDemandInterval = 10'000;
-constexpr Tenths kUsageInterval = 2500; // what began since is lost with a process that is killed
-constexpr Tenths kLastWord = 500;       // for what is told last to leave this process
+constexpr Tenths kUsageInterval = 2500; // counts since the last one are lost if the process is killed
+constexpr Tenths kFlushDelay = 500;     // for the last message to be written
 
-std::uint64_t draw() {
+std::uint64_t random_seed() {
     std::random_device device;
     return static_cast<std::uint64_t>(device()) << 32U | device();
 }
@@ -37,14 +37,14 @@
     : reactor_(reactor),
       settings_(settings), context_{reactor,
                                     nullptr,
-                                    replica_selection::PairSelector(draw()),
+                                    replica_selection::PairSelector(random_seed()),
                                     replica_selection::RetryBudgets(budget_terms(settings.bounds)),
-                                    ServerConnections(reactor, kMostOut),
-                                    ConnectPatience{},
-                                    Pcg(draw()),
+                                    ServerConnections(reactor, kMaxUnsent),
+                                    ConnectTimeout{},
+                                    Pcg(random_seed()),
                                     {},
                                     {},
-                                    UsageMeter(draw(), settings.bounds.usage_window_ms()),
+                                    UsageMeter(random_seed(), settings.bounds.usage_window_ms()),
                                     false,
                                     0} {
     context_.connections.start();
@@ -52,8 +52,8 @@
     open_ready();
     open_front();
     log_counters();
-    tell_demand();
-    if (context_.usage.counts()) tell_usage();
+    send_demand();
+    if (context_.usage.is_enabled()) send_usage();
 }
 
 Proxy::~Proxy() {
@@ -65,14 +65,14 @@
 
 void Proxy::open_feed() {
     feed::Subscriber::Options options;
-    options.node = {settings_.node_name, settings_.zone, settings_.ip, draw()};
+    options.node = {settings_.node_name, settings_.zone, settings_.ip, random_seed()};
     options.initial_backoff = kTenthsPerSecond / 10, options.max_backoff = kTenthsPerSecond / 4;
     feed::Subscriber::Callbacks callbacks;
     callbacks.publishers = [this] { return std::vector<std::string>{feed::local_feed_address(settings_)}; };
     callbacks.applied = [this](const feed::Tables::Applied& applied) { this->applied(applied); };
-    callbacks.synchronized = [this] { context_.usage.tell_again(); };
+    callbacks.synchronized = [this] { context_.usage.resend_all(); };
     callbacks.fleet_time = [this](const clock::FleetTime& time) {
-        context_.usage.time_told(time, reactor_.now());
+        context_.usage.update_fleet_time(time, reactor_.now());
     };
     subscriber_ = std::make_unique<feed::Subscriber>(reactor_, network_, options, std::move(callbacks));
     subscriber_->start();
@@ -137,41 +137,41 @@
     }
 }
 
-void Proxy::begin_end() {
-    if (std::exchange(context_.ending, true)) return;
+void Proxy::begin_shutdown() {
+    if (std::exchange(context_.shutting_down, true)) return;
     log_line("ending", {{"sessions", std::to_string(sessions_.size())}});
-    ending_since_ = reactor_.now();
-    context_.ends_at = ending_since_ + grace() - kEndMargin;
-    end_when_done();
+    shutdown_since_ = reactor_.now();
+    context_.shutdown_deadline = shutdown_since_ + grace() - kShutdownMargin;
+    stop_when_idle();
 }
 
 Tenths Proxy::grace() const { return static_cast<Tenths>(settings_.bounds.grace_s * kTenthsPerSecond); }
 
-// New connections come until the platform has noticed; then only what is under way is awaited, within the
-// grace.
-void Proxy::end_when_done() {
-    const Tenths passed = reactor_.now() - ending_since_;
-    if (passed >= std::min(kOutOfRotation, grace() / 2)) {
+// Accepts connections until the platform has removed this node, then waits for open requests, within the
+// grace period.
+void Proxy::stop_when_idle() {
+    const Tenths passed = reactor_.now() - shutdown_since_;
+    if (passed >= std::min(kDeregistrationDelay, grace() / 2)) {
         front_.reset();
-        for (ClientSession& session : sessions_) session.end_if_idle();
+        for (ClientSession& session : sessions_) session.close_if_idle();
     }
     const bool done = !front_ && std::ranges::none_of(sessions_, &ClientSession::busy);
-    if (done || reactor_.now() >= context_.ends_at) {
+    if (done || reactor_.now() >= context_.shutdown_deadline) {
         log_line("ended", {{"sessions", std::to_string(sessions_.size())}});
         return end();
     }
-    timer_ = reactor_.call_after(kEndCheck, [this] { end_when_done(); });
+    timer_ = reactor_.call_after(kShutdownCheckInterval, [this] { stop_when_idle(); });
 }
 
-void Proxy::tell_demand() {
-    demand_timer_ = reactor_.call_after(kDemandInterval, [this] { tell_demand(); });
+void Proxy::send_demand() {
+    demand_timer_ = reactor_.call_after(kDemandInterval, [this] { send_demand(); });
     auto demands = context_.demand.take(reactor_.now());
     if (!demands.empty()) subscriber_->send(feed::Demands{std::move(demands)});
 }
 
-void Proxy::tell_usage() {
-    usage_timer_ = reactor_.call_after(kUsageInterval, [this] { tell_usage(); });
-    if (!subscriber_->connected()) return; // all is told once it is again
+void Proxy::send_usage() {
+    usage_timer_ = reactor_.call_after(kUsageInterval, [this] { send_usage(); });
+    if (!subscriber_->connected()) return; // everything is sent after the reconnect
     auto counts = context_.usage.take(reactor_.now());
     if (!counts.empty()) subscriber_->send(feed::UsageCounts{std::move(counts)});
 }
@@ -181,7 +181,7 @@
     auto last_counts = context_.usage.take(reactor_.now(), true);
     if (last_counts.empty() || !subscriber_->send(feed::UsageCounts{std::move(last_counts)}))
         return reactor_.stop();
-    timer_ = reactor_.call_after(kLastWord, [this] { reactor_.stop(); });
+    timer_ = reactor_.call_after(kFlushDelay, [this] { reactor_.stop(); });
 }
 
 void Proxy::log_counters() {
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,6 +1,5 @@
-// The program `proxy`: takes clients' requests on an edge machine, decides by the replica selection where
-// each goes, and follows its agent's feed. It says that it is ready once it knows a configuration and is not
-// told to end.
+// The program `proxy`: accepts client requests on an edge machine, chooses servers by replica selection, and
+// follows its agent's feed. Ready once it has a configuration and is not shutting down.
 #pragma once
 #include "feed/socket_link.hpp"
 #include "feed/subscriber.hpp"
@@ -20,22 +19,22 @@
 
 class Proxy {
   public:
-    Proxy(transport::Reactor& reactor, const settings::Settings& settings); // throws where it can't listen
+    Proxy(transport::Reactor& reactor, const settings::Settings& settings); // throws if it can't listen
     ~Proxy();
-    void begin_end(); // SIGTERM: no longer ready, what was read is answered, then it ends
+    void begin_shutdown(); // SIGTERM: no longer ready; answers the requests it has read, then stops
 
   private:
     void open_feed();
     void open_ready();
     void open_front();
     void applied(const feed::Tables::Applied& applied);
-    bool ready() const { return context_.routes != nullptr && !context_.ending; }
-    void end_when_done();
-    Tenths grace() const; // from SIGTERM until the platform kills
+    bool ready() const { return context_.routes != nullptr && !context_.shutting_down; }
+    void stop_when_idle();
+    Tenths grace() const; // from SIGTERM to SIGKILL by the platform
     void log_counters();
-    void tell_demand(); // to the agent, for all control nodes
-    void tell_usage();  // likewise
-    void end();         // with a last word of what was counted
+    void send_demand(); // to the agent, which forwards it to all control nodes
+    void send_usage();  // likewise
+    void end();         // sends the last usage counts, then stops the reactor
 
     transport::Reactor& reactor_;
     settings::Settings settings_;
@@ -46,7 +45,7 @@
     std::unique_ptr<http::CallServer> ready_server_;
     std::list<ClientSession> sessions_;
     std::unique_ptr<transport::Listener> front_;
-    Tenths ending_since_ = 0;
+    Tenths shutdown_since_ = 0;
     std::uint64_t logged_requests_ = 0;
     transport::Reactor::TimerId timer_{}, log_timer_{}, demand_timer_{}, usage_timer_{};
 };
--- a/src/proxy/server_connections.cpp
+++ b/src/proxy/server_connections.cpp
@@ -8,13 +8,12 @@
 namespace {
 
 constexpr Tenths kCloseInterval = 5000;
-constexpr Tenths kLongestIdle = 60'000; // kept without a word of the server's own
-constexpr Tenths kIdleMargin = 10'000;  // before the server's own bound, which it counts in whole seconds
+constexpr Tenths kMaxIdle = 60'000;    // if the server states no idle timeout
+constexpr Tenths kIdleMargin = 10'000; // before the server's own idle timeout, which is in whole seconds
 
-bool rested_too_long(const http::ClientConnection& connection, Tenths now) {
-    const Tenths bound = connection.idle_bound > 0
-                             ? std::min(kLongestIdle, connection.idle_bound - kIdleMargin)
-                             : kLongestIdle;
+bool idle_too_long(const http::ClientConnection& connection, Tenths now) {
+    const Tenths bound =
+        connection.idle_bound > 0 ? std::min(kMaxIdle, connection.idle_bound - kIdleMargin) : kMaxIdle;
     return now - connection.idle_since >= bound;
 }
 
@@ -25,26 +24,26 @@
 void ServerConnections::start() { close_idle(); }
 
 std::unique_ptr<http::ClientConnection> ServerConnections::take_idle(const std::string& instance,
-                                                                     Tenths longest_idle) {
+                                                                     Tenths max_idle) {
     const auto found = idle_.find(instance);
     if (found == idle_.end()) return nullptr;
     auto& connections = found->second;
     while (!connections.empty()) {
-        auto connection = std::move(connections.back()); // the one that rested for the shortest
+        auto connection = std::move(connections.back()); // most recently used first
         connections.pop_back();
-        if (!connection->quiet() || rested_too_long(*connection, reactor_.now())) continue;
-        if (reactor_.now() - connection->idle_since > longest_idle) continue;
+        if (!connection->quiet() || idle_too_long(*connection, reactor_.now())) continue;
+        if (reactor_.now() - connection->idle_since > max_idle) continue;
         return connection;
     }
     return nullptr;
 }
 
 std::unique_ptr<http::ClientConnection> ServerConnections::open(const std::string& address) {
-    return http::ClientConnection::open(reactor_, address, most_out_);
+    return http::ClientConnection::open(reactor_, address, max_unsent_);
 }
 
-void ServerConnections::give_back(const std::string& instance,
-                                  std::unique_ptr<http::ClientConnection> connection) {
+void ServerConnections::release(const std::string& instance,
+                                std::unique_ptr<http::ClientConnection> connection) {
     if (!connection->quiet() || connection->stream().unwritten() > 0) return discard(std::move(connection));
     connection->stream().also_wake(nullptr);
     connection->idle_since = reactor_.now();
@@ -68,7 +67,7 @@
     timer_ = reactor_.call_after(kCloseInterval, [this] { close_idle(); });
     for (auto& [instance, connections] : idle_)
         std::erase_if(connections, [this](const auto& connection) {
-            return !connection->quiet() || rested_too_long(*connection, reactor_.now());
+            return !connection->quiet() || idle_too_long(*connection, reactor_.now());
         });
 }
 
--- a/tests/api_key_tests.cpp
+++ b/tests/api_key_tests.cpp
@@ -1,5 +1,4 @@
-// Who calls, by the API key: the table of one configuration, the verdict on a request, and what of it goes to
-// a server.
+// API keys: lookup in one configuration, admission of requests, and what is forwarded to a server.
 #define BOOST_TEST_MODULE api_key
 #include "proxy/caller.hpp"
 #include "proxy/client_request.hpp"
@@ -36,18 +35,18 @@
     return made;
 }
 
-Caller verdict(const Headers& headers, const model::Configuration& configuration, bool is_public = false) {
-    static model::Configuration held; // what a verdict points into
-    held = configuration;
-    return caller_of(message(headers), route(is_public), model::TenantTable(held));
+Caller identify(const Headers& headers, const model::Configuration& configuration, bool is_public = false) {
+    static model::Configuration configuration_copy; // the returned Caller points into it
+    configuration_copy = configuration;
+    return caller_of(message(headers), route(is_public), model::TenantTable(configuration_copy));
 }
 
 bool refused(const Headers& headers, Admission why) {
-    const Caller caller = verdict(headers, with_tenants());
+    const Caller caller = identify(headers, with_tenants());
     return caller.admission == why && caller.tenant == nullptr;
 }
 
-// As a server reads it.
+// The request as parsed by a server.
 HttpMessage sent(const Headers& headers, const std::string& tenant) {
     Forwarding forwarding;
     forwarding.target_instance = "i-7f3a91c2", forwarding.tenant = tenant;
@@ -57,7 +56,7 @@
     return parser.take();
 }
 
-// As a client writes it; none where it is no request.
+// The request as parsed from a client; none if it is malformed.
 std::optional<HttpMessage> received(const std::string& headers, const std::string& rest = "") {
     HttpParser parser(HttpParser::Side::kRequests);
     parser.feed("POST /lohu930/2f HTTP/1.1\r\nHost: nony24.example\r\n" + headers + "\r\n" + rest);
@@ -66,16 +65,16 @@
 }
 
 Admission admission_of(const HttpMessage& request) {
-    static const model::Configuration held = with_tenants();
-    return caller_of(request, route(false), model::TenantTable(held)).admission;
+    static const model::Configuration configuration_copy = with_tenants();
+    return caller_of(request, route(false), model::TenantTable(configuration_copy)).admission;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_key_of_a_tenant_is_known_and_no_other) {
+BOOST_AUTO_TEST_CASE(only_the_keys_of_a_tenant_are_known) {
     for (const char* key : {"key-1", "key-2"})
-        BOOST_TEST(verdict({{"api-key", key}}, with_tenants()).tenant->name == "etna");
-    BOOST_TEST(verdict({{"api-key", "key-3"}}, with_tenants()).tenant->name == "conca");
+        BOOST_TEST(identify({{"api-key", key}}, with_tenants()).tenant->name == "etna");
+    BOOST_TEST(identify({{"api-key", "key-3"}}, with_tenants()).tenant->name == "conca");
     for (const std::string& key : {std::string("key-4"), std::string("KEY-1"), std::string("key-1,key-2"),
                                    std::string("key-"), std::string(4096, 'k')})
         BOOST_TEST(refused({{"api-key", key}}, Admission::kKeyUnknown), key);
@@ -88,23 +87,23 @@
     BOOST_TEST(refused({{"api-key", "key-1"}, {"api-key", "key-3"}}, Admission::kKeyMissing));
 }
 
-BOOST_AUTO_TEST_CASE(a_public_route_needs_no_key_and_takes_a_tenant_only_from_a_known_one) {
+BOOST_AUTO_TEST_CASE(public_route_needs_no_key_and_uses_the_tenant_of_a_known_one) {
     for (const Headers& headers : {Headers{}, Headers{{"api-key", "key-4"}}}) {
-        const Caller caller = verdict(headers, with_tenants(), true);
+        const Caller caller = identify(headers, with_tenants(), true);
         BOOST_TEST((caller.admission == Admission::kAdmitted && caller.tenant == nullptr));
     }
-    BOOST_TEST(verdict({{"api-key", "key-3"}}, with_tenants(), true).tenant->name == "conca");
+    BOOST_TEST(identify({{"api-key", "key-3"}}, with_tenants(), true).tenant->name == "conca");
 }
 
-BOOST_AUTO_TEST_CASE(without_tenants_no_key_is_needed_and_with_an_empty_list_none_is_known) {
-    BOOST_TEST((verdict({}, {}).admission == Admission::kAdmitted));
-    BOOST_TEST((verdict({{"api-key", "key-1"}}, {}).admission == Admission::kAdmitted));
+BOOST_AUTO_TEST_CASE(no_tenants_need_no_key_and_an_empty_list_knows_none) {
+    BOOST_TEST((identify({}, {}).admission == Admission::kAdmitted));
+    BOOST_TEST((identify({{"api-key", "key-1"}}, {}).admission == Admission::kAdmitted));
     model::Configuration none_left;
     none_left.tenants.emplace();
-    BOOST_TEST((verdict({{"api-key", "key-1"}}, none_left).admission == Admission::kKeyUnknown));
+    BOOST_TEST((identify({{"api-key", "key-1"}}, none_left).admission == Admission::kKeyUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(ten_thousand_tenants_are_told_apart) {
+BOOST_AUTO_TEST_CASE(ten_thousand_tenants_are_distinguished) {
     model::Configuration configuration;
     std::vector<model::Tenant>& tenants = configuration.tenants.emplace();
     for (int i = 0; i < 10'000; ++i)
@@ -115,7 +114,7 @@
     BOOST_TEST((table.find("k10000") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(a_server_is_told_the_tenant_and_never_the_key_whatever_the_client_sent) {
+BOOST_AUTO_TEST_CASE(server_gets_the_tenant_and_never_the_key) {
     const Headers headers{{"api-key", "key-1"},
                           {"tenant", "conca"},
                           {"connection", "tenant, api-key, x-a"},
@@ -127,11 +126,11 @@
     BOOST_TEST(seen.times("api-key") == 0U);
     BOOST_TEST(seen.times("x-a") == 0U);
     BOOST_TEST(seen.header("x-b") == "2");
-    const HttpMessage nameless = sent(headers, "");
-    BOOST_TEST(nameless.times("tenant") + nameless.times("api-key") == 0U);
+    const HttpMessage anonymous = sent(headers, "");
+    BOOST_TEST(anonymous.times("tenant") + anonymous.times("api-key") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_is_known_in_any_letter_case_of_its_header_and_with_white_space_around_it) {
+BOOST_AUTO_TEST_CASE(key_header_ignores_case_and_surrounding_white_space) {
     for (const char* headers : {"Api-Key: key-1\r\n", "API-KEY:key-1\r\n", "api-key: \t key-1 \t\r\n",
                                 "Api-Key: key-1\r\nConnection: api-key\r\n"}) {
         const auto request = received(headers);
@@ -140,7 +139,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_key_that_another_reader_might_not_see_admits_nobody) {
+BOOST_AUTO_TEST_CASE(ambiguous_key_headers_admit_nobody) {
     for (const char* headers : {"Api-Key : key-1\r\n", " Api-Key: key-1\r\n", "X-A: 1\r\n Api-Key: key-1\r\n",
                                 "Api-Key:\r\n key-1\r\n", "Api-Key: key-\x01\r\n",
                                 "X-A: 1\nApi-Key: key-1\r\n", "X-A: 1\rApi-Key: key-1\r\n"})
@@ -156,7 +155,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(no_letter_case_of_the_tenants_header_and_no_trailer_reaches_a_server) {
+BOOST_AUTO_TEST_CASE(tenant_headers_and_trailers_of_clients_are_dropped) {
     const auto request = received("TENANT: conca\r\ntEnAnT: etna\r\nAPI-key: key-1\r\n"
                                   "Transfer-Encoding: chunked\r\n",
                                   "1\r\na\r\n0\r\nTenant: conca\r\n\r\n");
@@ -167,12 +166,12 @@
     BOOST_TEST(seen.times("api-key") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_tenants_priority_precedes_its_routes) {
-    model::Route asked = route(false);
-    asked.priority = 4;
+BOOST_AUTO_TEST_CASE(tenant_priority_overrides_route_priority) {
+    model::Route requested = route(false);
+    requested.priority = 4;
     const model::Tenant ranked{"etna", {}, 0}, unranked{"conca", {}, std::nullopt}, low{"alia", {}, 77};
-    BOOST_TEST(priority_of(asked, &ranked) == 0);
-    BOOST_TEST(priority_of(asked, &unranked) == 4);
-    BOOST_TEST(priority_of(asked, nullptr) == 4);
-    BOOST_TEST(priority_of(asked, &low) == 9);
+    BOOST_TEST(priority_of(requested, &ranked) == 0);
+    BOOST_TEST(priority_of(requested, &unranked) == 4);
+    BOOST_TEST(priority_of(requested, nullptr) == 4);
+    BOOST_TEST(priority_of(requested, &low) == 9);
 }
--- a/tests/client_request_tests.cpp
+++ b/tests/client_request_tests.cpp
@@ -1,4 +1,4 @@
-// What the proxy reads out of a client's request, and what it sends on.
+// Parsing of client requests, and what the proxy forwards.
 #define BOOST_TEST_MODULE client_request
 #include "proxy/client_request.hpp"
 
@@ -36,7 +36,7 @@
     return made;
 }
 
-// As a server reads it.
+// The request as parsed by a server.
 HttpMessage sent(const ClientRequest& request, const Forwarding& forwarding) {
     HttpParser parser(HttpParser::Side::kRequests);
     const std::string bytes = server_request(request, forwarding);
@@ -62,7 +62,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_request_is_read_as_it_is_documented) {
+BOOST_AUTO_TEST_CASE(documented_request_is_parsed) {
     const ClientRequest read = request({{"model-name", "m"},
                                         {"token-counts", "1460,80"},
                                         {"prompt-prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250"},
@@ -77,7 +77,7 @@
     BOOST_TEST(*read.client_deadline == kReceived + 2000 * kMs);
 }
 
-BOOST_AUTO_TEST_CASE(method_target_body_and_the_clients_own_headers_are_passed_on_unchanged) {
+BOOST_AUTO_TEST_CASE(method_target_body_and_client_headers_are_forwarded_unchanged) {
     const Headers own{{"accept", "text/event-stream"},
                       {"x-trace", "1"},
                       {"x-trace", "2"},
@@ -96,7 +96,7 @@
     BOOST_TEST(read.times("x-trace") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(headers_of_one_connection_go_no_further) {
+BOOST_AUTO_TEST_CASE(hop_by_hop_headers_are_dropped) {
     const Headers of_connection{{"connection", "keep-alive"}, {"keep-alive", "timeout=5"},
                                 {"proxy-connection", "x"},    {"te", "trailers"},
                                 {"trailer", "x-sum"},         {"upgrade", "h2c"},
@@ -107,7 +107,7 @@
     BOOST_TEST(read.times("content-length") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_the_connection_header_lists_goes_no_further) {
+BOOST_AUTO_TEST_CASE(headers_listed_in_connection_are_dropped) {
     for (const char* listed : {"x-hop", "X-Hop", "close, x-hop", " x-hop ,close", "\tx-hop", ",,x-hop,"}) {
         const HttpMessage read = sent_with({{"connection", listed}, {"x-hop", "1"}, {"x-hopper", "2"}});
         BOOST_TEST(read.times("x-hop") == 0U, listed);
@@ -115,7 +115,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(what_only_the_system_may_set_is_not_taken_from_a_client) {
+BOOST_AUTO_TEST_CASE(system_headers_of_clients_are_dropped) {
     const Headers forged{{"serving-stage", "prefill"},  {"kv-from", "10.0.0.1:80/x"},
                          {"target-instance", "i-evil"}, {"priority", "0"},
                          {"deadline-ms", "99999999"},   {"expect-version", "7"},
@@ -127,10 +127,10 @@
     BOOST_TEST((read.times("deadline-ms") == 1U && read.header("deadline-ms") == "1500"));
 }
 
-BOOST_AUTO_TEST_CASE(what_the_system_sets_is_sent_once) {
+BOOST_AUTO_TEST_CASE(system_headers_are_sent_once) {
     Forwarding all = forwarding();
     all.prefill_only = true, all.kv_from = "10.1.64.9:8080/3f", all.last_event_id = "9";
-    all.priority = 2, all.tells_priority = true;
+    all.priority = 2, all.sends_priority = true;
     const HttpMessage read =
         sent(request({{"serving-stage", "x"}, {"last-event-id", "1"}, {"priority", "9"}}), all);
     const Headers set{{"serving-stage", "prefill"},
@@ -141,20 +141,20 @@
         BOOST_TEST((read.times(name) == 1U && read.header(name) == value), name);
 }
 
-BOOST_AUTO_TEST_CASE(the_time_left_is_never_told_as_more_than_it_is_and_at_least_a_millisecond) {
-    for (const auto& [left, told] : {std::pair<Tenths, const char*>{1, "1"},
-                                     {0, "1"},
-                                     {-50, "1"},
-                                     {19, "1"},
-                                     {20, "2"},
-                                     {19'999, "1999"}}) {
+BOOST_AUTO_TEST_CASE(time_left_rounds_down_to_at_least_a_millisecond) {
+    for (const auto& [left, expected] : {std::pair<Tenths, const char*>{1, "1"},
+                                         {0, "1"},
+                                         {-50, "1"},
+                                         {19, "1"},
+                                         {20, "2"},
+                                         {19'999, "1999"}}) {
         Forwarding made = forwarding();
         made.time_left = left;
-        BOOST_TEST(sent(request({}), made).header("deadline-ms") == told);
+        BOOST_TEST(sent(request({}), made).header("deadline-ms") == expected);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_body_of_no_bytes_keeps_its_length_and_none_stays_none) {
+BOOST_AUTO_TEST_CASE(empty_body_keeps_its_length_and_no_body_stays_none) {
     BOOST_TEST(sent(request({}, ""), forwarding()).header("content-length") == "0");
     HttpMessage bare = message({}, "");
     bare.method = "GET";
@@ -166,7 +166,7 @@
     BOOST_TEST((read.header("content-length") == "3" && read.times("transfer-encoding") == 0U));
 }
 
-BOOST_AUTO_TEST_CASE(a_deadline_that_is_no_number_counts_as_none_and_a_huge_one_is_bounded) {
+BOOST_AUTO_TEST_CASE(invalid_deadline_counts_as_none_and_a_huge_one_is_bounded) {
     for (const char* text : {"", "-1", "x", "12x", "1.5", "+5", "0x10", "1 2", "99999999999999999999", "1e3"})
         BOOST_TEST(!request({{"deadline-ms", text}}).client_deadline.has_value(), text);
     BOOST_TEST(!request({}).client_deadline.has_value());
@@ -175,7 +175,7 @@
     BOOST_TEST((huge > kReceived && huge <= kReceived + 2 * 86'400 * kTenthsPerSecond));
 }
 
-BOOST_AUTO_TEST_CASE(token_counts_spoilt_in_any_way_are_no_tokens) {
+BOOST_AUTO_TEST_CASE(malformed_token_counts_are_no_tokens) {
     for (const char* text : {"", ",", "80", "1460", "1460,", "1460,x", "1460,80x", "1460,,80", "1460, 80",
                              "1460,8.5", "1460,-80", "1460,99999999999999999999", ",,"})
         BOOST_TEST(request({{"token-counts", text}}).output_tokens == 0, text);
@@ -183,26 +183,26 @@
     BOOST_TEST(request({{"token-counts", "1460,80"}}).output_tokens == 80);
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_prefix_is_read_up_to_what_is_spoilt) {
-    const std::string sound = "5c:800,91:410";
-    for (const char* spoilt :
+BOOST_AUTO_TEST_CASE(prompt_prefix_is_parsed_up_to_a_malformed_part) {
+    const std::string valid = "5c:800,91:410";
+    for (const char* malformed :
          {"x", "x:", ":", "x:-1", "x:1.5", "x:1x", "x: 1", "x:99999999999999999999", "x:y:3"}) {
-        const auto first = request({{"prompt-prefix", std::string(spoilt) + "," + sound}}).prompt;
-        const auto last = request({{"prompt-prefix", sound + "," + spoilt}}).prompt;
-        BOOST_TEST(first.empty(), spoilt);
-        BOOST_TEST(last.size() == 2U, spoilt);
+        const auto first = request({{"prompt-prefix", std::string(malformed) + "," + valid}}).prompt;
+        const auto last = request({{"prompt-prefix", valid + "," + malformed}}).prompt;
+        BOOST_TEST(first.empty(), malformed);
+        BOOST_TEST(last.size() == 2U, malformed);
     }
     BOOST_TEST(request({{"prompt-prefix", ""}}).prompt.empty());
-    BOOST_TEST(request({{"prompt-prefix", sound + ","}}).prompt.size() == 2U);
+    BOOST_TEST(request({{"prompt-prefix", valid + ","}}).prompt.size() == 2U);
     BOOST_TEST(request({{"prompt-prefix", ",,,"}}).prompt.empty());
-    BOOST_TEST(prompt_tokens(sound) == 1210);
+    BOOST_TEST(prompt_tokens(valid) == 1210);
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_prefix_with_any_byte_spoilt_leaves_sound_parts) {
-    const std::string sound = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
-    for (std::size_t i = 0; i < sound.size(); ++i)
+BOOST_AUTO_TEST_CASE(prompt_prefix_with_any_byte_changed_gives_valid_parts) {
+    const std::string valid = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
+    for (std::size_t i = 0; i < valid.size(); ++i)
         for (int value = 0; value < 256; ++value) {
-            std::string text = sound;
+            std::string text = valid;
             text[i] = static_cast<char>(value);
             const auto prompt = request({{"prompt-prefix", text}}).prompt;
             BOOST_REQUIRE(prompt.size() <= 4U);
@@ -211,7 +211,7 @@
         }
 }
 
-BOOST_AUTO_TEST_CASE(the_tokens_of_a_prompt_never_overflow) {
+BOOST_AUTO_TEST_CASE(prompt_tokens_never_overflow) {
     std::string text = "a:9223372036854775807";
     for (int i = 0; i < 200; ++i) {
         text += ",b" + std::to_string(i) + ":9223372036854775807";
@@ -219,7 +219,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_answers_status_and_headers_go_to_the_client_but_for_those_of_the_connection) {
+BOOST_AUTO_TEST_CASE(answer_status_and_headers_are_relayed_without_hop_by_hop_ones) {
     HttpMessage answer;
     answer.status = 200;
     answer.headers = {{"attempt-id", "9c41"},
@@ -239,7 +239,7 @@
     BOOST_TEST((read.times("content-length") == 1U && read.body == "body"));
 }
 
-BOOST_AUTO_TEST_CASE(an_answers_stamp_is_kept_even_where_its_connection_header_lists_it) {
+BOOST_AUTO_TEST_CASE(server_seal_is_kept_even_if_connection_lists_it) {
     HttpMessage answer;
     answer.status = 503;
     answer.headers = {
@@ -249,7 +249,7 @@
                 read.header("attempt-id") == "9c41"));
 }
 
-BOOST_AUTO_TEST_CASE(a_body_without_a_length_goes_in_chunks) {
+BOOST_AUTO_TEST_CASE(body_without_a_length_is_chunked) {
     HttpMessage answer;
     answer.status = 200;
     std::string bytes = answer_head(answer, std::nullopt, true), body;
@@ -265,11 +265,11 @@
     BOOST_TEST((read.body == body));
 }
 
-BOOST_AUTO_TEST_CASE(a_header_that_names_thousands_of_parts_is_read_up_to_a_bound) {
+BOOST_AUTO_TEST_CASE(number_of_prompt_parts_is_bounded) {
     std::string text;
     for (int i = 0; i < 5000; ++i) text += (i == 0 ? "" : ",") + std::to_string(i) + ":1";
     const ClientRequest read = request({{"prompt-prefix", text}});
     BOOST_TEST(read.prompt.size() >= 16U);
     BOOST_TEST(read.prompt.size() <= 100U);
-    BOOST_TEST(read.message.header("prompt-prefix") == text); // it is passed on as it came
+    BOOST_TEST(read.message.header("prompt-prefix") == text); // forwarded unchanged
 }
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -45,12 +45,12 @@
     if (!agent.proxy || !is_live(agent.machine) || !agent.usage) return;
     if (std::exchange(agent.proxy_linked_to, network_.incarnation(agent.machine)) !=
         network_.incarnation(agent.machine)) {
-        agent.proxy->tell_again();
+        agent.proxy->resend_all();
         agent.time_told = 0;
     }
     if (network_.now() - agent.time_told >= kTenthsPerSecond)
         if (const auto time = agent.usage->time(network_.now())) {
-            agent.proxy->time_told(*time, network_.now());
+            agent.proxy->update_fleet_time(*time, network_.now());
             agent.time_told = network_.now();
         }
     agent.untold.clear();
@@ -68,7 +68,7 @@
 
 void ControlWorld::begin_request(std::size_t number, const std::string& tenant) {
     if (!agents_[number].proxy) return;
-    agents_[number].proxy->began(tenant, network_.now());
+    agents_[number].proxy->count_started(tenant, network_.now());
     ++begun_[true_ms() / window_ms()][tenant];
     ++agents_[number].untold[true_ms() / window_ms()][tenant];
 }
--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -145,15 +145,15 @@
 
 BOOST_AUTO_TEST_CASE(meter_counts_by_window_and_tenant_and_reports_full_counts) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
-    for (int i = 0; i < 3; ++i) meter.began("ada", 0);
-    meter.began("", 0); // without a tenant
-    meter.began("bob", 5 * kSecond);
+    meter.update_fleet_time(exact(0), 0);
+    for (int i = 0; i < 3; ++i) meter.count_started("ada", 0);
+    meter.count_started("", 0); // without a tenant
+    meter.count_started("bob", 5 * kSecond);
     const auto first = meter.take(5 * kSecond);
     BOOST_REQUIRE(first.size() == 2U);
     BOOST_TEST((first[0] == ProcessUsage{7, kWindow, {{"ada", 3}}, 3, true_ms(5 * kSecond), false}));
     BOOST_TEST((first[1] == ProcessUsage{7, kWindow + 1, {{"bob", 1}}, 1, true_ms(5 * kSecond), false}));
-    meter.began("bob", 5 * kSecond + 100);
+    meter.count_started("bob", 5 * kSecond + 100);
     const auto second = meter.take(5 * kSecond + 2500);
     BOOST_REQUIRE(second.size() == 1U);
     BOOST_TEST(second[0].counts.front().count == 2);
@@ -162,7 +162,7 @@
 
 BOOST_AUTO_TEST_CASE(meter_reports_its_progress_every_second) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     int reports = 0;
     for (Tenths now = 2500; now <= 10 * kSecond; now += 2500) reports += meter.take(now).empty() ? 0 : 1;
     BOOST_TEST(reports == 10);
@@ -170,22 +170,23 @@
 
 BOOST_AUTO_TEST_CASE(meter_adds_nothing_to_a_fully_reported_window) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told({true_ms(0) + 2500, 20}, 0);
-    meter.began("ada", 4 * kSecond);
+    meter.update_fleet_time({true_ms(0) + 2500, 20}, 0);
+    meter.count_started("ada", 4 * kSecond);
     BOOST_TEST(meter.take(4 * kSecond).front().window == kWindow + 1);
-    for (int i = 0; i < 40; ++i) meter.time_told({true_ms(4 * kSecond), 20}, 4 * kSecond); // clock set back
-    meter.began("ada", 4 * kSecond);
+    for (int i = 0; i < 40; ++i)
+        meter.update_fleet_time({true_ms(4 * kSecond), 20}, 4 * kSecond); // clock set back
+    meter.count_started("ada", 4 * kSecond);
     for (const ProcessUsage& usage : meter.take(5 * kSecond)) BOOST_TEST(usage.window == kWindow + 1);
 }
 
 BOOST_AUTO_TEST_CASE(meter_reports_all_kept_windows_again_after_a_lost_link) {
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
-        meter.began("ada", second * kSecond);
+        meter.count_started("ada", second * kSecond);
         meter.take(second * kSecond);
     }
-    meter.tell_again();
+    meter.resend_all();
     UsageAggregator aggregator = aggregator_at(59 * kSecond);
     merge_all(aggregator, meter.take(59 * kSecond), 59 * kSecond);
     for (std::int64_t window = kWindow + 8; window < kWindow + 12; ++window)
@@ -195,11 +196,11 @@
 
 BOOST_AUTO_TEST_CASE(meter_without_usage_reports_or_time_counts_nothing) {
     UsageMeter idle(7, 0);
-    idle.time_told(exact(0), 0);
-    idle.began("ada", 0);
+    idle.update_fleet_time(exact(0), 0);
+    idle.count_started("ada", 0);
     BOOST_TEST(idle.take(kSecond).empty());
     UsageMeter unaware(7, kWindowMs);
-    unaware.began("ada", 0);
+    unaware.count_started("ada", 0);
     BOOST_TEST(unaware.take(kSecond).empty());
     BOOST_TEST(unaware.without_time() == 1U);
 }
@@ -300,9 +301,9 @@
     BOOST_TEST(relay.update_fleet_time(exact(0), 0));
     BOOST_TEST(!relay.update_fleet_time(exact(kSecond), kSecond));
     UsageMeter meter(7, kWindowMs);
-    meter.time_told(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
-        meter.began("ada", second * kSecond);
+        meter.count_started("ada", second * kSecond);
         relay.add_counts(meter.take(second * kSecond), second * kSecond);
     }
     UsageAggregator aggregator = aggregator_at(59 * kSecond);
