--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -72,7 +72,7 @@
     callbacks.applied = [this](const feed::Tables::Applied& applied) { this->applied(applied); };
     callbacks.synchronized = [this] { context_.usage.resend_all(); };
     callbacks.fleet_time = [this](const clock::FleetTime& time) {
-        context_.usage.set_fleet_time(time, reactor_.now());
+        context_.usage.update_fleet_time(time, reactor_.now());
     };
     subscriber_ = std::make_unique<feed::Subscriber>(reactor_, network_, options, std::move(callbacks));
     subscriber_->start();
--- a/src/proxy/usage_meter.hpp
+++ b/src/proxy/usage_meter.hpp
@@ -22,7 +22,7 @@
     UsageMeter(std::uint64_t process, std::int64_t window_ms) : process_(process), window_ms_(window_ms) {}
 
     bool is_enabled() const { return window_ms_ > 0; }
-    void set_fleet_time(const clock::FleetTime& time, Tenths now) { clock_.update(time, now); }
+    void update_fleet_time(const clock::FleetTime& time, Tenths now) { clock_.update(time, now); }
 
     // The first token of a request of that tenant has arrived; called once per request. Empty: no tenant.
     void count_started(const std::string& tenant, Tenths now) {
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -50,7 +50,7 @@
     }
     if (network_.now() - agent.time_told >= kTenthsPerSecond)
         if (const auto time = agent.usage->time(network_.now())) {
-            agent.proxy->set_fleet_time(*time, network_.now());
+            agent.proxy->update_fleet_time(*time, network_.now());
             agent.time_told = network_.now();
         }
     agent.untold.clear();
--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -162,7 +162,7 @@
 
 BOOST_AUTO_TEST_CASE(meter_reports_its_progress_each_second) {
     UsageMeter meter(7, kWindowMs);
-    meter.set_fleet_time(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     int reports = 0;
     for (Tenths now = 2500; now <= 10 * kSecond; now += 2500) reports += meter.take(now).empty() ? 0 : 1;
     BOOST_TEST(reports == 10);
@@ -170,18 +170,18 @@
 
 BOOST_AUTO_TEST_CASE(meter_adds_nothing_to_a_window_reported_as_complete) {
     UsageMeter meter(7, kWindowMs);
-    meter.set_fleet_time({true_ms(0) + 2500, 20}, 0);
+    meter.update_fleet_time({true_ms(0) + 2500, 20}, 0);
     meter.count_started("ada", 4 * kSecond);
     BOOST_TEST(meter.take(4 * kSecond).front().window == kWindow + 1);
     for (int i = 0; i < 40; ++i)
-        meter.set_fleet_time({true_ms(4 * kSecond), 20}, 4 * kSecond); // clock set back
+        meter.update_fleet_time({true_ms(4 * kSecond), 20}, 4 * kSecond); // clock set back
     meter.count_started("ada", 4 * kSecond);
     for (const ProcessUsage& usage : meter.take(5 * kSecond)) BOOST_TEST(usage.window == kWindow + 1);
 }
 
 BOOST_AUTO_TEST_CASE(meter_resends_all_retained_counts_after_a_lost_link) {
     UsageMeter meter(7, kWindowMs);
-    meter.set_fleet_time(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
         meter.count_started("ada", second * kSecond);
         meter.take(second * kSecond);
@@ -196,7 +196,7 @@
 
 BOOST_AUTO_TEST_CASE(meter_without_a_window_or_a_time_counts_nothing) {
     UsageMeter idle(7, 0);
-    idle.set_fleet_time(exact(0), 0);
+    idle.update_fleet_time(exact(0), 0);
     idle.count_started("ada", 0);
     BOOST_TEST(idle.take(kSecond).empty());
     UsageMeter unaware(7, kWindowMs);
@@ -301,7 +301,7 @@
     BOOST_TEST(relay.update_fleet_time(exact(0), 0));
     BOOST_TEST(!relay.update_fleet_time(exact(kSecond), kSecond));
     UsageMeter meter(7, kWindowMs);
-    meter.set_fleet_time(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     for (int second = 0; second < 60; ++second) {
         meter.count_started("ada", second * kSecond);
         relay.add_counts(meter.take(second * kSecond), second * kSecond);
