--- a/src/agent/report_poller.cpp
+++ b/src/agent/report_poller.cpp
@@ -64,11 +64,11 @@
                assignment_.poller(instance.id) == options_.self;
     };
     for (auto next = polled_.begin(); next != polled_.end();) {
-        const auto here = next++;
-        const auto known = instances.find(here->first);
+        const auto current = next++;
+        const auto known = instances.find(current->first);
         if (known != instances.end() && is_mine(known->second)) continue;
-        auto owner = std::make_shared<std::unique_ptr<PolledServer>>(std::move(here->second));
-        polled_.erase(here);
+        auto owner = std::make_shared<std::unique_ptr<PolledServer>>(std::move(current->second));
+        polled_.erase(current);
         reactor_.free_later([owner] { owner->reset(); });
     }
     for (const auto& [id, instance] : instances) {
--- a/src/agent/report_poller.hpp
+++ b/src/agent/report_poller.hpp
@@ -25,8 +25,8 @@
     struct Options {
         std::string self;    // name of this node
         Tenths interval = 0; // between two reports of one server, in a fleet of up to `servers`
-        std::size_t servers =
-            150; // in a larger fleet it grows in proportion, because every load goes to all nodes
+        // In a larger fleet the interval grows in proportion, because every load goes to all nodes.
+        std::size_t servers = 150;
     };
     ReportPoller(transport::Reactor& reactor, Options options, std::function<void(model::Load)> on_load);
     // Sets the current servers and nodes.
--- a/src/agent/usage_relay.hpp
+++ b/src/agent/usage_relay.hpp
@@ -13,7 +13,7 @@
 
 class UsageRelay {
   public:
-    explicit UsageRelay(std::int64_t window_ms) : tally_({window_ms, kKeptMs}) {}
+    explicit UsageRelay(std::int64_t window_ms) : aggregator_({window_ms, kKeptMs}) {}
 
     // Returns whether the time was unknown before.
     bool update_fleet_time(const clock::FleetTime& time, Tenths now) {
@@ -24,15 +24,15 @@
     std::optional<clock::FleetTime> time(Tenths now) const { return clock_.at(now); }
 
     void add_counts(const std::vector<model::ProcessUsage>& usage, Tenths now) {
-        if (const auto time = clock_.at(now)) tally_.advance(time->unix_ms, now);
-        for (const model::ProcessUsage& here : usage) tally_.merge(here, now);
+        if (const auto time = clock_.at(now)) aggregator_.advance(time->unix_ms, now);
+        for (const model::ProcessUsage& process_usage : usage) aggregator_.merge(process_usage, now);
     }
-    std::vector<model::ProcessUsage> recent() const { return tally_.recent(kKeptMs); }
+    std::vector<model::ProcessUsage> recent() const { return aggregator_.recent(kKeptMs); }
 
   private:
     static constexpr std::int64_t kKeptMs = 20'000;
     clock::SyncedClock clock_;
-    duties::UsageAggregator tally_;
+    duties::UsageAggregator aggregator_;
 };
 
 } // namespace ivyrill::agent
--- a/src/clock/fleet_clock.hpp
+++ b/src/clock/fleet_clock.hpp
@@ -36,9 +36,9 @@
     // makes the machine appear late.
     void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Tenths seen_at) {
         if (!is_plausible(time_of_day_ms)) return;
-        Sample& known = samples_[machine];
-        if (seen_at < known.seen_at) return;
-        known = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
+        Sample& stored = samples_[machine];
+        if (seen_at < stored.seen_at) return;
+        stored = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
     }
 
     // A machine's wall clock time extrapolated from its last sample; none if that is too old.
@@ -49,14 +49,14 @@
     }
 
     std::optional<FleetTime> at(Tenths steady_now) const {
-        std::vector<Tenths> offset;
-        offset.reserve(samples_.size());
+        std::vector<Tenths> offsets;
+        offsets.reserve(samples_.size());
         for (const auto& [machine, sample] : samples_)
-            if (is_fresh(sample, steady_now)) offset.push_back(sample.offset);
-        if (offset.empty()) return std::nullopt;
-        std::ranges::sort(offset);
-        const Tenths middle = offset[(offset.size() - 1) / 2];
-        return FleetTime{to_unix_ms(middle + steady_now), error_bound(middle, offset)};
+            if (is_fresh(sample, steady_now)) offsets.push_back(sample.offset);
+        if (offsets.empty()) return std::nullopt;
+        std::ranges::sort(offsets);
+        const Tenths median = offsets[(offsets.size() - 1) / 2];
+        return FleetTime{to_unix_ms(median + steady_now), error_bound(median, offsets)};
     }
 
     void forget_old(Tenths now) {
@@ -69,8 +69,8 @@
         Tenths seen_at = INT64_MIN;
     };
     static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
-    static constexpr std::size_t kMinMajoritySamples =
-        3; // number of machines from which a single wrong clock is outvoted
+    // Number of machines from which a single wrong clock is outvoted.
+    static constexpr std::size_t kMinMajoritySamples = 3;
     static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a wall clock may jump
     static constexpr std::int64_t kMaxTransitMs = 10;         // of a sample
 
@@ -78,15 +78,15 @@
 
     // A majority is correct, so the shortest interval that holds a majority is no longer than theirs and
     // contains a correct one; the median lies in every such interval.
-    static std::int64_t error_bound(Tenths middle, const std::vector<Tenths>& sorted) {
+    static std::int64_t error_bound(Tenths median, const std::vector<Tenths>& sorted) {
         if (sorted.size() < kMinMajoritySamples) return kUnconfirmedErrorMs;
-        const std::size_t most = sorted.size() / 2 + 1;
+        const std::size_t majority = sorted.size() / 2 + 1;
         Tenths shortest = INT64_MAX, error = 0;
-        for (std::size_t first = 0; first + most <= sorted.size(); ++first) {
-            const Tenths begin = sorted[first], end = sorted[first + most - 1];
+        for (std::size_t first = 0; first + majority <= sorted.size(); ++first) {
+            const Tenths begin = sorted[first], end = sorted[first + majority - 1];
             if (end - begin >= shortest) continue;
             shortest = end - begin;
-            error = std::max(middle - begin, end - middle);
+            error = std::max(median - begin, end - median);
         }
         return to_unix_ms(error) + 1 + kMaxTransitMs;
     }
--- a/src/clock/synced_clock.hpp
+++ b/src/clock/synced_clock.hpp
@@ -33,14 +33,15 @@
     };
     static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
     static constexpr std::size_t kMaxSamples = 32;
-    static constexpr std::int64_t kMaxErrorExcessMs =
-        100; // samples with an error larger by more than this are ignored
+    // Samples with an error larger by more than this are ignored.
+    static constexpr std::int64_t kMaxErrorExcessMs = 100;
 
     void choose_offset() {
-        const auto least = std::ranges::min_element(samples_, {}, &Sample::error_ms)->error_ms;
+        const auto min_error_ms = std::ranges::min_element(samples_, {}, &Sample::error_ms)->error_ms;
         std::optional<Tenths> latest;
         for (const Sample& sample : samples_) {
-            if (sample.error_ms > least + kMaxErrorExcessMs || (latest && sample.offset <= *latest)) continue;
+            if (sample.error_ms > min_error_ms + kMaxErrorExcessMs || (latest && sample.offset <= *latest))
+                continue;
             latest = sample.offset, error_ms_ = sample.error_ms;
         }
         offset_ = *latest;
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -67,8 +67,8 @@
 std::optional<double> number_of(const std::string& text) {
     double value = 0;
     const char* end = text.data() + text.size();
-    const auto [stop, problem] = std::from_chars(text.data(), end, value);
-    if (problem != std::errc{} || stop != end || !std::isfinite(value)) return std::nullopt;
+    const auto [parsed_end, problem] = std::from_chars(text.data(), end, value);
+    if (problem != std::errc{} || parsed_end != end || !std::isfinite(value)) return std::nullopt;
     return value;
 }
 
@@ -315,14 +315,14 @@
 // Error messages don't contain keys, because they go into logs and responses.
 void check_tenants(Section& root, const std::vector<model::Tenant>& tenants) {
     std::unordered_set<std::string_view> names;
-    std::unordered_map<std::string_view, const model::Tenant*> holders; // by key
+    std::unordered_map<std::string_view, const model::Tenant*> owners; // by key
     for (const model::Tenant& tenant : tenants) {
         if (!names.insert(tenant.name).second)
             root.report("tenants", "have a duplicate name: " + tenant.name, "use unique names");
         for (const std::string& key : tenant.api_keys) {
-            const auto holder = holders.emplace(key, &tenant).first->second;
-            if (holder != &tenant)
-                root.report("tenants", fmt::format("share a key: {} and {}", holder->name, tenant.name),
+            const auto owner = owners.emplace(key, &tenant).first->second;
+            if (owner != &tenant)
+                root.report("tenants", fmt::format("share a key: {} and {}", owner->name, tenant.name),
                             "use different keys for each tenant");
         }
     }
--- a/src/control/autoscale_duty.cpp
+++ b/src/control/autoscale_duty.cpp
@@ -118,7 +118,7 @@
                            {"servers", std::to_string(state.servers)},
                            {"wanted", std::to_string(count.servers)},
                            {"needed", fmt::format("{:.1f}", counts.controller.needed_servers())}});
-        state.order->want(count.servers, reactor_.now());
+        state.order->request(count.servers, reactor_.now());
     }
 }
 
--- a/src/control/autoscale_duty.hpp
+++ b/src/control/autoscale_duty.hpp
@@ -28,8 +28,8 @@
         std::function<bool(const duties::Duty&, std::uint64_t fence)> may_act_under;
         std::function<const model::Configuration*()> configuration; // null if unknown
         std::function<const feed::InstanceTable&()> instances;
-        std::function<std::vector<duties::StagedServer>(const std::string& service)>
-            servers; // in state serving
+        // In state serving.
+        std::function<std::vector<duties::StagedServer>(const std::string& service)> servers;
         std::function<std::optional<model::ServiceDemand>(const std::string& service)> demand;
         // Consumes a token of the platform's rate limit; false if none is left.
         std::function<bool(const duties::Duty&)> acquire_call;
--- a/src/control/stage_duty.hpp
+++ b/src/control/stage_duty.hpp
@@ -30,8 +30,8 @@
         std::function<const model::Configuration*()> configuration; // null if unknown
         std::function<const feed::InstanceTable&()> instances;
         std::function<const std::map<std::string, model::Load>&()> loads; // by instance id
-        std::function<void(const feed::StageOrdered&)>
-            ordered; // called for each accepted order, to notify all nodes
+        // Called for each accepted order, to notify all nodes.
+        std::function<void(const feed::StageOrdered&)> ordered;
     };
     // `holder`: this node's name, sent with each order. `client` must outlive this object.
     StageDuty(transport::Reactor& reactor, duties::OrderClient& client, std::string holder,
--- a/src/control/usage_duty.hpp
+++ b/src/control/usage_duty.hpp
@@ -34,8 +34,8 @@
         std::function<void(ChangeLedger)> propose; // the change is evaluated once, possibly later
         std::function<std::optional<clock::FleetTime>()> time;
         duties::UsageSources sources;
-        std::function<bool()>
-            acquire_call; // consumes a token of the platform's rate limit; false if none is left
+        // Consumes a token of the platform's rate limit; false if none is left.
+        std::function<bool()> acquire_call;
     };
     struct Status {
         std::optional<std::uint64_t> fence; // fencing token under which this node reports
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -11,23 +11,22 @@
 
 namespace statistics = boost::accumulators;
 
-constexpr std::size_t kSamples = 4;               // window of the means, and samples needed before a change
-constexpr int kShortSamples = 6;                  // consecutive samples that confirm a shortage
-constexpr int kVeryShortSamples = 2;              // ... or a severe one
-constexpr double kPrefillTargetUtilization = 0.6; // utilization of a correctly sized prefill pool
-constexpr double kDecodeTargetUtilization =
-    0.35;                               // ... and decode pool: above what the StageController leaves them
-constexpr double kShortShare = 1.25;    // needed to serving servers from which there is a shortage
-constexpr double kVeryShortShare = 1.5; // ... and a severe one
-constexpr double kMaxGrowthShare = 0.5; // of the serving servers, per step
+constexpr std::size_t kSamples = 4;  // window of the means, and samples needed before a change
+constexpr int kShortSamples = 6;     // consecutive samples that confirm a shortage
+constexpr int kVeryShortSamples = 2; // ... or a severe one
+// Utilization of correctly sized pools; for decode it is above what the StageController leaves them.
+constexpr double kPrefillTargetUtilization = 0.6, kDecodeTargetUtilization = 0.35;
+constexpr double kShortShare = 1.25;           // needed to serving servers from which there is a shortage
+constexpr double kVeryShortShare = 1.5;        // ... and a severe one
+constexpr double kMaxGrowthShare = 0.5;        // of the serving servers, per step
 constexpr double kMaxLoadAfterScaleDown = 0.5; // needed to remaining servers, at most, for a scale-down
 constexpr double kMaxLoadAfterZoneLoss = 0.8;  // ... with the largest zone lost as well
-constexpr double kMaxRequestShareAfterScaleDown =
-    0.6; // requests per server after a scale-down, relative to those at the shortage
-constexpr Tenths kSettleTime =
-    3 * kTenthsPerSecond; // after new servers start: their caches are cold and the means outdated
-constexpr Tenths kScaleDownDelay =
-    10 * kTenthsPerSecond; // without a shortage or a change, before a scale-down
+// Requests per server after a scale-down, relative to those at the shortage.
+constexpr double kMaxRequestShareAfterScaleDown = 0.6;
+// After new servers start: their caches are cold and the means outdated.
+constexpr Tenths kSettleTime = 3 * kTenthsPerSecond;
+// Without a shortage or a change, before a scale-down.
+constexpr Tenths kScaleDownDelay = 10 * kTenthsPerSecond;
 
 Tenths to_tenths(double seconds) { return static_cast<Tenths>(seconds * kTenthsPerSecond); }
 
--- a/src/duties/autoscaler.hpp
+++ b/src/duties/autoscaler.hpp
@@ -64,8 +64,8 @@
     int short_samples_ = 0, very_short_samples_ = 0; // consecutive, up to the latest
     int samples_ = 0;                                // since the input was last incomplete
     std::optional<Tenths> changed_at_, busy_at_;     // busy: too much load to scale down
-    std::optional<double>
-        requests_per_server_when_short_; // per second and server, when a shortage was first seen
+    // Per second and server, when a shortage was first seen.
+    std::optional<double> requests_per_server_when_short_;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/report_freshness.hpp
+++ b/src/duties/report_freshness.hpp
@@ -13,8 +13,8 @@
 class ReportFreshness {
   public:
     void record_report(const std::string& instance, Tenths now) {
-        const auto [place, inserted] = seen_.try_emplace(instance, Seen{now, 0});
-        if (!inserted) place->second = {now, now - place->second.last};
+        const auto [entry, inserted] = seen_.try_emplace(instance, Seen{now, 0});
+        if (!inserted) entry->second = {now, now - entry->second.last};
     }
     void forget_old(Tenths now) {
         std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.last > kRetention; });
--- a/src/duties/scale_order.cpp
+++ b/src/duties/scale_order.cpp
@@ -4,7 +4,7 @@
 
 namespace ivyrill::duties {
 
-void ScaleOrder::want(std::int64_t servers, Tenths now) {
+void ScaleOrder::request(std::int64_t servers, Tenths now) {
     if (pending_ != servers) not_before_ = now, backoff_ = kInitialBackoff;
     pending_ = servers, pending_until_ = now + kOrderValidity;
 }
--- a/src/duties/scale_order.hpp
+++ b/src/duties/scale_order.hpp
@@ -16,7 +16,7 @@
     explicit ScaleOrder(std::uint64_t fence) : fence_(fence) {}
 
     // Requests a count. The request expires after kOrderValidity, because the load has changed by then.
-    void want(std::int64_t servers, Tenths now);
+    void request(std::int64_t servers, Tenths now);
     // The accepted count is outdated: servers have been removed since.
     void clear_accepted() { accepted_.reset(); }
     // The count to send now, if any: one call at a time, with exponential backoff between attempts.
--- a/src/duties/stage_controller.cpp
+++ b/src/duties/stage_controller.cpp
@@ -17,8 +17,8 @@
 constexpr double kMaxDecodeUtilizationAfter = 0.2;  // at most, after giving one away
 constexpr double kMaxUtilizationAfterZoneLoss = 0.35; // at most, with the pool's largest zone lost
 constexpr std::size_t kMinServersPerChange = 6;       // at most one in this many servers changes at a time
-constexpr double kOverloadUtilization =
-    1; // utilization from which a pool is overloaded, not only short of servers
+// Utilization from which a pool is overloaded, not only short of servers.
+constexpr double kOverloadUtilization = 1;
 constexpr int kSamplesIfOverloaded = 2;              // half the samples suffice then
 constexpr std::size_t kMinServersPerStage = 2;       // servers of each stage that must remain
 constexpr Tenths kSettleTime = 2 * kTenthsPerSecond; // after a change: caches are cold and the means outdated
--- a/src/duties/stage_order_tracker.hpp
+++ b/src/duties/stage_order_tracker.hpp
@@ -16,8 +16,8 @@
     std::string instance, address;
     model::Stage stage = model::Stage::kNone;
     std::uint64_t fence = 0;
-    std::optional<std::int64_t>
-        expected_count; // number of orders the server has accepted; a different number: 409
+    // Number of orders the server has accepted; a different number: 409.
+    std::optional<std::int64_t> expected_count;
 };
 
 enum class OrderOutcome : std::uint8_t {
--- a/src/duties/stage_utilization.cpp
+++ b/src/duties/stage_utilization.cpp
@@ -9,8 +9,8 @@
 
 using model::Stage;
 
-constexpr double kRejectedShareLimit =
-    0.02; // share of rejected requests from which prefill has a shortage, whatever the reports say
+// Share of rejected requests from which prefill has a shortage, whatever the reports say.
+constexpr double kRejectedShareLimit = 0.02;
 constexpr double kWaitingWeight = 0.5;       // weight of a queued request relative to one in prefill
 constexpr double kMinReportedShare = 0.75;   // minimum share of servers with recent reports
 constexpr double kNoServersUtilization = 10; // utilization of an empty decode pool
--- a/src/duties/usage_aggregator.cpp
+++ b/src/duties/usage_aggregator.cpp
@@ -102,18 +102,18 @@
 }
 
 std::vector<model::ProcessUsage> UsageAggregator::recent(std::int64_t span_ms) const {
-    std::vector<model::ProcessUsage> known;
-    for (const auto& [id, process] : processes_) append_recent(id, process, span_ms, known);
-    return known;
+    std::vector<model::ProcessUsage> result;
+    for (const auto& [id, process] : processes_) append_recent(id, process, span_ms, result);
+    return result;
 }
 
 std::vector<model::ProcessUsage> UsageAggregator::recent_from(const std::vector<std::uint64_t>& processes,
                                                               std::int64_t span_ms) const {
-    std::vector<model::ProcessUsage> known;
+    std::vector<model::ProcessUsage> result;
     for (const std::uint64_t id : processes)
         if (const auto found = processes_.find(id); found != processes_.end())
-            append_recent(id, found->second, span_ms, known);
-    return known;
+            append_recent(id, found->second, span_ms, result);
+    return result;
 }
 
 void UsageAggregator::append_recent(std::uint64_t id, const Process& process, std::int64_t span_ms,
--- a/src/duties/usage_ledger.cpp
+++ b/src/duties/usage_ledger.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::int64_t kMinAgeMs =
-    500; // after a window's end: time for the counts of its last requests to arrive
+// After a window's end: time for the counts of its last requests to arrive.
+constexpr std::int64_t kMinAgeMs = 500;
 constexpr std::int64_t kMaxWaitMs = 4'000; // after which a report omits processes that have not reported
 constexpr std::size_t kMaxNewWindows = 16; // per log entry
 
--- a/src/feed/feed_log.cpp
+++ b/src/feed/feed_log.cpp
@@ -56,8 +56,8 @@
         else
             to[known->second] = item;
     }
-    const std::set<std::string_view> gone(removed.begin(), removed.end());
-    std::erase_if(to, [&](const Named& item) { return gone.contains(item.name); });
+    const std::set<std::string_view> removed_names(removed.begin(), removed.end());
+    std::erase_if(to, [&](const Named& item) { return removed_names.contains(item.name); });
 }
 
 } // namespace
@@ -166,7 +166,7 @@
     }
     std::erase_if(to.routes, [&](const model::Route& route) {
         return std::ranges::any_of(change.removed_routes,
-                                   [&](const auto& gone) { return same_route_key(gone, route); });
+                                   [&](const auto& removed) { return same_route_key(removed, route); });
     });
     apply_by_name(to.services, change.services, change.removed_services);
     if (!change.has_tenants) {
--- a/src/feed/instance_table.cpp
+++ b/src/feed/instance_table.cpp
@@ -69,9 +69,9 @@
 std::vector<std::uint64_t> InstanceTable::differing_ranges(const Digests& mine, const Digests& theirs) {
     std::vector<std::uint64_t> ranges;
     for (std::size_t range = 0; range < kDigestRanges; ++range) {
-        const std::uint64_t here = range < mine.ranges.size() ? mine.ranges[range] : 0;
-        const std::uint64_t there = range < theirs.ranges.size() ? theirs.ranges[range] : 0;
-        if (here != there) ranges.push_back(range);
+        const std::uint64_t own = range < mine.ranges.size() ? mine.ranges[range] : 0;
+        const std::uint64_t other = range < theirs.ranges.size() ? theirs.ranges[range] : 0;
+        if (own != other) ranges.push_back(range);
     }
     return ranges;
 }
@@ -91,11 +91,11 @@
 std::vector<std::string> InstanceTable::remove_expired(Tenths span, Tenths now) {
     std::vector<std::string> forgotten;
     for (auto next = gone_since_.begin(); next != gone_since_.end();) {
-        const auto here = next++;
-        if (now - here->second < span) continue;
-        forgotten.push_back(here->first);
-        erase(here->first);
-        gone_since_.erase(here);
+        const auto current = next++;
+        if (now - current->second < span) continue;
+        forgotten.push_back(current->first);
+        erase(current->first);
+        gone_since_.erase(current);
     }
     return forgotten;
 }
--- a/src/feed/link.hpp
+++ b/src/feed/link.hpp
@@ -19,8 +19,8 @@
         std::function<void()> up; // only for links that this side opened
         std::function<void(Message)> received;
         std::function<void(const Error&)> unreadable; // invalid data was received; the link ends
-        std::function<void(const std::string& reason)>
-            ended; // last callback; the owner destroys the link through `free_later`
+        // Last callback; the owner destroys the link through `free_later`.
+        std::function<void(const std::string& reason)> ended;
     };
     Link() = default;
     virtual ~Link() = default;
--- a/src/feed/publisher.hpp
+++ b/src/feed/publisher.hpp
@@ -20,12 +20,12 @@
 class Publisher {
   public:
     struct Options {
-        Tenths heartbeat =
-            0; // interval of heartbeats; 0: none, if the closed link suffices to detect a dead peer
+        // Interval of heartbeats; 0: none, if the closed link suffices to detect a dead peer.
+        Tenths heartbeat = 0;
         Tenths silence = 0;        // without data for this long a subscriber is considered dead
         Tenths batch_delay = 1000; // loads and node lists are batched for this long
-        Tenths min_flush_interval =
-            300; // all other items are sent at once, but at least this long after the previous flush
+        // All other items are sent at once, but at least this long after the previous flush.
+        Tenths min_flush_interval = 300;
     };
     struct Callbacks {
         std::function<std::optional<std::string>()> refuse; // reason to refuse subscribers now, or none
@@ -81,8 +81,8 @@
     std::map<std::uint64_t, Subscriber> subscribers_;
     std::uint64_t next_id_ = 0;
     std::uint64_t flushed_sequence_ = 0; // sequence number up to which items were flushed
-    std::string
-        snapshot_; // one frame shared by all that start within a short time; later items follow separately
+    // One frame shared by all that start within a short time; later items follow separately.
+    std::string snapshot_;
     std::uint64_t snapshot_sequence_ = 0;
     std::int64_t snapshot_version_ = 0; // version of its configuration
     Tenths snapshot_at_ = 0;
--- a/src/feed/publisher_list.hpp
+++ b/src/feed/publisher_list.hpp
@@ -45,8 +45,8 @@
     static bool contains(const std::vector<std::string>& list, const std::string& address) {
         return std::ranges::find(list, address) != list.end();
     }
-    static constexpr Tenths kRetention =
-        3600 * kTenthsPerSecond; // regions may be disconnected from each other for an hour
+    // Regions may be disconnected from each other for an hour.
+    static constexpr Tenths kRetention = 3600 * kTenthsPerSecond;
     std::uint64_t order_key_;
     std::vector<std::string> current_;
     std::map<std::string, Tenths> last_listed_;
--- a/src/feed/socket_link.cpp
+++ b/src/feed/socket_link.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMaxUnreadBytes = 256 * 1024;
-constexpr std::size_t kMaxUnsentBytes =
-    32 * 1024 * 1024; // room for a snapshot on a slow link; frames have their own limit
+// Room for a snapshot on a slow link; frames have their own limit.
+constexpr std::size_t kMaxUnsentBytes = 32 * 1024 * 1024;
 
 } // namespace
 
--- a/src/model/instance.hpp
+++ b/src/model/instance.hpp
@@ -56,10 +56,10 @@
     bool is_routable() const { return state == InstanceState::kServing || state == InstanceState::kSilent; }
 };
 
-// Whether `fresh` replaces `known` (of the same id).
-inline bool supersedes(const Instance& fresh, const Instance& known) {
-    if (fresh.revision != known.revision) return fresh.revision > known.revision;
-    return fresh.state > known.state;
+// Whether `candidate` replaces `current` (of the same id).
+inline bool supersedes(const Instance& candidate, const Instance& current) {
+    if (candidate.revision != current.revision) return candidate.revision > current.revision;
+    return candidate.state > current.state;
 }
 
 // From one `GET /report`, polled by one node for all.
@@ -76,10 +76,10 @@
     friend bool operator==(const Load&, const Load&) = default;
 };
 
-// Whether `fresh` replaces `known` (of the same instance). A report from before a known order shows an
+// Whether `candidate` replaces `current` (of the same instance). A report from before a known order shows an
 // outdated stage.
-inline bool supersedes(const Load& fresh, const Load& known) {
-    return fresh.orders_accepted >= known.orders_accepted;
+inline bool supersedes(const Load& candidate, const Load& current) {
+    return candidate.orders_accepted >= current.orders_accepted;
 }
 
 // Recent demand for one service, as seen by one edge node or summed over several.
--- a/src/model/routing_table.cpp
+++ b/src/model/routing_table.cpp
@@ -64,12 +64,12 @@
     double sum = 0;
     for (const WeightedService& candidate : route.services) sum += std::max(candidate.weight, 0.0);
     const std::string* chosen = nullptr; // the last one with a weight, in case rounding leaves a remainder
-    double rest = unit * sum;
+    double remaining = unit * sum;
     for (const WeightedService& candidate : route.services) {
         if (candidate.weight <= 0) continue;
         chosen = &candidate.service;
-        rest -= candidate.weight;
-        if (rest < 0) break;
+        remaining -= candidate.weight;
+        if (remaining < 0) break;
     }
     return chosen == nullptr ? std::nullopt : std::optional(*chosen);
 }
--- a/tests/autoscaler_tests.cpp
+++ b/tests/autoscaler_tests.cpp
@@ -214,7 +214,7 @@
 BOOST_AUTO_TEST_CASE(order_is_sent_once_until_it_is_answered) {
     ScaleOrder order(7);
     BOOST_TEST(!order.due(kStart).has_value());
-    order.want(12, kStart);
+    order.request(12, kStart);
     BOOST_TEST((order.due(kStart) == 12));
     order.sent();
     BOOST_TEST(!order.due(kStart + kSecond).has_value());
@@ -229,7 +229,7 @@
         ScaleOrder order(7);
         Tenths now = kStart, last_backoff = 0;
         for (int tries = 0; tries < 3; ++tries) {
-            order.want(12, now);
+            order.request(12, now);
             order.sent();
             order.answered(12, outcome, now);
             const Tenths sent_at = now;
@@ -243,29 +243,29 @@
 
 BOOST_AUTO_TEST_CASE(unaccepted_order_expires) {
     ScaleOrder order(7);
-    order.want(12, kStart);
+    order.request(12, kStart);
     BOOST_TEST(order.due(kStart + ScaleOrder::kOrderValidity - 1).has_value());
     BOOST_TEST(!order.due(kStart + ScaleOrder::kOrderValidity).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(refusal_of_an_older_count_keeps_the_newer_one) {
     ScaleOrder order(12);
-    order.want(3, kStart);
+    order.request(3, kStart);
     order.sent();
-    order.want(5, kStart);
+    order.request(5, kStart);
     order.answered(3, PlatformOutcome::kRefused, kStart);
     BOOST_TEST((order.due(kStart + ScaleOrder::kInitialBackoff) == 5));
 }
 
 BOOST_AUTO_TEST_CASE(refused_order_is_not_retried_and_fenced_off_holder_stops) {
     ScaleOrder refused(7), fenced_off(7);
-    refused.want(12, kStart), fenced_off.want(12, kStart);
+    refused.request(12, kStart), fenced_off.request(12, kStart);
     refused.answered(12, PlatformOutcome::kRefused, kStart);
     fenced_off.answered(12, PlatformOutcome::kFencedOff, kStart);
     BOOST_TEST(!refused.due(kStart + 5 * kSecond).has_value());
-    refused.want(13, kStart + 5 * kSecond);
+    refused.request(13, kStart + 5 * kSecond);
     BOOST_TEST(refused.due(kStart + 6 * kSecond).has_value());
-    fenced_off.want(13, kStart + 5 * kSecond);
+    fenced_off.request(13, kStart + 5 * kSecond);
     BOOST_TEST(!fenced_off.due(kStart + 6 * kSecond).has_value());
 }
 
@@ -308,8 +308,8 @@
         fleet.load(2);
         for (const StagedServer& server : fleet.input.servers) add(server);
         control::AutoscaleDuty::Callbacks callbacks;
-        callbacks.fence = [this](const Duty& asked) {
-            return asked == server_count_duty("model", held_zone) ? fence : std::nullopt;
+        callbacks.fence = [this](const Duty& requested) {
+            return requested == server_count_duty("model", held_zone) ? fence : std::nullopt;
         };
         callbacks.may_act_under = [this](const Duty&, std::uint64_t used_fence) {
             return fence == used_fence;
--- a/tests/fleet_duty_tests.cpp
+++ b/tests/fleet_duty_tests.cpp
@@ -21,8 +21,8 @@
 constexpr Tenths kWindow = kWindowS * kTenthsPerSecond;
 constexpr Tenths kLease = 3 * kTenthsPerSecond;       // `leaseMs` of examples/fleet/settings
 constexpr Tenths kClockError = kTenthsPerSecond / 20; // difference between a client's and a proxy's clock
-constexpr Tenths kCountForwardingTime =
-    kTenthsPerSecond / 4; // delay until a proxy's counts have reached other processes
+// Delay until a proxy's counts have reached other processes.
+constexpr Tenths kCountForwardingTime = kTenthsPerSecond / 4;
 constexpr std::size_t kFirstWindows = 2, kMoreWindows = 3;
 
 struct ReportingFleet : RealFleet {
