--- a/src/control/inspection.hpp
+++ b/src/control/inspection.hpp
@@ -1,4 +1,4 @@
-// What GET /inspect tells of a control node, as JSON. Pure.
+// The state of a control node that GET /inspect returns as JSON. No I/O.
 #pragma once
 #include "consensus/replica.hpp"
 #include "control/autoscale_duty.hpp"
@@ -22,15 +22,15 @@
     bool leads = false, in_contact = false, serves_feed = false;
     std::int64_t version = 0;
     std::vector<consensus::Member> voters;
-    std::vector<model::ControlNode> peers; // that are alive
+    std::vector<model::ControlNode> peers; // alive ones
     std::vector<model::EdgeNode> edge_nodes;
     std::vector<model::Instance> servers;
-    std::vector<DutyPartitions::Status> duties;           // by part; none where the deployment has no duties
-    duties::StageOrderTracker::Counts orders;             // to servers, by this process
-    std::optional<UsageDuty::Status> usage;               // none where no usage is due
-    std::vector<AutoscaleDuty::ZoneStatus> server_counts; // of the zones that this node orders for
-    duties::PlatformCallStats count_calls;                // for them, by this process
-    // Messages that were passed over, by cause.
+    std::vector<DutyPartitions::Status> duties;           // by part; empty in deployments without duties
+    duties::StageOrderTracker::Counts orders;             // sent to servers by this process
+    std::optional<UsageDuty::Status> usage;               // none if usage is not reported
+    std::vector<AutoscaleDuty::ZoneStatus> server_counts; // of the zones that this node is responsible for
+    duties::PlatformCallStats count_calls;                // of this process, for these zones
+    // Dropped and rejected messages by cause.
     consensus::DroppedMessages group;
     PeerMesh::RejectedMessages links;
     DroppedSyncReplies copies;
