--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -37,8 +37,8 @@
     transport::Async<http::Answer> handle(protocol::HttpMessage message) const {
         return api_->handle(std::move(message));
     }
-    void
-    begin_shutdown(); // on SIGTERM: transfers leadership, informs the peers, stops the reactor within 1 s
+    // For SIGTERM: transfers leadership, informs the peers, stops the reactor within 1 s.
+    void begin_shutdown();
 
     const ConfigurationGroup& group() const { return *group_; }
     const InstanceRegistry& registry() const { return *registry_; }
--- a/src/control/heartbeat_call.cpp
+++ b/src/control/heartbeat_call.cpp
@@ -57,7 +57,7 @@
         return RegisterCall{std::move(instance)};
     } catch (const std::exception& failure) {
         return error(ErrorKind::kInvalidInput,
-                     std::string("heartbeat: ") + failure.what() + "; send the whole record");
+                     std::string("heartbeat: ") + failure.what() + "; send the complete record");
     }
 }
 
--- a/src/control/peer_mesh.hpp
+++ b/src/control/peer_mesh.hpp
@@ -31,7 +31,7 @@
         std::function<void(feed::PeerStatus&)> fill_status; // adds this node's data to its status
         std::function<std::uint64_t()> term;                // sent with each hello
         std::function<void(const model::ControlNode&, std::uint64_t term)>
-            peer_hello; // a peer has said hello
+            peer_hello; // a peer's hello has arrived
         // This node's link to the peer is up. Messages sent over an earlier link may be lost.
         std::function<void(const std::string& address)> link_up;
     };
--- a/tests/control_history_tests.cpp
+++ b/tests/control_history_tests.cpp
@@ -1,4 +1,4 @@
-// Histories of whole control nodes, drawn from seeds. One that fails is played alone, with its story, by
+// Randomized simulations of complete control nodes. To replay a failing seed with a log of its events, run
 // `measure_control --seed N`.
 #define BOOST_TEST_MODULE control_history
 #include "lab/control_world.hpp"
@@ -10,29 +10,29 @@
 using namespace ivyrill::lab;
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::uint64_t kSeedsOfCase = 4; // each takes ten times as long, and a case has a minute
+constexpr std::uint64_t kSeedsPerCase = 4; // ten times slower, and a test case has a time limit of 1 min
 #else
-constexpr std::uint64_t kSeedsOfCase = 24;
+constexpr std::uint64_t kSeedsPerCase = 24;
 #endif
 
-void play_seeds(std::uint64_t part) {
-    for (std::uint64_t seed = part * kSeedsOfCase + 1; seed <= (part + 1) * kSeedsOfCase; ++seed) {
+void play_seeds(std::uint64_t group) {
+    for (std::uint64_t seed = group * kSeedsPerCase + 1; seed <= (group + 1) * kSeedsPerCase; ++seed) {
         ControlWorld world(control_plan_of_seed(seed));
         world.play();
         for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
     }
 }
 
-// Histories of one kind, each of which brought about what it is for.
+// Runs histories of one kind and checks that enough of them produced the intended situation.
 void play_kind(ControlPlanKind kind) {
-    int brought_about = 0;
-    for (std::uint64_t seed = 5001; seed < 5001 + kSeedsOfCase; ++seed) {
+    int occurrences = 0;
+    for (std::uint64_t seed = 5001; seed < 5001 + kSeedsPerCase; ++seed) {
         ControlWorld world(control_plan_of(kind, seed));
         world.play();
         for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
-        brought_about += world.counts().five[static_cast<std::size_t>(kind)] ? 1 : 0;
+        occurrences += world.counts().five[static_cast<std::size_t>(kind)] ? 1 : 0;
     }
-    BOOST_TEST(brought_about >= static_cast<int>(kSeedsOfCase) / 4);
+    BOOST_TEST(occurrences >= static_cast<int>(kSeedsPerCase) / 4);
 }
 
 } // namespace
@@ -48,23 +48,23 @@
 BOOST_AUTO_TEST_CASE(histories_of_seeds_193_to_216) { play_seeds(8); }
 BOOST_AUTO_TEST_CASE(histories_of_seeds_217_to_240) { play_seeds(9); }
 
-BOOST_AUTO_TEST_CASE(a_machine_cut_off_for_long_neither_serves_nor_refuses_nor_confirms) {
+BOOST_AUTO_TEST_CASE(a_partitioned_machine_neither_serves_nor_rejects_nor_confirms) {
     play_kind(ControlPlanKind::kCutOff);
 }
-BOOST_AUTO_TEST_CASE(races_with_lost_answers_confirm_one_and_never_refuse_what_was_taken) {
+BOOST_AUTO_TEST_CASE(of_racing_changes_with_lost_replies_one_is_confirmed_and_never_rejected) {
     play_kind(ControlPlanKind::kRaces);
 }
-BOOST_AUTO_TEST_CASE(a_second_loss_right_after_a_repair_loses_nothing) {
+BOOST_AUTO_TEST_CASE(a_second_failure_right_after_a_repair_loses_nothing) {
     play_kind(ControlPlanKind::kSecondLoss);
 }
-BOOST_AUTO_TEST_CASE(members_with_old_state_catch_up_through_500_changes) {
+BOOST_AUTO_TEST_CASE(members_with_old_state_catch_up_during_500_changes) {
     play_kind(ControlPlanKind::kManyChanges);
 }
-BOOST_AUTO_TEST_CASE(late_answers_reach_nobody_but_who_asked) { play_kind(ControlPlanKind::kLateAnswers); }
+BOOST_AUTO_TEST_CASE(late_replies_reach_only_the_caller) { play_kind(ControlPlanKind::kLateAnswers); }
 
-// The first words of a history that went wrong: six machines of which two were replaced became a group of
-// eight with two dead voters for good, and two further losses left no majority.
-BOOST_AUTO_TEST_CASE(dead_voters_leave_the_group_though_successors_came_first) {
+// Regression test: after two of six machines were replaced, the group had eight voters, two of them dead and
+// never removed, and two further losses left no majority.
+BOOST_AUTO_TEST_CASE(dead_voters_are_removed_after_successors_have_joined) {
     ControlPlan plan;
     plan.control_machines = 6, plan.tolerance = 2;
     ControlWorld world(plan);
@@ -82,8 +82,8 @@
     BOOST_TEST(status == 200);
 }
 
-// A leader that has just started never met the disk that was there before.
-BOOST_AUTO_TEST_CASE(a_disk_whose_address_another_one_holds_is_replaced_at_once_by_a_fresh_leader) {
+// A leader that has just started has never seen the replaced disk.
+BOOST_AUTO_TEST_CASE(a_new_leader_replaces_a_voter_whose_address_has_another_disk_at_once) {
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
@@ -91,7 +91,7 @@
     world.wipe(0, 3000);
     world.restart(1, 2000, true);
     world.restart(2, 2000, true);
-    const auto whole = [&] {
+    const auto has_live_voters = [&] {
         const auto leader = world.leader();
         if (!leader) return false;
         const auto voters = world.node(*leader)->group().voters();
@@ -99,12 +99,12 @@
                    return world.node(0) != nullptr && voter.id == world.node(0)->group().self();
                });
     };
-    BOOST_TEST(world.run_until(whole, 15'000));
+    BOOST_TEST(world.run_until(has_live_voters, 15'000));
 }
 
-// Its settings still said that all start for the first time: it voted once more in a term in which the disk
-// that it had lost had voted.
-BOOST_AUTO_TEST_CASE(a_founder_whose_empty_disk_comes_back_is_a_new_member) {
+// Regression test: a node whose settings still announced a first start voted again in a term in which its
+// lost disk had already voted.
+BOOST_AUTO_TEST_CASE(an_initial_voter_with_a_wiped_disk_becomes_a_new_member) {
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
@@ -119,7 +119,7 @@
     BOOST_TEST(world.settle(4 * ivyrill::kTenthsPerSecond));
 }
 
-BOOST_AUTO_TEST_CASE(a_disk_that_lost_its_newest_state_comes_back_as_a_new_member) {
+BOOST_AUTO_TEST_CASE(a_disk_that_lost_its_newest_state_becomes_a_new_member) {
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
@@ -130,10 +130,10 @@
     BOOST_TEST((world.node(1)->group().self() != lost));
 }
 
-// The next acknowledgement after the leader is gone came three seconds later: whoever had asked waited for
-// the dead leader, was told to call again, and its caller's pause grew. Now the call goes on to the next
+// Regression test: after the loss of the leader the next acknowledgement took 3 s, as the node that had
+// forwarded the call waited for the dead leader and its caller backed off. The call is now resent to the next
 // leader.
-BOOST_AUTO_TEST_CASE(an_order_under_way_while_the_leader_dies_is_acknowledged_by_the_next_one) {
+BOOST_AUTO_TEST_CASE(a_change_in_progress_when_the_leader_dies_is_acknowledged_by_the_next_leader) {
     int acknowledged = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ControlPlan plan;
@@ -150,10 +150,10 @@
         world.run_for(12'000);
         acknowledged += status == 200 ? 1 : 0;
     }
-    BOOST_TEST(acknowledged >= 17); // an election may be contested
+    BOOST_TEST(acknowledged >= 17); // an election may have split votes
 }
 
-BOOST_AUTO_TEST_CASE(one_seed_is_one_history) {
+BOOST_AUTO_TEST_CASE(a_seed_reproduces_the_same_history) {
     std::vector<std::string> stories[2];
     for (auto& story : stories) {
         ControlPlan plan = control_plan_of_seed(17);
--- a/tests/control_planted_tests.cpp
+++ b/tests/control_planted_tests.cpp
@@ -1,5 +1,5 @@
-// The histories of whole control nodes are asked whether they would find a wrong line: each planted fault
-// must break a promise.
+// Mutation tests of the simulated histories of control nodes: each planted fault must violate an invariant in
+// one of them.
 #define BOOST_TEST_MODULE control_planted
 #include "lab/control_world.hpp"
 #include "lab/planted_search.hpp"
@@ -11,13 +11,13 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr std::uint64_t kSeeds = 150; // measure_control tries 2,000, for what is found more seldom
+constexpr std::uint64_t kSeeds = 150; // measure_control runs 2,000 seeds, for faults that few histories find
 
 using PlanOfSeed = ControlPlan (*)(std::uint64_t seed);
-// For what only machines that are cut off bring about: six times as many of them.
+// For faults that show only on partitioned machines: six times as many partitions.
 ControlPlan cut_off_plan(std::uint64_t seed) { return control_plan_of(ControlPlanKind::kCutOff, seed); }
 
-// `first`: where to begin, for faults that few histories find.
+// `first`: the first seed, for faults that few histories find.
 void check_found(PlantedFault fault, std::uint64_t first = 1, PlanOfSeed plan = control_plan_of_seed) {
     const auto found = search_planted<ControlWorld>(fault, plan, first, kSeeds);
     BOOST_TEST(found.has_value(), "not found within " << kSeeds << " seeds");
@@ -25,7 +25,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(without_a_fault_nothing_is_found) {
+BOOST_AUTO_TEST_CASE(no_violations_without_a_fault) {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         ControlWorld world(control_plan_of_seed(seed));
         world.play();
--- a/tests/heartbeat_tests.cpp
+++ b/tests/heartbeat_tests.cpp
@@ -1,4 +1,4 @@
-// When and where a stand-in model server sends its heartbeats.
+// The schedule and the targets of the heartbeats of a simulated model server.
 #define BOOST_TEST_MODULE heartbeats
 #include "lab/heartbeats.hpp"
 
@@ -10,24 +10,24 @@
 using namespace ivyrill::lab;
 
 constexpr Tenths kSecond = kTenthsPerSecond, kStart = 1000 * kSecond;
-const HeartbeatAnswer kTaken{200, "", "{}"};
+const HeartbeatAnswer kAccepted{200, "", "{}"};
 
 HeartbeatPlan plan() {
-    HeartbeatPlan made;
-    made.control = {"n1:1", "n2:1", "n3:1"};
-    return made;
+    HeartbeatPlan plan;
+    plan.control = {"n1:1", "n2:1", "n3:1"};
+    return plan;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(heartbeats_follow_the_interval_with_rising_numbers) {
+BOOST_AUTO_TEST_CASE(heartbeats_follow_the_interval_with_increasing_sequence_numbers) {
     Heartbeats heartbeats(plan(), kStart);
     const auto first = heartbeats.begin(kStart);
     BOOST_REQUIRE(first);
     BOOST_TEST(first->address == "n1:1");
     BOOST_TEST((first->kind == HeartbeatKind::kServing));
-    BOOST_TEST(!heartbeats.begin(kStart + 10 * kSecond)); // one at a time
-    heartbeats.answered(kTaken, kStart);
+    BOOST_TEST(!heartbeats.begin(kStart + 10 * kSecond)); // one call at a time
+    heartbeats.answered(kAccepted, kStart);
     BOOST_TEST(!heartbeats.begin(kStart + plan().interval - 1));
     const auto second = heartbeats.begin(kStart + plan().interval);
     BOOST_REQUIRE(second);
@@ -35,7 +35,7 @@
     BOOST_TEST(second->address == "n1:1");
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_or_refusal_goes_to_the_next_node_and_a_round_of_them_pauses) {
+BOOST_AUTO_TEST_CASE(after_a_failure_the_next_node_is_called_and_after_all_of_them_there_is_a_pause) {
     Heartbeats heartbeats(plan(), kStart);
     BOOST_TEST(heartbeats.begin(kStart)->address == "n1:1");
     heartbeats.failed(kStart);
@@ -50,57 +50,57 @@
     BOOST_TEST(heartbeats.acknowledged() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_named_address_holds_until_a_heartbeat_fails_there) {
+BOOST_AUTO_TEST_CASE(a_returned_address_is_used_until_a_heartbeat_to_it_fails) {
     Heartbeats heartbeats(plan(), kStart);
     heartbeats.begin(kStart);
     heartbeats.answered({200, "", R"({"beatAddr":"n9:1"})"}, kStart);
     Tenths now = kStart + plan().interval;
     BOOST_TEST(heartbeats.begin(now)->address == "n9:1");
-    heartbeats.answered(kTaken, now);
+    heartbeats.answered(kAccepted, now);
     now += plan().interval;
     BOOST_TEST(heartbeats.begin(now)->address == "n9:1");
     heartbeats.failed(now);
     BOOST_TEST(heartbeats.begin(now)->address == "n1:1");
 }
 
-BOOST_AUTO_TEST_CASE(two_redirects_are_followed_and_no_third) {
+BOOST_AUTO_TEST_CASE(at_most_two_redirects_are_followed) {
     Heartbeats heartbeats(plan(), kStart);
-    const HeartbeatAnswer elsewhere{307, "http://n8:1/instances/i-1", ""};
+    const HeartbeatAnswer redirect{307, "http://n8:1/instances/i-1", ""};
     heartbeats.begin(kStart);
-    heartbeats.answered(elsewhere, kStart);
+    heartbeats.answered(redirect, kStart);
     BOOST_TEST(heartbeats.begin(kStart)->address == "n8:1");
-    heartbeats.answered(elsewhere, kStart);
+    heartbeats.answered(redirect, kStart);
     BOOST_TEST(heartbeats.begin(kStart)->address == "n8:1");
-    heartbeats.answered(elsewhere, kStart);
+    heartbeats.answered(redirect, kStart);
     BOOST_TEST(heartbeats.begin(kStart)->address == "n2:1");
 }
 
-BOOST_AUTO_TEST_CASE(it_says_draining_serves_on_leaves_the_list_and_ends) {
+BOOST_AUTO_TEST_CASE(a_server_drains_then_deregisters_and_ends) {
     Heartbeats heartbeats(plan(), kStart);
     heartbeats.begin(kStart);
     heartbeats.leave(kStart + 10);
-    BOOST_TEST(!heartbeats.begin(kStart + 10)); // that call is under way still
-    heartbeats.answered(kTaken, kStart + 20);
-    const auto drains = heartbeats.begin(kStart + 20);
-    BOOST_REQUIRE(drains);
-    BOOST_TEST((drains->kind == HeartbeatKind::kDraining));
-    heartbeats.answered(kTaken, kStart + 30);
+    BOOST_TEST(!heartbeats.begin(kStart + 10)); // the first call is still in progress
+    heartbeats.answered(kAccepted, kStart + 20);
+    const auto draining_call = heartbeats.begin(kStart + 20);
+    BOOST_REQUIRE(draining_call);
+    BOOST_TEST((draining_call->kind == HeartbeatKind::kDraining));
+    heartbeats.answered(kAccepted, kStart + 30);
     const Tenths leaves_at = kStart + 30 + plan().drain + plan().drain_more;
     Tenths now = kStart + 30 + plan().interval;
     BOOST_TEST((heartbeats.begin(now)->kind == HeartbeatKind::kDraining));
-    heartbeats.answered(kTaken, now);
+    heartbeats.answered(kAccepted, now);
     now += plan().interval;
     BOOST_TEST((heartbeats.begin(now)->kind == HeartbeatKind::kDraining));
-    heartbeats.answered(kTaken, now);
+    heartbeats.answered(kAccepted, now);
     BOOST_TEST(*heartbeats.due() == leaves_at);
     BOOST_TEST((heartbeats.begin(leaves_at)->kind == HeartbeatKind::kLeave));
     BOOST_TEST(!heartbeats.ended());
-    heartbeats.answered(kTaken, leaves_at);
+    heartbeats.answered(kAccepted, leaves_at);
     BOOST_TEST(heartbeats.ended());
     BOOST_TEST(!heartbeats.due());
 }
 
-BOOST_AUTO_TEST_CASE(with_no_acknowledgement_it_ends_all_the_same) {
+BOOST_AUTO_TEST_CASE(a_server_ends_after_a_timeout_without_acknowledgement) {
     Heartbeats heartbeats(plan(), kStart);
     heartbeats.leave(kStart);
     Tenths now = kStart;
@@ -115,7 +115,7 @@
     BOOST_TEST(now <= kStart + plan().drain_unheard + 6 * Heartbeats::kPatience);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_knows_no_node_ends_after_its_time) {
+BOOST_AUTO_TEST_CASE(a_server_without_control_nodes_ends_after_a_timeout) {
     Heartbeats heartbeats(HeartbeatPlan{}, kStart);
     BOOST_TEST(!heartbeats.begin(kStart));
     heartbeats.leave(kStart + kSecond);
--- a/tests/register_call_tests.cpp
+++ b/tests/register_call_tests.cpp
@@ -1,4 +1,4 @@
-// A model server's heartbeat as a control node reads it, spoilt one field at a time.
+// Parsing of a model server's heartbeat, also with each field invalid in turn.
 #define BOOST_TEST_MODULE register_call
 #include "control/instance_registry.hpp"
 
@@ -11,21 +11,21 @@
 using model::Instance;
 using model::InstanceState;
 
-const std::string kSound =
+const std::string kValid =
     R"({"service":"huvo","address":"10.128.0.9:8080","zone":"wien","version":"v1","slots":48,"state":"serving",)"
     R"("coldLeftMs":0,"stage":"decode","models":[{"name":"m","version":1,"adapters":[]}],"callSeq":4})";
 
-std::string with(const std::string& field, const std::string& fresh) {
-    std::string text = kSound;
+std::string with(const std::string& field, const std::string& replacement) {
+    std::string text = kValid;
     const std::size_t at = text.find(field);
     BOOST_REQUIRE(at != std::string::npos);
-    return text.replace(at, field.size(), fresh);
+    return text.replace(at, field.size(), replacement);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_is_read_as_it_is_documented) {
-    const auto call = read_register_call("i-7f3a91c2", kSound);
+BOOST_AUTO_TEST_CASE(a_heartbeat_is_parsed_as_documented) {
+    const auto call = read_register_call("i-7f3a91c2", kValid);
     BOOST_REQUIRE(call.has_value());
     const Instance& read = call.value().instance;
     BOOST_TEST((read.id == "i-7f3a91c2" && read.service == "huvo" && read.address == "10.128.0.9:8080"));
@@ -38,15 +38,15 @@
     BOOST_TEST((draining.value().instance.state == InstanceState::kDraining));
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_without_what_is_not_needed_is_taken) {
+BOOST_AUTO_TEST_CASE(a_heartbeat_without_optional_fields_is_accepted) {
     for (const char* field :
          {R"("zone":"wien",)", R"("version":"v1",)", R"("slots":48,)", R"("coldLeftMs":0,)",
           R"("stage":"decode",)", R"("models":[{"name":"m","version":1,"adapters":[]}],)"})
         BOOST_TEST(read_register_call("i-1", with(field, "")).has_value(), "without " << field);
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_with_any_field_spoilt_is_refused_as_the_senders_fault) {
-    const std::pair<const char*, const char*> spoilt[] = {
+BOOST_AUTO_TEST_CASE(a_heartbeat_with_an_invalid_field_is_rejected_as_invalid_input) {
+    const std::pair<const char*, const char*> invalid_fields[] = {
         {R"("service":"huvo",)", ""},
         {R"("address":"10.128.0.9:8080",)", ""},
         {R"(,"callSeq":4)", ""},
@@ -79,17 +79,17 @@
         {R"("callSeq":4)", R"("callSeq":9223372036854775807)"},
         {R"("callSeq":4)", R"("callSeq":99999999999999999999)"},
     };
-    for (const auto& [field, fresh] : spoilt) {
-        const auto call = read_register_call("i-1", with(field, fresh));
+    for (const auto& [field, replacement] : invalid_fields) {
+        const auto call = read_register_call("i-1", with(field, replacement));
         BOOST_TEST((call.has_error() && call.error().kind == ErrorKind::kInvalidInput),
-                   field << " as " << fresh);
+                   field << " as " << replacement);
     }
-    BOOST_TEST(read_register_call("", kSound).has_error());
+    BOOST_TEST(read_register_call("", kValid).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(a_heartbeat_cut_short_or_followed_by_more_is_refused) {
-    for (std::size_t size = 0; size < kSound.size(); ++size)
-        BOOST_TEST(read_register_call("i-1", kSound.substr(0, size)).has_error());
-    BOOST_TEST(read_register_call("i-1", kSound + "}").has_error());
-    BOOST_TEST(read_register_call("i-1", "[" + kSound + "]").has_error());
+BOOST_AUTO_TEST_CASE(a_truncated_heartbeat_or_one_with_trailing_data_is_rejected) {
+    for (std::size_t size = 0; size < kValid.size(); ++size)
+        BOOST_TEST(read_register_call("i-1", kValid.substr(0, size)).has_error());
+    BOOST_TEST(read_register_call("i-1", kValid + "}").has_error());
+    BOOST_TEST(read_register_call("i-1", "[" + kValid + "]").has_error());
 }
