--- a/src/maintenance/codec.cpp
+++ b/src/maintenance/codec.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-double number_in(const Json& value) {
+double decode_number(const Json& value) {
     if (!value.is_number()) throw std::out_of_range("expected a number");
     const double number = value.get<double>();
     if (!std::isfinite(number) || number < 0 || number > 1e15)
@@ -37,10 +37,10 @@
 MachineFacts decode_machine(const Json& row) {
     if (!row.is_array() || row.size() != 6 || row[3].size() > kMaxRows)
         throw std::out_of_range("the machine is malformed");
-    MachineFacts facts{decode_text(row[0]), row[1].get<bool>(),
-                       decode_text(row[2]), {},
-                       number_in(row[4]),   static_cast<Tenths>(number_in(row[5]))};
-    for (const auto& shard : row[3]) facts.shards.push_back(static_cast<int>(number_in(shard)));
+    MachineFacts facts{decode_text(row[0]),   row[1].get<bool>(),
+                       decode_text(row[2]),   {},
+                       decode_number(row[4]), static_cast<Tenths>(decode_number(row[5]))};
+    for (const auto& shard : row[3]) facts.shards.push_back(static_cast<int>(decode_number(shard)));
     return facts;
 }
 
@@ -51,12 +51,12 @@
 
 Limits decode_limits(const Json& row) {
     if (!row.is_array() || row.size() != 6) throw std::out_of_range("the limits are malformed");
-    return {static_cast<int>(number_in(row[0])),
-            number_in(row[1]),
-            number_in(row[2]),
-            number_in(row[3]),
-            number_in(row[4]),
-            static_cast<int>(number_in(row[5]))};
+    return {static_cast<int>(decode_number(row[0])),
+            decode_number(row[1]),
+            decode_number(row[2]),
+            decode_number(row[3]),
+            decode_number(row[4]),
+            static_cast<int>(decode_number(row[5]))};
 }
 
 Json encode_row(const MaintenanceJob& job) {
@@ -80,10 +80,10 @@
             row[7].get<bool>(),
             row[8].get<bool>(),
             row[9].get<bool>(),
-            static_cast<int>(number_in(row[10])),
-            static_cast<int>(number_in(row[11])),
-            static_cast<Tenths>(number_in(row[12])),
-            static_cast<Tenths>(number_in(row[13])),
+            static_cast<int>(decode_number(row[10])),
+            static_cast<int>(decode_number(row[11])),
+            static_cast<Tenths>(decode_number(row[12])),
+            static_cast<Tenths>(decode_number(row[13])),
             decode_text(row[14])};
 }
 
--- a/src/maintenance/consensus_node.hpp
+++ b/src/maintenance/consensus_node.hpp
@@ -30,8 +30,8 @@
     std::vector<std::string> candidates; // front nodes with a store, this one included
     std::size_t voter_count = 3;         // the first candidates are the initial voters
     Tenths heartbeat = kTenthsPerSecond / 10;
-    int election_timeout_heartbeats =
-        8; // followers stand for election after this time without a leader, at most twice as long
+    // Followers stand for election after this time without a leader, at most twice as long.
+    int election_timeout_heartbeats = 8;
     std::uint64_t seed = 0;
     unsigned snapshot_threshold = 512, snapshot_trailing = 64; // log entries
 };
@@ -83,9 +83,8 @@
     const MaintenanceSchedule& schedule() const { return schedule_; }
     VoterIncarnation incarnation() const { return incarnation_; }
     std::uint64_t term() const;
-    Tenths last_leader_contact() const {
-        return last_leader_contact_;
-    } // or the time at which this node itself led
+    // When a leader was last heard, or this node led itself.
+    Tenths last_leader_contact() const { return last_leader_contact_; }
     Tenths next_store_check() const { return store_check_at_; }
 
   private:
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -41,8 +41,8 @@
         assert(until([&] { return evening().job(machines.back()) != nullptr; }, 20 * kS));
     }
     JobState state(const std::string& machine) const { return evening().job(machine)->state; }
-    bool reaches(const std::string& machine, JobState may_pass, Tenths bound = 60 * kS) {
-        return until([&] { return state(machine) == may_pass; }, bound);
+    bool reaches(const std::string& machine, JobState expected, Tenths bound = 60 * kS) {
+        return until([&] { return state(machine) == expected; }, bound);
     }
     bool all_jobs_end(Tenths bound = 300 * kS) {
         return until([&] { return all_over(); }, bound);
@@ -73,11 +73,11 @@
 void min_replicas_holds_for_every_granting_node() {
     MaintenanceSchedule schedule = small_schedule();
     assert(schedule.apply(GrantLease{"s0", "n1", {0}, {}, 0}).accepted);
-    const CommandResult second = schedule.apply(
-        GrantLease{"s2", "n2", {0}, {}, 0}); // holds the same shard, of which two replicas must stay
+    // s2 holds the same shard, of which two replicas must stay.
+    const CommandResult second = schedule.apply(GrantLease{"s2", "n2", {0}, {}, 0});
     assert(!second.accepted && second.reason.find("shard 0") != std::string::npos);
-    const CommandResult down = schedule.apply(
-        GrantLease{"s1", "n2", {0}, {"s3", "s5"}, 0}); // others are down outside of maintenance
+    // The other replicas are down outside of maintenance.
+    const CommandResult down = schedule.apply(GrantLease{"s1", "n2", {0}, {"s3", "s5"}, 0});
     assert(!down.accepted && schedule.machines_out() == std::set<std::string>{"s0"});
 }
 
@@ -572,8 +572,8 @@
 
 // ---- planted faults, which the checker must find
 
-bool fault_is_found(const Planted& planted, std::uint64_t from = 1, std::uint64_t most = 400) {
-    for (std::uint64_t seed = from; seed < from + most; ++seed)
+bool fault_is_found(const Planted& planted, std::uint64_t from = 1, std::uint64_t max_seeds = 400) {
+    for (std::uint64_t seed = from; seed < from + max_seeds; ++seed)
         if (!lab::play(lab::draw_schedule(seed), planted).broken.empty())
             return std::printf("found by schedule %llu\n", static_cast<unsigned long long>(seed)), true;
     return false;
