--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -20,220 +20,237 @@
 
 namespace {
 
-constexpr Tenths kCountsEvery = 10 * kTenthsPerSecond;
-constexpr Tenths kLedgerGap = 5 * kTenthsPerSecond; // until a ledger that cannot be opened is tried again
+constexpr Tenths kCountsInterval = 10 * kTenthsPerSecond;
+constexpr Tenths kStoreRetryInterval = 5 * kTenthsPerSecond; // after a failure to open the store
 
-std::uint64_t drawn(std::uint64_t seed) {
-    std::uint64_t made = 0;
-    std::memcpy(&made, access::random_bytes(sizeof made).data(), sizeof made);
-    return made ^ seed;
+std::uint64_t random_mixed_with(std::uint64_t seed) {
+    std::uint64_t result = 0;
+    std::memcpy(&result, access::random_bytes(sizeof result).data(), sizeof result);
+    return result ^ seed;
 }
 
 } // namespace
 
-struct CoordinationThread::Inside {
-    Inside(const operators::OperatorSettings& orders, const std::string& secret,
-           protocol::NodeTerms node_terms, const std::string& name, std::uint64_t seed)
-        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(orders.membership->bind)),
-          stirred(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
-          told_out(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-        maintenance::MaintenanceNodeSettings made;
-        made.name = name, made.address = orders.membership->address, made.secret = secret;
-        made.peers = orders.membership->peers, made.probe_interval = orders.membership->probe_interval;
-        made.seed = drawn(seed);
-        // Without a store the clock is the one thing that grows from start to start.
-        made.incarnation = static_cast<std::uint64_t>(Loop::wall());
-        if (orders.maintenance) {
-            const operators::MaintenanceSettings& rota = *orders.maintenance;
-            work = rota.work;
+struct CoordinationThread::State {
+    State(const operators::OperatorSettings& settings, const std::string& secret,
+          protocol::NodeTerms node_terms, const std::string& name, std::uint64_t seed)
+        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(settings.membership->bind)),
+          wake_up_event(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
+          member_count_event(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+        maintenance::MaintenanceNodeSettings node_settings;
+        node_settings.name = name, node_settings.address = settings.membership->address,
+        node_settings.secret = secret;
+        node_settings.peers = settings.membership->peers,
+        node_settings.probe_interval = settings.membership->probe_interval;
+        node_settings.seed = random_mixed_with(seed);
+        // Without a store, the clock gives an incarnation that grows with each start.
+        node_settings.incarnation = static_cast<std::uint64_t>(Loop::wall());
+        if (settings.maintenance) {
+            const operators::MaintenanceSettings& maintenance_settings = *settings.maintenance;
+            work = maintenance_settings.work;
             if (const auto front = work.find("front"); front != work.end())
-                made.front_node_duration = front->second;
-            for (const auto& [who, where] : rota.candidates) made.candidates.push_back({who, where});
-            made.voter_count = rota.voter_count, made.limits = rota.limits, made.timing = rota.timing;
-            made.failure_policy = rota.failure_policy, made.heartbeat = rota.heartbeat,
-            made.replace_voter_after = rota.replace_after;
-            const bool candidate =
-                std::ranges::any_of(rota.candidates, [&](const auto& held) { return held.first == name; });
+                node_settings.front_node_duration = front->second;
+            for (const auto& [candidate_name, candidate_address] : maintenance_settings.candidates)
+                node_settings.candidates.push_back({candidate_name, candidate_address});
+            node_settings.voter_count = maintenance_settings.voter_count,
+            node_settings.limits = maintenance_settings.limits,
+            node_settings.timing = maintenance_settings.timing;
+            node_settings.failure_policy = maintenance_settings.failure_policy,
+            node_settings.heartbeat = maintenance_settings.heartbeat,
+            node_settings.replace_voter_after = maintenance_settings.replace_after;
+            const bool candidate = std::ranges::any_of(
+                maintenance_settings.candidates, [&](const auto& entry) { return entry.first == name; });
             if (candidate) {
-                std::filesystem::create_directories(std::filesystem::path(rota.raft_store).parent_path());
-                ledger = std::make_unique<raft_storage::SqliteRaftStore>(rota.raft_store, rota.witness);
-                made.incarnation = ledger->next_member_incarnation();
+                std::filesystem::create_directories(
+                    std::filesystem::path(maintenance_settings.raft_store).parent_path());
+                raft_store = std::make_unique<raft_storage::SqliteRaftStore>(maintenance_settings.raft_store,
+                                                                             maintenance_settings.witness);
+                node_settings.incarnation = raft_store->next_member_incarnation();
             }
             machine_controller = std::make_unique<MachineController>(
-                loop, rota.controller_command, rota.controller_address, rota.timing.action);
+                loop, maintenance_settings.controller_command, maintenance_settings.controller_address,
+                maintenance_settings.timing.action);
         }
-        warden = std::make_unique<maintenance::MaintenanceNode>(made, ledger.get(), loop.now(), Loop::wall());
-        if (loop.now() == 0 || told_out < 0) throw std::runtime_error("no clock, or no descriptor");
+        maintenance_node = std::make_unique<maintenance::MaintenanceNode>(node_settings, raft_store.get(),
+                                                                          loop.now(), Loop::wall());
+        if (loop.now() == 0 || member_count_event < 0)
+            throw std::runtime_error("cannot read the clock or create an event descriptor");
     }
-    ~Inside() { close(told_out); }
+    ~State() { close(member_count_event); }
 
     Task receive() {
-        transport::Slot& next = socket.readable;
+        transport::Slot& readable = socket.readable;
         for (;;) {
-            while (auto came = transport::receive_datagram(socket.descriptor()))
-                warden->receive(loop.now(), came->from, came->bytes), carry_out();
-            co_await next;
+            while (auto received = transport::receive_datagram(socket.descriptor()))
+                maintenance_node->receive(loop.now(), received->from, received->bytes), execute_effects();
+            co_await readable;
         }
     }
 
     void run() {
-        receiving = receive(), receiving.start();
-        Tenths counts_at = loop.now() + kCountsEvery;
+        receive_task = receive(), receive_task.start();
+        Tenths counts_at = loop.now() + kCountsInterval;
         while (!stop) {
             {
                 const std::lock_guard lock(mutex);
-                list_now.version = list.version;
-                if (list_new) list_now = list, list_new = false;
+                current_list.version = list.version;
+                if (list_changed) current_list = list, list_changed = false;
             }
             std::uint64_t count = 0;
-            while (read(stirred.descriptor(), &count, sizeof count) > 0) {}
-            // What is cold grows warm without news, so the machines are looked at each time.
-            if (loop.now() >= look_at || list_seen != list_now.version) {
-                look_at = loop.now() + kTenthsPerSecond / 10, list_seen = list_now.version;
-                warden->update_servers(CoordinationThread::machines(list_now, terms, work, Loop::wall()),
-                                       strain);
+            while (read(wake_up_event.descriptor(), &count, sizeof count) > 0) {}
+            // A cold machine becomes warm without any event, so the machines are observed periodically.
+            if (loop.now() >= next_observation_at || observed_version != current_list.version) {
+                next_observation_at = loop.now() + kTenthsPerSecond / 10,
+                observed_version = current_list.version;
+                maintenance_node->update_servers(
+                    CoordinationThread::observe_machines(current_list, terms, work, Loop::wall()),
+                    rejected_share);
             }
-            warden->step(loop.now(), Loop::wall());
-            if (leaving && !left) left = true, warden->leave(loop.now());
-            carry_out();
+            maintenance_node->step(loop.now(), Loop::wall());
+            if (leaving && !leave_sent) leave_sent = true, maintenance_node->leave(loop.now());
+            execute_effects();
             if (machine_controller) {
                 machine_controller->step(loop.now());
                 for (const MachineController::Reply& reply : machine_controller->take_replies())
-                    warden->on_machine_status(loop.now(), reply.serial, reply.machine, reply.status);
+                    maintenance_node->on_machine_status(loop.now(), reply.serial, reply.machine,
+                                                        reply.status);
             }
-            if (loop.now() >= counts_at) tell_counts(), counts_at = loop.now() + kCountsEvery;
-            Tenths until = std::min({warden->next_step(), look_at, counts_at});
-            if (machine_controller) until = std::min(until, machine_controller->next_step());
-            loop.wait(until);
+            if (loop.now() >= counts_at) log_counts(), counts_at = loop.now() + kCountsInterval;
+            Tenths deadline = std::min({maintenance_node->next_step(), next_observation_at, counts_at});
+            if (machine_controller) deadline = std::min(deadline, machine_controller->next_step());
+            loop.wait(deadline);
         }
-        receiving = {};
+        receive_task = {};
     }
 
-    void carry_out() {
-        for (maintenance::MaintenanceEffect& effect : warden->take_effects()) {
-            if (const auto* sent = std::get_if<maintenance::SendDatagram>(&effect)) {
-                transport::send_datagram(socket.descriptor(), sent->address, sent->bytes);
-            } else if (const auto* act = std::get_if<maintenance::MachineCommand>(&effect)) {
-                if (machine_controller) machine_controller->execute(loop.now(), *act);
+    void execute_effects() {
+        for (maintenance::MaintenanceEffect& effect : maintenance_node->take_effects()) {
+            if (const auto* send = std::get_if<maintenance::SendDatagram>(&effect)) {
+                transport::send_datagram(socket.descriptor(), send->address, send->bytes);
+            } else if (const auto* command = std::get_if<maintenance::MachineCommand>(&effect)) {
+                if (machine_controller) machine_controller->execute(loop.now(), *command);
             } else if (const auto* line = std::get_if<maintenance::LogLine>(&effect)) {
-                std::string words = line->event;
-                for (const auto& [name, value] : line->fields) words += " " + name + "=\"" + value + "\"";
+                std::string text = line->event;
+                for (const auto& [name, value] : line->fields) text += " " + name + "=\"" + value + "\"";
                 if (line->is_error)
-                    log().error("{}", words);
+                    log().error("{}", text);
                 else
-                    log().info("{}", words);
+                    log().info("{}", text);
             } else {
-                present = std::get<maintenance::MemberCount>(effect).present;
+                present_count = std::get<maintenance::MemberCount>(effect).present;
                 const std::uint64_t one = 1;
-                if (write(told_out, &one, sizeof one) < 0) continue; // it is told already
+                if (write(member_count_event, &one, sizeof one) < 0) continue; // the event is set already
             }
         }
     }
 
-    void tell_counts() const {
-        const auto& roster = warden->member_list().counts();
-        const auto& seals = warden->codec_counts();
-        const auto& hand = warden->executor().counts();
+    void log_counts() const {
+        const auto& member_counts = maintenance_node->member_list().counts();
+        const auto& codec_counts = maintenance_node->codec_counts();
+        const auto& executor_counts = maintenance_node->executor().counts();
         log().info(
             "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
             "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
             "refused={} lapsed={} proposals={}",
-            warden->member_list().present_count(), roster.sent, roster.received, roster.suspected,
-            roster.refuted, roster.stalls, roster.name_conflicts, seals.unauthenticated, seals.malformed,
-            seals.too_long, warden->counts().rate_limited, warden->fragment_counts().sent,
-            warden->fragment_counts().fragments, warden->fragment_counts().resend_requests, hand.actions,
-            hand.unmatched_replies, hand.fenced_off, hand.expired_leases, warden->counts().proposals);
+            maintenance_node->member_list().present_count(), member_counts.sent, member_counts.received,
+            member_counts.suspected, member_counts.refuted, member_counts.stalls,
+            member_counts.name_conflicts, codec_counts.unauthenticated, codec_counts.malformed,
+            codec_counts.too_long, maintenance_node->counts().rate_limited,
+            maintenance_node->fragment_counts().sent, maintenance_node->fragment_counts().fragments,
+            maintenance_node->fragment_counts().resend_requests, executor_counts.actions,
+            executor_counts.unmatched_replies, executor_counts.fenced_off, executor_counts.expired_leases,
+            maintenance_node->counts().proposals);
     }
 
     protocol::NodeTerms terms;
     std::map<std::string, Tenths> work;
     Loop loop;
-    transport::Source socket, stirred; // the latter: the front node has told us something
-    int told_out;
-    std::unique_ptr<raft_storage::SqliteRaftStore> ledger;
+    transport::Source socket, wake_up_event; // the latter: written by the front node's thread
+    int member_count_event;
+    std::unique_ptr<raft_storage::SqliteRaftStore> raft_store;
     std::unique_ptr<MachineController> machine_controller;
-    std::unique_ptr<maintenance::MaintenanceNode> warden;
-    Task receiving;
-    protocol::ServerList list_now;
-    std::int64_t list_seen = -1;
-    Tenths look_at = 0;
-    bool left = false;
+    std::unique_ptr<maintenance::MaintenanceNode> maintenance_node;
+    Task receive_task;
+    protocol::ServerList current_list;
+    std::int64_t observed_version = -1;
+    Tenths next_observation_at = 0;
+    bool leave_sent = false;
 
-    std::mutex mutex; // for the next three
+    std::mutex mutex; // for the next two
     protocol::ServerList list;
-    bool list_new = false;
-    std::atomic<double> strain = 0;
+    bool list_changed = false;
+    std::atomic<double> rejected_share = 0;
     std::atomic<bool> stop = false, leaving = false;
-    std::atomic<std::size_t> present = 1;
+    std::atomic<std::size_t> present_count = 1;
     std::thread thread;
 
-    void stir() {
+    void wake_up() {
         const std::uint64_t one = 1;
-        if (write(stirred.descriptor(), &one, sizeof one) < 0) return; // it is stirred already
+        if (write(wake_up_event.descriptor(), &one, sizeof one) < 0) return; // the event is set already
     }
 };
 
-CoordinationThread::CoordinationThread(const operators::OperatorSettings& orders, const std::string& secret,
+CoordinationThread::CoordinationThread(const operators::OperatorSettings& settings, const std::string& secret,
                                        const protocol::NodeTerms& terms, const std::string& name,
                                        std::uint64_t seed)
-    : inside_(std::make_unique<Inside>(orders, secret, terms, name, seed)) {}
+    : state_(std::make_unique<State>(settings, secret, terms, name, seed)) {}
 
 CoordinationThread::~CoordinationThread() {
-    if (!inside_->thread.joinable()) return;
-    inside_->stop = true;
-    inside_->stir();
-    inside_->thread.join();
+    if (!state_->thread.joinable()) return;
+    state_->stop = true;
+    state_->wake_up();
+    state_->thread.join();
 }
 
 void CoordinationThread::start() {
-    inside_->thread = std::thread([inside = inside_.get()] {
+    state_->thread = std::thread([state = state_.get()] {
         try {
-            inside->run();
+            state->run();
         } catch (const std::exception& error) { log().error("members: {}", error.what()); }
     });
 }
 
-// Changes come as changes: what is known of the others stays.
-void CoordinationThread::told(const protocol::ServerList& fresh) {
+// An incremental update leaves all other servers as they are.
+void CoordinationThread::update_servers(const protocol::ServerList& update) {
     {
-        const std::lock_guard lock(inside_->mutex);
-        protocol::ServerList& list = inside_->list;
-        if (fresh.full) {
-            for (protocol::ServerEntry& old : list.servers) old.listed = ListedState::kGone;
+        const std::lock_guard lock(state_->mutex);
+        protocol::ServerList& list = state_->list;
+        if (update.full) {
+            for (protocol::ServerEntry& previous : list.servers) previous.listed = ListedState::kGone;
         }
-        for (const protocol::ServerEntry& entry : fresh.servers) {
+        for (const protocol::ServerEntry& entry : update.servers) {
             const auto known = std::ranges::find(list.servers, entry.id, &protocol::ServerEntry::id);
             if (known == list.servers.end())
                 list.servers.push_back(entry);
             else
                 *known = entry;
         }
-        list.version = fresh.version;
-        inside_->list_new = true;
+        list.version = update.version;
+        state_->list_changed = true;
     }
-    inside_->stir();
+    state_->wake_up();
 }
 
-void CoordinationThread::strained(double share) { inside_->strain = share; }
+void CoordinationThread::set_rejected_share(double share) { state_->rejected_share = share; }
 
 void CoordinationThread::leave() {
-    inside_->leaving = true;
-    inside_->stir();
+    state_->leaving = true;
+    state_->wake_up();
 }
 
-std::size_t CoordinationThread::present() const {
+std::size_t CoordinationThread::member_count() const {
     std::uint64_t count = 0;
-    if (read(inside_->told_out, &count, sizeof count) < 0) return inside_->present;
-    return inside_->present;
+    if (read(state_->member_count_event, &count, sizeof count) < 0) return state_->present_count;
+    return state_->present_count;
 }
 
-int CoordinationThread::news() const { return inside_->told_out; }
-int CoordinationThread::port() const { return transport::port_of(inside_->socket.descriptor()); }
+int CoordinationThread::member_count_descriptor() const { return state_->member_count_event; }
+int CoordinationThread::port() const { return transport::port_of(state_->socket.descriptor()); }
 
 std::map<std::string, maintenance::ObservedMachine>
-CoordinationThread::machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
-                             const std::map<std::string, Tenths>& work, Tenths wall) {
-    std::map<std::string, maintenance::ObservedMachine> made;
+CoordinationThread::observe_machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+                                     const std::map<std::string, Tenths>& work, Tenths wall) {
+    std::map<std::string, maintenance::ObservedMachine> result;
     for (const protocol::ServerEntry& entry : list.servers) {
         maintenance::ObservedMachine machine;
         machine.facts.name = entry.id, machine.facts.zone = entry.zone;
@@ -244,15 +261,15 @@
         auto known = work.find(entry.kind);
         if (known == work.end()) known = work.find("");
         machine.facts.duration = known == work.end() ? 600 * kTenthsPerSecond : known->second;
-        const Tenths born = entry.started_ms * (kTenthsPerSecond / 1000);
+        const Tenths started = entry.started_ms * (kTenthsPerSecond / 1000);
         machine.health = entry.listed == ListedState::kGone       ? maintenance::MachineHealth::kGone
                          : entry.listed == ListedState::kDraining ? maintenance::MachineHealth::kDraining
-                         : entry.started_ms > 0 && wall < born + terms.opening.warm_up_time
+                         : entry.started_ms > 0 && wall < started + terms.opening.warm_up_time
                              ? maintenance::MachineHealth::kCold
                              : maintenance::MachineHealth::kWarm;
-        made[entry.id] = std::move(machine);
+        result[entry.id] = std::move(machine);
     }
-    return made;
+    return result;
 }
 
 } // namespace ivyrill::program
--- a/src/program/coordination_thread.hpp
+++ b/src/program/coordination_thread.hpp
@@ -1,6 +1,7 @@
-// The warden on its socket, its ledger and its machines' keepers, in a thread of its own: a ledger is synced
-// to the disk before a word goes out, and no search waits for that. The front node tells it the list and
-// hears how many members there are; nothing else passes between the two.
+// Runs the membership and maintenance node with its socket, its Raft store and the machine controllers in a
+// thread of its own, so that searches don't wait when the store is synced to disk before a message is sent.
+// The front node's thread passes in the server list and the share of rejected searches, and gets the number
+// of members.
 #pragma once
 #include "maintenance/maintenance_node.hpp"
 #include "operator/operator_settings.hpp"
@@ -17,29 +18,29 @@
 
 class CoordinationThread {
   public:
-    // Binds and opens all that it needs, or throws; nothing runs before `start`.
-    CoordinationThread(const operators::OperatorSettings& orders, const std::string& secret,
+    // Opens the socket and the files, or throws; nothing runs before `start`.
+    CoordinationThread(const operators::OperatorSettings& settings, const std::string& secret,
                        const protocol::NodeTerms& terms, const std::string& name, std::uint64_t seed);
     ~CoordinationThread();
     CoordinationThread(const CoordinationThread&) = delete;
     CoordinationThread& operator=(const CoordinationThread&) = delete;
     void start();
 
-    // From the front node's thread.
-    void told(const protocol::ServerList& list);
-    void strained(double share); // of the searches that were rejected of late
-    void leave();                // tells the others; ends with the object
-    std::size_t present() const; // members, ourselves among them
-    int news() const;            // a descriptor that can be read when that number has changed
+    // The following are called from the front node's thread.
+    void update_servers(const protocol::ServerList& list);
+    void set_rejected_share(double share); // of the recent searches
+    void leave();                          // announces the departure to the other members
+    std::size_t member_count() const;      // present members, including this one
+    int member_count_descriptor() const;   // becomes readable when that number has changed
     int port() const;
-    // Every machine's facts by the settings, and how it is by the list at that time.
+    // Facts of all machines by the settings and their health by the list at the time `wall`.
     static std::map<std::string, maintenance::ObservedMachine>
-    machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
-             const std::map<std::string, Tenths>& work, Tenths wall);
+    observe_machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+                     const std::map<std::string, Tenths>& work, Tenths wall);
 
   private:
-    struct Inside;
-    std::unique_ptr<Inside> inside_;
+    struct State;
+    std::unique_ptr<State> state_;
 };
 
 } // namespace ivyrill::program
--- a/src/program/maintenance_commands.hpp
+++ b/src/program/maintenance_commands.hpp
@@ -1,4 +1,4 @@
-// `ivyrill work ...`: what operators ask a running front node about machines taken out for work.
+// The commands `ivyrill work ...`: operators' requests to a running front node about machine maintenance.
 #pragma once
 #include <CLI/CLI.hpp>
 
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -21,14 +21,14 @@
 
 namespace {
 
-// Bounds of the rings. Parsers take bytes as they come, so only what is written has to fit whole.
-constexpr std::size_t kMostSeals = 8 * 1024; // what TLS adds to an answer
-constexpr std::size_t kMostRead = 16 * 1024, kMostAnswer = 128 * 1024, kMostPart = 72 * 1024;
-constexpr std::size_t kSpareDescriptors = 24; // standard streams, epoll, signals, listener, discovery, log
-// The platform's word: no request is on its way any more so long after the order to stop.
-constexpr Tenths kCrossing = kTenthsPerSecond * 7 / 10;
-constexpr Tenths kCountsEvery = 10 * kTenthsPerSecond;
-constexpr Tenths kStrainSpan = 2 * kTenthsPerSecond;
+// Sizes of the ring buffers. Parsers consume bytes as they arrive, so only a whole write must fit.
+constexpr std::size_t kMaxTlsOverhead = 8 * 1024; // added to an answer by TLS records
+constexpr std::size_t kReadBuffer = 16 * 1024, kAnswerBuffer = 128 * 1024, kRequestBufferPerPart = 72 * 1024;
+constexpr std::size_t kSpareDescriptors = 24; // standard streams, epoll, signals, listener, discovery and log
+// Guaranteed by the platform: no request arrives later than this after the stop signal.
+constexpr Tenths kDrainDelay = kTenthsPerSecond * 7 / 10;
+constexpr Tenths kCountsInterval = 10 * kTenthsPerSecond;
+constexpr Tenths kShareReportInterval = 2 * kTenthsPerSecond;
 
 int open_signals() { return signalfd(-1, &block_signals(), SFD_NONBLOCK | SFD_CLOEXEC); }
 
@@ -36,85 +36,87 @@
     rlimit limit{};
     std::size_t most = static_cast<std::size_t>(std::max<std::int64_t>(stated, 0));
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) most = std::min<std::size_t>(most, limit.rlim_cur);
-    if (most < 2 * kSpareDescriptors) throw std::runtime_error("limits.sockets: too few to serve with");
+    if (most < 2 * kSpareDescriptors) throw std::runtime_error("limits.sockets: too few descriptors");
     return most - kSpareDescriptors;
 }
 
 } // namespace
 
 const sigset_t& block_signals() {
-    static const sigset_t held = [] {
+    static const sigset_t blocked = [] {
         sigset_t set;
         sigemptyset(&set), sigaddset(&set, SIGTERM), sigaddset(&set, SIGINT), sigaddset(&set, SIGHUP);
         return set;
     }();
     std::signal(SIGPIPE, SIG_IGN);
-    sigprocmask(SIG_BLOCK, &held, nullptr);
-    return held;
+    sigprocmask(SIG_BLOCK, &blocked, nullptr);
+    return blocked;
 }
 
-const transport::TicketSecret* Tickets::told(const access::TicketKeys::Key* key) {
+const transport::TicketSecret* TicketKeyStore::secret_of(const access::TicketKeys::Key* key) {
     if (key == nullptr) return nullptr;
-    std::memcpy(told_.name, key->name.data(), sizeof told_.name);
-    std::memcpy(told_.seal, key->seal.data(), sizeof told_.seal);
-    std::memcpy(told_.mac, key->mac.data(), sizeof told_.mac);
-    return &told_;
+    std::memcpy(secret_.name, key->name.data(), sizeof secret_.name);
+    std::memcpy(secret_.seal, key->seal.data(), sizeof secret_.seal);
+    std::memcpy(secret_.mac, key->mac.data(), sizeof secret_.mac);
+    return &secret_;
 }
 
-const transport::TicketSecret* Tickets::sealing() {
+const transport::TicketSecret* TicketKeyStore::sealing() {
     if (keys_.wants_key(loop_.now())) {
-        const std::string drawn = access::random_bytes(sizeof(access::TicketKeys::Key));
-        access::TicketKeys::Key fresh;
-        std::memcpy(&fresh, drawn.data(), sizeof fresh);
-        keys_.add(fresh, loop_.now());
+        const std::string random = access::random_bytes(sizeof(access::TicketKeys::Key));
+        access::TicketKeys::Key key;
+        std::memcpy(&key, random.data(), sizeof key);
+        keys_.add(key, loop_.now());
     }
-    return told(keys_.sealing());
+    return secret_of(keys_.sealing());
 }
 
-const transport::TicketSecret* Tickets::opening(const unsigned char* name, bool& renew) {
+const transport::TicketSecret* TicketKeyStore::opening(const unsigned char* name, bool& renew) {
     const auto [use, key] = keys_.opening(name);
     renew = use == access::TicketKeys::Use::kOpenAndRenew;
-    return told(key);
+    return secret_of(key);
 }
 
 Node::Client::Client(routing::ClientId number, transport::Loop& loop, int descriptor,
                      std::unique_ptr<transport::TlsSession> tls, std::unique_ptr<sessions::Session> own)
-    : id(number),
-      stream(loop, descriptor, kMostRead, tls ? kMostAnswer + kMostSeals : kMostAnswer, std::move(tls)),
+    : id(number), stream(loop, descriptor, kReadBuffer, tls ? kAnswerBuffer + kMaxTlsOverhead : kAnswerBuffer,
+                         std::move(tls)),
       session(std::move(own)) {}
 
 Node::Connection::Connection(routing::ConnectionId number, transport::Loop& loop, int descriptor,
-                             std::size_t most_out)
-    : id(number), stream(loop, descriptor, Stream::Start::kConnecting, kMostRead, most_out) {}
+                             std::size_t output_buffer)
+    : id(number), stream(loop, descriptor, Stream::Start::kConnecting, kReadBuffer, output_buffer) {}
 
-Node::Node(protocol::StartOrders orders, ReloadConfiguration read_again, const std::string& operator_file)
-    : orders_(std::move(orders)), read_again_(std::move(read_again)), operator_file_(operator_file) {
+Node::Node(protocol::StartOrders configuration, ReloadConfiguration reload, const std::string& operator_file)
+    : configuration_(std::move(configuration)), reload_(std::move(reload)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
-    listeners_.push_back(std::make_unique<Listener>(loop_, orders_.listen));
-    for (const RequestClassConfig& request_class : orders_.terms.opening.request_classes)
-        stuck_after_ = std::max(stuck_after_, request_class.deadline);
-    router_ = std::make_unique<routing::Router>(orders_.terms, orders_.known, orders_.discovery,
-                                                descriptors(orders_.sockets), loop_.now());
+    listeners_.push_back(std::make_unique<Listener>(loop_, configuration_.listen));
+    for (const RequestClassConfig& request_class : configuration_.terms.opening.request_classes)
+        stall_timeout_ = std::max(stall_timeout_, request_class.deadline);
+    router_ = std::make_unique<routing::Router>(configuration_.terms, configuration_.known,
+                                                configuration_.discovery, descriptors(configuration_.sockets),
+                                                loop_.now());
     if (operator_file_.empty()) return;
     tickets_.emplace(loop_, Tenths{0});
     operator_settings_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
     const operators::OperatorSettings& settings = operator_settings_->settings;
-    check_names(settings, orders_.terms.request_classes, orders_.terms.tenants);
+    check_names(settings, configuration_.terms.request_classes, configuration_.terms.tenants);
     tickets_.emplace(loop_, settings.ticket_span);
     audit_.emplace(settings.audit);
     if (settings.membership) {
-        rota_ = std::make_unique<CoordinationThread>(settings, operator_settings_->secret, orders_.terms,
-                                                     orders_.name, orders_.terms.opening.seed);
-        members_.emplace(loop_, dup(rota_->news()));
-        protocol::ServerList known = orders_.known;
+        coordination_ =
+            std::make_unique<CoordinationThread>(settings, operator_settings_->secret, configuration_.terms,
+                                                 configuration_.name, configuration_.terms.opening.seed);
+        member_count_source_.emplace(loop_, dup(coordination_->member_count_descriptor()));
+        protocol::ServerList known = configuration_.known;
         known.full = true;
-        rota_->told(known);
+        coordination_->update_servers(known);
     }
     if (operator_settings_->policy)
         router_->enable_access_control(operator_settings_->policy, settings.access->query_is_note_key,
                                        loop_.now(), transport::Loop::wall());
     listeners_.front()->guarded = settings.access && settings.access->platform_port_guarded;
-    connection_terms_ = settings.connections;
+    connection_limits_ = settings.connections;
     router_->limit_handshakes(settings.handshakes, loop_.now());
     for (std::size_t i = 0; i < settings.listeners.size(); ++i) {
         listeners_.push_back(std::make_unique<Listener>(loop_, settings.listeners[i].address));
@@ -122,66 +124,70 @@
         listeners_.back()->guarded = settings.listeners[i].guarded;
         listeners_.back()->protocol = settings.listeners[i].protocols.front();
     }
-    changes_.emplace(loop_, inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
+    file_watch_.emplace(loop_, inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
     for (const std::string& folder : operator_settings_->folders)
-        inotify_add_watch(changes_->descriptor(), folder.c_str(), IN_CLOSE_WRITE | IN_MOVED_TO | IN_DELETE);
+        inotify_add_watch(file_watch_->descriptor(), folder.c_str(),
+                          IN_CLOSE_WRITE | IN_MOVED_TO | IN_DELETE);
 }
 
 int Node::run() {
-    signal_task_ = await_signals(), signal_task_.start();
+    signal_task_ = handle_signals(), signal_task_.start();
     discovery_.emplace(loop_);
     discovery_task_ = serve_discovery(), discovery_task_.start();
-    if (lifecycle_.phase() == Phase::kStarting) enter(Phase::kServing); // before the first client is heard
-    if (changes_) change_task_ = await_changes(), change_task_.start();
-    if (rota_) rota_->start(), member_task_ = await_members(), member_task_.start();
+    if (lifecycle_.phase() == Phase::kStarting) enter(Phase::kServing); // before the first client is read
+    if (file_watch_) file_watch_task_ = watch_operator_files(), file_watch_task_.start();
+    if (coordination_) coordination_->start(), member_task_ = watch_members(), member_task_.start();
     for (auto& listener : listeners_) listener->task = accept_clients(*listener), listener->task.start();
-    counts_at_ = loop_.now() + kCountsEvery;
-    while (turn(), keep_phase(), lifecycle_.phase() != Phase::kStopped) {
-        Tenths until = std::min(counts_at_, stuck_at_);
-        if (rota_) until = std::min(until, strain_at_);
-        if (timer_ > 0) until = std::min(until, timer_);
-        if (lifecycle_.phase() == Phase::kDraining) until = std::min(until, lifecycle_.since() + kCrossing);
-        if (accept_more_ && accepting_) until = loop_.now();
-        loop_.wait(until);
+    next_counts_at_ = loop_.now() + kCountsInterval;
+    while (turn(), advance_phase(), lifecycle_.phase() != Phase::kStopped) {
+        Tenths deadline = std::min(next_counts_at_, next_stall_check_at_);
+        if (coordination_) deadline = std::min(deadline, next_share_report_at_);
+        if (timer_at_ > 0) deadline = std::min(deadline, timer_at_);
+        if (lifecycle_.phase() == Phase::kDraining)
+            deadline = std::min(deadline, lifecycle_.since() + kDrainDelay);
+        if (accept_pending_ && accepting_) deadline = loop_.now();
+        loop_.wait(deadline);
     }
-    tell_counts();
+    log_counts();
     return 0;
 }
 
-// All that one wake-up brought goes through the reducer, oldest first; what its effects bring at once too.
+// Passes all events of one wake-up to the router, oldest first, including those that its effects cause at
+// once.
 void Node::turn() {
-    const bool more = std::exchange(accept_more_, false);
-    if (std::exchange(accept_short_, false) || more) accept_all(); // no edge comes for those who wait already
-    around_ = {lifecycle_.phase() == Phase::kServing, loop_.now()};
+    const bool pending = std::exchange(accept_pending_, false);
+    if (std::exchange(accept_failed_, false) || pending)
+        accept_all(); // epoll reports no new edge for waiting clients
+    session_context_ = {lifecycle_.phase() == Phase::kServing, loop_.now()};
     for (const routing::ConnectionId id :
-         std::exchange(writing_, {})) // what was written since is known first
+         std::exchange(connections_with_output_, {})) // reports written bytes before any event
         if (const auto connection = connections_.find(id); connection != connections_.end())
-            tell_connection(*connection->second);
-    if (loop_.now() >= stuck_at_) drop_stuck();
+            report_connection(*connection->second);
+    if (loop_.now() >= next_stall_check_at_) drop_stalled_clients();
     if (operator_settings_ && operator_settings_->policy)
         inbox_.push_front(routing::WallClockRead{transport::Loop::wall()});
     do {
         for (; !inbox_.empty(); inbox_.pop_front()) router_->handle(loop_.now(), std::move(inbox_.front()));
         for (const routing::Effect& effect : router_->turn(loop_.now()))
-            std::visit([this](const auto& what) { carry_out(what); }, effect);
-        write_all_out();
+            std::visit([this](const auto& each) { execute(each); }, effect);
+        flush_all();
     } while (!inbox_.empty());
-    if (loop_.now() >= counts_at_) tell_counts();
-    if (rota_ && loop_.now() >= strain_at_) tell_strain();
+    if (loop_.now() >= next_counts_at_) log_counts();
+    if (coordination_ && loop_.now() >= next_share_report_at_) report_rejected_share();
 }
 
 // ---- phases
 
 void Node::enter(Phase phase) {
     if (!lifecycle_.enter(phase, loop_.now())) return;
-    around_.ready = phase == Phase::kServing; // also for who is heard before the first turn
+    session_context_.ready = phase == Phase::kServing; // also for clients read before the first turn
     log().info("phase={} searches={} clients={}", Lifecycle::name(phase), router_->open_searches(),
                router_->open_clients());
 }
 
-void Node::keep_phase() {
-    if (lifecycle_.phase() == Phase::kDraining && loop_.now() >= lifecycle_.since() + kCrossing) {
-        loop_.wait(loop_.now()); // what the system has taken for us is ours to answer
+void Node::advance_phase() {
+    if (lifecycle_.phase() == Phase::kDraining && loop_.now() >= lifecycle_.since() + kDrainDelay) {
+        loop_.wait(loop_.now()); // connections in the accept queue must be answered
         accept_all();
         turn();
         listeners_.clear();
@@ -189,95 +195,98 @@
         enter(Phase::kFinishing);
         turn();
     }
-    // To end the process would reset who is still to read its answer: each closes, or its time is over.
+    // Ending the process earlier would reset clients that still read their answer: waits until each has
+    // closed or timed out.
     if (lifecycle_.phase() == Phase::kFinishing && clients_.empty()) enter(Phase::kStopped);
 }
 
-Task Node::await_signals() {
-    transport::Slot& next = signals_->readable;
+Task Node::handle_signals() {
+    transport::Slot& readable = signals_->readable;
     for (;;) {
         signalfd_siginfo info;
         while (read(signals_->descriptor(), &info, sizeof info) == sizeof info) {
             if (info.ssi_signo == SIGHUP) {
-                read_orders_again();
-                read_operator_file();
+                reload_configuration();
+                reload_operator_file();
                 continue;
             }
             if (lifecycle_.phase() == Phase::kServing) post(routing::DrainStarted{});
-            if (rota_) rota_->leave();
+            if (coordination_) coordination_->leave();
             enter(lifecycle_.phase() == Phase::kStarting ? Phase::kStopped : Phase::kDraining);
         }
-        co_await next;
+        co_await readable;
     }
 }
 
-// What a running front node takes up of a new configuration is where discovery is; the rest needs a restart.
-// A file that cannot be used changes nothing.
-void Node::read_orders_again() {
+// A running front node only applies a new address of discovery; other changes need a restart. An invalid file
+// changes nothing.
+void Node::reload_configuration() {
     try {
-        if (!read_again_) throw std::runtime_error("no file was named at the start");
-        const protocol::StartOrders fresh = read_again_();
-        log().info("configuration read again, discovery={}", fresh.discovery);
-        post(routing::DiscoveryAddressChanged{fresh.discovery});
-    } catch (const std::exception& error) { log_limited("configuration not taken up: {}", error.what()); }
+        if (!reload_) throw std::runtime_error("there is no configuration file to read again");
+        const protocol::StartOrders loaded = reload_();
+        log().info("configuration read again, discovery={}", loaded.discovery);
+        post(routing::DiscoveryAddressChanged{loaded.discovery});
+    } catch (const std::exception& error) { log_limited("configuration not applied: {}", error.what()); }
 }
 
-// Keys, lists, rights and our own certificates change in service, as one step: what was read is checked
-// whole, then everything is swapped; or nothing is, and the log says why. Connections keep the certificate
-// they began with.
-void Node::read_operator_file() {
+// Keys, revocations, rights and certificates change without a restart, atomically: either all files are valid
+// and everything is replaced, or nothing is and the log gives the reason. Open connections keep their
+// certificate.
+void Node::reload_operator_file() {
     if (operator_file_.empty()) return;
     try {
-        LoadedSettings fresh = load_operator_files(operator_file_, operator_settings_->policy.get(),
-                                                   transport::Loop::wall(), &*tickets_);
-        check_names(fresh.settings, orders_.terms.request_classes, orders_.terms.tenants);
+        LoadedSettings loaded = load_operator_files(operator_file_, operator_settings_->policy.get(),
+                                                    transport::Loop::wall(), &*tickets_);
+        check_names(loaded.settings, configuration_.terms.request_classes, configuration_.terms.tenants);
         const auto same = [](auto& a, auto& b) { return a.name == b.name && a.address == b.address; };
-        if (!std::ranges::equal(fresh.settings.listeners, operator_settings_->settings.listeners, same) ||
-            (fresh.policy == nullptr) != (operator_settings_->policy == nullptr))
-            throw std::runtime_error("other listeners, and access on or off, need a restart");
-        for (std::size_t i = 1; i < listeners_.size(); ++i) listeners_[i]->tls = fresh.tls[i - 1];
-        if (fresh.policy) post(routing::PolicyLoaded{fresh.policy});
-        operator_settings_ = std::move(fresh);
+        if (!std::ranges::equal(loaded.settings.listeners, operator_settings_->settings.listeners, same) ||
+            (loaded.policy == nullptr) != (operator_settings_->policy == nullptr))
+            throw std::runtime_error("changing the listeners, or access control on or off, needs a restart");
+        for (std::size_t i = 1; i < listeners_.size(); ++i) listeners_[i]->tls = loaded.tls[i - 1];
+        if (loaded.policy) post(routing::PolicyLoaded{loaded.policy});
+        operator_settings_ = std::move(loaded);
     } catch (const std::exception& error) {
         audit_->write({{"what", "kept"}, {"why", error.what()}}, transport::Loop::wall());
-        log_limited("the operator's file is not taken up: {}", error.what());
+        log_limited("operator's file not applied: {}", error.what());
     }
 }
 
-Task Node::await_changes() {
-    transport::Slot& next = changes_->readable;
+Task Node::watch_operator_files() {
+    transport::Slot& readable = file_watch_->readable;
     for (;;) {
         alignas(inotify_event) char bytes[4096];
         bool changed = false;
-        while (read(changes_->descriptor(), bytes, sizeof bytes) > 0) changed = true;
-        if (changed) read_operator_file(); // all that came together is one change
-        co_await next;
+        while (read(file_watch_->descriptor(), bytes, sizeof bytes) > 0) changed = true;
+        if (changed) reload_operator_file(); // changes that arrive together cause one reload
+        co_await readable;
     }
 }
 
-// How many are there is for the module to make something of.
-Task Node::await_members() {
-    transport::Slot& next = members_->readable;
+// Reports the number of present members to the router, which passes it to the search scheduler.
+Task Node::watch_members() {
+    transport::Slot& readable = member_count_source_->readable;
     for (std::size_t before = 0;;) {
-        const std::size_t present = rota_->present();
+        const std::size_t present = coordination_->member_count();
         if (present != std::exchange(before, present)) post(routing::FrontNodesCounted{present});
-        co_await next;
+        co_await readable;
     }
 }
 
-// What share of the searches of the last while was rejected: machines go out only where load leaves room.
-void Node::tell_strain() {
-    const routing::Counts& c = router_->counts();
-    const std::uint64_t pushed = c.rejected + c.over_limit;
-    const auto fresh = static_cast<double>(c.searches - strain_searches_);
-    if (fresh > 0) rota_->strained(static_cast<double>(pushed - strain_pushed_) / fresh);
-    strain_searches_ = c.searches, strain_pushed_ = pushed;
-    strain_at_ = loop_.now() + kStrainSpan;
+// Reports the share of searches rejected in the last interval: maintenance waits while the fleet is
+// overloaded.
+void Node::report_rejected_share() {
+    const routing::Counts& counts = router_->counts();
+    const std::uint64_t rejections = counts.rejected + counts.over_limit;
+    const auto searches = static_cast<double>(counts.searches - reported_searches_);
+    if (searches > 0)
+        coordination_->set_rejected_share(static_cast<double>(rejections - reported_rejections_) / searches);
+    reported_searches_ = counts.searches, reported_rejections_ = rejections;
+    next_share_report_at_ = loop_.now() + kShareReportInterval;
 }
 
-void Node::tell_counts() {
+void Node::log_counts() {
     const routing::Counts& c = router_->counts();
-    counts_at_ = loop_.now() + kCountsEvery;
+    next_counts_at_ = loop_.now() + kCountsInterval;
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
     const auto ms = [](const timeval& at) { return at.tv_sec * 1000 + at.tv_usec / 1000; };
@@ -307,15 +316,14 @@
 
 void Node::accept_all(Listener& listener) {
     while (accepting_) {
-        // Guards discovery and index servers against a crowd that comes all at once: the reducer makes room
-        // for so many more, or says that there is none.
-        accept_more_ = clients_.size() >= router_->room_for_clients();
-        if (accept_more_) return;
+        // Protects discovery and index servers against a burst of clients: the router says how many more fit.
+        accept_pending_ = clients_.size() >= router_->room_for_clients();
+        if (accept_pending_) return;
         const int descriptor = transport::accept_from(listener.socket.descriptor());
         if (descriptor < 0 && (errno == EINTR || errno == ECONNABORTED)) continue;
         if (descriptor < 0) {
-            accept_short_ = errno != EAGAIN && errno != EWOULDBLOCK;
-            if (accept_short_) log_limited("accept: {}", errno);
+            accept_failed_ = errno != EAGAIN && errno != EWOULDBLOCK;
+            if (accept_failed_) log_limited("accept: {}", errno);
             return;
         }
         const routing::ClientId id{next_client_++};
@@ -324,32 +332,31 @@
             auto client = std::make_unique<Client>(id, loop_, descriptor, std::move(tls),
                                                    listener.tls ? nullptr : make_session(listener.protocol));
             client->task = serve_client(*client);
-            Client& held = *clients_.emplace(id, std::move(client)).first->second;
+            Client& accepted = *clients_.emplace(id, std::move(client)).first->second;
             post(routing::ClientOpened{id, listener.guarded, listener.tls != nullptr});
-            held.task.start();
-        } catch (const std::runtime_error& error) {
-            log_limited("a client could not be taken on: {}", error.what());
-        }
+            accepted.task.start();
+        } catch (const std::runtime_error& error) { log_limited("client not accepted: {}", error.what()); }
     }
 }
 
 Task Node::accept_clients(Listener& listener) {
     for (;;) {
         accept_all(listener);
-        transport::Slot& next = accepting_ ? listener.socket.readable : listener.on;
+        transport::Slot& next = accepting_ ? listener.socket.readable : listener.accepting;
         co_await next;
     }
 }
 
 std::unique_ptr<sessions::Session> Node::make_session(const std::string& protocol) const {
-    if (protocol == "h2") return std::make_unique<sessions::Http2Session>(around_, connection_terms_);
-    return std::make_unique<sessions::Http1Session>(around_);
+    if (protocol == "h2")
+        return std::make_unique<sessions::Http2Session>(session_context_, connection_limits_);
+    return std::make_unique<sessions::Http1Session>(session_context_);
 }
 
-// An exception ends the connection that met it, and no more than that.
+// An exception ends only this client's connection.
 Task Node::serve_client(Client& client) {
     transport::Channel& stream = client.stream;
-    transport::Slot& changed = stream.changed; // named, as below
+    transport::Slot& changed = stream.changed; // a named reference, see serve_discovery
     try {
         while (stream.shaking() && !stream.ended()) {
             if (stream.shake_due()) post(routing::HandshakeReady{client.id});
@@ -357,31 +364,33 @@
         }
         if (!client.session) client.session = make_session(stream.protocol());
         sessions::Session& session = *client.session;
-        write_out(client);
-        std::size_t taken = 0;
-        while (!session.over() && !stream.ended() && !client.shut) {
+        flush(client);
+        std::size_t bytes_read = 0;
+        while (!session.over() && !stream.ended() && !client.closing) {
             if (session.reads() && stream.unread()) {
-                taken += stream.feed(session);
-                tell_news(client);
-                write_out(client);
-                if (taken < connection_terms_.read_quantum_bytes) continue;
-                changed.wake(); // others have their turn
+                bytes_read += stream.feed(session);
+                post_session_events(client);
+                flush(client);
+                if (bytes_read < connection_limits_.read_quantum_bytes) continue;
+                changed.wake(); // yields to other clients
             } else if (session.midway()) {
                 post(routing::RequestStarted{client.id});
             }
-            taken = 0;
-            if (session.over() || stream.ended() || client.shut) break;
-            // Guards against a client that has gone behind more bytes than there is room for.
+            bytes_read = 0;
+            if (session.over() || stream.ended() || client.closing) break;
+            // The client has closed with more unread bytes than the buffer holds: its end would never be
+            // read.
             if (!session.reads() && stream.hung_up()) {
                 post(routing::ClientDisconnected{client.id});
                 co_return;
             }
             co_await changed;
-            write_out(client);
+            flush(client);
         }
-        // The last word is out: the client closes, and what it may still send is read, lest it be reset.
-        for (bool left = false; !stream.ended();) {
-            if (stream.unwritten() == 0 && !std::exchange(left, true)) {
+        // The last answer is sent: waits for the client to close and discards what it still sends, as closing
+        // with unread bytes would reset the connection.
+        for (bool finished = false; !stream.ended();) {
+            if (stream.unwritten() == 0 && !std::exchange(finished, true)) {
                 stream.finish();
                 post(routing::ClientFinalAnswerSent{client.id});
             }
@@ -392,7 +401,7 @@
     post(routing::ClientDisconnected{client.id});
 }
 
-void Node::tell_news(Client& client) {
+void Node::post_session_events(Client& client) {
     for (sessions::News& news : client.session->news()) {
         if (auto* search = std::get_if<sessions::SearchCame>(&news))
             post(routing::SearchReceived{client.id, std::move(search->request), client.stream.age(),
@@ -404,31 +413,32 @@
     }
 }
 
-// All answers of one round to one client go out together.
-void Node::write_all_out() {
-    for (const routing::ClientId id : std::exchange(spoken_, {})) {
+// All answers of one turn to a client are written together.
+void Node::flush_all() {
+    for (const routing::ClientId id : std::exchange(clients_with_output_, {})) {
         Client* client = find_client(id);
         if (client == nullptr) continue;
-        write_out(*client);
+        flush(*client);
         client->stream.changed.wake();
     }
 }
 
-void Node::write_out(Client& client) {
+void Node::flush(Client& client) {
     const std::string bytes = client.session->take_out(client.stream.room());
     if (!bytes.empty()) client.stream.send(bytes);
 }
 
-// An answer that is not read: after the longest time that any client waits it holds no descriptor and no
+// Closes clients that have not read their answer for the longest client deadline, to free descriptors and
 // memory.
-void Node::drop_stuck() {
+void Node::drop_stalled_clients() {
     for (const auto& [id, client] : clients_) {
-        const bool owing = client->stream.unwritten() > 0 || (client->session && client->session->owes() > 0);
+        const bool has_output =
+            client->stream.unwritten() > 0 || (client->session && client->session->owes() > 0);
         const std::uint64_t moved = client->stream.moved();
-        if (owing && moved == client->moved) post(routing::ClientDisconnected{id});
-        client->moved = moved;
+        if (has_output && moved == client->bytes_transferred) post(routing::ClientDisconnected{id});
+        client->bytes_transferred = moved;
     }
-    stuck_at_ = loop_.now() + stuck_after_;
+    next_stall_check_at_ = loop_.now() + stall_timeout_;
 }
 
 Node::Client* Node::find_client(routing::ClientId id) {
@@ -436,28 +446,28 @@
     return found == clients_.end() || !found->second->session ? nullptr : found->second.get();
 }
 
-void Node::carry_out(const routing::AnswerClient& effect) {
+void Node::execute(const routing::AnswerClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return;
     client->session->answer(effect.stream, effect.answer, effect.close);
-    spoken_.insert(effect.client);
+    clients_with_output_.insert(effect.client);
 }
 
-void Node::carry_out(const routing::RejectClient& effect) {
+void Node::execute(const routing::RejectClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return;
     client->session->reject(effect.stream, effect.status, effect.message, effect.challenge, effect.close);
-    spoken_.insert(effect.client);
+    clients_with_output_.insert(effect.client);
 }
 
-void Node::carry_out(const routing::DrainClient& effect) {
+void Node::execute(const routing::DrainClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return;
     client->session->drain();
-    spoken_.insert(effect.client);
+    clients_with_output_.insert(effect.client);
 }
 
-void Node::carry_out(const routing::ContinueHandshake& effect) {
+void Node::execute(const routing::ContinueHandshake& effect) {
     const auto found = clients_.find(effect.client);
     if (found == clients_.end()) return;
     transport::Channel& channel = found->second->stream;
@@ -465,32 +475,31 @@
     if (shaking) channel.shake();
     if (shaking && !channel.shaking()) {
         std::shared_ptr<const access::Chain> chain;
-        if (const auto shown = channel.peer_chain())
-            chain = std::make_shared<const access::Chain>(access::Chain{*shown});
+        if (const auto peer_chain = channel.peer_chain())
+            chain = std::make_shared<const access::Chain>(access::Chain{*peer_chain});
         post(routing::HandshakeCompleted{effect.client, std::move(chain)});
     }
     channel.changed.wake();
 }
 
-void Node::carry_out(const routing::Audit& effect) {
+void Node::execute(const routing::Audit& effect) {
     if (audit_) audit_->write(effect, transport::Loop::wall());
 }
 
-void Node::carry_out(const routing::CloseClient& effect) { clients_.erase(effect.client); }
+void Node::execute(const routing::CloseClient& effect) { clients_.erase(effect.client); }
 
-// Who has sent something that nobody has read yet is heard first: the reducer learns of it before it asks
-// again.
-void Node::carry_out(const routing::HalfCloseClient& effect) {
+// A client with unread bytes is read first, so that the router learns of them before it decides again.
+void Node::execute(const routing::HalfCloseClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return post(routing::ClientDisconnected{effect.client});
-    client->shut = !client->stream.waiting_unread();
+    client->closing = !client->stream.waiting_unread();
     client->stream.changed.wake();
 }
 
-void Node::carry_out(const routing::AcceptClients& effect) {
+void Node::execute(const routing::AcceptClients& effect) {
     accepting_ = effect.on;
     if (!accepting_) return;
-    for (auto& listener : listeners_) listener->on.wake();
+    for (auto& listener : listeners_) listener->accepting.wake();
 }
 
 // ---- index servers
@@ -499,38 +508,38 @@
     Stream& stream = connection.stream;
     try {
         for (;;) {
-            tell_connection(connection);
-            while (stream.unread() && !connection.parser.broken() && !connection.over) {
+            report_connection(connection);
+            while (stream.unread() && !connection.parser.broken() && !connection.closing) {
                 stream.feed(connection.parser);
                 if (connection.parser.complete()) handle_frame(connection, connection.parser.take());
             }
-            if (stream.ended() || connection.parser.broken() || connection.over) break;
+            if (stream.ended() || connection.parser.broken() || connection.closing) break;
             if (connection.parser.midway()) post(routing::FrameStarted{connection.id});
             co_await stream.changed;
         }
-        tell_connection(connection);
+        report_connection(connection);
         if (connection.parser.broken()) {
-            log_limited("index server: {}", "what it sent is no frame");
+            log_limited("index server: {}", "malformed frame");
             post(routing::MalformedDataReceived{connection.id, {}});
         }
     } catch (const std::exception& error) { log_limited("index server: {}", error.what()); }
-    end_connection(connection);
+    abandon_connection(connection);
 }
 
-// From here on nothing is written to it: what the reducer has not been told of as written never is.
-void Node::end_connection(Connection& connection) {
+// Nothing more is written: bytes that were not reported as written to the router never will be.
+void Node::abandon_connection(Connection& connection) {
     connection.stream.abandon();
-    tell_connection(connection);
+    report_connection(connection);
     post(routing::ConnectionClosed{connection.id});
 }
 
-void Node::tell_connection(Connection& connection) {
-    if (connection.stream.up() && !std::exchange(connection.told_up, true))
+void Node::report_connection(Connection& connection) {
+    if (connection.stream.up() && !std::exchange(connection.established_reported, true))
         post(routing::ConnectionEstablished{connection.id});
-    if (connection.stream.written() == connection.told) return;
-    connection.told = connection.stream.written();
-    if (connection.stream.unwritten() > 0) writing_.insert(connection.id);
-    post(routing::ConnectionBytesWritten{connection.id, connection.told});
+    if (connection.stream.written() == connection.reported_bytes) return;
+    connection.reported_bytes = connection.stream.written();
+    if (connection.stream.unwritten() > 0) connections_with_output_.insert(connection.id);
+    post(routing::ConnectionBytesWritten{connection.id, connection.reported_bytes});
 }
 
 void Node::handle_frame(Connection& connection, const protocol::Frame& frame) {
@@ -541,56 +550,59 @@
         if (frame.letter == 'M')
             return post(routing::LoadReceived{connection.id, protocol::read_load_answer(frame.rest)});
         if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
-        log_limited("index server: our frame was of no use to it: {}", protocol::quoted(frame.rest));
+        log_limited("index server: it rejected a frame: {}", protocol::quoted(frame.rest));
     } catch (const protocol::ProtocolError& error) {
         log_limited("index server: {}", error.what());
         post(routing::MalformedDataReceived{connection.id, std::string(protocol::part_named(frame.rest))});
     }
-    connection.over = true;
+    connection.closing = true;
 }
 
-void Node::carry_out(const routing::OpenConnection& effect) {
+void Node::execute(const routing::OpenConnection& effect) {
     const int descriptor = transport::connect_to(effect.address);
     if (descriptor < 0) return post(routing::ConnectionClosed{effect.connection});
     try {
         auto connection = std::make_unique<Connection>(effect.connection, loop_, descriptor,
-                                                       kMostPart * orders_.terms.batch);
+                                                       kRequestBufferPerPart * configuration_.terms.batch);
         connection->task = serve_connection(*connection);
         connections_.emplace(effect.connection, std::move(connection)).first->second->task.start();
     } catch (const std::system_error& error) {
-        log_limited("no connection: {}", error.what());
+        log_limited("connection failed: {}", error.what());
         post(routing::ConnectionClosed{effect.connection});
     }
 }
 
-void Node::carry_out(const routing::WriteConnection& effect) {
+void Node::execute(const routing::WriteConnection& effect) {
     const auto found = connections_.find(effect.connection);
     if (found == connections_.end()) return;
-    if (!found->second->stream.send(effect.bytes)) return end_connection(*found->second);
-    if (found->second->stream.unwritten() > 0) writing_.insert(effect.connection);
-    tell_connection(*found->second);
+    if (!found->second->stream.send(effect.bytes)) return abandon_connection(*found->second);
+    if (found->second->stream.unwritten() > 0) connections_with_output_.insert(effect.connection);
+    report_connection(*found->second);
 }
 
-void Node::carry_out(const routing::CloseConnection& effect) { connections_.erase(effect.connection); }
+void Node::execute(const routing::CloseConnection& effect) { connections_.erase(effect.connection); }
 
 // ---- discovery
 
 Task Node::serve_discovery() {
     for (;;) {
-        transport::Slot& asked = discovery_->asked; // named: GCC 12 keeps no reference that comes from a call
-        while (!discovery_->ask) co_await asked;
-        const routing::DiscoveryCallId id = discovery_->ask->call;
-        const std::string request = protocol::list_request(discovery_->ask->address, discovery_->ask->after,
-                                                           discovery_->ask->wait_ms, discovery_->ask->whole);
+        transport::Slot& query_set =
+            discovery_
+                ->query_set; // named, as GCC 12 does not keep a reference returned by a call across co_await
+        while (!discovery_->query) co_await query_set;
+        const routing::DiscoveryCallId id = discovery_->query->call;
+        const std::string request =
+            protocol::list_request(discovery_->query->address, discovery_->query->after,
+                                   discovery_->query->wait_ms, discovery_->query->whole);
         std::optional<protocol::HttpMessage> answer;
-        // A kept connection may have been closed between calls: such a call goes once more, on a new one.
+        // A kept-alive connection may have been closed between calls: repeats the call once on a new one.
         for (bool again = true; again && !answer;) {
             again = discovery_->stream != nullptr;
             if (!again) {
-                const int descriptor = transport::connect_to(discovery_->ask->address);
+                const int descriptor = transport::connect_to(discovery_->query->address);
                 if (descriptor < 0) break;
                 discovery_->stream = std::make_unique<Stream>(loop_, descriptor, Stream::Start::kConnecting,
-                                                              kMostRead, kMostRead);
+                                                              kReadBuffer, kReadBuffer);
             }
             Stream& stream = *discovery_->stream;
             protocol::HttpParser parser(protocol::HttpParser::Side::kResponses);
@@ -606,7 +618,7 @@
             again = again && !answer && !parser.begun();
             if (!answer || answer->close) discovery_->stream.reset();
         }
-        discovery_->ask.reset();
+        discovery_->query.reset();
         routing::Event news = routing::ServerListFailed{id};
         if (answer && answer->status == 200) {
             try {
@@ -614,7 +626,7 @@
                 if (!list.servers.empty())
                     log().info("list version={} full={} entries={}", list.version, list.full,
                                list.servers.size());
-                if (rota_) rota_->told(list);
+                if (coordination_) coordination_->update_servers(list);
                 news = routing::ServerListReceived{id, std::move(list)};
             } catch (const protocol::ProtocolError& error) { log_limited("discovery: {}", error.what()); }
         }
@@ -622,18 +634,18 @@
     }
 }
 
-void Node::carry_out(const routing::QueryDiscovery& effect) {
-    discovery_->ask = effect;
-    discovery_->asked.wake();
+void Node::execute(const routing::QueryDiscovery& effect) {
+    discovery_->query = effect;
+    discovery_->query_set.wake();
 }
 
-void Node::carry_out(const routing::CancelDiscoveryCall& effect) {
-    log_limited("discovery: its connection is closed: {}", effect.reason);
+void Node::execute(const routing::CancelDiscoveryCall& effect) {
+    log_limited("discovery: connection closed: {}", effect.reason);
     discovery_task_ = {};
     discovery_.emplace(loop_);
     discovery_task_ = serve_discovery(), discovery_task_.start();
 }
 
-void Node::carry_out(const routing::ArmTimer& effect) { timer_ = effect.at; }
+void Node::execute(const routing::ArmTimer& effect) { timer_at_ = effect.at; }
 
 } // namespace ivyrill::program
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -66,7 +66,7 @@
     const auto [chart_status, chart] = fleet.work(0, {"chart", fleet.folder() + "/n0/log"});
     assert(chart_status == 0 && chart.find("<svg") != std::string::npos &&
            chart.find(">s3<") != std::string::npos);
-    assert(fleet.work(0, {"explain", "s0"}).second.find("against its going") != std::string::npos);
+    assert(fleet.work(0, {"explain", "s0"}).second.find("reason against maintenance") != std::string::npos);
 }
 
 void stalled_holder_loses_its_lease() {
