--- a/src/control/configuration_state.hpp
+++ b/src/control/configuration_state.hpp
@@ -24,7 +24,7 @@
     std::int64_t version = 0;                 // 0: no configuration was accepted yet
     std::string body;                         // as the operator sent it
     std::vector<AcceptedCall> accepted_calls; // the newest last
-    // The initial voters of the groups of the duties' parts. Replicated once, so that a node that returns
+    // The initial voters of the groups of the duty partitions. Replicated once, so that a node that returns
     // with an empty disk can't bootstrap such a group again. Empty until then, and in deployments without
     // duties.
     std::vector<consensus::Member> initial_duty_voters;
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -52,7 +52,7 @@
 
 Result<void> ControlNode::start() {
     BOOST_OUTCOME_TRYV(open_snapshot_store());
-    BOOST_OUTCOME_TRYV(open_duty_parts());
+    BOOST_OUTCOME_TRYV(open_duty_partitions());
     BOOST_OUTCOME_TRYV(open_group());
     self_ = {feed::peer_address(settings_, settings_.ip), settings_.zone, group_->self().value};
     open_registry();
@@ -83,7 +83,7 @@
 }
 std::size_t ControlNode::min_voters() const { return std::max<std::size_t>(3, 2 * tolerated_losses() + 1); }
 
-Result<void> ControlNode::open_duty_parts() {
+Result<void> ControlNode::open_duty_partitions() {
     const bool has_stages =
         std::ranges::find(settings_.contracts, kEngineContract) != settings_.contracts.end();
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
@@ -91,14 +91,14 @@
     options.min_copies = tolerated_losses() + 1, options.voters = min_voters();
     options.lease = settings_.bounds.lease_ms * (kTenthsPerSecond / 1000);
     options.draw = environment_.draw;
-    const auto send = [this](std::size_t part, const consensus::Send& sent) {
-        const feed::DutyMessage message{part, sent.message};
+    const auto send = [this](std::size_t partition, const consensus::Send& sent) {
+        const feed::DutyMessage message{partition, sent.message};
         if (!peers_) return;
         if (!peers_->send_to_member(sent.message.to.value, message)) peers_->send(sent.address, message);
     };
-    BOOST_OUTCOME_TRY(parts,
+    BOOST_OUTCOME_TRY(partitions,
                       DutyPartitions::open(reactor_, environment_.open_file, std::move(options), send));
-    duty_parts_ = std::move(parts);
+    duty_partitions_ = std::move(partitions);
     return boost::outcome_v2::success();
 }
 
@@ -109,7 +109,8 @@
     for (const std::string& seed : settings_.seed_nodes)
         options.initial_voters.push_back(feed::peer_address(settings_, host_text(seed)));
     options.first_start = settings_.first_start, options.draw = environment_.draw;
-    options.disk_is_corrupt = snapshot_store_->is_corrupt() || (duty_parts_ && duty_parts_->has_lost_state());
+    options.disk_is_corrupt =
+        snapshot_store_->is_corrupt() || (duty_partitions_ && duty_partitions_->has_lost_state());
     options.min_copies = tolerated_losses() + 1, options.min_voters = min_voters();
     options.max_voters = std::max<std::size_t>(options.min_voters, 9);
     ConfigurationGroup::Callbacks callbacks;
@@ -126,7 +127,7 @@
     };
     callbacks.identity_changed = [this] { identity_changed(); };
     callbacks.initial_duty_voters = [this](const std::vector<consensus::Member>& initial_voters) {
-        if (duty_parts_) duty_parts_->found(initial_voters);
+        if (duty_partitions_) duty_partitions_->bootstrap(initial_voters);
     };
     BOOST_OUTCOME_TRY(group, ConfigurationGroup::open(reactor_, environment_.open_file("state"),
                                                       std::move(options), std::move(callbacks)));
@@ -135,8 +136,8 @@
 }
 
 void ControlNode::publish_configuration(const model::Configuration& configuration, const std::string& body) {
-    const model::Configuration* known = log_.configuration();
-    if (known != nullptr && known->version >= configuration.version) return;
+    const model::Configuration* current = log_.configuration();
+    if (current != nullptr && current->version >= configuration.version) return;
     log_.put(configuration);
     configuration_body_ = body;
     publish();
@@ -188,11 +189,11 @@
 }
 
 void ControlNode::open_stage_duty() {
-    if (!duty_parts_) return;
+    if (!duty_partitions_) return;
     StageDuty::Callbacks callbacks;
-    callbacks.fence = [this](const duties::Duty& duty) { return duty_parts_->fence(duty); };
+    callbacks.fence = [this](const duties::Duty& duty) { return duty_partitions_->fence(duty); };
     callbacks.may_act_under = [this](const duties::Duty& duty, std::uint64_t fence) {
-        return duty_parts_->may_act_under(duty, fence);
+        return duty_partitions_->may_act_under(duty, fence);
     };
     callbacks.configuration = [this] { return log_.configuration(); };
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
@@ -216,15 +217,15 @@
     const auto& platform_duties = settings_.cloud_api.duties;
     const bool is_required =
         std::ranges::find(platform_duties, kUsageReport) != platform_duties.end() && usage_exchange_;
-    if (!is_required || !duty_parts_) return;
+    if (!is_required || !duty_partitions_) return;
     UsageDuty::Callbacks callbacks;
-    callbacks.fence = [this] { return duty_parts_->fence(duties::usage_report_duty()); };
-    callbacks.may_propose = [this] { return duty_parts_->may_propose(duties::usage_report_duty()); };
+    callbacks.fence = [this] { return duty_partitions_->fence(duties::usage_report_duty()); };
+    callbacks.may_propose = [this] { return duty_partitions_->may_propose(duties::usage_report_duty()); };
     callbacks.may_act_under = [this](std::uint64_t fence) {
-        return duty_parts_->may_act_under(duties::usage_report_duty(), fence);
+        return duty_partitions_->may_act_under(duties::usage_report_duty(), fence);
     };
     callbacks.committed = [this]() -> std::optional<duties::UsageLedger> {
-        const auto state = duty_parts_->committed(duties::usage_report_duty());
+        const auto state = duty_partitions_->committed(duties::usage_report_duty());
         return state ? std::optional(state->usage) : std::nullopt;
     };
     callbacks.propose = [this](UsageDuty::ChangeLedger change) { propose_usage(std::move(change)); };
@@ -248,7 +249,7 @@
         if (usage) changed = duties::PartitionState{newest.released_term, std::move(*usage)};
         return changed;
     };
-    duty_parts_->propose(duties::usage_report_duty(), change_state);
+    duty_partitions_->propose(duties::usage_report_duty(), change_state);
 }
 
 void ControlNode::exchange_usage() {
@@ -265,11 +266,11 @@
 
 void ControlNode::open_count_duty() {
     const std::vector<std::string>& duties = settings_.cloud_api.duties;
-    if (!duty_parts_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
+    if (!duty_partitions_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
     AutoscaleDuty::Callbacks callbacks;
-    callbacks.fence = [this](const duties::Duty& duty) { return duty_parts_->fence(duty); };
+    callbacks.fence = [this](const duties::Duty& duty) { return duty_partitions_->fence(duty); };
     callbacks.may_act_under = [this](const duties::Duty& duty, std::uint64_t fence) {
-        return duty_parts_->may_act_under(duty, fence);
+        return duty_partitions_->may_act_under(duty, fence);
     };
     callbacks.configuration = [this] { return log_.configuration(); };
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
@@ -400,24 +401,24 @@
         publish_edge_nodes();
     } else if (const auto* counts = std::get_if<feed::UsageCounts>(&message)) {
         if (usage_exchange_) merge_usage(peer, *counts);
-    } else if (const auto* lacking = std::get_if<feed::UsageRequest>(&message)) {
+    } else if (const auto* request = std::get_if<feed::UsageRequest>(&message)) {
         if (!usage_exchange_) return;
-        for (feed::UsageCounts& counts : usage_exchange_->answer(*lacking))
+        for (feed::UsageCounts& counts : usage_exchange_->answer(*request))
             peers_->send(peer.address, std::move(counts));
     } else if (const auto* duty = std::get_if<feed::DutyMessage>(&message)) {
-        if (duty_parts_) duty_parts_->receive(duty->partition, duty->message);
+        if (duty_partitions_) duty_partitions_->receive(duty->partition, duty->message);
     } else if (const auto* ordered = std::get_if<feed::StageOrderNotice>(&message)) {
         publish_orders(ordered->orders);
-    } else if (const auto* heard = std::get_if<feed::HeartbeatsSeen>(&message)) {
-        registry_->record_remote_heartbeats(*heard);
+    } else if (const auto* heartbeats = std::get_if<feed::HeartbeatsSeen>(&message)) {
+        registry_->record_remote_heartbeats(*heartbeats);
     } else if (const auto* records = std::get_if<feed::Replicate>(&message)) {
         registry_->handle_replicate(peer, *records);
-    } else if (const auto* done = std::get_if<feed::Replicated>(&message)) {
-        registry_->handle_replicated(peer, *done);
-    } else if (const auto* wanted = std::get_if<feed::RangeRequest>(&message)) {
-        registry_->send_ranges(peer, *wanted);
-    } else if (const auto* copy = std::get_if<feed::Instances>(&message)) {
-        registry_->receive_records(peer, *copy);
+    } else if (const auto* acknowledgement = std::get_if<feed::Replicated>(&message)) {
+        registry_->handle_replicated(peer, *acknowledgement);
+    } else if (const auto* range_request = std::get_if<feed::RangeRequest>(&message)) {
+        registry_->send_ranges(peer, *range_request);
+    } else if (const auto* instances = std::get_if<feed::Instances>(&message)) {
+        registry_->receive_records(peer, *instances);
         update_gate();
     } else if (auto* call = std::get_if<feed::ForwardedCall>(&message)) {
         operator_calls_->handle_forwarded_call(peer, std::move(*call));
@@ -484,9 +485,9 @@
 
 // The member id must be final before this node votes in any group of the duties.
 void ControlNode::update_duties() {
-    if (!duty_parts_ || group_->is_bootstrapping() || shutting_down_) return;
-    duty_parts_->join(group_->self_member());
-    duty_parts_->set_member_statuses(peers_->member_statuses());
+    if (!duty_partitions_ || group_->is_bootstrapping() || shutting_down_) return;
+    duty_partitions_->join(group_->self_member());
+    duty_partitions_->set_member_statuses(peers_->member_statuses());
     group_->propose_initial_duty_voters(min_voters());
 }
 
@@ -523,32 +524,36 @@
 
 std::uint64_t ControlNode::dropped_replies() const {
     const OperatorCalls::DroppedReplies& calls = operator_calls_->dropped_replies();
-    const DroppedSyncReplies& copies = registry_->dropped_replies();
-    return calls.other_process + calls.unsolicited + calls.other_peer + copies.other_process +
-           copies.unsolicited;
+    const DroppedSyncReplies& sync = registry_->dropped_replies();
+    return calls.other_process + calls.unsolicited + calls.other_peer + sync.other_process + sync.unsolicited;
 }
 
 std::string ControlNode::inspect() const {
-    Inspection seen;
-    seen.node = settings_.node_name, seen.leads = group_->leads(), seen.in_contact = group_->in_contact();
-    seen.serves_feed = feed_gate_.is_open(), seen.version = group_->version();
-    seen.voters = group_->voters(), seen.peers = alive_, seen.edge_nodes = edge_nodes_.listed();
-    for (const auto& [id, record] : registry_->table().records()) seen.servers.push_back(record);
-    if (duty_parts_) std::ranges::copy(duty_parts_->statuses(), std::back_inserter(seen.duties));
-    if (stage_duty_) seen.orders = stage_duty_->counts();
-    if (usage_duty_) seen.usage = usage_duty_->status();
+    Inspection inspection;
+    inspection.node = settings_.node_name, inspection.leads = group_->leads(),
+    inspection.in_contact = group_->in_contact();
+    inspection.serves_feed = feed_gate_.is_open(), inspection.version = group_->version();
+    inspection.voters = group_->voters(), inspection.peers = alive_,
+    inspection.edge_nodes = edge_nodes_.listed();
+    for (const auto& [id, record] : registry_->table().records()) inspection.servers.push_back(record);
+    if (duty_partitions_)
+        std::ranges::copy(duty_partitions_->statuses(), std::back_inserter(inspection.duties));
+    if (stage_duty_) inspection.orders = stage_duty_->counts();
+    if (usage_duty_) inspection.usage = usage_duty_->status();
     if (count_duty_)
-        seen.server_counts = count_duty_->zone_statuses(), seen.count_calls = count_duty_->calls();
-    seen.group = group_->dropped_messages(), seen.links = peers_->rejected_messages();
-    seen.copies = registry_->dropped_replies(), seen.calls = operator_calls_->dropped_replies();
-    return to_json(seen);
+        inspection.server_counts = count_duty_->zone_statuses(),
+        inspection.count_calls = count_duty_->calls();
+    inspection.group = group_->dropped_messages(), inspection.links = peers_->rejected_messages();
+    inspection.sync_replies = registry_->dropped_replies(),
+    inspection.call_replies = operator_calls_->dropped_replies();
+    return to_json(inspection);
 }
 
 void ControlNode::begin_shutdown() {
     if (std::exchange(shutting_down_, true)) return;
     log_line("ending");
     group_->resign();
-    if (duty_parts_) duty_parts_->resign();
+    if (duty_partitions_) duty_partitions_->resign();
     peers_->announce_shutdown();
     group_->set_member_statuses(peers_->member_statuses());
     publish_control_nodes();
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -43,8 +43,8 @@
     const ConfigurationGroup& group() const { return *group_; }
     const InstanceRegistry& registry() const { return *registry_; }
     const feed::FeedLog& log() const { return log_; }
-    const DutyPartitions* duty_parts() const {
-        return duty_parts_.get();
+    const DutyPartitions* duty_partitions() const {
+        return duty_partitions_.get();
     } // null in deployments without duties
     const clock::FleetClock& fleet_clock() const { return fleet_clock_; } // empty if usage is not reported
     const duties::UsageAggregator& usage_tally() const { return usage_tally_; } // likewise
@@ -58,7 +58,7 @@
     std::size_t tolerated_losses() const;
     std::size_t min_voters() const;
     Result<void> open_snapshot_store();
-    Result<void> open_duty_parts();
+    Result<void> open_duty_partitions();
     Result<void> open_group();
     void open_registry();
     void open_operator_calls();
@@ -104,7 +104,7 @@
     std::unique_ptr<SnapshotStore> snapshot_store_;
     std::unique_ptr<feed::Publisher> publisher_;
     std::unique_ptr<PeerMesh> peers_;
-    std::unique_ptr<DutyPartitions> duty_parts_;
+    std::unique_ptr<DutyPartitions> duty_partitions_;
     std::unique_ptr<ConfigurationGroup> group_;
     std::unique_ptr<InstanceRegistry> registry_;
     std::unique_ptr<StageDuty> stage_duty_;     // null without duties
--- a/src/control/inspection.cpp
+++ b/src/control/inspection.cpp
@@ -61,14 +61,15 @@
     return found == inspection.voters.end() ? "" : found->address;
 }
 
-// Only the holder of a part knows `heldForMs`.
+// Only the holder of a partition knows `heldForMs`.
 std::string duties_json(const Inspection& inspection) {
-    return json_list(inspection.duties, [&](const DutyPartitions::Status& part) {
-        const std::string holder = part.leader ? std::to_string(part.leader->value) : "";
-        const std::string address = part.leader ? address_of(inspection, *part.leader) : "";
+    return json_list(inspection.duties, [&](const DutyPartitions::Status& partition) {
+        const std::string holder = partition.leader ? std::to_string(partition.leader->value) : "";
+        const std::string address = partition.leader ? address_of(inspection, *partition.leader) : "";
         return fmt::format(
             R"({{"holder":"{}","holderAddress":"{}","holds":{},"acts":{},"fence":{},"heldForMs":{}}})",
-            holder, address, part.leads, part.acts, part.fence, part.led_for / (kTenthsPerSecond / 1000));
+            holder, address, partition.leads, partition.acts, partition.fence,
+            partition.led_for / (kTenthsPerSecond / 1000));
     });
 }
 
@@ -114,8 +115,9 @@
         R"("answerOfOtherPeer":{}}})",
         inspection.group.other_member, inspection.group.older_term, inspection.group.unknown_member,
         inspection.links.unreadable, inspection.links.other_version, inspection.links.before_hello,
-        inspection.links.former_process, inspection.copies.other_process, inspection.copies.unsolicited,
-        inspection.calls.other_process, inspection.calls.unsolicited, inspection.calls.other_peer);
+        inspection.links.former_process, inspection.sync_replies.other_process,
+        inspection.sync_replies.unsolicited, inspection.call_replies.other_process,
+        inspection.call_replies.unsolicited, inspection.call_replies.other_peer);
 }
 
 } // namespace
--- a/src/control/inspection.hpp
+++ b/src/control/inspection.hpp
@@ -25,7 +25,7 @@
     std::vector<model::ControlNode> peers; // alive ones
     std::vector<model::EdgeNode> edge_nodes;
     std::vector<model::Instance> servers;
-    std::vector<DutyPartitions::Status> duties;           // by part; empty in deployments without duties
+    std::vector<DutyPartitions::Status> duties;           // by partition; empty in deployments without duties
     duties::StageOrderTracker::Counts orders;             // sent to servers by this process
     std::optional<UsageDuty::Status> usage;               // none if usage is not reported
     std::vector<AutoscaleDuty::ZoneStatus> server_counts; // of the zones that this node is responsible for
@@ -33,8 +33,8 @@
     // Dropped and rejected messages by cause.
     consensus::DroppedMessages group;
     PeerMesh::RejectedMessages links;
-    DroppedSyncReplies copies;
-    OperatorCalls::DroppedReplies calls;
+    DroppedSyncReplies sync_replies;
+    OperatorCalls::DroppedReplies call_replies;
 };
 
 std::string to_json(const Inspection& inspection);
--- a/tests/control_parts_tests.cpp
+++ b/tests/control_parts_tests.cpp
@@ -490,7 +490,7 @@
     BOOST_TEST(mesh.rejected_messages().other_version == 2U);
 }
 
-// ---- the duties' parts stored by an older version
+// ---- the duty partitions stored by an older version
 
 namespace {
 
