--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -43,7 +43,8 @@
 
 ControlNode::ControlNode(Environment environment, const settings::Settings& settings)
     : environment_(std::move(environment)), reactor_(environment_.reactor), settings_(settings),
-      incarnation_(environment_.draw()), log_(environment_.draw()), usage_tally_(tally_options(settings)) {}
+      incarnation_(environment_.draw()), log_(environment_.draw()),
+      usage_aggregator_(tally_options(settings)) {}
 
 ControlNode::~ControlNode() {
     reactor_.cancel(timer_);
@@ -52,7 +53,7 @@
 
 Result<void> ControlNode::start() {
     BOOST_OUTCOME_TRYV(open_snapshot_store());
-    BOOST_OUTCOME_TRYV(open_duty_parts());
+    BOOST_OUTCOME_TRYV(open_duty_partitions());
     BOOST_OUTCOME_TRYV(open_group());
     self_ = {feed::peer_address(settings_, settings_.ip), settings_.zone, group_->self().value};
     open_registry();
@@ -60,7 +61,7 @@
     open_stage_duty();
     open_usage_exchange();
     open_usage_duty();
-    open_count_duty();
+    open_autoscale_duty();
     open_peers();
     open_feed();
     restore_snapshot();
@@ -83,7 +84,7 @@
 }
 std::size_t ControlNode::min_voters() const { return std::max<std::size_t>(3, 2 * tolerated_losses() + 1); }
 
-Result<void> ControlNode::open_duty_parts() {
+Result<void> ControlNode::open_duty_partitions() {
     const bool has_stages =
         std::ranges::find(settings_.contracts, kEngineContract) != settings_.contracts.end();
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
@@ -98,7 +99,7 @@
     };
     BOOST_OUTCOME_TRY(parts,
                       DutyPartitions::open(reactor_, environment_.open_file, std::move(options), send));
-    duty_parts_ = std::move(parts);
+    duty_partitions_ = std::move(parts);
     return boost::outcome_v2::success();
 }
 
@@ -109,7 +110,8 @@
     for (const std::string& seed : settings_.seed_nodes)
         options.initial_voters.push_back(feed::peer_address(settings_, host_text(seed)));
     options.first_start = settings_.first_start, options.draw = environment_.draw;
-    options.disk_is_corrupt = snapshot_store_->is_corrupt() || (duty_parts_ && duty_parts_->has_lost_state());
+    options.disk_is_corrupt =
+        snapshot_store_->is_corrupt() || (duty_partitions_ && duty_partitions_->has_lost_state());
     options.min_copies = tolerated_losses() + 1, options.min_voters = min_voters();
     options.max_voters = std::max<std::size_t>(options.min_voters, 9);
     ConfigurationGroup::Callbacks callbacks;
@@ -126,7 +128,7 @@
     };
     callbacks.identity_changed = [this] { identity_changed(); };
     callbacks.initial_duty_voters = [this](const std::vector<consensus::Member>& initial_voters) {
-        if (duty_parts_) duty_parts_->found(initial_voters);
+        if (duty_partitions_) duty_partitions_->bootstrap(initial_voters);
     };
     BOOST_OUTCOME_TRY(group, ConfigurationGroup::open(reactor_, environment_.open_file("state"),
                                                       std::move(options), std::move(callbacks)));
@@ -188,11 +190,11 @@
 }
 
 void ControlNode::open_stage_duty() {
-    if (!duty_parts_) return;
+    if (!duty_partitions_) return;
     StageDuty::Callbacks callbacks;
-    callbacks.fence = [this](const duties::Duty& duty) { return duty_parts_->fence(duty); };
+    callbacks.fence = [this](const duties::Duty& duty) { return duty_partitions_->fence(duty); };
     callbacks.may_act_under = [this](const duties::Duty& duty, std::uint64_t fence) {
-        return duty_parts_->may_act_under(duty, fence);
+        return duty_partitions_->may_act_under(duty, fence);
     };
     callbacks.configuration = [this] { return log_.configuration(); };
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
@@ -207,8 +209,8 @@
 
 void ControlNode::open_usage_exchange() {
     if (settings_.bounds.usage_window_ms() <= 0) return;
-    usage_exchange_ =
-        std::make_unique<UsageExchange>(self_.address, fleet_clock_, usage_tally_, environment_.time_of_day);
+    usage_exchange_ = std::make_unique<UsageExchange>(self_.address, fleet_clock_, usage_aggregator_,
+                                                      environment_.time_of_day);
     exchange_usage();
 }
 
@@ -216,25 +218,25 @@
     const auto& platform_duties = settings_.cloud_api.duties;
     const bool is_required =
         std::ranges::find(platform_duties, kUsageReport) != platform_duties.end() && usage_exchange_;
-    if (!is_required || !duty_parts_) return;
+    if (!is_required || !duty_partitions_) return;
     UsageDuty::Callbacks callbacks;
-    callbacks.fence = [this] { return duty_parts_->fence(duties::usage_report_duty()); };
-    callbacks.may_propose = [this] { return duty_parts_->may_propose(duties::usage_report_duty()); };
+    callbacks.fence = [this] { return duty_partitions_->fence(duties::usage_report_duty()); };
+    callbacks.may_propose = [this] { return duty_partitions_->may_propose(duties::usage_report_duty()); };
     callbacks.may_act_under = [this](std::uint64_t fence) {
-        return duty_parts_->may_act_under(duties::usage_report_duty(), fence);
+        return duty_partitions_->may_act_under(duties::usage_report_duty(), fence);
     };
     callbacks.committed = [this]() -> std::optional<duties::UsageLedger> {
-        const auto state = duty_parts_->committed(duties::usage_report_duty());
+        const auto state = duty_partitions_->committed(duties::usage_report_duty());
         return state ? std::optional(state->usage) : std::nullopt;
     };
     callbacks.propose = [this](UsageDuty::ChangeLedger change) { propose_usage(std::move(change)); };
     callbacks.time = [this] { return fleet_clock_.at(reactor_.now()); };
     callbacks.sources.is_complete = [this](std::int64_t window, std::int64_t end_ms) {
-        return usage_tally_.is_complete(window, end_ms, reactor_.now());
+        return usage_aggregator_.is_complete(window, end_ms, reactor_.now());
     };
-    callbacks.sources.counts = [this](std::int64_t window) { return usage_tally_.counts(window); };
+    callbacks.sources.counts = [this](std::int64_t window) { return usage_aggregator_.counts(window); };
     callbacks.acquire_call = [this] {
-        return call_budget_.try_acquire(duties::usage_report_duty(), reactor_.now());
+        return platform_rate_limiter_.try_acquire(duties::usage_report_duty(), reactor_.now());
     };
     usage_duty_ = std::make_unique<UsageDuty>(
         reactor_, environment_.platform,
@@ -248,7 +250,7 @@
         if (usage) changed = duties::PartitionState{newest.released_term, std::move(*usage)};
         return changed;
     };
-    duty_parts_->propose(duties::usage_report_duty(), change_state);
+    duty_partitions_->propose(duties::usage_report_duty(), change_state);
 }
 
 void ControlNode::exchange_usage() {
@@ -263,13 +265,13 @@
     if (!wanted.processes.empty()) peers_->send(peer.address, std::move(wanted));
 }
 
-void ControlNode::open_count_duty() {
+void ControlNode::open_autoscale_duty() {
     const std::vector<std::string>& duties = settings_.cloud_api.duties;
-    if (!duty_parts_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
+    if (!duty_partitions_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
     AutoscaleDuty::Callbacks callbacks;
-    callbacks.fence = [this](const duties::Duty& duty) { return duty_parts_->fence(duty); };
+    callbacks.fence = [this](const duties::Duty& duty) { return duty_partitions_->fence(duty); };
     callbacks.may_act_under = [this](const duties::Duty& duty, std::uint64_t fence) {
-        return duty_parts_->may_act_under(duty, fence);
+        return duty_partitions_->may_act_under(duty, fence);
     };
     callbacks.configuration = [this] { return log_.configuration(); };
     callbacks.instances = [this]() -> const feed::InstanceTable& { return registry_->table(); };
@@ -278,10 +280,10 @@
         return stage_duty_->demand().total(service, reactor_.now());
     };
     callbacks.acquire_call = [this](const duties::Duty& duty) {
-        return call_budget_.try_acquire(duty, reactor_.now());
+        return platform_rate_limiter_.try_acquire(duty, reactor_.now());
     };
-    count_duty_ = std::make_unique<AutoscaleDuty>(reactor_, environment_.platform, settings_.node_name,
-                                                  std::move(callbacks));
+    autoscale_duty_ = std::make_unique<AutoscaleDuty>(reactor_, environment_.platform, settings_.node_name,
+                                                      std::move(callbacks));
 }
 
 void ControlNode::publish_orders(const std::vector<feed::StageOrdered>& orders) {
@@ -405,7 +407,7 @@
         for (feed::UsageCounts& counts : usage_exchange_->answer(*lacking))
             peers_->send(peer.address, std::move(counts));
     } else if (const auto* duty = std::get_if<feed::DutyMessage>(&message)) {
-        if (duty_parts_) duty_parts_->receive(duty->partition, duty->message);
+        if (duty_partitions_) duty_partitions_->receive(duty->partition, duty->message);
     } else if (const auto* ordered = std::get_if<feed::StageOrderNotice>(&message)) {
         publish_orders(ordered->orders);
     } else if (const auto* heard = std::get_if<feed::HeartbeatsSeen>(&message)) {
@@ -484,9 +486,9 @@
 
 // The member id must be final before this node votes in any group of the duties.
 void ControlNode::update_duties() {
-    if (!duty_parts_ || group_->is_bootstrapping() || shutting_down_) return;
-    duty_parts_->join(group_->self_member());
-    duty_parts_->set_member_statuses(peers_->member_statuses());
+    if (!duty_partitions_ || group_->is_bootstrapping() || shutting_down_) return;
+    duty_partitions_->join(group_->self_member());
+    duty_partitions_->set_member_statuses(peers_->member_statuses());
     group_->propose_initial_duty_voters(min_voters());
 }
 
@@ -534,11 +536,11 @@
     seen.serves_feed = feed_gate_.is_open(), seen.version = group_->version();
     seen.voters = group_->voters(), seen.peers = alive_, seen.edge_nodes = edge_nodes_.listed();
     for (const auto& [id, record] : registry_->table().records()) seen.servers.push_back(record);
-    if (duty_parts_) std::ranges::copy(duty_parts_->statuses(), std::back_inserter(seen.duties));
+    if (duty_partitions_) std::ranges::copy(duty_partitions_->statuses(), std::back_inserter(seen.duties));
     if (stage_duty_) seen.orders = stage_duty_->counts();
     if (usage_duty_) seen.usage = usage_duty_->status();
-    if (count_duty_)
-        seen.server_counts = count_duty_->zone_statuses(), seen.count_calls = count_duty_->calls();
+    if (autoscale_duty_)
+        seen.server_counts = autoscale_duty_->zone_statuses(), seen.count_calls = autoscale_duty_->calls();
     seen.group = group_->dropped_messages(), seen.links = peers_->rejected_messages();
     seen.copies = registry_->dropped_replies(), seen.calls = operator_calls_->dropped_replies();
     return to_json(seen);
@@ -548,7 +550,7 @@
     if (std::exchange(shutting_down_, true)) return;
     log_line("ending");
     group_->resign();
-    if (duty_parts_) duty_parts_->resign();
+    if (duty_partitions_) duty_partitions_->resign();
     peers_->announce_shutdown();
     group_->set_member_statuses(peers_->member_statuses());
     publish_control_nodes();
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -43,11 +43,11 @@
     const ConfigurationGroup& group() const { return *group_; }
     const InstanceRegistry& registry() const { return *registry_; }
     const feed::FeedLog& log() const { return log_; }
-    const DutyPartitions* duty_parts() const {
-        return duty_parts_.get();
+    const DutyPartitions* duty_partitions() const {
+        return duty_partitions_.get();
     } // null in deployments without duties
     const clock::FleetClock& fleet_clock() const { return fleet_clock_; } // empty if usage is not reported
-    const duties::UsageAggregator& usage_tally() const { return usage_tally_; } // likewise
+    const duties::UsageAggregator& usage_aggregator() const { return usage_aggregator_; } // likewise
     bool serves_feed() const { return feed_gate_.is_open(); }
     // The number of peers' replies that were dropped as not matching a pending request of this process.
     std::uint64_t dropped_replies() const;
@@ -58,12 +58,12 @@
     std::size_t tolerated_losses() const;
     std::size_t min_voters() const;
     Result<void> open_snapshot_store();
-    Result<void> open_duty_parts();
+    Result<void> open_duty_partitions();
     Result<void> open_group();
     void open_registry();
     void open_operator_calls();
     void open_stage_duty();
-    void open_count_duty(); // after open_stage_duty(), whose demand and server data it uses
+    void open_autoscale_duty(); // after open_stage_duty(), whose demand and server data it uses
     void open_peers();
     void open_feed();
     void restore_snapshot(); // initial state until the group and the servers provide it
@@ -97,19 +97,19 @@
     model::ControlNode self_;
     feed::FeedLog log_;
     clock::FleetClock fleet_clock_;
-    duties::UsageAggregator usage_tally_;
+    duties::UsageAggregator usage_aggregator_;
     std::unique_ptr<UsageExchange> usage_exchange_; // null if usage is not reported
-    duties::PlatformRateLimiter call_budget_{settings_.cloud_api.duty_per_s,
-                                             reactor_.now()}; // shared by all duties
+    duties::PlatformRateLimiter platform_rate_limiter_{settings_.cloud_api.duty_per_s,
+                                                       reactor_.now()}; // shared by all duties
     std::unique_ptr<SnapshotStore> snapshot_store_;
     std::unique_ptr<feed::Publisher> publisher_;
     std::unique_ptr<PeerMesh> peers_;
-    std::unique_ptr<DutyPartitions> duty_parts_;
+    std::unique_ptr<DutyPartitions> duty_partitions_;
     std::unique_ptr<ConfigurationGroup> group_;
     std::unique_ptr<InstanceRegistry> registry_;
-    std::unique_ptr<StageDuty> stage_duty_;     // null without duties
-    std::unique_ptr<UsageDuty> usage_duty_;     // null if usage is not reported
-    std::unique_ptr<AutoscaleDuty> count_duty_; // null if the platform takes no server counts
+    std::unique_ptr<StageDuty> stage_duty_;         // null without duties
+    std::unique_ptr<UsageDuty> usage_duty_;         // null if usage is not reported
+    std::unique_ptr<AutoscaleDuty> autoscale_duty_; // null if the platform takes no server counts
     std::unique_ptr<OperatorCalls> operator_calls_;
     std::unique_ptr<ControlApi> api_;
     std::unique_ptr<feed::LinkListener> peer_listener_, feed_listener_;
--- a/src/control/duty_partitions.cpp
+++ b/src/control/duty_partitions.cpp
@@ -63,7 +63,7 @@
     if (has_joined()) return;
     self_ = self;
     for (std::size_t number = 0; number < partitions_.size(); ++number) open_member(number, self);
-    if (!founders_.empty()) found(founders_);
+    if (!initial_voters_.empty()) bootstrap(initial_voters_);
 }
 
 void DutyPartitions::open_member(std::size_t number, const consensus::Member& self) {
@@ -91,15 +91,16 @@
     partition.member->step();
 }
 
-// A disk that has been emptied since is a different member and founds nothing: founders are identified by the
-// random ids of their disks.
-void DutyPartitions::found(const std::vector<consensus::Member>& founders) {
-    founders_ = founders;
-    if (!has_joined() || std::ranges::find(founders, self_.id, &consensus::Member::id) == founders.end())
+// A disk that has been emptied since is a different member and must not bootstrap a group: initial voters are
+// identified by the random ids of their disks.
+void DutyPartitions::bootstrap(const std::vector<consensus::Member>& initial_voters) {
+    initial_voters_ = initial_voters;
+    if (!has_joined() ||
+        std::ranges::find(initial_voters, self_.id, &consensus::Member::id) == initial_voters.end())
         return;
     for (Partition& partition : partitions_)
         if (!partition.member->replica().newest())
-            partition.member->bootstrap(founders, wire::to_bytes(duties::PartitionState{}));
+            partition.member->bootstrap(initial_voters, wire::to_bytes(duties::PartitionState{}));
 }
 
 void DutyPartitions::receive(std::size_t partition, const consensus::Message& message) {
--- a/src/control/duty_partitions.hpp
+++ b/src/control/duty_partitions.hpp
@@ -1,6 +1,6 @@
 // This node's members of the consensus groups of the duties' partitions (src/duties/duty.hpp): persistence,
 // message transport, and whether this node may act for a duty now and under which fencing token. The groups
-// are founded by voters of the configuration's group, which agrees on the founders once.
+// are bootstrapped by voters of the configuration's group, which agrees on the initial voters once.
 #pragma once
 #include "base/result.hpp"
 #include "control/replicated_group.hpp"
@@ -44,7 +44,7 @@
 
     bool has_joined() const { return partitions_.front().member != nullptr; }
     void join(const consensus::Member& self); // to be called once the owner of the disk is known
-    void found(const std::vector<consensus::Member>& founders);
+    void bootstrap(const std::vector<consensus::Member>& initial_voters);
     void receive(std::size_t partition, const consensus::Message& message);
     void set_member_statuses(const std::vector<consensus::MemberStatus>& member_statuses);
     void resign(); // before a graceful shutdown: stops acting, releases the leases and hands over leadership
@@ -85,7 +85,7 @@
     SendToMember send_;
     Tenths opened_at_;
     std::array<Partition, duties::kDutyPartitions> partitions_;
-    std::vector<consensus::Member> founders_;
+    std::vector<consensus::Member> initial_voters_;
     consensus::Member self_;
     bool has_lost_state_ = false, resigning_ = false;
 };
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -247,20 +247,20 @@
 }
 
 void ControlWorld::act_once(MachineNumber machine) {
-    const control::DutyPartitions* parts = node(machine)->duty_parts();
+    const control::DutyPartitions* parts = node(machine)->duty_partitions();
     const auto fence = parts->fence(kStages);
     if (!fence) return;
     const Engine& engine = engines_[static_cast<std::size_t>(network_.any(kEngines))];
     const duties::StageOrder order{engine.id, engine.address, engine.stage, *fence, engine.orders_accepted};
     order_link(machine).send(
         order, actor_of(machine),
-        [this, machine, fence] { return node(machine)->duty_parts()->may_act_under(kStages, *fence); },
+        [this, machine, fence] { return node(machine)->duty_partitions()->may_act_under(kStages, *fence); },
         [](duties::OrderOutcome) {});
 }
 
 std::optional<MachineNumber> ControlWorld::duty_holder() const {
     for (const MachineNumber machine : control_)
-        if (is_live(machine) && node(machine)->duty_parts()->fence(kStages)) return machine;
+        if (is_live(machine) && node(machine)->duty_partitions()->fence(kStages)) return machine;
     return std::nullopt;
 }
 
@@ -348,7 +348,7 @@
     const bool acts = run_until([this] { return duty_holder().has_value(); }, kActingWithin);
     if (!acts) promise_broken("nobody acts for a duty after the calm");
     const auto holders = std::ranges::count_if(control_, [this](MachineNumber machine) {
-        return is_live(machine) && node(machine)->duty_parts()->fence(kStages).has_value();
+        return is_live(machine) && node(machine)->duty_partitions()->fence(kStages).has_value();
     });
     if (holders > 1) promise_broken("two nodes act for a duty");
     check_usage_calm();
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -66,7 +66,7 @@
 
 // By the group, as far as the sender's replica knows.
 void ControlWorld::check_is_agreed(MachineNumber machine, const PlatformCall& call) {
-    const auto state = node(machine)->duty_parts()->committed(duties::usage_report_duty());
+    const auto state = node(machine)->duty_partitions()->committed(duties::usage_report_duty());
     const bool is_agreed =
         state && std::ranges::find(state->usage.committed, call.body, &duties::CommittedWindow::body) !=
                      state->usage.committed.end();
--- a/tests/usage_history_tests.cpp
+++ b/tests/usage_history_tests.cpp
@@ -63,7 +63,7 @@
     for (const auto& [tenant, count] : world.begun(window)) comparisons[tenant].truth = count;
     if (const auto lost = world.lost().find(window); lost != world.lost().end()) // lost with a killed process
         for (const auto& [tenant, count] : lost->second) comparisons[tenant].truth -= count;
-    for (const auto& [tenant, count] : world.node(machine)->usage_tally().counts(window))
+    for (const auto& [tenant, count] : world.node(machine)->usage_aggregator().counts(window))
         comparisons[tenant].reported = count;
     return comparisons;
 }
@@ -82,8 +82,8 @@
                                                                << tenant << ": " << comparison.reported
                                                                << " for " << comparison.truth);
             if (complete)
-                BOOST_TEST(world.node(machine)->usage_tally().is_complete(window, (window + 1) * window_ms,
-                                                                          world.network().now()));
+                BOOST_TEST(world.node(machine)->usage_aggregator().is_complete(
+                    window, (window + 1) * window_ms, world.network().now()));
         }
     }
     BOOST_TEST(windows > 0);
