--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -43,7 +43,8 @@
 
 ControlNode::ControlNode(Environment environment, const settings::Settings& settings)
     : environment_(std::move(environment)), reactor_(environment_.reactor), settings_(settings),
-      incarnation_(environment_.draw()), log_(environment_.draw()), usage_tally_(tally_options(settings)) {}
+      incarnation_(environment_.draw()), log_(environment_.draw()),
+      usage_aggregator_(tally_options(settings)) {}
 
 ControlNode::~ControlNode() {
     reactor_.cancel(timer_);
@@ -60,7 +61,7 @@
     open_stage_duty();
     open_usage_exchange();
     open_usage_duty();
-    open_count_duty();
+    open_autoscale_duty();
     open_peers();
     open_feed();
     restore_snapshot();
@@ -208,8 +209,8 @@
 
 void ControlNode::open_usage_exchange() {
     if (settings_.bounds.usage_window_ms() <= 0) return;
-    usage_exchange_ =
-        std::make_unique<UsageExchange>(self_.address, fleet_clock_, usage_tally_, environment_.time_of_day);
+    usage_exchange_ = std::make_unique<UsageExchange>(self_.address, fleet_clock_, usage_aggregator_,
+                                                      environment_.time_of_day);
     exchange_usage();
 }
 
@@ -231,11 +232,11 @@
     callbacks.propose = [this](UsageDuty::ChangeLedger change) { propose_usage(std::move(change)); };
     callbacks.time = [this] { return fleet_clock_.at(reactor_.now()); };
     callbacks.sources.is_complete = [this](std::int64_t window, std::int64_t end_ms) {
-        return usage_tally_.is_complete(window, end_ms, reactor_.now());
+        return usage_aggregator_.is_complete(window, end_ms, reactor_.now());
     };
-    callbacks.sources.counts = [this](std::int64_t window) { return usage_tally_.counts(window); };
+    callbacks.sources.counts = [this](std::int64_t window) { return usage_aggregator_.counts(window); };
     callbacks.acquire_call = [this] {
-        return call_budget_.try_acquire(duties::usage_report_duty(), reactor_.now());
+        return platform_rate_limiter_.try_acquire(duties::usage_report_duty(), reactor_.now());
     };
     usage_duty_ = std::make_unique<UsageDuty>(
         reactor_, environment_.platform,
@@ -264,7 +265,7 @@
     if (!wanted.processes.empty()) peers_->send(peer.address, std::move(wanted));
 }
 
-void ControlNode::open_count_duty() {
+void ControlNode::open_autoscale_duty() {
     const std::vector<std::string>& duties = settings_.cloud_api.duties;
     if (!duty_partitions_ || std::ranges::find(duties, kServerCount) == duties.end()) return;
     AutoscaleDuty::Callbacks callbacks;
@@ -279,10 +280,10 @@
         return stage_duty_->demand().total(service, reactor_.now());
     };
     callbacks.acquire_call = [this](const duties::Duty& duty) {
-        return call_budget_.try_acquire(duty, reactor_.now());
+        return platform_rate_limiter_.try_acquire(duty, reactor_.now());
     };
-    count_duty_ = std::make_unique<AutoscaleDuty>(reactor_, environment_.platform, settings_.node_name,
-                                                  std::move(callbacks));
+    autoscale_duty_ = std::make_unique<AutoscaleDuty>(reactor_, environment_.platform, settings_.node_name,
+                                                      std::move(callbacks));
 }
 
 void ControlNode::publish_orders(const std::vector<feed::StageOrdered>& orders) {
@@ -540,9 +541,9 @@
         std::ranges::copy(duty_partitions_->statuses(), std::back_inserter(inspection.duties));
     if (stage_duty_) inspection.orders = stage_duty_->counts();
     if (usage_duty_) inspection.usage = usage_duty_->status();
-    if (count_duty_)
-        inspection.server_counts = count_duty_->zone_statuses(),
-        inspection.count_calls = count_duty_->calls();
+    if (autoscale_duty_)
+        inspection.server_counts = autoscale_duty_->zone_statuses(),
+        inspection.count_calls = autoscale_duty_->calls();
     inspection.group = group_->dropped_messages(), inspection.links = peers_->rejected_messages();
     inspection.sync_replies = registry_->dropped_replies(),
     inspection.call_replies = operator_calls_->dropped_replies();
--- a/src/control/duty_partitions.cpp
+++ b/src/control/duty_partitions.cpp
@@ -91,7 +91,7 @@
     partition.member->step();
 }
 
-// A disk that has been emptied since is a different member and bootstraps nothing: initial voters are
+// A disk that has been emptied since is a different member and must not bootstrap a group: initial voters are
 // identified by the random ids of their disks.
 void DutyPartitions::bootstrap(const std::vector<consensus::Member>& initial_voters) {
     initial_voters_ = initial_voters;
--- a/src/control/duty_partitions.hpp
+++ b/src/control/duty_partitions.hpp
@@ -1,7 +1,6 @@
 // This node's members of the consensus groups of the duties' partitions (src/duties/duty.hpp): persistence,
 // message transport, and whether this node may act for a duty now and under which fencing token. The groups
-// are bootstrapped by voters of the configuration group, which replicates the list of these initial voters
-// once.
+// are bootstrapped by voters of the configuration's group, which agrees on the initial voters once.
 #pragma once
 #include "base/result.hpp"
 #include "control/replicated_group.hpp"
