--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -354,7 +354,7 @@
         co_await node.beat(server("i-1"));
         const int checks = node.contact_checks + 3;
         const bool holds = co_await script.until([&] {
-            node.registry.record_remote_heartbeats(feed::Heard{{"i-1"}});
+            node.registry.record_remote_heartbeats(feed::HeartbeatsSeen{{"i-1"}});
             return node.contact_checks >= checks;
         });
         BOOST_TEST(holds);
