--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -37,9 +37,10 @@
     int max_lines_per_second = 20;
 };
 
-struct MembershipSettings { // front nodes that may talk to each other
-    std::string address;    // where the others reach us
-    std::string bind;       // where we hear them, the same unless something stands between
+// Membership among the front nodes.
+struct MembershipSettings {
+    std::string address; // where the other members reach this one
+    std::string bind;    // local address; differs from `address` behind a proxy or NAT
     std::vector<std::string> peers;
     std::string secret; // path of the shared secret, 32 bytes or more
     Tenths probe_interval = kTenthsPerSecond;
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -273,8 +273,8 @@
     double result = server.draining ? 0 : monitor_.is_silent(name, now_) ? kSilentServerShare : 1;
     const SiteState state = monitor_.state(server.site);
     // Start times in the list are wall time.
-    if (server.born > 0 && wall_ < server.born + options_.warm_up_time && options_.warm_up_time > 0) {
-        const double age = std::max(0.0, static_cast<double>(wall_ - server.born) /
+    if (server.started > 0 && wall_ < server.started + options_.warm_up_time && options_.warm_up_time > 0) {
+        const double age = std::max(0.0, static_cast<double>(wall_ - server.started) /
                                              static_cast<double>(options_.warm_up_time));
         result *= options_.cold_capacity_ratio + (1 - options_.cold_capacity_ratio) * age;
     }
--- a/src/recovery/site_monitor.cpp
+++ b/src/recovery/site_monitor.cpp
@@ -31,7 +31,8 @@
         if (!listed.live && !listed.draining && was_live && !server.listed.draining &&
             !planned_absences_.contains(name))
             server.missing = true, server.missing_since = now;
-        if (listed.live && listed.born > server.listed.born) server.listed_since = now, server.unanswered = 0;
+        if (listed.live && listed.started > server.listed.started)
+            server.listed_since = now, server.unanswered = 0;
         server.listed = listed;
     }
     // Servers that a complete list no longer names.
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -37,7 +37,7 @@
     std::vector<int> shards;
     double power = 1; // relative capacity (the list's weight)
     bool live = true, draining = false;
-    Tenths born = 0; // start of the server, wall time; 0: unknown or long ago
+    Tenths started = 0; // start of the server, wall time; 0: unknown or long ago
 };
 
 // Request class and tenant; the tenant is empty where it is unknown.
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -595,7 +595,7 @@
     const int cells = plan_.servers / plan_.replicas;
     for (int i = 0; i < plan_.servers; ++i) {
         recovery::ListedServer seen;
-        seen.site = site_name(site_of(i)), seen.live = servers_[i]->alive, seen.born = servers_[i]->born;
+        seen.site = site_name(site_of(i)), seen.live = servers_[i]->alive, seen.started = servers_[i]->born;
         for (int shard = 0; shard < plan_.shards; ++shard)
             if (shard % cells == servers_[i]->cell) seen.shards.push_back(shard);
         servers["s" + std::to_string(i)] = std::move(seen);
