--- a/src/maintenance/executor.cpp
+++ b/src/maintenance/executor.cpp
@@ -156,17 +156,16 @@
         if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
         if (status == MachineStatus::kServing || status == MachineStatus::kStarting)
             return send_action(now, job.machine, execution, MachineAction::kDrain, output);
-        return propose_state(now, job, execution, JobState::kDraining, "",
-                             output); // it drains, or is further
+        // It drains, or is further.
+        return propose_state(now, job, execution, JobState::kDraining, "", output);
     case JobState::kDraining:
         if (cancel) return propose_state(now, job, execution, JobState::kReturning, job.reason, output);
         if (status == MachineStatus::kWorking || status == MachineStatus::kWorkDone)
             return propose_state(now, job, execution, JobState::kOut, "", output);
         if (status == MachineStatus::kDrained)
             return send_action(now, job.machine, execution, MachineAction::kTakeOut, output);
-        if (status == MachineStatus::kServing)
-            return send_action(now, job.machine, execution, MachineAction::kDrain,
-                               output); // it lost the drain command
+        if (status == MachineStatus::kServing) // it lost the drain command
+            return send_action(now, job.machine, execution, MachineAction::kDrain, output);
         if (elapsed > settings_.timing.drain)
             return apply_policy(now, settings_.failure_policy.drain_late, job, execution,
                                 "it did not finish draining", schedule, output);
@@ -175,8 +174,8 @@
         if (cancel || status == MachineStatus::kWorkDone)
             return propose_state(now, job, execution, JobState::kReturning,
                                  cancel ? job.reason : "its work is finished", output);
-        if (status == MachineStatus::kServing ||
-            status == MachineStatus::kStarting) // brought back by someone else
+        // Brought back by someone else.
+        if (status == MachineStatus::kServing || status == MachineStatus::kStarting)
             return propose_state(now, job, execution, JobState::kReturning, "it came back without a command",
                                  output);
         if (status == MachineStatus::kBroken)
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -172,7 +172,7 @@
                              {"standing", kStateNames[static_cast<int>(changed.state)]},
                              {"incarnation", std::to_string(changed.incarnation)}});
     }
-    if (const std::size_t present = member_list_.present(); present != present_members_) {
+    if (const std::size_t present = member_list_.present_count(); present != present_members_) {
         present_members_ = present;
         effects_.emplace_back(MemberCount{present});
     }
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -803,7 +803,7 @@
     assert(b.incomplete() <= FragmentTransport::kMaxIncomplete);
     b.step(10 * kS);
     assert(b.incomplete() == 0);
-    assert(!b.receive(kS, "a stranger's bytes") && datagram_codec.counts().unauthenticated == 1);
+    assert(!b.receive(kS, "unsigned bytes") && datagram_codec.counts().unauthenticated == 1);
 }
 
 void flood_is_dropped_unread() {
@@ -811,7 +811,7 @@
     settings.name = "n0", settings.address = "10.0.0.1:7",
     settings.secret = "the secret of a story, thirty-two bytes or more";
     MaintenanceNode node(settings, nullptr, kS, kS);
-    for (int i = 0; i < 50'000; ++i) node.receive(kS + i / 100, "10.0.0.9:1", "\x88nothing that is sealed");
+    for (int i = 0; i < 50'000; ++i) node.receive(kS + i / 100, "10.0.0.9:1", "\x88nothing that is signed");
     assert(node.counts().rate_limited > 40'000 && node.codec_counts().unauthenticated < 10'000);
     assert(node.take_effects().empty());
 }
@@ -820,7 +820,7 @@
 
 struct TemporaryFolder {
     TemporaryFolder() {
-        std::string form = (std::filesystem::temp_directory_path() / "ivyrill-ledger-XXXXXX").string();
+        std::string form = (std::filesystem::temp_directory_path() / "ivyrill-raft-store-XXXXXX").string();
         assert(mkdtemp(form.data()) != nullptr);
         path = form;
     }
@@ -929,7 +929,7 @@
     {
         std::FILE* file = std::fopen((folder.path + "/l.db").c_str(), "r+");
         std::fseek(file, 0, SEEK_SET);
-        std::fputs("not a ledger at all", file);
+        std::fputs("not a database at all", file);
         std::fclose(file);
     }
     bool refused = false;
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -16,13 +16,13 @@
 constexpr Tenths kS = kTenthsPerSecond;
 
 struct RunningFleet : Rig {
-    static RigPlan plan(std::size_t council, Tenths work) {
+    static RigPlan plan(std::size_t voter_count, Tenths work) {
         RigPlan settings;
         settings.program = IVYRILL_PROGRAM;
-        settings.council = council, settings.work = work;
+        settings.council = voter_count, settings.work = work;
         return settings;
     }
-    explicit RunningFleet(std::size_t council = 3, Tenths work = kS / 2) : Rig(plan(council, work)) {
+    explicit RunningFleet(std::size_t voter_count = 3, Tenths work = kS / 2) : Rig(plan(voter_count, work)) {
         for (int i = 0; i < 5; ++i) assert(ready(i));
         assert(await([this] {
             const auto reply = show(0);
