--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -52,13 +52,13 @@
     open_log_lines(settings.value().node_name, role);
     transport::Reactor reactor;
     std::function<void()> end;
-    std::function<void(const settings::Settings&)> use_settings = [](const settings::Settings&) {};
+    std::function<void(const settings::Settings&)> apply_settings = [](const settings::Settings&) {};
     reactor.handle_signals({SIGTERM, SIGINT, SIGHUP}, [&](int number) {
         if (number != SIGHUP) return end();
-        const auto fresh = read_settings(path);
-        if (fresh.has_error()) return log_line("settings_refused", {{"cause", fresh.error().message}});
+        const auto reloaded = read_settings(path);
+        if (reloaded.has_error()) return log_line("settings_refused", {{"cause", reloaded.error().message}});
         log_line("settings_read");
-        use_settings(fresh.value());
+        apply_settings(reloaded.value());
     });
     std::unique_ptr<control::ControlProgram> control;
     std::unique_ptr<agent::Agent> agent;
@@ -71,7 +71,7 @@
     } else if (role == "agent") {
         agent = std::make_unique<agent::Agent>(reactor, settings.value());
         end = [&] { agent->begin_end(); };
-        use_settings = [&](const settings::Settings& fresh) { agent->use_settings(fresh); };
+        apply_settings = [&](const settings::Settings& reloaded) { agent->use_settings(reloaded); };
     } else {
         proxy = std::make_unique<proxy::Proxy>(reactor, settings.value());
         end = [&] { proxy->begin_shutdown(); };
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -142,11 +142,11 @@
 // `again`: another choice may be made; otherwise the result is final.
 transport::Async<ExchangeResult> Exchange::serve_with(const replica_selection::Pair& pair, bool& again) {
     if (!pair.prefill_server.empty() && handle_.empty()) {
-        const PrefillResult read = co_await prefill(pair);
-        again = read != PrefillResult::kDone;
+        const PrefillResult prefilled = co_await prefill(pair);
+        again = prefilled != PrefillResult::kDone;
         if (again) {
             tried_.insert(pair.prefill_server);
-            may_split_ = read == PrefillResult::kNotSent && ++unreachable_count_ < kMaxUnreachable;
+            may_split_ = prefilled == PrefillResult::kNotSent && ++unreachable_count_ < kMaxUnreachable;
             co_return ExchangeResult::kAbort;
         }
     }
--- a/src/proxy/usage_meter.hpp
+++ b/src/proxy/usage_meter.hpp
@@ -34,7 +34,7 @@
         }
         // A window reported as complete gets no more counts, even if the clock is set back.
         Window& window = windows_[std::max(time->unix_ms, counted_until_ms_) / window_ms_];
-        const auto [place, fresh] = window.counts.try_emplace(tenant);
+        const auto [place, is_new] = window.counts.try_emplace(tenant);
         Count& count = place->second;
         ++count.count, ++window.total;
         if (!std::exchange(count.is_changed, true)) window.changed.push_back(&*place);
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -51,10 +51,10 @@
 
 } // namespace
 
-bool nearly_equal(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step) {
-    if (a.gone != b.gone || a.sites.size() != b.sites.size() || a.rows.size() != b.rows.size() ||
-        std::abs(a.further - b.further) >= step || a.retry_after != b.retry_after ||
-        a.tight.size() != b.tight.size())
+bool nearly_equal(const FailoverPolicyUpdate& a, const FailoverPolicyUpdate& b, double step) {
+    if (a.lost_shards != b.lost_shards || a.sites.size() != b.sites.size() ||
+        a.rows.size() != b.rows.size() || std::abs(a.attempt_budget_share - b.attempt_budget_share) >= step ||
+        a.retry_after != b.retry_after || a.capacity_shares.size() != b.capacity_shares.size())
         return false;
     for (std::size_t i = 0; i < a.sites.size(); ++i)
         if (a.sites[i].zone != b.sites[i].zone || a.sites[i].share != b.sites[i].share) return false;
@@ -302,14 +302,14 @@
     return result;
 }
 
-SiteRecoveryPlan FailoverController::policy_for(const Plan& plan) const {
-    SiteRecoveryPlan policy;
+FailoverPolicyUpdate FailoverController::policy_for(const Plan& plan) const {
+    FailoverPolicyUpdate policy;
     for (const auto& [site, status] : monitor_.sites()) {
         const double share = site_share(site);
         const std::int32_t zone = index_of(options_.zones, site);
         if (zone >= 0 && share < 1) policy.sites.push_back({ZoneNo{zone}, share});
     }
-    for (const int shard : plan.lost_shards) policy.gone.push_back(ShardNo{shard});
+    for (const int shard : plan.lost_shards) policy.lost_shards.push_back(ShardNo{shard});
     bool admits_all = true;
     for (const auto& [key, admission] : plan.shedding.admissions) {
         const std::int32_t request_class = index_of(options_.request_classes, key.first);
@@ -323,9 +323,9 @@
                                admitted >= 1 - kMinChange ? 1 : admitted, admission.answer_weight});
     }
     for (const auto& [shard, served] : plan.assignment.served_share)
-        if (served < 1 - kMinChange) policy.tight.emplace_back(ShardNo{shard}, served);
+        if (served < 1 - kMinChange) policy.capacity_shares.emplace_back(ShardNo{shard}, served);
     const double utilization = plan.assignment.max_utilization;
-    policy.further =
+    policy.attempt_budget_share =
         !admits_all
             ? 0
             : std::clamp(1 - (utilization - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
@@ -359,7 +359,7 @@
         plan_ = plan_without(plan_input(), unavailable_sites());
         ++counts_.plans;
     }
-    SiteRecoveryPlan policy = policy_for(plan_);
+    FailoverPolicyUpdate policy = policy_for(plan_);
     if (!active_ || !nearly_equal(policy, policy_, kMinChange)) {
         active_ = true, policy_ = std::move(policy);
         ++counts_.policy_updates;
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -46,7 +46,7 @@
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
-using FailoverEffect = std::variant<OutgoingReport, SiteRecoveryPlan, SiteLogLine>;
+using FailoverEffect = std::variant<OutgoingReport, FailoverPolicyUpdate, SiteLogLine>;
 
 struct FailoverCounts {
     std::uint64_t reports_sent = 0, reports_received = 0, malformed = 0, plans = 0, policy_updates = 0,
@@ -74,7 +74,7 @@
     const PeerReports& peer_reports() const { return peer_reports_; }
     const CapacityEstimator& capacity() const { return capacity_; }
     const FailoverCounts& counts() const { return counts_; }
-    const SiteRecoveryPlan& policy() const { return policy_; }
+    const FailoverPolicyUpdate& policy() const { return policy_; }
     // An unavailable site or an empty name; maintenance must not take machines out of service meanwhile.
     SiteName lost_site() const;
     PlanInput plan_input() const;
@@ -83,7 +83,7 @@
     void update_estimates();
     void send_reports();
     void refresh_plan();
-    SiteRecoveryPlan policy_for(const Plan& plan) const;
+    FailoverPolicyUpdate policy_for(const Plan& plan) const;
     double site_share(const SiteName& site) const;
     double available_share(const std::string& name, const ListedServer& server) const;
     std::set<SiteName> unavailable_sites() const;
@@ -122,7 +122,7 @@
     Plan plan_;
     std::map<SiteName, double> planned_shares_; // for which plan_ was made
     Tenths next_plan_ = 0;
-    SiteRecoveryPlan policy_;
+    FailoverPolicyUpdate policy_;
     bool active_ = false;
     TrafficCounts since_line_;
     std::vector<FailoverEffect> effects_;
@@ -130,6 +130,6 @@
 };
 
 // Whether all values of two policies differ by less than `step`.
-bool nearly_equal(const SiteRecoveryPlan& a, const SiteRecoveryPlan& b, double step);
+bool nearly_equal(const FailoverPolicyUpdate& a, const FailoverPolicyUpdate& b, double step);
 
 } // namespace ivyrill::recovery
--- a/src/recovery/failover_policy.cpp
+++ b/src/recovery/failover_policy.cpp
@@ -4,13 +4,13 @@
 
 namespace ivyrill::recovery {
 
-void FailoverPolicy::update(const SiteRecoveryPlan& policy_update) {
+void FailoverPolicy::update(const FailoverPolicyUpdate& policy_update) {
     site_shares_.clear(), lost_shards_.clear(), admission_rows_.clear(), capacity_share_.clear();
     for (const auto& site : policy_update.sites) site_shares_[site.zone] = std::clamp(site.share, 0.0, 1.0);
-    lost_shards_.insert(policy_update.gone.begin(), policy_update.gone.end());
+    lost_shards_.insert(policy_update.lost_shards.begin(), policy_update.lost_shards.end());
     for (const auto& row : policy_update.rows) admission_rows_[{row.request_class, row.tenant}] = row;
-    for (const auto& [shard, share] : policy_update.tight) capacity_share_[shard] = share;
-    attempt_budget_share_ = std::clamp(policy_update.further, 0.0, 1.0);
+    for (const auto& [shard, share] : policy_update.capacity_shares) capacity_share_[shard] = share;
+    attempt_budget_share_ = std::clamp(policy_update.attempt_budget_share, 0.0, 1.0);
     max_retry_after_ = std::max<Tenths>(0, policy_update.retry_after);
 }
 
@@ -27,7 +27,8 @@
     return at_most_once || rng.unit() >= share ? Eligibility::kLastResort : Eligibility::kEligible;
 }
 
-const SiteRecoveryPlan::Row* FailoverPolicy::find_row(RequestClassNo request_class, TenantNo tenant) const {
+const FailoverPolicyUpdate::Row* FailoverPolicy::find_row(RequestClassNo request_class,
+                                                          TenantNo tenant) const {
     auto found = admission_rows_.find({request_class, tenant});
     if (found == admission_rows_.end()) found = admission_rows_.find({request_class, TenantNo{-1}});
     return found == admission_rows_.end() ? nullptr : &found->second;
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -1,6 +1,7 @@
 // The part of a failover plan that the decision module consults: which sites take part in replica selection,
-// which searches are rejected, which parts are left out. Set by `SiteRecoveryPlan` (search_scheduler.hpp); it
-// does not expire, so the failover controller must withdraw it. Without one, nothing is restricted.
+// which searches are rejected, which parts are left out. Set by `FailoverPolicyUpdate`
+// (search_scheduler.hpp); it does not expire, so the failover controller must withdraw it. Without one,
+// nothing is restricted.
 //
 // A policy only restricts, so a wrong one cannot break an invariant: an excluded site gets fewer attempts, a
 // search that is not admitted has had no attempt, parts are left out only down to the request class's floor
@@ -16,7 +17,7 @@
 
 class FailoverPolicy {
   public:
-    void update(const SiteRecoveryPlan& policy_update);
+    void update(const FailoverPolicyUpdate& policy_update);
 
     // kLastResort: only after all eligible servers.
     enum class Eligibility { kEligible, kLastResort, kExcluded };
@@ -37,11 +38,11 @@
 
   private:
     double site_share(ZoneNo zone) const;
-    const SiteRecoveryPlan::Row* find_row(RequestClassNo request_class, TenantNo tenant) const;
+    const FailoverPolicyUpdate::Row* find_row(RequestClassNo request_class, TenantNo tenant) const;
 
     std::map<ZoneNo, double> site_shares_;
     std::set<ShardNo> lost_shards_;
-    std::map<std::pair<RequestClassNo, TenantNo>, SiteRecoveryPlan::Row> admission_rows_;
+    std::map<std::pair<RequestClassNo, TenantNo>, FailoverPolicyUpdate::Row> admission_rows_;
     std::map<ShardNo, double> capacity_share_;
     double attempt_budget_share_ = 1;
     Tenths max_retry_after_ = 0;
--- a/src/replica_selection/candidates.cpp
+++ b/src/replica_selection/candidates.cpp
@@ -29,7 +29,7 @@
                                [&](const auto& served) { return served.name == request.model; });
 }
 
-void mix(double& mean, double may_reject, double weight) { mean += weight * (may_reject - mean); }
+void mix(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
 } // namespace
 
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -30,7 +30,7 @@
                       kSampledRemote = 1; // servers ranked for one request: in the zone, elsewhere
 constexpr double kMaxRetryAfter = 3000;   // tenths of a millisecond
 
-void mix(double& mean, double may_reject, double weight) { mean += weight * (may_reject - mean); }
+void mix(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
 std::size_t index(Work work) { return static_cast<std::size_t>(work); }
 
@@ -51,12 +51,12 @@
     });
     for (const auto& [id, instance] : instances) {
         if (instance.state == model::InstanceState::kGone) continue;
-        const auto [place, may_reject] = servers_.try_emplace(id);
+        const auto [place, is_new] = servers_.try_emplace(id);
         Server& server = place->second;
         const model::Stage stage_before = server.instance.stage;
         const bool stage_changed = server.heartbeat_stage != instance.stage;
         server.instance = instance, server.heartbeat_stage = instance.stage;
-        if (may_reject) {
+        if (is_new) {
             server.last_answer = server.decayed_at = now;
             continue;
         }
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -23,29 +23,29 @@
     const access::Credential credential{request.token, request.token_spoilt, client.chain};
     const access::Asked asked{request.request_class, request.tenant,
                               key_is_query_ ? request.query : request.key};
-    access::Decision made = gate_->admit(credential, asked, access_now());
-    if (made.reason != access::Reason::kAdmitted) {
+    access::Decision decision = gate_->admit(credential, asked, access_now());
+    if (decision.reason != access::Reason::kAdmitted) {
         ++counts_.not_admitted;
-        effects_.push_back(Audit{made.reason, "refused", made.caller.club, made.caller.member, made.key,
-                                 request.request_class, request.id});
+        effects_.push_back(Audit{decision.reason, "refused", decision.caller.club, decision.caller.member,
+                                 decision.key, request.request_class, request.id});
     }
-    return made;
+    return decision;
 }
 
-void Router::refuse(ClientId client, StreamNo stream, access::Reason why) {
-    const access::Refusal told = access::refusal_of(why);
-    effects_.push_back(
-        RejectClient{client, told.status, std::string(told.words), draining_, told.challenge, stream});
+void Router::refuse(ClientId client, StreamNo stream, access::Reason reason) {
+    const access::Refusal refusal = access::refusal_of(reason);
+    effects_.push_back(RejectClient{client, refusal.status, std::string(refusal.words), draining_,
+                                    refusal.challenge, stream});
 }
 
 // A search without attempts is refused at once. Otherwise attempts in flight may still answer and answers
 // count, but nothing more is sent: neither attempts that wait for a connection nor further ones.
-void Router::revoke(SearchId id, access::Reason why) {
+void Router::revoke(SearchId id, access::Reason reason) {
     Search& search = searches_.at(id);
-    search.revoked = why, ++counts_.revoked;
+    search.revoked = reason, ++counts_.revoked;
     const auto& caller = search.proof->claims ? search.proof->claims->caller : access::Caller{};
     effects_.push_back(Audit{
-        why, "barred", caller.club, caller.member, {}, search.proof->asked.request_class, search.wire_id});
+        reason, "barred", caller.club, caller.member, {}, search.proof->asked.request_class, search.wire_id});
     bool attempted = false;
     for (const PartId part : search.parts) {
         for (std::uint32_t number = 0; number < parts_.at(part).attempts; ++number) {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -50,7 +50,7 @@
     client.idle_since = now_, client.requires_credential = event.requires_credential;
     if (draining_) effects_.push_back(DrainClient{event.client});
     if (event.tls && handshakes_)
-        if (const auto gone = handshakes_->begin(event.client)) close_client(*gone);
+        if (const auto evicted = handshakes_->begin(event.client)) close_client(*evicted);
     start_client_timeout(event.client, client);
     evict_clients(event.client);
 }
@@ -168,8 +168,9 @@
     found->second.request_started = false, found->second.idle_since = now_;
     if (std::exchange(found->second.closing, false))
         found->second.close_after_answer = true; // its request crossed the half-close
-    const auto reject = [&](int status, const char* why) {
-        effects_.push_back(RejectClient{event.client, status, why, closes(found->second), {}, event.stream});
+    const auto reject = [&](int status, const char* reason) {
+        effects_.push_back(
+            RejectClient{event.client, status, reason, closes(found->second), {}, event.stream});
     };
     const auto decision = admit(found->second, event);
     if (decision && decision->reason != access::Reason::kAdmitted)
@@ -238,9 +239,9 @@
         client->second.idle_since = now_;
         const bool close = closes(client->second);
         if (search.revoked != access::Reason::kAdmitted && answer.verdict == protocol::Verdict::kRejected) {
-            const access::Refusal told = access::refusal_of(search.revoked); // nothing has run or will run
-            effects_.push_back(RejectClient{search.client, told.status, std::string(told.words), close,
-                                            told.challenge, search.stream});
+            const access::Refusal refusal = access::refusal_of(search.revoked); // nothing has run or will run
+            effects_.push_back(RejectClient{search.client, refusal.status, std::string(refusal.words), close,
+                                            refusal.challenge, search.stream});
         } else {
             effects_.push_back(AnswerClient{search.client, std::move(answer), close, search.stream});
         }
@@ -514,8 +515,8 @@
     }
     for (const ConnectionId id : stale) close_connection(id);
     if (best) return best;
-    const auto fresh = open_connection(server);
-    return fresh ? fresh : fallback;
+    const auto opened = open_connection(server);
+    return opened ? opened : fallback;
 }
 
 bool Router::has_healthy_connection(const Server& server, bool up) const {
@@ -803,9 +804,9 @@
 // ---- the list of index servers
 
 ServerId Router::server_id(const std::string& name) {
-    const auto [place, fresh] =
+    const auto [place, is_new] =
         server_ids_.try_emplace(name, ServerId{static_cast<std::uint32_t>(server_ids_.size())});
-    if (fresh) servers_.try_emplace(place->second);
+    if (is_new) servers_.try_emplace(place->second);
     return place->second;
 }
 
@@ -874,7 +875,7 @@
 // known; an answer is overdue a fifth of that wait later, as is a connect. The rest of the time allows one or
 // two more calls.
 void Router::query_discovery() {
-    discovery_call_ = DiscoveryCallId{next_ask_++}, discovery_connected_ = false;
+    discovery_call_ = DiscoveryCallId{next_call_++}, discovery_connected_ = false;
     const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
     schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -230,8 +230,8 @@
     void abandon(SearchId id);
     std::optional<access::Decision> admit(const Client& client, const SearchReceived& event);
     void recheck_access();
-    void revoke(SearchId id, access::Reason why);
-    void refuse(ClientId client, StreamNo stream, access::Reason why);
+    void revoke(SearchId id, access::Reason reason);
+    void refuse(ClientId client, StreamNo stream, access::Reason reason);
     bool over_fair_share(ClientId id, const Client& client) const;
     void run_handshakes();
     void schedule_access_change();
@@ -281,7 +281,7 @@
     std::size_t descriptors_;
     Tenths now_ = 0, armed_ = 0;
     std::uint32_t next_id_ = 1; // of searches and parts
-    std::uint64_t next_connection_ = 1, next_ask_ = 1, next_probe_ = 1;
+    std::uint64_t next_connection_ = 1, next_call_ = 1, next_probe_ = 1;
     std::map<ClientId, Client> clients_;
     std::map<SearchId, Search> searches_;
     std::map<PartId, Part> parts_;
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -128,7 +128,7 @@
     }
 
     void apply(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
-    void apply(const SiteRecoveryPlan& plan) { failover_policy_.update(plan); }
+    void apply(const FailoverPolicyUpdate& event) { failover_policy_.update(event); }
     void apply(const ServerListUpdate& update) {
         if (update.kind == ListKind::kLost) {
             subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
@@ -209,19 +209,19 @@
 
     void record_result(IndexServer& server, RequestClassState& request_class, const AttemptEnded& event) {
         const double due = request_class.config.latency_target;
-        const bool good = event.outcome == Outcome::kAnswered;
+        const bool success = event.outcome == Outcome::kAnswered;
         if (event.outcome == Outcome::kNotSent) return;
         // A lost connection ends all its attempts: they count as one failure.
         if (event.outcome == Outcome::kConnectionLost && std::exchange(server.lost_at, now_) == now_) return;
         if (event.outcome != Outcome::kCancelled && event.outcome != Outcome::kTimedOut)
-            record_group_result(server, good, event.took);
+            record_group_result(server, success, event.took);
         if (event.outcome == Outcome::kCancelled) {
             if (server.measured && event.took > server.response) mix(server.response, event.took, kNewWeight);
             return;
         }
         // Fast errors must not look like a fast server: a failure counts as an answer at the latency target.
-        double took = good ? static_cast<double>(event.took) : due;
-        if (good) {
+        double took = success ? static_cast<double>(event.took) : due;
+        if (success) {
             if (server.last_answer > 0)
                 mix(answer_interval_, static_cast<double>(now_ - server.last_answer), kFleetWeight);
             server.last_answer = now_, server.silent = 0;
@@ -238,19 +238,19 @@
         }
         const double queue = event.report.queued.value_or(event.report.in_flight.value_or(0));
         const double service = took / (1 + queue);
-        if (good) update_fleet_means(queue, took);
+        if (success) update_fleet_means(queue, took);
         if (!server.measured) { server.response = took, server.service = service, server.queue = queue; }
         mix(server.response, took, kNewWeight);
-        if (good) mix(server.service, service, kNewWeight);
+        if (success) mix(server.service, service, kNewWeight);
         apply_report(server, event.report);
-        server.measured = server.measured || good;
-        mix(server.failure_rate, good ? 0 : 1, kNewWeight);
-        if (good && server.health == Health::kTrial && ++server.trial_limit >= kTrialAttempts)
+        server.measured = server.measured || success;
+        mix(server.failure_rate, success ? 0 : 1, kNewWeight);
+        if (success && server.health == Health::kTrial && ++server.trial_limit >= kTrialAttempts)
             server.health = Health::kInService, server.setbacks = 0;
         // A full server is healthy, so it is not ejected, but gets nothing for a latency target or the usual
         // interval between its answers, doubled each time. Parts sent to it would keep it busy with abandoned
         // work, and each of many front nodes would retry too early. Known weakness: a burst fills one.
-        if (good) server.rejections = 0, server.backoff_until = 0;
+        if (success) server.rejections = 0, server.backoff_until = 0;
         if (event.outcome == Outcome::kRejected) {
             const double backoff =
                 std::max(target_, answer_interval_) * (1 << std::min(server.rejections++, kMaxDoublings));
@@ -261,7 +261,7 @@
         if (refused && !server.unreachable) count_crash();
         server.unreachable = server.unreachable || refused;
         server.refused = server.refused || event.outcome == Outcome::kConnectionRefused;
-        if (!good && (refused || server.health == Health::kTrial || server.failure_rate > kMaxFailureRate))
+        if (!success && (refused || server.health == Health::kTrial || server.failure_rate > kMaxFailureRate))
             eject(server);
     }
 
@@ -376,8 +376,8 @@
     }
 
     const std::vector<IndexServer*>& replicas(ShardNo shard) {
-        const auto [place, fresh] = replicas_.try_emplace(shard);
-        if (fresh)
+        const auto [place, is_new] = replicas_.try_emplace(shard);
+        if (is_new)
             for (auto& [id, server] : servers_)
                 if (config_.holds(server.entry.cell, shard)) place->second.push_back(&server);
         for (IndexServer* server : place->second) decay_means(*server);
@@ -500,9 +500,9 @@
             if (server->silent > 0) penalty += 0.25;
             if (eligibility == Eligibility::kLastResort) penalty += 1.2;
             if (bad) {
-                double sound = 1;
-                for (const Group& group : server->groups()) sound *= 1 - failure_rate(group);
-                rank /= sound * sound, penalty += 1.5;
+                double success = 1;
+                for (const Group& group : server->groups()) success *= 1 - failure_rate(group);
+                rank /= success * success, penalty += 1.5;
             }
             rank += kRankStep * penalty;
             // Ties are broken at random: front nodes with the same reports must not all pick the same server.
@@ -611,14 +611,15 @@
 
     // Expected time of a part at its best replica, preferring healthy ones.
     double best_time(const Part& part) {
-        double sound = static_cast<double>(kNever), any = sound;
+        double healthy = static_cast<double>(kNever), any = healthy;
         const int ahead = backlog_[part.shard];
         for (IndexServer* server : replicas(part.shard)) {
             if (!may_serve(*server) || failover_policy_.excludes(server->entry.zone)) continue;
-            if (admits(*server) && !degraded(*server)) sound = std::min(sound, expected_time(*server, ahead));
+            if (admits(*server) && !degraded(*server))
+                healthy = std::min(healthy, expected_time(*server, ahead));
             if (may_test(*server)) any = std::min(any, expected_time(*server, ahead));
         }
-        return sound < static_cast<double>(kNever) ? sound : any;
+        return healthy < static_cast<double>(kNever) ? healthy : any;
     }
 
     // Overload from 0 to 1, by the mean expected wait: one slow server is none, long queues everywhere are.
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -138,9 +138,9 @@
     int count = 1;
 };
 
-// Restrictions while sites are lost, cut off or recovering (src/recovery/). Each plan replaces the one
-// before; an empty plan lifts all restrictions.
-struct SiteRecoveryPlan {
+// Restrictions while sites are lost, cut off or recovering (src/recovery/). Each update
+// replaces the previous one; an empty one lifts all restrictions.
+struct FailoverPolicyUpdate {
     struct Site {
         ZoneNo zone;
         double share = 1; // of the choices in which its servers take part; 0: in none
@@ -151,15 +151,16 @@
         double admitted = 1, weight = 1; // share of its searches; minimum weight of a partial answer
     };
     std::vector<Site> sites;
-    std::vector<ShardNo> gone; // shards without a replica
+    std::vector<ShardNo> lost_shards; // without a replica
     std::vector<Row> rows;
-    std::vector<std::pair<ShardNo, double>> tight; // shards short of capacity: share of the demand that fits
-    double further = 1;                            // share of the retry budget
-    Tenths retry_after = 0;                        // maximum for rejected searches; 0: no change
+    // Shards short of capacity: share of the demand that fits.
+    std::vector<std::pair<ShardNo, double>> capacity_shares;
+    double attempt_budget_share = 1; // of the retry budget that may be used
+    Tenths retry_after = 0;          // maximum for rejected searches; 0: no change
 };
 
 using Event = std::variant<SearchAccepted, PartAdded, AttemptEnded, ProbeEnded, SearchAbandoned,
-                           SearchRevoked, ServerListUpdate, FrontNodeCount, SiteRecoveryPlan>;
+                           SearchRevoked, ServerListUpdate, FrontNodeCount, FailoverPolicyUpdate>;
 
 // Performs the scheduler's actions.
 class SchedulerHost {
--- a/tests/fleet_tests.cpp
+++ b/tests/fleet_tests.cpp
@@ -1,4 +1,4 @@
-// The whole fleet in real processes on loopback. Every wait is for a condition, with a bound.
+// The whole fleet in real processes on loopback. Every wait is for a condition and has a timeout.
 #define BOOST_TEST_MODULE fleet
 #include "lab/model_server_world.hpp"
 #include "lab/real_fleet.hpp"
@@ -24,10 +24,10 @@
 }
 
 struct ServerCall {
-    std::string server, line; // as the stand-in logs it
+    std::string server, line; // as logged by the simulated server
 };
 
-// What any of the stand-ins got of that attempt, a line each.
+// Log lines of all simulated servers for that attempt.
 std::vector<ServerCall> calls_of(const RealFleet& fleet, const std::string& attempt) {
     std::vector<ServerCall> calls;
     for (const char* server : {"prefill-1", "prefill-2", "decode-1", "decode-2"}) {
@@ -38,7 +38,7 @@
     return calls;
 }
 
-// `tenant`: empty for none.
+// `tenant`: empty: none.
 void check_calls(const RealFleet& fleet, const std::string& attempt, const std::string& tenant) {
     const auto calls = calls_of(fleet, attempt);
     BOOST_TEST(!calls.empty(), attempt);
@@ -49,13 +49,13 @@
     }
 }
 
-// The largest value that a proxy has told of that counter.
+// The latest logged value of that counter of a proxy.
 std::int64_t counter(const std::string& log, const std::string& name) {
     const std::size_t at = log.rfind(" " + name + "=");
     return at == std::string::npos ? 0 : std::stoll(log.substr(at + name.size() + 2));
 }
 
-// The same with one tenant; its "more" asks for a key as "chat" does, and "draft" is public.
+// A configuration with one tenant: "chat" and "more" require a key, "draft" is public.
 std::string with_tenant(std::int64_t version, const std::vector<std::string>& keys) {
     std::string list;
     for (const std::string& key : keys) list += (list.empty() ? "\"" : ",\"") + key + "\"";
@@ -72,24 +72,24 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(streams_come_byte_by_byte_through_prefill_and_decode) {
+BOOST_AUTO_TEST_CASE(streams_are_exact_through_prefill_and_decode) {
     RealFleet fleet;
-    // Long prompts, each its own. The first of them tells how long a server takes that reads and runs: from
-    // then on it pays to have them read by a server for prefill.
+    // Distinct long prompts. The first one measures a decode server's prefill time; from then on a separate
+    // prefill server pays off.
     for (int i = 0; i < 6; ++i) {
         const ClientRequest request =
             stream("ab" + std::to_string(i), "c0ffee" + std::to_string(i), 9000, 40);
         check_whole(fleet.ask(fleet.front(1), request), request);
     }
-    const bool handed_over = fleet.until([&] { return counter(fleet.log("proxy-1"), "hand_overs") > 0; });
-    BOOST_TEST(handed_over);
+    const bool transferred = fleet.until([&] { return counter(fleet.log("proxy-1"), "hand_overs") > 0; });
+    BOOST_TEST(transferred);
 }
 
-BOOST_AUTO_TEST_CASE(a_change_is_taken_and_in_force_after_the_leading_control_process_is_killed) {
+BOOST_AUTO_TEST_CASE(change_is_accepted_and_applied_after_the_leader_is_killed) {
     RealFleet fleet;
-    int leads = 0;
-    BOOST_REQUIRE(fleet.until([&] { return (leads = fleet.leader()) != 0; }));
-    const std::string killed = "control-" + std::to_string(leads);
+    int leader = 0;
+    BOOST_REQUIRE(fleet.until([&] { return (leader = fleet.leader()) != 0; }));
+    const std::string killed = "control-" + std::to_string(leader);
     fleet.signal(killed, SIGKILL);
     BOOST_REQUIRE(fleet.until([&] { return !fleet.running(killed); }));
     BOOST_TEST(fleet.replace(with_route(5, "/more/"), 1) == 200);
@@ -104,7 +104,7 @@
     check_whole(fleet.ask(fleet.front(1), request), request);
 }
 
-BOOST_AUTO_TEST_CASE(of_two_changes_on_one_version_the_second_gets_412_and_the_first_sent_again_200) {
+BOOST_AUTO_TEST_CASE(second_change_of_a_version_gets_412_and_a_repeated_first_one_200) {
     RealFleet fleet;
     const std::string first = with_route(5, "/more/"), second = with_route(5, "/other/");
     BOOST_TEST(fleet.replace(first, 1) == 200);
@@ -123,7 +123,7 @@
         BOOST_TEST(fleet.ask(fleet.control(number), read).body == with_route(9, "/other/"));
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_is_open_when_its_proxy_is_told_to_end_is_finished) {
+BOOST_AUTO_TEST_CASE(open_stream_is_completed_when_its_proxy_shuts_down) {
     RealFleet fleet;
     const ClientRequest request = stream("ab1", "c0ffee", 100, 320);
     StreamClient& client = fleet.client(fleet.front(1));
@@ -132,13 +132,13 @@
     fleet.signal("proxy-1", SIGTERM);
     BOOST_REQUIRE(
         fleet.until([&] { return fleet.log("proxy-1").find("event=ending") != std::string::npos; }));
-    BOOST_TEST(!client.over()); // it was still under way
+    BOOST_TEST(!client.over()); // still running
     ClientRequest ready;
     ready.method = "GET", ready.target = "/ready", ready.model = "";
     BOOST_TEST(fleet.ask(fleet.address(21, 8268), ready).head.status == 503);
     BOOST_TEST(fleet.ask(fleet.address(22, 8268), ready).head.status == 200);
-    // The platform hasn't noticed yet. What ends before the node does is served; what may outlast it, and
-    // would be cut, goes elsewhere at once.
+    // The platform has not removed the node yet. Requests that end before it are served; those that might be
+    // cut off by its end are rejected at once.
     ClientRequest late = stream("ab2", "c0ffee", 100, 40);
     late.deadline_ms = 4000;
     check_whole(fleet.ask(fleet.front(1), late), late);
@@ -156,11 +156,11 @@
     check_whole(fleet.ask(fleet.front(2), elsewhere), elsewhere);
 }
 
-BOOST_AUTO_TEST_CASE(a_server_never_sees_a_clients_key_nor_a_tenant_other_than_that_keys) {
+BOOST_AUTO_TEST_CASE(server_never_sees_a_key_or_a_wrong_tenant) {
     struct Case {
         std::string attempt, target;
         std::vector<HttpField> sent;
-        std::string tenant; // that servers are to see
+        std::string tenant; // expected at servers
     };
     const std::vector<Case> cases{
         {"c1", "/chat/x", {{"Api-Key", "key-a1"}}, "alpha"},
@@ -182,7 +182,7 @@
         fleet.until([&] { return !calls_of(fleet, one.attempt).empty(); });
         check_calls(fleet, one.attempt, one.tenant);
     }
-    // Read by a server for prefill first.
+    // With a separate prefill server.
     for (int i = 0; i < 6; ++i) {
         ClientRequest request = stream("d" + std::to_string(i), "c0ffee" + std::to_string(i), 9000, 40);
         request.more = {{"Api-Key", "key-b"}, {"Tenant", "alpha"}};
@@ -191,7 +191,7 @@
     }
     BOOST_TEST(fleet.log("prefill-1").append(fleet.log("prefill-2")).find(" stage=prefill ") !=
                std::string::npos);
-    // Resumed at another server once its own is lost.
+    // Resumed at another server after its own is killed.
     ClientRequest lost = stream("e0", "f00d", 100, 320);
     lost.more = {{"Api-Key", "key-b"}, {"Tenant", "alpha"}};
     StreamClient& client = fleet.client(fleet.front(1));
@@ -204,11 +204,11 @@
     check_calls(fleet, lost.attempt, "beta");
 }
 
-BOOST_AUTO_TEST_CASE(a_request_without_a_known_key_gets_401_and_no_server_reads_or_runs_it) {
+BOOST_AUTO_TEST_CASE(request_without_a_known_key_gets_401_and_reaches_no_server) {
     RealFleet fleet;
     const std::string key = "jsmzzyyjsg3ajwyy7yx5";
     const ClientRequest before = stream("b1", "c0ffee", 200, 8);
-    check_whole(fleet.ask(fleet.front(1), before), before); // no tenants, no key
+    check_whole(fleet.ask(fleet.front(1), before), before); // no tenants configured, no key required
     BOOST_REQUIRE(fleet.replace(with_tenant(5, {key}), 1) == 200);
     for (int number = 1; number <= 2; ++number) {
         ClientRequest request = with_keys(stream("f" + std::to_string(number), "f00d", 100, 8), {key});
@@ -216,16 +216,16 @@
         BOOST_REQUIRE(
             fleet.until([&] { return fleet.ask(fleet.front(number), request).head.status == 200; }));
     }
-    std::size_t read_apart = 0;
-    for (int i = 0; i < 6; ++i) { // long prompts, as the refused ones below
+    std::size_t split = 0;
+    for (int i = 0; i < 6; ++i) { // long prompts, like the refused ones below
         const std::string number = std::to_string(i);
         const ClientRequest known = with_keys(stream("ab" + number, "c0ffee" + number, 9000, 40), {key});
         check_whole(fleet.ask(fleet.front(1), known), known);
         const std::vector<ServerCall> calls = calls_of(fleet, known.attempt);
         BOOST_TEST(!calls.empty());
-        read_apart += calls.size() > 1 ? 1 : 0;
+        split += calls.size() > 1 ? 1 : 0;
     }
-    BOOST_TEST(read_apart > 0);
+    BOOST_TEST(split > 0);
     const std::vector<std::pair<std::string, std::vector<std::string>>> refused{
         {"no key", {}},
         {"an unknown key", {"x42q492cqf75rjvz48wu"}},
@@ -253,7 +253,7 @@
     check_whole(fleet.ask(fleet.front(2), known), known);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_taken_away_gets_401_on_open_connections_and_a_key_added_is_served) {
+BOOST_AUTO_TEST_CASE(revoked_key_gets_401_on_open_connections_and_a_new_key_is_served) {
     RealFleet fleet;
     const ClientRequest request = stream("b0", "c0ffee", 100, 4);
     BOOST_TEST(fleet.replace(with_tenant(5, {"kept", "withdrawn"}), 1) == 200);
@@ -278,7 +278,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_whose_key_was_taken_away_is_not_run_at_a_second_server) {
+BOOST_AUTO_TEST_CASE(stream_with_a_revoked_key_is_not_resumed) {
     RealFleet fleet;
     BOOST_REQUIRE(fleet.replace(with_tenant(5, {"kept", "withdrawn"}), 1) == 200);
     const ClientRequest probe = stream("b0", "c0ffee", 100, 4);
@@ -298,7 +298,7 @@
     BOOST_TEST(calls_of(fleet, request.attempt).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_at_a_second_server_where_its_route_became_public_as_its_key_went) {
+BOOST_AUTO_TEST_CASE(stream_with_a_revoked_key_is_resumed_on_a_now_public_route) {
     RealFleet fleet;
     BOOST_REQUIRE(fleet.replace(with_tenant(5, {"kept", "withdrawn"}), 1) == 200);
     const ClientRequest probe = stream("b0", "c0ffee", 100, 4);
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -326,7 +326,7 @@
                     if (now_ < other.stalled_until) return; // its socket is full soon enough
                     other.pilot->receive_report(now_, bytes);
                 });
-            } else if (const auto* relief = std::get_if<SiteRecoveryPlan>(&effect)) {
+            } else if (const auto* relief = std::get_if<FailoverPolicyUpdate>(&effect)) {
                 front.scheduler->handle(now_, *relief);
                 turn(front);
             } else if (on_line) {
--- a/tests/desk.hpp
+++ b/tests/router_fixture.hpp
@@ -35,8 +35,9 @@
 }
 
 // A router and the effects that it has returned so far.
-struct Desk {
-    explicit Desk(protocol::NodeTerms terms = node_terms(), int servers = 2, std::size_t descriptors = 1000)
+struct RouterFixture {
+    explicit RouterFixture(protocol::NodeTerms terms = node_terms(), int servers = 2,
+                           std::size_t descriptors = 1000)
         : router(std::move(terms), list(servers), "10.0.1.1:1", descriptors, ms(1000)) {
         turn();
     }
@@ -48,18 +49,18 @@
     void turn() {
         for (Effect& effect : router.turn(now)) effects.push_back(std::move(effect));
     }
-    void tell(Event event) { router.handle(now, std::move(event)), turn(); }
+    void handle(Event event) { router.handle(now, std::move(event)), turn(); }
     void pass(Tenths span) {
         for (const Tenths end = now + span; now < end;) ++now, turn();
     }
-    template <class What> std::vector<What> all() const {
-        std::vector<What> found;
+    template <class EffectType> std::vector<EffectType> all() const {
+        std::vector<EffectType> found;
         for (const Effect& effect : effects)
-            if (const auto* what = std::get_if<What>(&effect)) found.push_back(*what);
+            if (const auto* what = std::get_if<EffectType>(&effect)) found.push_back(*what);
         return found;
     }
     ClientId client() {
-        tell(ClientOpened{ClientId{++clients}});
+        handle(ClientOpened{ClientId{++clients}});
         return ClientId{clients};
     }
     ClientId search(const std::vector<int>& shards = {0}, std::int64_t left_us = 2'000'000) {
@@ -67,18 +68,18 @@
         protocol::SearchRequest request{
             "q" + std::to_string(clients), "find", "acme", "text", left_us, false, {}};
         for (const int shard : shards) request.targets.push_back({shard, 1.0 / shards.size()});
-        tell(SearchReceived{id, request, 0});
+        handle(SearchReceived{id, request, 0});
         return id;
     }
-    void up(ConnectionId connection) { tell(ConnectionEstablished{connection}); }
+    void up(ConnectionId connection) { handle(ConnectionEstablished{connection}); }
     void wrote_all(ConnectionId connection) {
         std::uint64_t total = 0;
         for (const WriteConnection& write : all<WriteConnection>())
             if (write.connection == connection) total += write.bytes.size();
-        tell(ConnectionBytesWritten{connection, total});
+        handle(ConnectionBytesWritten{connection, total});
     }
     void answers(ConnectionId connection, const std::string& id, Outcome outcome = Outcome::kAnswered) {
-        tell(PartAnswered{connection, {id, outcome, {}, "value of " + id}, 0});
+        handle(PartAnswered{connection, {id, outcome, {}, "value of " + id}, 0});
     }
     std::vector<std::string> frames(ConnectionId connection, char letter) const {
         std::vector<std::string> found;
