--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -2,8 +2,8 @@
 // clients search with good and bad credentials over plain and sealed listeners; what should have happened to
 // each search is known beforehand and counted against what did. The last line is one JSON object; the exit
 // status is 1 where a promise broke.
-#include "access/gate.hpp"
-#include "access/text.hpp"
+#include "access/authorizer.hpp"
+#include "access/encoding.hpp"
 #include "lab/hall.hpp"
 #include "script/script.hpp"
 #include "transport/loop.hpp"
@@ -156,8 +156,9 @@
 // Time of one decision, with the proof made and with the proof remembered.
 std::pair<std::vector<double>, std::vector<double>> time_verification() {
     const Tenths now = transport::Loop::wall();
-    access::AccessTerms terms;
-    terms.issuer = "trinacria", terms.audience = "archive", terms.most_token = 4096, terms.cached = 8192;
+    access::AccessOptions terms;
+    terms.issuer = "trinacria", terms.audience = "archive", terms.max_token_bytes = 4096,
+    terms.max_cached_tokens = 8192;
     terms.skew = kTenthsPerSecond, terms.clubs = {{"circolo-etna", "etna"}},
     terms.request_classes = {{"find", access::Right::kRead}};
     access::AccessFiles files;
@@ -166,10 +167,10 @@
          {std::pair{"a", Algorithm::kEdDsa}, std::pair{"b", Algorithm::kEs256},
           std::pair{"c", Algorithm::kHs256}}) {
         keys.push_back(
-            {name, access::SigningKey::generate(algorithm), {0, 10'000, access::kEver, access::kEver}});
+            {name, access::SigningKey::generate(algorithm), {0, 10'000, access::kNever, access::kNever}});
         files.keys.push_back({name, access::write_key(keys.back(), false)});
     }
-    access::Gate gate(access::read_policy(terms, files, nullptr, now));
+    access::Authorizer gate(access::read_policy(terms, files, nullptr, now));
     std::vector<std::string> tokens;
     for (int i = 0; i < 3000; ++i) {
         access::Claims claims;
@@ -267,7 +268,7 @@
                      {0, 10'000, now - 10'000, now - 10'000}};
     access::Key stranger{"stranger",
                          access::SigningKey::generate(Algorithm::kEdDsa),
-                         {0, 10'000, access::kEver, access::kEver}};
+                         {0, 10'000, access::kNever, access::kNever}};
     hall.write_key(gone);
     if (!hall.await_audit("swapped", 2)) throw std::runtime_error("the revocation was not taken up");
 
@@ -316,7 +317,7 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
         // What is signed with a key that is gone is refused, a moment after.
         for (const access::Key& key : hall.keys()) {
-            if (key.times.gone == access::kEver || transport::Loop::wall() < key.times.gone + 10) continue;
+            if (key.times.gone == access::kNever || transport::Loop::wall() < key.times.gone + 10) continue;
             ++gone_asked;
             Client client(hall.plain());
             client.say(search_bytes(
--- a/fuzz/certificate.cpp
+++ b/fuzz/certificate.cpp
@@ -13,7 +13,7 @@
     } catch (const AccessError&) {}
     try {
         const auto authorities = Authorities::read({{"ca", bytes}}, {{"crl", bytes}}, 0, 0, nullptr);
-        authorities->judge({{bytes, bytes}}, 0);
+        authorities->verify({{bytes, bytes}}, 0);
     } catch (const AccessError&) {}
     LeafNames names;
     for (std::size_t from = 0; from < size;) {
@@ -24,7 +24,7 @@
     const std::vector<NameRule> rules = {{"spiffe://a/*", "", "c", "{rest}", {true, false}, {}},
                                          {"", "a.*", "d", "x{rest}", {true, false}, {}},
                                          {"u", "", "c", "u", {true, true}, {"g"}}};
-    const Mapped mapped = map_names(names, rules);
+    const MappedCaller mapped = map_names(names, rules);
     if (mapped.reason == Reason::kAdmitted) {
         const std::string& member = mapped.caller.member;
         if (member.empty() || member.size() > 64 || member.find('/') != std::string::npos) std::abort();
--- a/fuzz/h2.cpp
+++ b/fuzz/h2.cpp
@@ -12,38 +12,38 @@
     if (size < 2) return 0;
     limits::ConnectionLimits terms;
     terms.max_streams = 8, terms.max_buffered_bytes = 64 * 1024, terms.max_body_bytes = 4096;
-    Around around{true, 0};
-    Http2Session session(around, terms);
+    NodeStatus node_status{true, 0};
+    Http2Session session(node_status, terms);
     const std::size_t split = 1 + data[0] % 64;
     const bool preface = (data[1] & 1U) != 0;
     std::string bytes = preface ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
     bytes.append(reinterpret_cast<const char*>(data + 2), size - 2);
-    std::set<StreamNo> open, done;
+    std::set<StreamId> open, done;
     bool ended = false;
     for (std::size_t at = 0; at < bytes.size();) {
         const std::string_view piece = std::string_view(bytes).substr(at, split);
         const std::size_t taken = session.feed(piece);
         if (taken == 0 || taken > piece.size()) std::abort();
-        at += taken, ++around.now;
-        for (const News& news : session.news()) {
-            if (const auto* came = std::get_if<SearchCame>(&news)) {
-                if (!open.insert(came->stream).second || done.contains(came->stream)) std::abort();
-            } else if (const auto* left = std::get_if<SearchCancelled>(&news)) {
-                if (open.erase(left->stream) == 0) std::abort();
-                done.insert(left->stream);
+        at += taken, ++node_status.now;
+        for (const SessionEvent& event : session.take_events()) {
+            if (const auto* requested = std::get_if<SearchRequested>(&event)) {
+                if (!open.insert(requested->stream).second || done.contains(requested->stream)) std::abort();
+            } else if (const auto* cancelled = std::get_if<SearchCancelled>(&event)) {
+                if (open.erase(cancelled->stream) == 0) std::abort();
+                done.insert(cancelled->stream);
             }
         }
         if (at % 3 == 0 && !open.empty()) { // twice: the second finds nothing
-            const StreamNo stream = *open.begin();
+            const StreamId stream = *open.begin();
             session.answer(stream, {protocol::Verdict::kRejected, false, {}, 0}, at % 5 == 0);
             session.answer(stream, {protocol::Verdict::kFailed, false, {}, 0}, false);
             open.erase(stream), done.insert(stream);
         }
-        const std::string out = session.take_out(at % 7 == 0 ? 10 : 100'000);
+        const std::string out = session.take_output(at % 7 == 0 ? 10 : 100'000);
         if (ended && !out.empty()) std::abort();
-        ended = session.over();
+        ended = session.closed();
         if (session.open_streams() > terms.max_streams ||
-            session.owes() > terms.max_buffered_bytes + 8 * 1024)
+            session.pending_answer_bytes() > terms.max_buffered_bytes + 8 * 1024)
             std::abort();
     }
     return 0;
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -1,6 +1,6 @@
 // Any bytes as a token: read, judged, never let in without a signature, never a crash.
-#include "access/gate.hpp"
-#include "access/text.hpp"
+#include "access/authorizer.hpp"
+#include "access/encoding.hpp"
 
 #include <cstdint>
 #include <cstdlib>
@@ -13,11 +13,11 @@
 constexpr Tenths kNow = 1'800'000'000 * kTenthsPerSecond;
 
 struct Post {
-    Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kEver, kEver}};
-    Gate gate{policy()};
+    Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kNever, kNever}};
+    Authorizer gate{policy()};
     std::shared_ptr<const Policy> policy() const {
-        AccessTerms terms;
-        terms.issuer = "i", terms.audience = "a", terms.most_token = 4096, terms.cached = 8;
+        AccessOptions terms;
+        terms.issuer = "i", terms.audience = "a", terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
         terms.clubs = {{"c", "t"}}, terms.request_classes = {{"find", Right::kRead}};
         AccessFiles files;
         files.keys = {{"k.jwk", write_key(key, false)}};
@@ -36,10 +36,10 @@
     // written.
     const std::size_t half = size / 2;
     const std::string body = base64url(bytes.substr(0, half)) + "." + base64url(bytes.substr(half));
-    const TokenForm form = read_token(body + "." + base64url(post.key.signing.sign(body)), 8192);
-    if (const auto* token = std::get_if<ReadToken>(&form)) {
-        if (token->claims.expires < 0 || !sound_name(token->claims.caller.club)) std::abort();
-        if (token->algorithm == Algorithm::kHs256 && !proven(*token, post.key)) std::abort();
+    const TokenParseResult form = parse_token(body + "." + base64url(post.key.signing.sign(body)), 8192);
+    if (const auto* token = std::get_if<ParsedToken>(&form)) {
+        if (token->claims.expires < 0 || !is_valid_name(token->claims.caller.club)) std::abort();
+        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, post.key)) std::abort();
     }
     // Text to bytes and back is the same text, or no text at all.
     if (const auto raw = read_base64url(bytes); raw && base64url(*raw) != bytes) std::abort();
--- a/src/access/certificate.cpp
+++ b/src/access/certificate.cpp
@@ -1,6 +1,6 @@
 #include "access/certificate.hpp"
 
-#include "access/freed.hpp"
+#include "access/openssl_deleter.hpp"
 
 #include <openssl/asn1.h>
 #include <openssl/bio.h>
@@ -20,12 +20,12 @@
 
 namespace {
 
-using Certificate = std::unique_ptr<X509, Freed<X509_free>>;
-using Crl = std::unique_ptr<X509_CRL, Freed<X509_CRL_free>>;
-using Store = std::unique_ptr<X509_STORE, Freed<X509_STORE_free>>;
-using StoreContext = std::unique_ptr<X509_STORE_CTX, Freed<X509_STORE_CTX_free>>;
-using Memory = std::unique_ptr<BIO, Freed<BIO_free_all>>;
-using Serial = std::unique_ptr<BIGNUM, Freed<BN_free>>;
+using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509_free>>;
+using Crl = std::unique_ptr<X509_CRL, OpenSslDeleter<X509_CRL_free>>;
+using Store = std::unique_ptr<X509_STORE, OpenSslDeleter<X509_STORE_free>>;
+using StoreContext = std::unique_ptr<X509_STORE_CTX, OpenSslDeleter<X509_STORE_CTX_free>>;
+using Memory = std::unique_ptr<BIO, OpenSslDeleter<BIO_free_all>>;
+using Serial = std::unique_ptr<BIGNUM, OpenSslDeleter<BN_free>>;
 struct FreeNames {
     void operator()(GENERAL_NAMES* names) const { GENERAL_NAMES_free(names); }
 };
@@ -34,7 +34,7 @@
 };
 
 Certificate from_der(const std::string& der) {
-    if (der.empty() || der.size() > kMostCertificate) return {};
+    if (der.empty() || der.size() > kMaxCertificateBytes) return {};
     const auto* at = reinterpret_cast<const unsigned char*>(der.data());
     Certificate made(d2i_X509(nullptr, &at, static_cast<long>(der.size())));
     const bool whole = at == reinterpret_cast<const unsigned char*>(der.data()) + der.size();
@@ -180,9 +180,9 @@
     return made;
 }
 
-Reason Authorities::judge(const Chain& chain, Tenths now) const {
+Reason Authorities::verify(const Chain& chain, Tenths now) const {
     if (chain.certificates.empty()) return Reason::kNoCredential;
-    if (chain.certificates.size() > kMostChain) return Reason::kMalformed;
+    if (chain.certificates.size() > kMaxChainCertificates) return Reason::kMalformed;
     std::vector<Certificate> shown;
     const std::unique_ptr<STACK_OF(X509), FreeStack> others(sk_X509_new_null());
     for (const std::string& der : chain.certificates) {
@@ -196,7 +196,7 @@
     X509_VERIFY_PARAM* rules = X509_STORE_CTX_get0_param(context.get());
     X509_VERIFY_PARAM_set_time(rules, static_cast<std::time_t>(now / kTenthsPerSecond));
     X509_VERIFY_PARAM_set_purpose(rules, X509_PURPOSE_SSL_CLIENT);
-    X509_VERIFY_PARAM_set_depth(rules, static_cast<int>(kMostChain));
+    X509_VERIFY_PARAM_set_depth(rules, static_cast<int>(kMaxChainCertificates));
     X509_VERIFY_PARAM_set_flags(rules, X509_V_FLAG_X509_STRICT);
     const bool led = X509_verify_cert(context.get()) == 1;
     const int error = X509_STORE_CTX_get_error(context.get());
@@ -221,7 +221,7 @@
 }
 
 Tenths Authorities::next_change(Tenths after) const {
-    Tenths next = kEver;
+    Tenths next = kNever;
     for (const auto& [name, list] : held_->lists)
         if (list.until + held_->grace > after) next = std::min(next, list.until + held_->grace);
     return next;
@@ -235,7 +235,7 @@
     const Certificate leaf = from_der(chain.certificates.front());
     if (!leaf) throw AccessError("a certificate that cannot be read");
     LeafNames made;
-    made.until = time_of(X509_get0_notAfter(leaf.get()));
+    made.not_after = time_of(X509_get0_notAfter(leaf.get()));
     const Serial number(ASN1_INTEGER_to_BN(X509_get0_serialNumber(leaf.get()), nullptr));
     if (number) {
         char* hex = BN_bn2hex(number.get());
@@ -261,8 +261,8 @@
     return made;
 }
 
-Mapped map_names(const LeafNames& names, const std::vector<NameRule>& rules) {
-    Mapped made;
+MappedCaller map_names(const LeafNames& names, const std::vector<NameRule>& rules) {
+    MappedCaller made;
     if (names.uris.empty() && names.dns.empty()) return {Reason::kMalformed, {}};
     const auto look = [&](const std::string& name, std::string NameRule::*pattern) {
         for (const NameRule& rule : rules) { // the first that matches
--- a/src/access/certificate.hpp
+++ b/src/access/certificate.hpp
@@ -28,16 +28,16 @@
 struct LeafNames {
     std::vector<std::string> uris, dns;
     std::string serial; // hexadecimal, lower case, no leading zeros
-    Tenths until = 0;
+    Tenths not_after = 0;
 };
 LeafNames read_leaf(const Chain& chain); // throws AccessError
 
 // Who the names stand for; kNoRight where no rule knows them, kMalformed where there are none or two callers.
-struct Mapped {
+struct MappedCaller {
     Reason reason = Reason::kNoRight;
     Caller caller;
 };
-Mapped map_names(const LeafNames& names, const std::vector<NameRule>& rules);
+MappedCaller map_names(const LeafNames& names, const std::vector<NameRule>& rules);
 
 class Authorities {
   public:
@@ -47,7 +47,7 @@
                                                    const std::vector<NamedText>& crls, Tenths now,
                                                    Tenths grace, const Authorities* before);
     // kAdmitted where the chain leads to an authority and nothing in it is revoked.
-    Reason judge(const Chain& chain, Tenths now) const;
+    Reason verify(const Chain& chain, Tenths now) const;
     // When a CRL runs out, with its grace: after it, nobody whom its authority signed is let in.
     Tenths next_change(Tenths after) const;
     std::size_t certificates() const;
@@ -58,7 +58,7 @@
     std::shared_ptr<const Held> held_;
 };
 
-inline constexpr std::size_t kMostChain = 4;           // certificates that a peer may show
-inline constexpr std::size_t kMostCertificate = 16384; // bytes of one
+inline constexpr std::size_t kMaxChainCertificates = 4;    // certificates that a peer may show
+inline constexpr std::size_t kMaxCertificateBytes = 16384; // bytes of one
 
 } // namespace ivyrill::access
--- a/src/access/text.cpp
+++ b/src/access/encoding.cpp
@@ -1,4 +1,4 @@
-#include "access/text.hpp"
+#include "access/encoding.hpp"
 
 #include "base/time.hpp"
 
--- a/src/access/handshakes.hpp
+++ b/src/access/handshake_limiter.hpp
@@ -14,18 +14,18 @@
 
 namespace ivyrill::access {
 
-struct HandshakeTerms {
-    std::size_t most_open = 0; // begun and not done
-    double steps_a_second = 0; // a whole handshake takes two, or three with TLS 1.2
-    std::size_t steps_a_turn = 0;
+struct HandshakeLimits {
+    std::size_t most_open = 0;   // begun and not done
+    double steps_per_second = 0; // a whole handshake takes two, or three with TLS 1.2
+    std::size_t steps_per_turn = 0;
 };
 
 // Names are serial numbers: the least is the oldest.
-template <class Name> class Handshakes {
+template <class Name> class HandshakeLimiter {
   public:
-    Handshakes(HandshakeTerms terms, Tenths now) : terms_(terms), room_(burst()), filled_(now) {}
+    HandshakeLimiter(HandshakeLimits terms, Tenths now) : terms_(terms), room_(burst()), filled_(now) {}
 
-    // A connection that will shake hands; the one that must go for it, if any.
+    // A connection that will advance_handshake hands; the one that must go for it, if any.
     std::optional<Name> begin(Name name) {
         std::optional<Name> gone;
         if (open_.size() >= terms_.most_open && !open_.empty())
@@ -33,7 +33,7 @@
         open_.insert(name);
         return gone;
     }
-    void ask(Name name) { // its bytes have come: it wants a step
+    void request_step(Name name) { // its bytes have come: it wants a step
         if (open_.contains(name) && !waits_.contains(name)) waits_.insert(name), waiting_.push_back(name);
     }
     void end(Name name) { // done, or gone
@@ -42,11 +42,11 @@
     }
     // Those that may take their step in this turn, the longest waiting first.
     std::vector<Name> grant(Tenths now) {
-        room_ = std::min(burst(), room_ + terms_.steps_a_second * static_cast<double>(now - filled_) /
+        room_ = std::min(burst(), room_ + terms_.steps_per_second * static_cast<double>(now - filled_) /
                                               kTenthsPerSecond);
         filled_ = now;
         std::vector<Name> granted;
-        while (!waiting_.empty() && granted.size() < terms_.steps_a_turn && room_ >= 1) {
+        while (!waiting_.empty() && granted.size() < terms_.steps_per_turn && room_ >= 1) {
             const Name next = waiting_.front();
             waiting_.pop_front();
             if (waits_.erase(next) == 0) continue;
@@ -56,10 +56,10 @@
         return granted;
     }
     // When the next one may go on; nothing where none waits.
-    std::optional<Tenths> next(Tenths now) const {
+    std::optional<Tenths> next_step_time(Tenths now) const {
         if (waits_.empty()) return {};
         if (room_ >= 1) return now + 1;
-        const double span = (1 - room_) * kTenthsPerSecond / terms_.steps_a_second;
+        const double span = (1 - room_) * kTenthsPerSecond / terms_.steps_per_second;
         return now + std::max<Tenths>(1, static_cast<Tenths>(span) + 1);
     }
     std::size_t open() const { return open_.size(); }
@@ -67,9 +67,9 @@
     std::uint64_t crowded_out() const { return crowded_out_; }
 
   private:
-    double burst() const { return std::max(1.0, static_cast<double>(terms_.steps_a_turn)); }
+    double burst() const { return std::max(1.0, static_cast<double>(terms_.steps_per_turn)); }
 
-    HandshakeTerms terms_;
+    HandshakeLimits terms_;
     double room_;
     Tenths filled_;
     std::set<Name> open_, waits_;
--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -1,6 +1,6 @@
 #include "access/keys.hpp"
 
-#include "access/text.hpp"
+#include "access/encoding.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -57,7 +57,7 @@
 
 bool Key::verifies(Tenths now, Tenths skew) const { return now < times.gone && now + skew >= times.active; }
 
-bool sound_name(std::string_view name) {
+bool is_valid_name(std::string_view name) {
     return !name.empty() && name.size() <= 64 && name != "." && name != ".." &&
            std::ranges::all_of(name, [](char letter) {
                return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
@@ -71,19 +71,19 @@
         const auto json = read_object(file.text);
         if (!json) throw AccessError("expected one JSON object, each name once");
         const auto name = json->find("kid");
-        if (name == json->end() || !name->is_string() || !sound_name(name->get_ref<const std::string&>()))
+        if (name == json->end() || !name->is_string() || !is_valid_name(name->get_ref<const std::string&>()))
             throw AccessError("kid: expected 1 to 64 letters, digits, '-', '_' or '.'");
         if (const auto use = json->find("use"); use != json->end() && *use != "sig")
             throw AccessError("use: expected \"sig\"");
         Key key{*name, SigningKey::from_jwk(*json), {}};
         key.times.announced = time_of(*json, "announced", 0);
         key.times.active = time_of(*json, "active", {});
-        key.times.outgoing = time_of(*json, "outgoing", kEver);
-        key.times.gone = time_of(*json, "gone", kEver);
+        key.times.outgoing = time_of(*json, "outgoing", kNever);
+        key.times.gone = time_of(*json, "gone", kNever);
         const KeyTimes& t = key.times;
         // A key that is taken back may be gone before it was ever active.
-        if (t.announced > t.active || (t.outgoing != kEver && t.active > t.outgoing && t.gone > t.active) ||
-            (t.gone != kEver && t.outgoing != kEver && t.outgoing > t.gone))
+        if (t.announced > t.active || (t.outgoing != kNever && t.active > t.outgoing && t.gone > t.active) ||
+            (t.gone != kNever && t.outgoing != kNever && t.outgoing > t.gone))
             throw AccessError("expected announced, active, outgoing and gone in this order");
         return key;
     } catch (const AccessError& error) { throw AccessError(file.name + ": " + error.what()); }
@@ -94,8 +94,8 @@
     json["kid"] = key.name;
     json["announced"] = key.times.announced / kTenthsPerSecond;
     json["active"] = key.times.active / kTenthsPerSecond;
-    if (key.times.outgoing != kEver) json["outgoing"] = key.times.outgoing / kTenthsPerSecond;
-    if (key.times.gone != kEver) json["gone"] = key.times.gone / kTenthsPerSecond;
+    if (key.times.outgoing != kNever) json["outgoing"] = key.times.outgoing / kTenthsPerSecond;
+    if (key.times.gone != kNever) json["gone"] = key.times.gone / kTenthsPerSecond;
     return json.dump(2) + "\n";
 }
 
@@ -108,7 +108,7 @@
         Key key = read_key(file);
         if (const auto [place, fresh] = file_of.emplace(key.name, file.name); !fresh)
             throw AccessError(file.name + ": the key '" + key.name + "' stands in " + place->second + " too");
-        const std::string print = key.signing.print();
+        const std::string print = key.signing.fingerprint();
         // A token names its key: were a name given to a second one, nobody could tell which is meant.
         if (const auto [place, fresh] = ring.prints_.emplace(key.name, print);
             !fresh && place->second != print)
@@ -138,7 +138,7 @@
 }
 
 Tenths KeyRing::next_change(Tenths after, Tenths skew) const {
-    Tenths next = kEver;
+    Tenths next = kNever;
     for (const auto& [name, key] : keys_)
         for (const Tenths at :
              {key.times.active - skew, key.times.active, key.times.outgoing, key.times.gone})
@@ -172,15 +172,15 @@
     return json.dump(2) + "\n";
 }
 
-void Revocations::forget(Tenths now, Tenths skew, Tenths longest_life) {
-    if (longest_life != kEver)
-        std::erase_if(members, [&](auto& held) { return held.second + longest_life + skew < now; });
+void Revocations::remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime) {
+    if (max_token_lifetime != kNever)
+        std::erase_if(members, [&](auto& held) { return held.second + max_token_lifetime + skew < now; });
     std::erase_if(tokens, [&](auto& held) { return held.second + skew < now; });
 }
 
 Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Tenths now,
                 Tenths lead, Tenths overlap) {
-    if (!sound_name(name)) throw AccessError("a key's name has 1 to 64 letters, digits, '-', '_' or '.'");
+    if (!is_valid_name(name)) throw AccessError("a key's name has 1 to 64 letters, digits, '-', '_' or '.'");
     if (ring.find(name) != nullptr) throw AccessError("there is a key '" + name + "' already");
     const Key* signer = ring.signer(now);
     const Algorithm wanted = algorithm           ? *algorithm
@@ -192,13 +192,13 @@
     };
     const Tenths announced = now / kTenthsPerSecond * kTenthsPerSecond;
     const Tenths active = lead == 0 ? announced : second(now + lead);
-    Rotation made{{std::move(name), SigningKey::generate(wanted), {announced, active, kEver, kEver}}, {}};
+    Rotation made{{std::move(name), SigningKey::generate(wanted), {announced, active, kNever, kNever}}, {}};
     for (const auto& [other, key] : ring.keys()) {
         const KeyState state = key.times.at(now);
-        if (state != KeyState::kActive || key.times.outgoing != kEver) continue;
+        if (state != KeyState::kActive || key.times.outgoing != kNever) continue;
         Key changed = key;
         changed.times.outgoing = active, changed.times.gone = second(active + overlap);
-        made.changed.push_back(std::move(changed));
+        made.changed_keys.push_back(std::move(changed));
     }
     return made;
 }
--- a/src/access/keys.hpp
+++ b/src/access/keys.hpp
@@ -24,7 +24,7 @@
 std::string_view name_of(KeyState state);
 
 struct KeyTimes {
-    Tenths announced = 0, active = 0, outgoing = kEver, gone = kEver;
+    Tenths announced = 0, active = 0, outgoing = kNever, gone = kNever;
     KeyState at(Tenths now) const;
     friend bool operator==(const KeyTimes&, const KeyTimes&) = default;
 };
@@ -48,7 +48,7 @@
     const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
     // The active key that became so last: what a signer uses.
     const Key* signer(Tenths now) const;
-    Tenths next_change(Tenths after, Tenths skew) const; // kEver where nothing is to come
+    Tenths next_change(Tenths after, Tenths skew) const; // kNever where nothing is to come
 
   private:
     std::map<std::string, Key, std::less<>> keys_;
@@ -57,7 +57,7 @@
 
 Key read_key(const NamedText& file);                      // throws AccessError
 std::string write_key(const Key& key, bool with_private); // the text of its file
-bool sound_name(std::string_view name);                   // of keys, members and clubs: 1 to 64 plain letters
+bool is_valid_name(std::string_view name);                // of keys, members and clubs: 1 to 64 plain letters
 
 // What is taken back before its time. The file `revocations.json`: tokens by `jti` with the time until which
 // they are kept (their expiry), members as club/member with the time before which their tokens do not count,
@@ -68,14 +68,14 @@
     static Revocations read(const NamedText& file);          // throws AccessError
     std::string write() const;
     // Tokens that have expired by themselves, and members none of whose tokens from before can still be good.
-    void forget(Tenths now, Tenths skew, Tenths longest_life);
+    void remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime);
 };
 
 // What a rotation makes of a ring: a fresh key of the same algorithm, announced now and active after `lead`;
 // the signer of today goes out then, and is gone after `overlap` more.
 struct Rotation {
-    Key fresh;
-    std::vector<Key> changed;
+    Key new_key;
+    std::vector<Key> changed_keys;
 };
 Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Tenths now,
                 Tenths lead, Tenths overlap);
--- a/src/access/freed.hpp
+++ b/src/access/openssl_deleter.hpp
@@ -3,7 +3,7 @@
 
 namespace ivyrill::access {
 
-template <auto Free> struct Freed {
+template <auto Free> struct OpenSslDeleter {
     template <class What> void operator()(What* what) const { Free(what); }
 };
 
--- a/src/access/signature.cpp
+++ b/src/access/signature.cpp
@@ -1,7 +1,7 @@
 #include "access/signature.hpp"
 
-#include "access/freed.hpp"
-#include "access/text.hpp"
+#include "access/encoding.hpp"
+#include "access/openssl_deleter.hpp"
 #include "access/types.hpp"
 
 #include <openssl/bn.h>
@@ -21,14 +21,14 @@
 
 constexpr std::size_t kEdBytes = 32, kFieldBytes = 32, kLeastSecret = 32; // the last: RFC 7518, 3.2
 
-using Context = std::unique_ptr<EVP_MD_CTX, Freed<EVP_MD_CTX_free>>;
-using KeyContext = std::unique_ptr<EVP_PKEY_CTX, Freed<EVP_PKEY_CTX_free>>;
-using Number = std::unique_ptr<BIGNUM, Freed<BN_free>>;
-using Builder = std::unique_ptr<OSSL_PARAM_BLD, Freed<OSSL_PARAM_BLD_free>>;
-using Params = std::unique_ptr<OSSL_PARAM, Freed<OSSL_PARAM_free>>;
-using Pair = std::unique_ptr<ECDSA_SIG, Freed<ECDSA_SIG_free>>;
-using Mac = std::unique_ptr<EVP_MAC, Freed<EVP_MAC_free>>;
-using MacContext = std::unique_ptr<EVP_MAC_CTX, Freed<EVP_MAC_CTX_free>>;
+using Context = std::unique_ptr<EVP_MD_CTX, OpenSslDeleter<EVP_MD_CTX_free>>;
+using KeyContext = std::unique_ptr<EVP_PKEY_CTX, OpenSslDeleter<EVP_PKEY_CTX_free>>;
+using Number = std::unique_ptr<BIGNUM, OpenSslDeleter<BN_free>>;
+using Builder = std::unique_ptr<OSSL_PARAM_BLD, OpenSslDeleter<OSSL_PARAM_BLD_free>>;
+using Params = std::unique_ptr<OSSL_PARAM, OpenSslDeleter<OSSL_PARAM_free>>;
+using Pair = std::unique_ptr<ECDSA_SIG, OpenSslDeleter<ECDSA_SIG_free>>;
+using Mac = std::unique_ptr<EVP_MAC, OpenSslDeleter<EVP_MAC_free>>;
+using MacContext = std::unique_ptr<EVP_MAC_CTX, OpenSslDeleter<EVP_MAC_CTX_free>>;
 
 const unsigned char* bytes_of(std::string_view text) {
     return reinterpret_cast<const unsigned char*>(text.data());
@@ -134,7 +134,7 @@
         if (key.secret_.size() < kLeastSecret) unusable("k is shorter than 32 bytes");
         key.can_sign_ = true;
         key.make_mac();
-        key.make_print();
+        key.make_fingerprint();
         return key;
     }
     const bool edwards = *algorithm == Algorithm::kEdDsa;
@@ -151,7 +151,7 @@
         EVP_PKEY_get_raw_public_key(key.pkey_.get(), reinterpret_cast<unsigned char*>(derived.data()), &size);
         if (derived != key.x_) unusable("x and d differ");
     }
-    key.make_print();
+    key.make_fingerprint();
     return key;
 }
 
@@ -161,7 +161,7 @@
     if (algorithm == Algorithm::kHs256) {
         key.secret_ = random_bytes(kLeastSecret);
         key.make_mac();
-        key.make_print();
+        key.make_fingerprint();
         return key;
     }
     EVP_PKEY* made = algorithm == Algorithm::kEdDsa ? EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519")
@@ -173,7 +173,7 @@
         std::size_t size = kEdBytes;
         EVP_PKEY_get_raw_public_key(made, reinterpret_cast<unsigned char*>(key.x_.data()), &size);
         EVP_PKEY_get_raw_private_key(made, reinterpret_cast<unsigned char*>(key.d_.data()), &size);
-        key.make_print();
+        key.make_fingerprint();
         return key;
     }
     for (const auto& [name, into] :
@@ -184,7 +184,7 @@
         *into = fixed(number);
         BN_clear_free(number);
     }
-    key.make_print();
+    key.make_fingerprint();
     return key;
 }
 
@@ -245,8 +245,8 @@
     return jwk;
 }
 
-void SigningKey::make_print() {
-    print_ = sha256(std::string(name_of(algorithm_)) + "\n" + secret_ + x_ + y_);
+void SigningKey::make_fingerprint() {
+    fingerprint_ = sha256(std::string(name_of(algorithm_)) + "\n" + secret_ + x_ + y_);
 }
 
 std::string sha256(std::string_view bytes) {
--- a/src/access/signature.hpp
+++ b/src/access/signature.hpp
@@ -29,8 +29,8 @@
     bool verify(std::string_view message, std::string_view signature) const;
     std::string sign(std::string_view message) const; // throws AccessError without a private part
     nlohmann::json to_jwk(bool with_private) const;
-    const std::string& print() const {
-        return print_;
+    const std::string& fingerprint() const {
+        return fingerprint_;
     } // what tells this key from others: SHA-256 of what verifies
 
   private:
@@ -41,11 +41,11 @@
     std::string x_, y_, d_;               // raw, as in the JWK
     std::shared_ptr<evp_mac_ctx_st> mac_; // of HS256, never used up
     std::shared_ptr<evp_pkey_st> pkey_;   // else
-    std::string print_;
+    std::string fingerprint_;
     void make_mac();
     std::string mac(std::string_view message) const;
     void make_pkey();
-    void make_print();
+    void make_fingerprint();
 };
 
 std::string sha256(std::string_view bytes);
--- a/src/access/ticket_keys.hpp
+++ b/src/access/ticket_keys.hpp
@@ -15,9 +15,9 @@
   public:
     struct Key {
         std::array<unsigned char, 16> name{};
-        std::array<unsigned char, 32> seal{}, mac{};
+        std::array<unsigned char, 32> cipher_key{}, mac_key{};
     };
-    enum class Use { kNone, kOpen, kOpenAndRenew };
+    enum class Use { kNone, kDecrypt, kDecryptAndRenew };
     explicit TicketKeys(Tenths span) : span_(span) {}
 
     // Bytes are drawn by the caller, who may: 80 of them make a key.
@@ -26,13 +26,13 @@
         if (keys_) before_ = keys_;
         keys_ = fresh, made_ = now;
     }
-    const Key* sealing() const { return keys_ ? &*keys_ : nullptr; }
-    std::pair<Use, const Key*> opening(const unsigned char* name) const {
+    const Key* encryption_key() const { return keys_ ? &*keys_ : nullptr; }
+    std::pair<Use, const Key*> decryption_key(const unsigned char* name) const {
         const auto named = [name](const Key& key) {
             return std::equal(key.name.begin(), key.name.end(), name);
         };
-        if (keys_ && named(*keys_)) return {Use::kOpen, &*keys_};
-        if (before_ && named(*before_)) return {Use::kOpenAndRenew, &*before_};
+        if (keys_ && named(*keys_)) return {Use::kDecrypt, &*keys_};
+        if (before_ && named(*before_)) return {Use::kDecryptAndRenew, &*before_};
         return {Use::kNone, nullptr};
     }
 
--- a/src/access/token.cpp
+++ b/src/access/token.cpp
@@ -1,6 +1,6 @@
 #include "access/token.hpp"
 
-#include "access/text.hpp"
+#include "access/encoding.hpp"
 
 #include <algorithm>
 
@@ -48,18 +48,18 @@
     return rights;
 }
 
-bool read_header(const json& header, ReadToken& token) {
+bool read_header(const json& header, ParsedToken& token) {
     std::string algorithm, sort;
     if (!take_text(header, "alg", algorithm) || !take_text(header, "typ", sort) ||
         !take_text(header, "kid", token.claims.key) || header.contains("crit") || header.contains("b64"))
         return false; // `crit` asks for what we do not know
     const auto known = algorithm_named(algorithm);
-    if (!known || !sound_name(token.claims.key)) return false;
+    if (!known || !is_valid_name(token.claims.key)) return false;
     token.algorithm = *known;
     std::ranges::transform(sort, sort.begin(), [](char c) {
         return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
     });
-    return sort == kTokenSort || sort == "application/" + std::string(kTokenSort);
+    return sort == kTokenType || sort == "application/" + std::string(kTokenType);
 }
 
 bool read_claims(const json& payload, Claims& claims) {
@@ -70,7 +70,7 @@
     const bool times = payload.contains("exp") && take_time(payload, "exp", claims.expires) &&
                        take_time(payload, "nbf", claims.not_before) &&
                        take_time(payload, "iat", claims.issued);
-    if (!texts || !times || !sound_name(claims.caller.member) || !sound_name(claims.caller.club) ||
+    if (!texts || !times || !is_valid_name(claims.caller.member) || !is_valid_name(claims.caller.club) ||
         claims.id.size() > 64)
         return false;
     if (const auto audience = payload.find("aud"); audience != payload.end()) {
@@ -80,14 +80,14 @@
             return false;
     }
     if (const auto own = payload.find("own"); own != payload.end())
-        if (!take_texts(*own, claims.caller.owned, kMostOwned)) return false;
+        if (!take_texts(*own, claims.caller.owned, kMaxOwnedPatterns)) return false;
     claims.caller.rights = rights_of(scope);
     return true;
 }
 
 } // namespace
 
-TokenForm read_token(std::string_view bytes, std::size_t most) {
+TokenParseResult parse_token(std::string_view bytes, std::size_t most) {
     if (bytes.size() > most) return Reason::kMalformed;
     const std::size_t one = bytes.find('.'), two = bytes.rfind('.');
     if (one == std::string_view::npos || one == two || bytes.find('.', one + 1) != two)
@@ -97,23 +97,23 @@
     auto signature = read_base64url(bytes.substr(two + 1));
     if (!header_text || !payload_text || !signature || signature->empty()) return Reason::kMalformed;
     const auto header = read_object(*header_text), payload = read_object(*payload_text);
-    ReadToken token;
+    ParsedToken token;
     if (!header || !payload || !read_header(*header, token) || !read_claims(*payload, token.claims))
         return Reason::kMalformed;
     token.signed_part = bytes.substr(0, two), token.signature = std::move(*signature);
     return token;
 }
 
-bool proven(const ReadToken& token, const Key& key) {
+bool has_valid_signature(const ParsedToken& token, const Key& key) {
     return token.algorithm == key.signing.algorithm() &&
            key.signing.verify(token.signed_part, token.signature);
 }
 
 std::string sign_token(const Claims& claims, const Key& key) {
     const Caller& caller = claims.caller;
-    if (!sound_name(caller.member) || !sound_name(caller.club))
+    if (!is_valid_name(caller.member) || !is_valid_name(caller.club))
         throw AccessError("a club's or member's name has 1 to 64 letters, digits, '-', '_' or '.'");
-    const json header = {{"alg", name_of(key.signing.algorithm())}, {"kid", key.name}, {"typ", kTokenSort}};
+    const json header = {{"alg", name_of(key.signing.algorithm())}, {"kid", key.name}, {"typ", kTokenType}};
     json payload = {{"iss", claims.issuer},
                     {"sub", caller.member},
                     {"club", caller.club},
--- a/src/access/token.hpp
+++ b/src/access/token.hpp
@@ -14,8 +14,8 @@
 
 namespace ivyrill::access {
 
-inline constexpr std::string_view kTokenSort = "ivyrill+jwt"; // of `typ`
-inline constexpr std::size_t kMostOwned = 64;                 // entries of `own`
+inline constexpr std::string_view kTokenType = "ivyrill+jwt"; // of `typ`
+inline constexpr std::size_t kMaxOwnedPatterns = 64;          // entries of `own`
 
 struct Claims {
     std::string key; // the `kid` that signed it
@@ -25,17 +25,17 @@
     Caller caller;
 };
 
-struct ReadToken { // its form is sound; nothing is proven yet
+struct ParsedToken { // its form is sound; nothing is proven yet
     Claims claims;
     Algorithm algorithm = Algorithm::kEdDsa;
     std::string_view signed_part; // of the bytes that were handed in
     std::string signature;
 };
-using TokenForm = std::variant<ReadToken, Reason>;
-TokenForm read_token(std::string_view bytes, std::size_t most);
+using TokenParseResult = std::variant<ParsedToken, Reason>;
+TokenParseResult parse_token(std::string_view bytes, std::size_t most);
 
 // Whether this key made that signature with the key's own algorithm.
-bool proven(const ReadToken& token, const Key& key);
+bool has_valid_signature(const ParsedToken& token, const Key& key);
 
 std::string sign_token(const Claims& claims, const Key& key); // throws AccessError
 
--- a/src/access/cache.cpp
+++ b/src/access/token_cache.cpp
@@ -1,4 +1,4 @@
-#include "access/cache.hpp"
+#include "access/token_cache.hpp"
 
 #include "access/signature.hpp"
 
@@ -18,9 +18,9 @@
 
 } // namespace
 
-TokenCache::TokenCache(std::size_t most) : sets_((most + kWays - 1) / kWays) {}
+TokenCache::TokenCache(std::size_t max_tokens) : sets_((max_tokens + kWays - 1) / kWays) {}
 
-TokenCache::Proven TokenCache::find(std::string_view token) {
+TokenCache::VerifiedToken TokenCache::find(std::string_view token) {
     if (sets_.empty()) return {};
     const auto digest = digest_of(token);
     for (Entry& entry : sets_[digest[0] % sets_.size()].entries) {
@@ -31,7 +31,7 @@
     return {};
 }
 
-void TokenCache::put(std::string_view token, Proven proof) {
+void TokenCache::put(std::string_view token, VerifiedToken proof) {
     if (sets_.empty()) return;
     const auto digest = digest_of(token);
     Set& set = sets_[digest[0] % sets_.size()];
@@ -39,12 +39,12 @@
     if (place == set.entries.end())
         place = std::ranges::find_if(set.entries, [](auto& e) { return !e.proof.claims; });
     while (place == set.entries.end()) { // the hand passes over who was used since it came by
-        Entry& entry = set.entries[set.hand];
-        if (!entry.used) place = set.entries.begin() + static_cast<std::ptrdiff_t>(set.hand);
+        Entry& entry = set.entries[set.clock_hand];
+        if (!entry.used) place = set.entries.begin() + static_cast<std::ptrdiff_t>(set.clock_hand);
         entry.used = false;
-        set.hand = (set.hand + 1) % kWays;
+        set.clock_hand = (set.clock_hand + 1) % kWays;
     }
-    if (!place->proof.claims) ++held_;
+    if (!place->proof.claims) ++size_;
     *place = {digest, std::move(proof), false};
 }
 
--- a/src/access/cache.hpp
+++ b/src/access/token_cache.hpp
@@ -16,36 +16,37 @@
 
 class TokenCache {
   public:
-    explicit TokenCache(std::size_t most); // tokens; rounded up to whole sets, 0: none
-    struct Proven { // the claims of a token, and the print of the key that proved them; null where none is
-                    // held
+    explicit TokenCache(std::size_t max_tokens); // tokens; rounded up to whole sets, 0: none
+    struct VerifiedToken { // the claims of a token, and the print of the key that proved them; null where
+                           // none is
+                           // held
         std::shared_ptr<const Claims> claims;
-        std::string key_print;
+        std::string key_fingerprint;
     };
-    Proven find(std::string_view token);
-    void put(std::string_view token, Proven proof);
+    VerifiedToken find(std::string_view token);
+    void put(std::string_view token, VerifiedToken proof);
     // Takes out what nobody can use any more.
-    template <class Dead> void drop(Dead dead) {
+    template <class Predicate> void erase_if(Predicate predicate) {
         for (Set& set : sets_)
             for (Entry& entry : set.entries)
-                if (entry.proof.claims && dead(*entry.proof.claims)) entry = {}, --held_;
+                if (entry.proof.claims && predicate(*entry.proof.claims)) entry = {}, --size_;
     }
-    std::size_t held() const { return held_; }
-    std::size_t room() const { return sets_.size() * kWays; }
+    std::size_t size() const { return size_; }
+    std::size_t capacity() const { return sets_.size() * kWays; }
 
   private:
     static constexpr std::size_t kWays = 8;
     struct Entry {
         std::array<std::uint64_t, 4> digest{};
-        Proven proof;
+        VerifiedToken proof;
         bool used = false;
     };
     struct Set {
         std::array<Entry, kWays> entries;
-        std::size_t hand = 0;
+        std::size_t clock_hand = 0;
     };
     std::vector<Set> sets_;
-    std::size_t held_ = 0;
+    std::size_t size_ = 0;
 };
 
 } // namespace ivyrill::access
--- a/src/access/types.hpp
+++ b/src/access/types.hpp
@@ -13,7 +13,7 @@
 
 namespace ivyrill::access {
 
-inline constexpr Tenths kEver = std::numeric_limits<Tenths>::max(); // a time that does not come
+inline constexpr Tenths kNever = std::numeric_limits<Tenths>::max(); // a time that does not come
 
 enum class Right { kRead, kWriteOwn };
 struct Rights {
@@ -44,7 +44,7 @@
 struct Refusal {
     int status = 401;
     std::string_view challenge; // of WWW-Authenticate (RFC 6750)
-    std::string_view words;
+    std::string_view message;
 };
 Refusal refusal_of(Reason reason);
 
--- a/src/agent/report_poller.cpp
+++ b/src/agent/report_poller.cpp
@@ -103,7 +103,7 @@
 }
 
 transport::Async<bool> ReportPoller::poll_once(PolledServer& server) {
-    if (server.connection && !server.connection->quiet()) server.connection.reset();
+    if (server.connection && !server.connection->reusable()) server.connection.reset();
     if (!server.connection)
         server.connection = http::ClientConnection::open(reactor_, server.address, kMaxRequestBytes);
     if (!server.connection) co_return false;
--- a/src/control/control_api.cpp
+++ b/src/control/control_api.cpp
@@ -14,7 +14,7 @@
          [inspect = std::move(inspect)](InspectCall) -> transport::Async<Result<InspectReply>> {
              co_return InspectReply{inspect()};
          },
-         [](const InspectReply& reply) { return http::json_answer(reply.body); }});
+         [](const InspectReply& reply) { return http::json_response(reply.body); }});
 }
 
 void ControlApi::add_server_calls() {
@@ -25,8 +25,8 @@
          },
          [this](RegisterCall call) { return registry_.handle(std::move(call)); },
          [](const RegisterReply& reply) {
-             if (reply.heartbeat_address.empty()) return http::json_answer("{}");
-             return http::json_answer("{\"beatAddr\":\"" + reply.heartbeat_address + "\"}");
+             if (reply.heartbeat_address.empty()) return http::json_response("{}");
+             return http::json_response("{\"beatAddr\":\"" + reply.heartbeat_address + "\"}");
          }});
     router_.add<DeregisterCall, DeregisterReply>(
         {"DELETE", "/instances/",
@@ -34,7 +34,7 @@
              return Result<DeregisterCall>(DeregisterCall{id});
          },
          [this](DeregisterCall call) { return registry_.handle(std::move(call)); },
-         [](const DeregisterReply&) { return http::json_answer("{}"); }});
+         [](const DeregisterReply&) { return http::json_response("{}"); }});
 }
 
 void ControlApi::add_operator_calls() {
@@ -45,14 +45,14 @@
              return ReplaceConfigurationCall{version, message.body};
          },
          [this](ReplaceConfigurationCall call) { return replace(std::move(call)); },
-         [](const ReplaceConfigurationReply&) { return http::json_answer("{}"); }});
+         [](const ReplaceConfigurationReply&) { return http::json_response("{}"); }});
     router_.add<ReadConfigurationCall, ReadConfigurationReply>(
         {"GET", "/config",
          [](const protocol::HttpMessage&, const std::string&) {
              return Result<ReadConfigurationCall>(ReadConfigurationCall{});
          },
          [this](ReadConfigurationCall) { return read(); },
-         [](const ReadConfigurationReply& reply) { return http::json_answer(reply.body); }});
+         [](const ReadConfigurationReply& reply) { return http::json_response(reply.body); }});
 }
 
 transport::Async<Result<ReadConfigurationReply>> ControlApi::read() {
--- a/src/control/control_api.hpp
+++ b/src/control/control_api.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include "control/instance_registry.hpp"
 #include "control/operator_calls.hpp"
-#include "http/calls.hpp"
+#include "http/call_router.hpp"
 
 #include <functional>
 #include <string>
@@ -27,7 +27,7 @@
   public:
     // `registry` and `calls` must outlive this object. `inspect` returns the body of GET /inspect.
     ControlApi(InstanceRegistry& registry, OperatorCalls& calls, std::function<std::string()> inspect);
-    transport::Async<http::Answer> handle(protocol::HttpMessage message) const {
+    transport::Async<http::Response> handle(protocol::HttpMessage message) const {
         return router_.handle(std::move(message));
     }
 
--- a/src/control/control_node.hpp
+++ b/src/control/control_node.hpp
@@ -34,7 +34,7 @@
     static Result<std::unique_ptr<ControlNode>> open(Environment environment,
                                                      const settings::Settings& settings);
     ~ControlNode();
-    transport::Async<http::Answer> handle(protocol::HttpMessage message) const {
+    transport::Async<http::Response> handle(protocol::HttpMessage message) const {
         return api_->handle(std::move(message));
     }
     // For SIGTERM: transfers leadership, informs the peers, stops the reactor within 1 s.
--- a/src/control/control_program.cpp
+++ b/src/control/control_program.cpp
@@ -23,8 +23,8 @@
 http::CallServer::Options call_options(const settings::Settings& settings) {
     http::CallServer::Options options;
     const std::int64_t available = settings.limits.file_descriptors - kReservedDescriptors;
-    options.most_connections =
-        std::max(options.most_connections, static_cast<std::size_t>(std::max<std::int64_t>(0, available)));
+    options.max_connections =
+        std::max(options.max_connections, static_cast<std::size_t>(std::max<std::int64_t>(0, available)));
     return options;
 }
 
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -248,7 +248,7 @@
     timer_ = reactor_.call_after(kCheckInterval, [this] { check_silence(); });
     notify_watchers();
     partitions_.count_servers(table_);
-    if (const Tenths suspended = reactor_.overslept(); suspended > kCheckInterval / 5)
+    if (const Tenths suspended = reactor_.stalled_for(); suspended > kCheckInterval / 5)
         failure_detector_.discount_pause(suspended);
     std::vector<Instance> changes;
     const bool in_contact = callbacks_.in_contact();
--- a/src/control/one_shot_request.cpp
+++ b/src/control/one_shot_request.cpp
@@ -29,7 +29,7 @@
     connection->stream().also_wake(&wake);
     {
         const transport::WakeAt timer(reactor, send_deadline, wake);
-        while (!connection->stream().up()) {
+        while (!connection->stream().established()) {
             if (connection->stream().ended() || reactor.now() >= send_deadline) co_return OneShotResult{};
             co_await wake;
         }
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -14,16 +14,16 @@
 constexpr Tenths kCallTimeout = 9000;       // over all leaders; below the callers' timeout of 1 s
 constexpr Tenths kLeaderPollInterval = 200; // while there is no leader
 
-http::Answer to_answer(const Result<void>& result) {
-    return result.has_error() ? http::error_answer(result.error()) : http::json_answer("{}");
+http::Response to_answer(const Result<void>& result) {
+    return result.has_error() ? http::error_response(result.error()) : http::json_response("{}");
 }
 
 // A definite answer, so the call is not retried; callers get 503 all the same.
-http::Answer no_configuration() {
+http::Response no_configuration() {
     return {404, "", "no configuration was accepted yet: send one by PUT /config\n"};
 }
 
-http::Answer no_leader() {
+http::Response no_leader() {
     return {503, "", "the configuration group has no leader now: retry or call another node\n"};
 }
 
@@ -45,13 +45,13 @@
     : reactor_(reactor), group_(group), incarnation_(incarnation), callbacks_(std::move(callbacks)) {}
 
 transport::Async<Result<std::string>> OperatorCalls::read() {
-    http::Answer answer = co_await call_leader("GET", "", "");
+    http::Response answer = co_await call_leader("GET", "", "");
     if (answer.status != 200) co_return error(ErrorKind::kUnavailable, std::move(answer.body));
     co_return std::move(answer.body);
 }
 
 transport::Async<Result<void>> OperatorCalls::replace(std::int64_t if_match, std::string body) {
-    http::Answer answer = co_await call_leader("PUT", std::to_string(if_match), std::move(body));
+    http::Response answer = co_await call_leader("PUT", std::to_string(if_match), std::move(body));
     if (answer.status == 200) co_return boost::outcome_v2::success();
     const ErrorKind kind = answer.status == 412   ? ErrorKind::kVersionConflict
                            : answer.status == 400 ? ErrorKind::kInvalidInput
@@ -59,25 +59,25 @@
     co_return error(kind, std::move(answer.body));
 }
 
-transport::Async<http::Answer> OperatorCalls::execute_locally(const std::string& method,
-                                                              const std::string& if_match, std::string body) {
+transport::Async<http::Response>
+OperatorCalls::execute_locally(const std::string& method, const std::string& if_match, std::string body) {
     if (method == "GET") {
         const Result<std::optional<std::string>> read = co_await group_.read();
-        if (read.has_error()) co_return http::error_answer(read.error());
+        if (read.has_error()) co_return http::error_response(read.error());
         if (!read.value()) co_return no_configuration();
-        co_return http::json_answer(*read.value());
+        co_return http::json_response(*read.value());
     }
     const auto version = read_if_match(if_match);
-    if (version.has_error()) co_return http::error_answer(version.error());
+    if (version.has_error()) co_return http::error_response(version.error());
     co_return to_answer(co_await group_.replace(version.value(), std::move(body)));
 }
 
 // A reply of 503 from a former leader does not apply to the next one, so the call is retried there.
-transport::Async<http::Answer> OperatorCalls::call_leader(std::string method, std::string if_match,
-                                                          std::string body) {
+transport::Async<http::Response> OperatorCalls::call_leader(std::string method, std::string if_match,
+                                                            std::string body) {
     const Tenths deadline = reactor_.now() + kCallTimeout;
     while (reactor_.now() < deadline) {
-        http::Answer answer = no_leader();
+        http::Response answer = no_leader();
         const auto leader = group_.leader();
         if (group_.leads() || (method == "GET" && planted(PlantedFault::kReadUnconfirmed))) {
             answer = co_await execute_locally(method, if_match, body);
@@ -100,7 +100,7 @@
 
 transport::Async<OperatorCalls::Outcome> OperatorCalls::forward(std::uint64_t member,
                                                                 feed::ForwardedCall call, Tenths deadline,
-                                                                http::Answer& answer) {
+                                                                http::Response& answer) {
     const std::uint64_t number = call.id.number;
     auto pending = std::make_shared<transport::Pending<Outcome>>(reactor_);
     pending_calls_[number] = {member, pending, {}};
@@ -138,7 +138,7 @@
 
 transport::Task OperatorCalls::answer_forwarded(std::string peer, feed::ForwardedCall call) {
     const feed::RequestId id = call.id;
-    const http::Answer answer = co_await execute_locally(call.method, call.if_match, std::move(call.body));
+    const http::Response answer = co_await execute_locally(call.method, call.if_match, std::move(call.body));
     callbacks_.send(peer, feed::ForwardedAnswer{id, answer.status, answer.body});
 }
 
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -4,7 +4,7 @@
 #pragma once
 #include "control/configuration_group.hpp"
 #include "feed/messages.hpp"
-#include "http/calls.hpp"
+#include "http/call_router.hpp"
 #include "transport/pending.hpp"
 #include "transport/reactor.hpp"
 
@@ -48,13 +48,13 @@
     struct PendingCall { // a forwarded call
         std::uint64_t member = 0;
         std::shared_ptr<transport::Pending<Outcome>> outcome;
-        http::Answer answer;
+        http::Response answer;
     };
-    transport::Async<http::Answer> call_leader(std::string method, std::string if_match, std::string body);
-    transport::Async<http::Answer> execute_locally(const std::string& method, const std::string& if_match,
-                                                   std::string body);
+    transport::Async<http::Response> call_leader(std::string method, std::string if_match, std::string body);
+    transport::Async<http::Response> execute_locally(const std::string& method, const std::string& if_match,
+                                                     std::string body);
     transport::Async<Outcome> forward(std::uint64_t member, feed::ForwardedCall call, Tenths deadline,
-                                      http::Answer& answer);
+                                      http::Response& answer);
     transport::Async<transport::Done> wait_for_leader();
     transport::Task answer_forwarded(std::string peer, feed::ForwardedCall call);
 
--- a/src/control/peer_mesh.cpp
+++ b/src/control/peer_mesh.cpp
@@ -191,7 +191,7 @@
 void PeerMesh::update_liveness() {
     bool changed = false;
     // After a suspension of this process, messages that arrived meanwhile have yet to be read.
-    const bool was_suspended = reactor_.overslept() > options_.peer_timeout / 4;
+    const bool was_suspended = reactor_.stalled_for() > options_.peer_timeout / 4;
     for (auto& [address, peer] : peers_) {
         const bool recently_heard =
             reactor_.now() - peer.last_heard < options_.peer_timeout && peer.node.member != 0;
--- a/src/feed/socket_link.cpp
+++ b/src/feed/socket_link.cpp
@@ -16,7 +16,7 @@
                        Tenths silence, Callbacks callbacks)
     : reactor_(reactor), wake_(reactor.loop()),
       stream_(reactor.loop(), descriptor, start, kMaxUnreadBytes, kMaxUnsentBytes), silence_(silence),
-      last_received_(reactor.now()), callbacks_(std::move(callbacks)), reported_up_(stream_.up()) {
+      last_received_(reactor.now()), callbacks_(std::move(callbacks)), reported_up_(stream_.established()) {
     stream_.also_wake(&wake_);
 }
 
@@ -36,7 +36,7 @@
 void SocketLink::check_silence() {
     if (silence_ <= 0 || ended_) return;
     if (reactor_.now() - last_received_ >= silence_) {
-        if (!stream_.waiting_unread()) return end("silent");
+        if (!stream_.has_unread_input()) return end("silent");
         wake_.wake();
     }
     silence_timer_ = reactor_.call_after(silence_ / 4, [this] { check_silence(); });
@@ -68,7 +68,7 @@
     const std::shared_ptr<bool> alive = alive_;
     for (;;) {
         if (ended_) co_return;
-        if (stream_.up() && !std::exchange(reported_up_, true) && callbacks_.up) {
+        if (stream_.established() && !std::exchange(reported_up_, true) && callbacks_.up) {
             last_received_ = reactor_.now();
             callbacks_.up();
             if (!*alive || ended_) co_return;
--- a/src/feed/socket_link.hpp
+++ b/src/feed/socket_link.hpp
@@ -18,7 +18,7 @@
                Callbacks callbacks);
     ~SocketLink() override;
     void start() override;
-    bool up() const override { return stream_.up() && !ended_; }
+    bool up() const override { return stream_.established() && !ended_; }
     bool send(const Message& message) override;
     bool send_frame(const std::string& frame) override;
     void end(const std::string& reason) override;
--- a/src/http/calls.cpp
+++ b/src/http/call_router.cpp
@@ -1,4 +1,4 @@
-#include "http/calls.hpp"
+#include "http/call_router.hpp"
 
 #include <algorithm>
 #include <string_view>
@@ -31,14 +31,16 @@
 
 } // namespace
 
-Answer json_answer(std::string body) { return {200, "Content-Type: application/json\r\n", std::move(body)}; }
+Response json_response(std::string body) {
+    return {200, "Content-Type: application/json\r\n", std::move(body)};
+}
 
-Answer error_answer(const Error& error) {
+Response error_response(const Error& error) {
     const int status = status_of(error.kind);
     return {status, "Content-Type: text/plain\r\n", error.message + "\n"};
 }
 
-transport::Async<Answer> CallRouter::handle(protocol::HttpMessage message) const {
+transport::Async<Response> CallRouter::handle(protocol::HttpMessage message) const {
     const std::string_view target = std::string_view(message.target).substr(0, message.target.find('?'));
     bool path_known = false;
     for (const Entry& entry : entries_) {
@@ -47,8 +49,8 @@
         path_known = true;
         if (entry.method == message.method) co_return co_await entry.handle(message, rest);
     }
-    if (path_known) co_return Answer{405, "", ""};
-    co_return Answer{404, "", ""};
+    if (path_known) co_return Response{405, "", ""};
+    co_return Response{404, "", ""};
 }
 
 } // namespace ivyrill::http
--- a/src/http/calls.hpp
+++ b/src/http/call_router.hpp
@@ -14,45 +14,45 @@
 
 namespace ivyrill::http {
 
-struct Answer {
+struct Response {
     int status = 200;
     std::string fields; // further header lines, each with its line end
     std::string body;
 };
 
-Answer json_answer(std::string body);
-Answer error_answer(const Error& error);
+Response json_response(std::string body);
+Response error_response(const Error& error);
 
 template <class Call, class Reply> struct Endpoint {
     std::string method;
     std::string path; // ends with a slash where the rest of the path belongs to the call
     std::function<Result<Call>(const protocol::HttpMessage&, const std::string& rest)> read;
-    std::function<transport::Async<Result<Reply>>(Call)> carry_out;
-    std::function<Answer(const Reply&)> write;
+    std::function<transport::Async<Result<Reply>>(Call)> execute;
+    std::function<Response(const Reply&)> write;
 };
 
 class CallRouter {
   public:
     template <class Call, class Reply> void add(Endpoint<Call, Reply> endpoint);
-    transport::Async<Answer> handle(protocol::HttpMessage message) const;
+    transport::Async<Response> handle(protocol::HttpMessage message) const;
 
   private:
     struct Entry {
         std::string method, path;
-        std::function<transport::Async<Answer>(const protocol::HttpMessage&, std::string)> handle;
+        std::function<transport::Async<Response>(const protocol::HttpMessage&, std::string)> handle;
     };
     template <class Call, class Reply>
-    static transport::Async<Answer> carry(std::shared_ptr<const Endpoint<Call, Reply>> endpoint,
-                                          Result<Call> call);
+    static transport::Async<Response> dispatch(std::shared_ptr<const Endpoint<Call, Reply>> endpoint,
+                                               Result<Call> call);
     std::vector<Entry> entries_;
 };
 
 template <class Call, class Reply>
-transport::Async<Answer> CallRouter::carry(std::shared_ptr<const Endpoint<Call, Reply>> endpoint,
-                                           Result<Call> call) {
-    if (call.has_error()) co_return error_answer(call.error());
-    const Result<Reply> reply = co_await endpoint->carry_out(std::move(call.value()));
-    if (reply.has_error()) co_return error_answer(reply.error());
+transport::Async<Response> CallRouter::dispatch(std::shared_ptr<const Endpoint<Call, Reply>> endpoint,
+                                                Result<Call> call) {
+    if (call.has_error()) co_return error_response(call.error());
+    const Result<Reply> reply = co_await endpoint->execute(std::move(call.value()));
+    if (reply.has_error()) co_return error_response(reply.error());
     co_return endpoint->write(reply.value());
 }
 
@@ -60,7 +60,7 @@
     auto shared = std::make_shared<const Endpoint<Call, Reply>>(std::move(endpoint));
     entries_.push_back(
         {shared->method, shared->path, [shared](const protocol::HttpMessage& message, std::string rest) {
-             return carry<Call, Reply>(shared, shared->read(message, rest));
+             return dispatch<Call, Reply>(shared, shared->read(message, rest));
          }});
 }
 
--- a/src/http/call_server.cpp
+++ b/src/http/call_server.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::size_t kMostUnread = 64 * 1024;
-constexpr std::size_t kMostUnsent = 16 * 1024 * 1024;
+constexpr std::size_t kMaxUnreadBytes = 64 * 1024;
+constexpr std::size_t kMaxUnsentBytes = 16 * 1024 * 1024;
 
 } // namespace
 
 CallServer::Connection::Connection(transport::Reactor& reactor, int descriptor, const Options& options)
-    : wake(reactor.loop()),
-      stream(reactor.loop(), descriptor, transport::Stream::Start::kConnected, kMostUnread, kMostUnsent),
+    : wake(reactor.loop()), stream(reactor.loop(), descriptor, transport::Stream::Start::kConnected,
+                                   kMaxUnreadBytes, kMaxUnsentBytes),
       parser(protocol::HttpParser::Side::kRequests, {16 * 1024, options.max_body_bytes}) {
     stream.also_wake(&wake);
 }
@@ -46,7 +46,7 @@
             continue;
         }
         Connection& connection = connections_.emplace_back(reactor_, descriptor, options_);
-        connection.over = connections_.size() > options_.most_connections;
+        connection.closed = connections_.size() > options_.max_connections;
         connection.task = serve(connection);
         connection.task.start();
     }
@@ -56,12 +56,12 @@
     if (std::exchange(reap_set_, true)) return;
     reactor_.free_later([this] {
         reap_set_ = false;
-        connections_.remove_if([](const Connection& connection) { return connection.over; });
+        connections_.remove_if([](const Connection& connection) { return connection.closed; });
     });
 }
 
 transport::Task CallServer::serve(Connection& connection) {
-    while (!connection.over) {
+    while (!connection.closed) {
         if (connection.parser.complete() || connection.parser.broken() != 0) {
             co_await answer(connection);
             continue;
@@ -71,31 +71,30 @@
             continue;
         }
         if (connection.stream.ended()) break;
-        const Tenths patience =
-            connection.parser.begun() ? options_.request_patience : options_.idle_patience;
-        const Tenths until = reactor_.now() + patience;
+        const Tenths timeout = connection.parser.begun() ? options_.request_timeout : options_.idle_timeout;
+        const Tenths until = reactor_.now() + timeout;
         const transport::WakeAt timer(reactor_, until, connection.wake);
         co_await connection.wake;
         if (reactor_.now() >= until && !connection.stream.unread()) break;
     }
-    connection.over = true;
+    connection.closed = true;
     reap();
 }
 
 transport::Async<transport::Done> CallServer::answer(Connection& connection) {
-    Answer answer;
+    Response response;
     bool close = true;
     if (const int status = connection.parser.broken(); status != 0) {
-        answer.status = status;
+        response.status = status;
     } else {
         protocol::HttpMessage message = connection.parser.take();
         close = message.close || !listener_;
-        answer = co_await handler_(std::move(message));
+        response = co_await handler_(std::move(message));
     }
-    connection.stream.send(protocol::http_response(answer.status, answer.fields, answer.body, close));
+    connection.stream.send(protocol::http_response(response.status, response.fields, response.body, close));
     if (!close) co_return transport::Done{};
     // What is sent has to leave, and the peer's end to come, before the connection is freed.
-    const Tenths until = reactor_.now() + options_.request_patience;
+    const Tenths until = reactor_.now() + options_.request_timeout;
     const transport::WakeAt timer(reactor_, until, connection.wake);
     while (connection.stream.unwritten() > 0 && !connection.stream.ended() && reactor_.now() < until)
         co_await connection.wake;
@@ -104,7 +103,7 @@
         connection.stream.discard();
         co_await connection.wake;
     }
-    connection.over = true;
+    connection.closed = true;
     co_return transport::Done{};
 }
 
--- a/src/http/call_server.hpp
+++ b/src/http/call_server.hpp
@@ -1,7 +1,7 @@
 // An HTTP/1.1 server for calls: listens at one address, reads one request at a time from each connection, has
 // it handled, and answers. Bodies are held whole, up to a bound.
 #pragma once
-#include "http/calls.hpp"
+#include "http/call_router.hpp"
 #include "transport/reactor.hpp"
 #include "transport/stream.hpp"
 
@@ -16,11 +16,11 @@
   public:
     struct Options {
         std::size_t max_body_bytes = 8 * 1024 * 1024; // bytes
-        std::size_t most_connections = 1000;          // further ones are closed at once
-        Tenths request_patience = 50'000;             // for a whole request once it has begun
-        Tenths idle_patience = 300'000;               // between requests
+        std::size_t max_connections = 1000;           // further ones are closed at once
+        Tenths request_timeout = 50'000;              // for a whole request once it has begun
+        Tenths idle_timeout = 300'000;                // between requests
     };
-    using Handler = std::function<transport::Async<Answer>(protocol::HttpMessage)>;
+    using Handler = std::function<transport::Async<Response>(protocol::HttpMessage)>;
     CallServer(transport::Reactor& reactor, const std::string& address, Options options, Handler handler);
     ~CallServer();
     void close_listener(); // no further connections; what is open goes on
@@ -32,7 +32,7 @@
         transport::Slot wake;
         transport::Stream stream;
         protocol::HttpParser parser;
-        bool over = false;
+        bool closed = false;
         transport::Task task;
     };
     transport::Task accept_all();
--- a/src/http/client_connection.hpp
+++ b/src/http/client_connection.hpp
@@ -15,21 +15,21 @@
   public:
     // Null where the system refuses at once.
     static std::unique_ptr<ClientConnection> open(transport::Reactor& reactor, const std::string& address,
-                                                  std::size_t most_out) {
+                                                  std::size_t max_output_bytes) {
         const int descriptor = transport::connect_to(address);
         if (descriptor < 0) return nullptr;
-        return std::unique_ptr<ClientConnection>(new ClientConnection(reactor, descriptor, most_out));
+        return std::unique_ptr<ClientConnection>(new ClientConnection(reactor, descriptor, max_output_bytes));
     }
-    // What has not come in within `delivery_patience` is lost, and what is on its way at its end.
+    // What has not come in within `delivery_timeout` is lost, and what is on its way at its end.
     static std::unique_ptr<ClientConnection> open_for_one_call(transport::Reactor& reactor,
                                                                const std::string& address,
-                                                               std::size_t most_out,
-                                                               Tenths delivery_patience) {
+                                                               std::size_t max_output_bytes,
+                                                               Tenths delivery_timeout) {
         const int descriptor = transport::connect_to(address);
         if (descriptor < 0) return nullptr;
-        transport::reset_at_end(descriptor);
-        transport::lose_after(descriptor, delivery_patience);
-        return std::unique_ptr<ClientConnection>(new ClientConnection(reactor, descriptor, most_out));
+        transport::reset_on_close(descriptor);
+        transport::set_delivery_timeout(descriptor, delivery_timeout);
+        return std::unique_ptr<ClientConnection>(new ClientConnection(reactor, descriptor, max_output_bytes));
     }
 
     transport::Stream& stream() { return stream_; }
@@ -42,19 +42,20 @@
         return any;
     }
     // Nothing lies unread and nothing has ended: the next request may go over it.
-    bool quiet() {
-        return stream_.up() && !stream_.hung_up() && !stream_.waiting_unread() && !parser_.begun();
+    bool reusable() {
+        return stream_.established() && !stream_.hung_up() && !stream_.has_unread_input() && !parser_.begun();
     }
 
     Tenths idle_since = 0;
-    Tenths idle_bound = 0; // the server's own, from Keep-Alive; 0 where it said none
+    Tenths server_idle_timeout = 0; // the server's own, from Keep-Alive; 0 where it said none
     std::uint64_t uses = 0;
 
   private:
-    ClientConnection(transport::Reactor& reactor, int descriptor, std::size_t most_out)
-        : stream_(reactor.loop(), descriptor, transport::Stream::Start::kConnecting, kMostUnread, most_out),
-          parser_(protocol::HttpParser::Side::kResponses, {32 * 1024, kMostUnread}) {}
-    static constexpr std::size_t kMostUnread = 256 * 1024;
+    ClientConnection(transport::Reactor& reactor, int descriptor, std::size_t max_output_bytes)
+        : stream_(reactor.loop(), descriptor, transport::Stream::Start::kConnecting, kMaxUnreadBytes,
+                  max_output_bytes),
+          parser_(protocol::HttpParser::Side::kResponses, {32 * 1024, kMaxUnreadBytes}) {}
+    static constexpr std::size_t kMaxUnreadBytes = 256 * 1024;
     transport::Stream stream_;
     protocol::HttpParser parser_;
 };
--- a/src/http/event_stream.cpp
+++ b/src/http/event_stream.cpp
@@ -15,7 +15,7 @@
     while (!bytes.empty() && !too_long_) {
         const std::size_t end = bytes.find('\n');
         const std::size_t size = end == std::string_view::npos ? bytes.size() : end + 1;
-        if (event_.size() + size > most_event_bytes_) {
+        if (event_.size() + size > max_event_bytes_) {
             too_long_ = true;
             break;
         }
@@ -24,7 +24,7 @@
         if (end != std::string_view::npos) line_done();
     }
     if (!too_long_) return boost::outcome_v2::success();
-    return error(ErrorKind::kProtocol, "an event is longer than " + std::to_string(most_event_bytes_) +
+    return error(ErrorKind::kProtocol, "an event is longer than " + std::to_string(max_event_bytes_) +
                                            " bytes; end the answer as broken, or raise the bound");
 }
 
@@ -59,6 +59,6 @@
     if (!blank) ++events_;
 }
 
-std::string EventStreamSplitter::take_whole() { return std::exchange(whole_, {}); }
+std::string EventStreamSplitter::take_complete() { return std::exchange(whole_, {}); }
 
 } // namespace ivyrill::http
--- a/src/http/event_stream.hpp
+++ b/src/http/event_stream.hpp
@@ -14,14 +14,14 @@
 class EventStreamSplitter {
   public:
     // The most bytes that one event may have, its blank line included.
-    explicit EventStreamSplitter(std::size_t most_event_bytes) : most_event_bytes_(most_event_bytes) {}
+    explicit EventStreamSplitter(std::size_t max_event_bytes) : max_event_bytes_(max_event_bytes) {}
 
     // Takes the next bytes of the body. kProtocol where an event is longer than the bound: the events before
     // it can still be taken, and every later call fails likewise.
     Result<void> feed(std::string_view bytes);
 
     // The bytes of the events that became whole since the last call, as they came.
-    std::string take_whole();
+    std::string take_complete();
 
     // The id that the last whole event named (`id:`); events that name none leave it as it is, as browsers
     // do. Empty where none was named.
@@ -36,7 +36,7 @@
     void event_done();
     void read_field(std::string_view line);
 
-    std::size_t most_event_bytes_;
+    std::size_t max_event_bytes_;
     std::string whole_, event_;  // events to be taken; the unfinished one
     std::size_t line_begin_ = 0; // of the unfinished line, in event_
     std::string last_id_, id_;   // id_: that the unfinished event has named
--- a/src/membership/datagram_codec.cpp
+++ b/src/membership/datagram_codec.cpp
@@ -1,6 +1,6 @@
 #include "membership/datagram_codec.hpp"
 
-#include "access/text.hpp"
+#include "access/encoding.hpp"
 #include "access/types.hpp"
 
 #include <nlohmann/json.hpp>
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -22,7 +22,7 @@
     return rights;
 }
 
-access::NameRule read_rule(FieldReader fields, const access::AccessTerms& terms) {
+access::NameRule read_rule(FieldReader fields, const access::AccessOptions& terms) {
     access::NameRule rule;
     rule.uri = fields.text("uri", ""), rule.dns = fields.text("dns", "");
     if (rule.uri.empty() == rule.dns.empty()) fields.fail("uri", "expected either a uri or a dns name");
@@ -38,17 +38,17 @@
 
 AccessSettings read_access(FieldReader fields) {
     AccessSettings result;
-    access::AccessTerms& terms = result.terms;
+    access::AccessOptions& terms = result.terms;
     terms.issuer = fields.text("issuer"), terms.audience = fields.text("audience");
     terms.skew = seconds(fields.integer("skew_s", 0, 300, 5));
     terms.settle = seconds(fields.integer("settle_s", 0, 3600, 10));
     terms.crl_grace = seconds(fields.integer("crl_grace_s", 0, 7 * 86400, 3600));
-    terms.most_token = static_cast<std::size_t>(fields.integer("token_bytes", 256, 8192, 4096));
-    terms.longest_life = seconds(fields.integer("token_life_s", 60, 366 * 86'400, 31 * 86'400));
-    terms.cached = static_cast<std::size_t>(fields.integer("cached_tokens", 0, 1'000'000, 4096));
+    terms.max_token_bytes = static_cast<std::size_t>(fields.integer("token_bytes", 256, 8192, 4096));
+    terms.max_token_lifetime = seconds(fields.integer("token_life_s", 60, 366 * 86'400, 31 * 86'400));
+    terms.max_cached_tokens = static_cast<std::size_t>(fields.integer("cached_tokens", 0, 1'000'000, 4096));
     fields.for_each_entry("clubs", [&](const std::string& club, const auto& tenant, const std::string& path) {
         if (!tenant.is_string()) throw SettingsError(path + ": expected the tenant's name");
-        if (!access::sound_name(club))
+        if (!access::is_valid_name(club))
             throw SettingsError(path + ": expected 1 to 64 letters, digits, '-', '_' or '.'");
         terms.clubs[club] = tenant.template get<std::string>();
     });
@@ -225,8 +225,8 @@
     nlohmann::ordered_json none = nlohmann::ordered_json::object();
     FieldReader tls = top.object("tls").value_or(FieldReader(none, "tls"));
     result.handshakes.most_open = static_cast<std::size_t>(tls.integer("open_handshakes", 1, 10'000, 64));
-    result.handshakes.steps_a_second = tls.number("handshake_steps_a_second", 1, 100'000, 1000);
-    result.handshakes.steps_a_turn =
+    result.handshakes.steps_per_second = tls.number("handshake_steps_a_second", 1, 100'000, 1000);
+    result.handshakes.steps_per_turn =
         static_cast<std::size_t>(tls.integer("handshake_steps_a_turn", 1, 100, 4));
     result.ticket_span = seconds(tls.integer("ticket_span_s", 1, 86'400, 3600));
     tls.reject_unknown();
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -1,8 +1,8 @@
 // Settings of the operator's file, typed and validated: one member for each section. Pure; the files that it
 // names are read in program/operator_files.hpp. The operator's file is optional.
 #pragma once
-#include "access/gate.hpp"
-#include "access/handshakes.hpp"
+#include "access/authorizer.hpp"
+#include "access/handshake_limiter.hpp"
 #include "limits/connection_budget.hpp"
 #include "maintenance/fleet_observation.hpp"
 #include "operator/field_reader.hpp"
@@ -18,7 +18,7 @@
 namespace ivyrill::operators {
 
 struct AccessSettings {
-    access::AccessTerms terms;
+    access::AccessOptions terms;
     std::string keys, revocations; // paths of a folder and of a file
     std::vector<std::string> authorities, crls;
     bool platform_port_guarded = true; // whether the platform's plain port requires credentials
@@ -65,7 +65,7 @@
     std::optional<MaintenanceSettings> maintenance;
     std::optional<AccessSettings> access;
     std::vector<ListenerSettings> listeners;
-    access::HandshakeTerms handshakes;
+    access::HandshakeLimits handshakes;
     limits::ConnectionLimits connections;
     Tenths ticket_span = 0;
     AuditSettings audit;
--- a/src/program/credential_commands.cpp
+++ b/src/program/credential_commands.cpp
@@ -1,7 +1,7 @@
 #include "program/credential_commands.hpp"
 
-#include "access/gate.hpp"
-#include "access/text.hpp"
+#include "access/authorizer.hpp"
+#include "access/encoding.hpp"
 #include "program/operator_files.hpp"
 #include "transport/loop.hpp"
 
@@ -84,13 +84,13 @@
     const KeyRing ring = read_ring(options.folder);
     Rotation made = rotate(ring, options.name, selected_algorithm(options), transport::Loop::wall(),
                            options.lead_s * kTenthsPerSecond, options.overlap_s * kTenthsPerSecond);
-    if (first) made.changed.clear();
+    if (first) made.changed_keys.clear();
     if (ring.keys().size() + 1 > 64)
         throw AccessError("the key folder has 64 keys already: remove those that are gone");
-    store_key(options, made.fresh);
-    for (const Key& key : made.changed) store_times(options, key);
-    std::cout << made.fresh.name << ": active in " << options.lead_s << " s\n";
-    for (const Key& key : made.changed)
+    store_key(options, made.new_key);
+    for (const Key& key : made.changed_keys) store_times(options, key);
+    std::cout << made.new_key.name << ": active in " << options.lead_s << " s\n";
+    for (const Key& key : made.changed_keys)
         std::cout << key.name << ": outgoing then, gone " << options.overlap_s << " s later\n";
     return 0;
 }
@@ -107,7 +107,7 @@
         std::cout << key.name << ": gone\n";
     }
     Revocations held = read_revocations(options);
-    held.forget(now, 3600 * kTenthsPerSecond, kMaxTokenLife);
+    held.remove_expired(now, 3600 * kTenthsPerSecond, kMaxTokenLife);
     const bool member = !options.club.empty() || !options.member.empty();
     if (member && (options.club.empty() || options.member.empty()))
         throw AccessError("a member needs --club and --member");
@@ -138,7 +138,7 @@
         std::cout << name << " " << name_of(key.signing.algorithm()) << " " << name_of(key.times.at(now));
         if (key.times.at(now) == KeyState::kAnnounced)
             std::cout << ", active in " << (key.times.active - now) / kTenthsPerSecond << " s";
-        if (key.times.gone != kEver && key.times.gone > now)
+        if (key.times.gone != kNever && key.times.gone > now)
             std::cout << ", gone in " << (key.times.gone - now) / kTenthsPerSecond << " s";
         std::cout << (fs::exists(private_path(options, name)) ? "" : ", verifies only") << "\n";
     }
@@ -167,12 +167,12 @@
 }
 
 int show(const Options& options) { // verifies the signature where the key is known
-    const TokenForm form = read_token(options.token, 8192);
+    const TokenParseResult form = parse_token(options.token, 8192);
     if (const auto* reason = std::get_if<Reason>(&form)) {
         std::cout << name_of(*reason) << "\n";
         return 1;
     }
-    const ReadToken& token = std::get<ReadToken>(form);
+    const ParsedToken& token = std::get<ParsedToken>(form);
     const std::string_view bytes = token.signed_part;
     for (const std::string_view part : {bytes.substr(0, bytes.find('.')), bytes.substr(bytes.find('.') + 1)})
         std::cout << nlohmann::json::parse(*read_base64url(part)).dump(2) << "\n";
@@ -182,10 +182,10 @@
     if (key == nullptr)
         std::cout << "signature: the key '" << token.claims.key << "' is not in the key folder\n";
     else
-        std::cout << "signature: " << (proven(token, *key) ? "good" : "bad") << ", key "
+        std::cout << "signature: " << (has_valid_signature(token, *key) ? "good" : "bad") << ", key "
                   << name_of(key->times.at(now)) << "\n";
     std::cout << (now >= token.claims.expires ? "expired\n" : "not expired\n");
-    return key != nullptr && proven(token, *key) && now < token.claims.expires ? 0 : 1;
+    return key != nullptr && has_valid_signature(token, *key) && now < token.claims.expires ? 0 : 1;
 }
 
 } // namespace
--- a/src/program/maintenance_commands.cpp
+++ b/src/program/maintenance_commands.cpp
@@ -1,7 +1,7 @@
 #include "program/maintenance_commands.hpp"
 
+#include "access/encoding.hpp"
 #include "access/signature.hpp"
-#include "access/text.hpp"
 #include "maintenance/chart.hpp"
 #include "maintenance/codec.hpp"
 #include "maintenance/fragment_transport.hpp"
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -56,24 +56,24 @@
 const transport::TicketSecret* TicketKeyStore::secret_of(const access::TicketKeys::Key* key) {
     if (key == nullptr) return nullptr;
     std::memcpy(secret_.name, key->name.data(), sizeof secret_.name);
-    std::memcpy(secret_.seal, key->seal.data(), sizeof secret_.seal);
-    std::memcpy(secret_.mac, key->mac.data(), sizeof secret_.mac);
+    std::memcpy(secret_.cipher_key, key->cipher_key.data(), sizeof secret_.cipher_key);
+    std::memcpy(secret_.mac_key, key->mac_key.data(), sizeof secret_.mac_key);
     return &secret_;
 }
 
-const transport::TicketSecret* TicketKeyStore::sealing() {
+const transport::TicketSecret* TicketKeyStore::encryption_key() {
     if (keys_.wants_key(loop_.now())) {
         const std::string random = access::random_bytes(sizeof(access::TicketKeys::Key));
         access::TicketKeys::Key key;
         std::memcpy(&key, random.data(), sizeof key);
         keys_.add(key, loop_.now());
     }
-    return secret_of(keys_.sealing());
+    return secret_of(keys_.encryption_key());
 }
 
-const transport::TicketSecret* TicketKeyStore::opening(const unsigned char* name, bool& renew) {
-    const auto [use, key] = keys_.opening(name);
-    renew = use == access::TicketKeys::Use::kOpenAndRenew;
+const transport::TicketSecret* TicketKeyStore::decryption_key(const unsigned char* name, bool& renew) {
+    const auto [use, key] = keys_.decryption_key(name);
+    renew = use == access::TicketKeys::Use::kDecryptAndRenew;
     return secret_of(key);
 }
 
@@ -300,12 +300,13 @@
         c.probes, c.lists, c.lists_lost, router_->open_searches(), router_->open_attempts(),
         router_->open_clients(), router_->open_connections(), ms(used.ru_utime) + ms(used.ru_stime),
         used.ru_maxrss);
-    if (const access::Gate* gate = router_->gate())
+    if (const access::Authorizer* authorizer = router_->authorizer())
         log().info("access admitted={} refused={} verified={} from_cache={} swaps={} barred={} distrusted={} "
                    "generation={} cached={} handshakes={}",
-                   gate->counts().admitted, gate->counts().refused, gate->counts().verified,
-                   gate->counts().from_cache, gate->counts().swaps, c.revoked, c.certificates_revoked,
-                   gate->policy().generation, gate->cached(), router_->open_handshakes());
+                   authorizer->counts().admitted, authorizer->counts().refused, authorizer->counts().verified,
+                   authorizer->counts().from_cache, authorizer->counts().policy_replacements, c.revoked,
+                   c.certificates_revoked, authorizer->policy().generation, authorizer->cached_tokens(),
+                   router_->open_handshakes());
 }
 
 // ---- clients
@@ -358,29 +359,29 @@
     transport::Channel& stream = client.stream;
     transport::Slot& changed = stream.changed; // a named reference, see serve_discovery
     try {
-        while (stream.shaking() && !stream.ended()) {
-            if (stream.shake_due()) post(routing::HandshakeReady{client.id});
+        while (stream.handshaking() && !stream.ended()) {
+            if (stream.handshake_due()) post(routing::HandshakeReady{client.id});
             co_await changed;
         }
         if (!client.session) client.session = make_session(stream.protocol());
         sessions::Session& session = *client.session;
         flush(client);
         std::size_t bytes_read = 0;
-        while (!session.over() && !stream.ended() && !client.closing) {
-            if (session.reads() && stream.unread()) {
+        while (!session.closed() && !stream.ended() && !client.closing) {
+            if (session.wants_input() && stream.unread()) {
                 bytes_read += stream.feed(session);
                 post_session_events(client);
                 flush(client);
                 if (bytes_read < connection_limits_.read_quantum_bytes) continue;
                 changed.wake(); // yields to other clients
-            } else if (session.midway()) {
+            } else if (session.has_partial_request()) {
                 post(routing::RequestStarted{client.id});
             }
             bytes_read = 0;
-            if (session.over() || stream.ended() || client.closing) break;
+            if (session.closed() || stream.ended() || client.closing) break;
             // The client has closed with more unread bytes than the buffer holds: its end would never be
             // read.
-            if (!session.reads() && stream.hung_up()) {
+            if (!session.wants_input() && stream.hung_up()) {
                 post(routing::ClientDisconnected{client.id});
                 co_return;
             }
@@ -402,11 +403,11 @@
 }
 
 void Node::post_session_events(Client& client) {
-    for (sessions::News& news : client.session->news()) {
-        if (auto* search = std::get_if<sessions::SearchCame>(&news))
-            post(routing::SearchReceived{client.id, std::move(search->request), client.stream.age(),
-                                         search->stream});
-        else if (const auto* left = std::get_if<sessions::SearchCancelled>(&news))
+    for (sessions::SessionEvent& event : client.session->take_events()) {
+        if (auto* search = std::get_if<sessions::SearchRequested>(&event))
+            post(routing::SearchReceived{client.id, std::move(search->request),
+                                         client.stream.last_receive_age(), search->stream});
+        else if (const auto* left = std::get_if<sessions::SearchCancelled>(&event))
             post(routing::SearchCancelled{client.id, left->stream});
         else
             post(routing::OtherRequestAnswered{client.id});
@@ -424,7 +425,7 @@
 }
 
 void Node::flush(Client& client) {
-    const std::string bytes = client.session->take_out(client.stream.room());
+    const std::string bytes = client.session->take_output(client.stream.room());
     if (!bytes.empty()) client.stream.send(bytes);
 }
 
@@ -432,9 +433,9 @@
 // memory.
 void Node::drop_stalled_clients() {
     for (const auto& [id, client] : clients_) {
-        const bool has_output =
-            client->stream.unwritten() > 0 || (client->session && client->session->owes() > 0);
-        const std::uint64_t moved = client->stream.moved();
+        const bool has_output = client->stream.unwritten() > 0 ||
+                                (client->session && client->session->pending_answer_bytes() > 0);
+        const std::uint64_t moved = client->stream.transferred_bytes();
         if (has_output && moved == client->bytes_transferred) post(routing::ClientDisconnected{id});
         client->bytes_transferred = moved;
     }
@@ -471,9 +472,9 @@
     const auto found = clients_.find(effect.client);
     if (found == clients_.end()) return;
     transport::Channel& channel = found->second->stream;
-    const bool shaking = channel.shaking();
-    if (shaking) channel.shake();
-    if (shaking && !channel.shaking()) {
+    const bool handshaking = channel.handshaking();
+    if (handshaking) channel.advance_handshake();
+    if (handshaking && !channel.handshaking()) {
         std::shared_ptr<const access::Chain> chain;
         if (const auto peer_chain = channel.peer_chain())
             chain = std::make_shared<const access::Chain>(access::Chain{*peer_chain});
@@ -492,7 +493,7 @@
 void Node::execute(const routing::HalfCloseClient& effect) {
     Client* client = find_client(effect.client);
     if (client == nullptr) return post(routing::ClientDisconnected{effect.client});
-    client->closing = !client->stream.waiting_unread();
+    client->closing = !client->stream.has_unread_input();
     client->stream.changed.wake();
 }
 
@@ -534,7 +535,7 @@
 }
 
 void Node::report_connection(Connection& connection) {
-    if (connection.stream.up() && !std::exchange(connection.established_reported, true))
+    if (connection.stream.established() && !std::exchange(connection.established_reported, true))
         post(routing::ConnectionEstablished{connection.id});
     if (connection.stream.written() == connection.reported_bytes) return;
     connection.reported_bytes = connection.stream.written();
@@ -546,7 +547,7 @@
     try {
         if (frame.letter == 'R')
             return post(routing::PartAnswered{connection.id, protocol::read_part_answer(frame.rest),
-                                              connection.stream.age()});
+                                              connection.stream.last_receive_age()});
         if (frame.letter == 'M')
             return post(routing::LoadReceived{connection.id, protocol::read_load_answer(frame.rest)});
         if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
@@ -609,7 +610,7 @@
             stream.send(request);
             for (bool sent = false;;) {
                 while (stream.unread() && !parser.complete() && parser.broken() == 0) stream.feed(parser);
-                if (stream.up() && !std::exchange(sent, true)) post(routing::DiscoveryConnected{id});
+                if (stream.established() && !std::exchange(sent, true)) post(routing::DiscoveryConnected{id});
                 if (stream.ended()) parser.end();
                 if (parser.complete() || parser.broken() != 0 || stream.ended()) break;
                 co_await stream.changed;
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -33,8 +33,8 @@
 class TicketKeyStore : public transport::TicketStore {
   public:
     TicketKeyStore(const transport::Loop& loop, Tenths span) : loop_(loop), keys_(span) {}
-    const transport::TicketSecret* sealing() override;
-    const transport::TicketSecret* opening(const unsigned char* name, bool& renew) override;
+    const transport::TicketSecret* encryption_key() override;
+    const transport::TicketSecret* decryption_key(const unsigned char* name, bool& renew) override;
 
   private:
     const transport::TicketSecret* secret_of(const access::TicketKeys::Key* key);
@@ -146,7 +146,7 @@
     ReloadConfiguration reload_;
     transport::Loop loop_;
     Lifecycle lifecycle_;
-    sessions::Around session_context_;
+    sessions::NodeStatus session_context_;
     limits::ConnectionLimits connection_limits_;
     std::deque<routing::Event> inbox_;
     std::unique_ptr<routing::Router> router_;
--- a/src/program/operator_files.cpp
+++ b/src/program/operator_files.cpp
@@ -86,7 +86,7 @@
             result.tls.push_back(nullptr);
             continue;
         }
-        transport::TlsTerms terms;
+        transport::TlsOptions terms;
         terms.protocols = listener.protocols;
         terms.certificate = load(listener.certificate).text, terms.key = load(listener.key).text;
         terms.clients = listener.client_certificates, terms.tickets = tickets;
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -18,7 +18,7 @@
 constexpr Tenths kMaxIdleIdempotent = 60'000; // ... which is harmless if the request may be sent again
 
 // Parses `timeout=N`, whole seconds.
-Tenths idle_bound(std::string_view keep_alive) {
+Tenths server_idle_timeout(std::string_view keep_alive) {
     const std::size_t at = keep_alive.find("timeout=");
     if (at == std::string_view::npos) return 0;
     const std::string_view text = keep_alive.substr(at + 8);
@@ -44,7 +44,7 @@
     const Tenths began = now();
     const Tenths until =
         std::min(deadline_, began + context_.connect_timeout.timeout(profile_.latency_target));
-    while (!connection_->stream().up()) {
+    while (!connection_->stream().established()) {
         if (connection_->stream().ended() || client_gone()) co_return false;
         if (now() >= until) {
             context_.connect_timeout.timed_out();
@@ -160,7 +160,7 @@
 Exchange::CallResult Exchange::classify_head() {
     answer_ = connection_->parser().message();
     answer_.body.clear();
-    connection_->idle_bound = idle_bound(answer_.header("keep-alive"));
+    connection_->server_idle_timeout = server_idle_timeout(answer_.header("keep-alive"));
     if (answer_.status == 421) return CallResult::kMisdirected;
     const bool says_not_run = answer_.times("not-run") > 0;
     if (says_not_run && answer_.status >= 400) return CallResult::kNotRun;
--- a/src/proxy/exchange_relay.cpp
+++ b/src/proxy/exchange_relay.cpp
@@ -61,7 +61,7 @@
         if (events_.feed(parser.take_body()).has_error()) co_return RelayResult::kIncomplete;
         const bool until_close = parser.ends_with_connection() && connection_->stream().ended();
         const bool complete = parser.complete() || (until_close && !connection_->stream().was_reset());
-        std::string whole = events_.take_whole();
+        std::string whole = events_.take_complete();
         if (!whole.empty()) {
             count_started();
             if (!events_.last_id().empty()) last_event_id_ = events_.last_id();
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -87,7 +87,7 @@
                  co_return error(ErrorKind::kUnavailable, "no configuration is known yet, or this node ends");
              co_return ReadyReply{};
          },
-         [](const ReadyReply&) { return http::Answer{}; }});
+         [](const ReadyReply&) { return http::Response{}; }});
     ready_server_ = std::make_unique<http::CallServer>(
         reactor_, settings_.listen_addrs.at("readyAddr"), http::CallServer::Options{},
         [this](protocol::HttpMessage message) { return router_.handle(std::move(message)); });
--- a/src/proxy/server_connections.cpp
+++ b/src/proxy/server_connections.cpp
@@ -12,8 +12,9 @@
 constexpr Tenths kIdleMargin = 10'000; // before the server's own idle timeout, which is in whole seconds
 
 bool idle_too_long(const http::ClientConnection& connection, Tenths now) {
-    const Tenths bound =
-        connection.idle_bound > 0 ? std::min(kMaxIdle, connection.idle_bound - kIdleMargin) : kMaxIdle;
+    const Tenths bound = connection.server_idle_timeout > 0
+                             ? std::min(kMaxIdle, connection.server_idle_timeout - kIdleMargin)
+                             : kMaxIdle;
     return now - connection.idle_since >= bound;
 }
 
@@ -31,7 +32,7 @@
     while (!connections.empty()) {
         auto connection = std::move(connections.back()); // most recently used first
         connections.pop_back();
-        if (!connection->quiet() || idle_too_long(*connection, reactor_.now())) continue;
+        if (!connection->reusable() || idle_too_long(*connection, reactor_.now())) continue;
         if (reactor_.now() - connection->idle_since > max_idle) continue;
         return connection;
     }
@@ -44,7 +45,8 @@
 
 void ServerConnections::release(const std::string& instance,
                                 std::unique_ptr<http::ClientConnection> connection) {
-    if (!connection->quiet() || connection->stream().unwritten() > 0) return discard(std::move(connection));
+    if (!connection->reusable() || connection->stream().unwritten() > 0)
+        return discard(std::move(connection));
     connection->stream().also_wake(nullptr);
     connection->idle_since = reactor_.now();
     ++connection->uses;
@@ -67,7 +69,7 @@
     timer_ = reactor_.call_after(kCloseInterval, [this] { close_idle(); });
     for (auto& [instance, connections] : idle_)
         std::erase_if(connections, [this](const auto& connection) {
-            return !connection->quiet() || idle_too_long(*connection, reactor_.now());
+            return !connection->reusable() || idle_too_long(*connection, reactor_.now());
         });
 }
 
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -10,20 +10,20 @@
                                    Tenths now, Tenths wall) {
     clock_ = access::TrustedClock(policy->terms.skew, policy->terms.settle);
     clock_.observe(now, wall);
-    gate_.emplace(std::move(policy));
+    authorizer_.emplace(std::move(policy));
     key_is_query_ = key_is_query;
     schedule_access_change();
 }
 
-void Router::limit_handshakes(access::HandshakeTerms terms, Tenths now) { handshakes_.emplace(terms, now); }
+void Router::limit_handshakes(access::HandshakeLimits terms, Tenths now) { handshakes_.emplace(terms, now); }
 
 std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
-    if (!gate_ || !client.requires_credential) return {};
+    if (!authorizer_ || !client.requires_credential) return {};
     const protocol::SearchRequest& request = event.request;
     const access::Credential credential{request.token, request.token_spoilt, client.chain};
-    const access::Asked asked{request.request_class, request.tenant,
-                              key_is_query_ ? request.query : request.key};
-    access::Decision made = gate_->admit(credential, asked, access_now());
+    const access::AccessRequest access_request{request.request_class, request.tenant,
+                                               key_is_query_ ? request.query : request.key};
+    access::Decision made = authorizer_->admit(credential, access_request, access_now());
     if (made.reason != access::Reason::kAdmitted) {
         ++counts_.not_admitted;
         effects_.push_back(Audit{made.reason, "refused", made.caller.club, made.caller.member, made.key,
@@ -32,10 +32,10 @@
     return made;
 }
 
-void Router::refuse(ClientId client, StreamNo stream, access::Reason why) {
+void Router::refuse(ClientId client, StreamId stream, access::Reason why) {
     const access::Refusal told = access::refusal_of(why);
     effects_.push_back(
-        RejectClient{client, told.status, std::string(told.words), draining_, told.challenge, stream});
+        RejectClient{client, told.status, std::string(told.message), draining_, told.challenge, stream});
 }
 
 // A search without attempts is refused at once. Otherwise attempts in flight may still answer and answers
@@ -45,7 +45,7 @@
     search.revoked = why, ++counts_.revoked;
     const auto& caller = search.proof->claims ? search.proof->claims->caller : access::Caller{};
     effects_.push_back(Audit{
-        why, "barred", caller.club, caller.member, {}, search.proof->asked.request_class, search.wire_id});
+        why, "barred", caller.club, caller.member, {}, search.proof->request.request_class, search.wire_id});
     bool attempted = false;
     for (const PartId part : search.parts) {
         for (std::uint32_t number = 0; number < parts_.at(part).attempts; ++number) {
@@ -68,11 +68,11 @@
 // After a reload, or when a key or revocation list expires: checks every open search and every connection
 // with a certificate against the current policy. All in this turn, so that no revocation waits for a client.
 void Router::recheck_access() {
-    if (!gate_) return;
+    if (!authorizer_) return;
     const Tenths now = access_now();
     for (auto& [id, client] : clients_) {
         if (!client.chain || client.certificate_revoked) continue;
-        const access::Reason reason = gate_->still(*client.chain, now);
+        const access::Reason reason = authorizer_->recheck(*client.chain, now);
         if (reason == access::Reason::kAdmitted) continue;
         client.certificate_revoked = true, ++counts_.certificates_revoked;
         effects_.push_back(Audit{reason, "distrusted", {}, {}, {}, {}, {}});
@@ -80,7 +80,7 @@
     std::vector<std::pair<SearchId, access::Reason>> revoked;
     for (const auto& [id, search] : searches_) {
         if (!search.proof || search.revoked != access::Reason::kAdmitted) continue;
-        const access::Reason reason = gate_->still(*search.proof, now);
+        const access::Reason reason = authorizer_->recheck(*search.proof, now);
         if (reason != access::Reason::kAdmitted) revoked.emplace_back(id, reason);
     }
     for (const auto& [id, reason] : revoked) revoke(id, reason);
@@ -94,8 +94,8 @@
 }
 
 void Router::schedule_access_change() {
-    const Tenths next = gate_->next_change(access_now());
-    if (next == access::kEver) return;
+    const Tenths next = authorizer_->next_change(access_now());
+    if (next == access::kNever) return;
     const Tenths when = now_ + (next - access_now());
     if (access_timer_ != 0 && access_timer_ <= when) return;
     schedule(access_timer_ = when, AccessTimer{});
@@ -108,30 +108,30 @@
 }
 
 void Router::apply(const PolicyLoaded& event) {
-    if (!gate_) return;
-    gate_->swap(event.policy);
+    if (!authorizer_) return;
+    authorizer_->replace_policy(event.policy);
     effects_.push_back(Audit{access::Reason::kAdmitted, "swapped", {}, {}, {}, {}, {}});
     recheck_access();
 }
 
 // The clock for credentials may have been corrected, so expiry times may have passed already.
 void Router::apply(const WallClockRead& event) {
-    if (!gate_) return;
+    if (!authorizer_) return;
     const Tenths before = access_now();
     clock_.observe(now_, event.wall);
-    if (std::abs(access_now() - before) <= gate_->policy().terms.skew) return;
+    if (std::abs(access_now() - before) <= authorizer_->policy().terms.skew) return;
     access_timer_ = 0;
     recheck_access();
 }
 
 void Router::apply(const HandshakeReady& event) {
-    if (handshakes_) handshakes_->ask(event.client);
+    if (handshakes_) handshakes_->request_step(event.client);
 }
 
 void Router::run_handshakes() {
     if (!handshakes_) return;
     for (const ClientId client : handshakes_->grant(now_)) effects_.push_back(ContinueHandshake{client});
-    const auto next = handshakes_->next(now_);
+    const auto next = handshakes_->next_step_time(now_);
     if (next && (handshake_timer_ == 0 || *next < handshake_timer_))
         schedule(handshake_timer_ = *next, HandshakeTimer{});
 }
--- a/src/routing/events.hpp
+++ b/src/routing/events.hpp
@@ -1,7 +1,7 @@
 // Events of a front node, and the effects it asks for in return. Handles are serial numbers that are never
 // reused, so an event about something that has ended is ignored.
 #pragma once
-#include "access/gate.hpp"
+#include "access/authorizer.hpp"
 #include "base/ids.hpp"
 #include "protocol/frames.hpp"
 #include "protocol/messages.hpp"
@@ -15,7 +15,7 @@
 
 using ClientId = Id<struct ClientTag, std::uint64_t>;         // a client's connection
 using ConnectionId = Id<struct ConnectionTag, std::uint64_t>; // a connection to an index server
-using StreamNo = std::uint32_t; // of a search on its client's connection; 0 for protocols without streams
+using StreamId = std::uint32_t; // of a search on its client's connection; 0 for protocols without streams
 using DiscoveryCallId = Id<struct DiscoveryCallTag, std::uint64_t>;
 
 struct ClientOpened {
@@ -34,11 +34,11 @@
     ClientId client;
     protocol::SearchRequest request;
     Tenths age = 0; // time since it reached this machine
-    StreamNo stream = 0;
+    StreamId stream = 0;
 };
 struct SearchCancelled { // by its client, which keeps its connection
     ClientId client;
-    StreamNo stream = 0;
+    StreamId stream = 0;
 };
 struct RequestStarted { // the first bytes of a request; it is not complete
     ClientId client;
@@ -125,7 +125,7 @@
     ClientId client;
     protocol::FinalAnswer answer;
     bool close = false;
-    StreamNo stream = 0;
+    StreamId stream = 0;
 };
 struct RejectClient { // an error in the request itself, or a duplicate search
     ClientId client;
@@ -133,7 +133,7 @@
     std::string message;
     bool close = false;
     std::string_view challenge = {}; // WWW-Authenticate for a bad credential; static text
-    StreamNo stream = 0;             // 0 also if the connection itself is meant
+    StreamId stream = 0;             // 0 also if the connection itself is meant
 };
 struct ContinueHandshake { // by one step
     ClientId client;
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -3,9 +3,9 @@
 // much was written, server lists in order. It makes no choice among servers, searches or times itself; its
 // limits come from the settings.
 #pragma once
-#include "access/clock.hpp"
-#include "access/gate.hpp"
-#include "access/handshakes.hpp"
+#include "access/authorizer.hpp"
+#include "access/handshake_limiter.hpp"
+#include "access/trusted_clock.hpp"
 #include "routing/events.hpp"
 #include "search_scheduler.hpp"
 
@@ -37,7 +37,7 @@
     // From here on searches need a credential, on the listeners that require one.
     void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now,
                                Tenths wall);
-    void limit_handshakes(access::HandshakeTerms terms, Tenths now);
+    void limit_handshakes(access::HandshakeLimits terms, Tenths now);
 
     void handle(Tenths now, Event event); // one event
     std::vector<Effect> turn(Tenths now); // expired timers, one decision, and all resulting effects
@@ -50,14 +50,14 @@
     std::size_t open_attempts() const { return attempts_.size(); }
     std::size_t timers() const { return timers_.size(); }
     const Counts& counts() const { return counts_; }
-    const access::Gate* gate() const { return gate_ ? &*gate_ : nullptr; }
+    const access::Authorizer* authorizer() const { return authorizer_ ? &*authorizer_ : nullptr; }
     std::size_t open_handshakes() const { return handshakes_ ? handshakes_->open() : 0; }
 
   private:
     using AttemptKey = std::pair<PartId, AttemptNo>;
 
     struct Client {
-        std::map<StreamNo, SearchId> searches; // open ones
+        std::map<StreamId, SearchId> searches; // open ones
         Tenths idle_since = 0;
         Tenths deadline = 0;          // for its complete request, or for its close
         bool has_searched = false;    // at least once
@@ -77,7 +77,7 @@
     };
     struct Search {
         ClientId client;
-        StreamNo stream = 0;
+        StreamId stream = 0;
         std::string wire_id;
         std::string query;
         std::vector<PartId> parts;
@@ -231,7 +231,7 @@
     std::optional<access::Decision> admit(const Client& client, const SearchReceived& event);
     void recheck_access();
     void revoke(SearchId id, access::Reason why);
-    void refuse(ClientId client, StreamNo stream, access::Reason why);
+    void refuse(ClientId client, StreamId stream, access::Reason why);
     bool over_fair_share(ClientId id, const Client& client) const;
     void run_handshakes();
     void schedule_access_change();
@@ -298,10 +298,10 @@
     std::int64_t version_ = 0;
     bool full_list_wanted_ = false, draining_ = false, stopped_ = false, accepting_ = true;
     bool decision_due_ = true;
-    std::optional<access::Gate> gate_;
+    std::optional<access::Authorizer> authorizer_;
     access::TrustedClock clock_{0, 0};
     bool key_is_query_ = false;
-    std::optional<access::Handshakes<ClientId>> handshakes_;
+    std::optional<access::HandshakeLimiter<ClientId>> handshakes_;
     Tenths handshake_timer_ = 0, access_timer_ = 0; // armed for; 0: not armed
     Counts counts_;
     std::vector<Effect> effects_;
--- a/src/sessions/http1/session.cpp
+++ b/src/sessions/http1/session.cpp
@@ -3,7 +3,7 @@
 namespace ivyrill::sessions {
 
 std::size_t Http1Session::feed(std::string_view bytes) {
-    if (!reads()) return 0;
+    if (!wants_input()) return 0;
     const std::size_t taken = parser_.feed(bytes);
     if (parser_.broken() != 0)
         say(protocol::plain_reply(parser_.broken(), "not understood"), true);
@@ -17,14 +17,14 @@
     protocol::ClientRequest request = protocol::read_client_request(message);
     if (auto* search = std::get_if<protocol::SearchRequest>(&request)) {
         busy_ = true;
-        news_.emplace_back(SearchCame{0, std::move(*search)});
+        events_.emplace_back(SearchRequested{0, std::move(*search)});
         return;
     }
     if (const auto* bad = std::get_if<protocol::BadRequest>(&request))
         say(protocol::plain_reply(bad->status, bad->why), false);
     else
-        say(protocol::ready_reply(around_.ready), false);
-    news_.emplace_back(AnsweredHere{});
+        say(protocol::ready_reply(node_status_.ready), false);
+    events_.emplace_back(AnsweredLocally{});
 }
 
 // An answer is the last word on its connection where the reducer or the client's request says so.
@@ -33,16 +33,17 @@
     out_ += protocol::write_reply(reply, closing_);
 }
 
-void Http1Session::answer(StreamNo, const protocol::FinalAnswer& answer, bool last) {
+void Http1Session::answer(StreamId, const protocol::FinalAnswer& answer, bool last) {
     say(protocol::reply_to_search(answer), last);
 }
 
-void Http1Session::reject(StreamNo, int status, std::string_view why, std::string_view challenge, bool last) {
-    say(protocol::plain_reply(status, why, challenge), last);
+void Http1Session::reject(StreamId, int status, std::string_view reason, std::string_view challenge,
+                          bool last) {
+    say(protocol::plain_reply(status, reason, challenge), last);
 }
 
 // An answer for which there is no room ends the connection: half of one would be worse.
-std::string Http1Session::take_out(std::size_t room) {
+std::string Http1Session::take_output(std::size_t room) {
     if (out_.size() <= room) return std::exchange(out_, {});
     closing_ = true;
     out_.clear();
--- a/src/sessions/http1/session.hpp
+++ b/src/sessions/http1/session.hpp
@@ -7,21 +7,21 @@
 
 class Http1Session : public Session {
   public:
-    explicit Http1Session(const Around& around) : around_(around) {}
+    explicit Http1Session(const NodeStatus& node_status) : node_status_(node_status) {}
     std::size_t feed(std::string_view bytes) override;
-    bool reads() const override { return !busy_ && !closing_; }
-    bool midway() const override { return reads() && parser_.begun(); }
-    void answer(StreamNo stream, const protocol::FinalAnswer& answer, bool last) override;
-    void reject(StreamNo stream, int status, std::string_view why, std::string_view challenge,
+    bool wants_input() const override { return !busy_ && !closing_; }
+    bool has_partial_request() const override { return wants_input() && parser_.begun(); }
+    void answer(StreamId stream, const protocol::FinalAnswer& answer, bool last) override;
+    void reject(StreamId stream, int status, std::string_view reason, std::string_view challenge,
                 bool last) override;
-    std::string take_out(std::size_t room) override;
-    bool over() const override { return closing_ && !busy_ && out_.empty(); }
+    std::string take_output(std::size_t room) override;
+    bool closed() const override { return closing_ && !busy_ && out_.empty(); }
 
   private:
     void say(const protocol::Reply& reply, bool last);
     void take(const protocol::HttpMessage& message);
 
-    const Around& around_;
+    const NodeStatus& node_status_;
     protocol::HttpParser parser_{protocol::HttpParser::Side::kRequests};
     std::string out_;
     bool busy_ = false, closing_ = false; // a search is out; its answer is the last word here
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kFieldCost = 32; // of each field beside its bytes (RFC 9113, 6.5.2)
 // A leaving client's last PING: its answer tells that it has heard of our leaving.
-constexpr std::array<std::uint8_t, 8> kLeavingPing = {'i', 'v', 'y', 'l', 'e', 'a', 'v', 'e'};
+constexpr std::array<std::uint8_t, 8> kDrainPing = {'i', 'v', 'y', 'l', 'e', 'a', 'v', 'e'};
 
 std::string lower(std::string text) {
     std::ranges::transform(text, text.begin(), [](char c) {
@@ -28,7 +28,7 @@
 } // namespace
 
 // What the library calls. Nothing is thrown through it: an error code goes back.
-struct Http2Session::Wire {
+struct Http2Session::Callbacks {
     static Http2Session& session(void* user) { return *static_cast<Http2Session*>(user); }
 
     // A frame begins, so no block of fields is open; of a stream that was refused the library tells no end.
@@ -43,14 +43,14 @@
         self.in_block_ = (frame->hd.flags & NGHTTP2_FLAG_END_HEADERS) == 0;
         if (frame->hd.type != NGHTTP2_HEADERS || frame->headers.cat != NGHTTP2_HCAT_REQUEST) return 0;
         ++self.counts_.streams;
-        if (!self.budget_.allows_stream(self.streams_.size(), self.held_)) {
+        if (!self.budget_.allows_stream(self.streams_.size(), self.buffered_bytes_)) {
             ++self.counts_.refused;
             // Not processed, so it may be asked again elsewhere (RFC 9113, 8.7).
             nghttp2_submit_rst_stream(self.session_, NGHTTP2_FLAG_NONE, frame->hd.stream_id,
                                       NGHTTP2_REFUSED_STREAM);
             return 0;
         }
-        self.streams_.emplace(static_cast<StreamNo>(frame->hd.stream_id), Stream{}), ++self.half_;
+        self.streams_.emplace(static_cast<StreamId>(frame->hd.stream_id), Stream{}), ++self.receiving_;
         return 0;
     }
 
@@ -58,7 +58,7 @@
                       std::size_t name_size, const std::uint8_t* value, std::size_t value_size, std::uint8_t,
                       void* user) {
         Http2Session& self = session(user);
-        const auto found = self.streams_.find(static_cast<StreamNo>(frame->hd.stream_id));
+        const auto found = self.streams_.find(static_cast<StreamId>(frame->hd.stream_id));
         if (found == self.streams_.end() || frame->headers.cat != NGHTTP2_HCAT_REQUEST)
             return 0; // trailers: unread
         Stream& stream = found->second;
@@ -80,21 +80,21 @@
     static int data(nghttp2_session*, std::uint8_t, std::int32_t id, const std::uint8_t* bytes,
                     std::size_t size, void* user) {
         Http2Session& self = session(user);
-        const auto found = self.streams_.find(static_cast<StreamNo>(id));
-        if (found == self.streams_.end() || found->second.phase != Phase::kHalf) return 0;
+        const auto found = self.streams_.find(static_cast<StreamId>(id));
+        if (found == self.streams_.end() || found->second.phase != Phase::kReceiving) return 0;
         Stream& stream = found->second;
-        if (!self.budget_.allows_body(stream.message.body.size() + size, self.held_ + size)) {
+        if (!self.budget_.allows_body(stream.message.body.size() + size, self.buffered_bytes_ + size)) {
             stream.too_large = true;
             return 0;
         }
         stream.message.body.append(reinterpret_cast<const char*>(bytes), size);
-        self.held_ += size;
+        self.buffered_bytes_ += size;
         return 0;
     }
 
-    static int frame_came(nghttp2_session*, const nghttp2_frame* frame, void* user) {
+    static int frame_received(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         Http2Session& self = session(user);
-        const auto number = static_cast<StreamNo>(frame->hd.stream_id);
+        const auto number = static_cast<StreamId>(frame->hd.stream_id);
         const bool ends = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
         switch (frame->hd.type) {
         case NGHTTP2_SETTINGS:
@@ -103,10 +103,10 @@
         case NGHTTP2_PING:
             if ((frame->hd.flags & NGHTTP2_FLAG_ACK) == 0) {
                 self.spend(ClientAction::kPing);
-            } else if (self.leaving_ == Leaving::kAnnounced &&
-                       std::memcmp(frame->ping.opaque_data, kLeavingPing.data(), kLeavingPing.size()) == 0) {
+            } else if (self.drain_state_ == DrainState::kAnnounced &&
+                       std::memcmp(frame->ping.opaque_data, kDrainPing.data(), kDrainPing.size()) == 0) {
                 // The round trip is over: no stream that it opened before it knew is still on its way.
-                self.leaving_ = Leaving::kSaid;
+                self.drain_state_ = DrainState::kFinal;
                 nghttp2_submit_goaway(self.session_, NGHTTP2_FLAG_NONE,
                                       nghttp2_session_get_last_proc_stream_id(self.session_),
                                       NGHTTP2_NO_ERROR, nullptr, 0);
@@ -129,7 +129,7 @@
         }
         if (ends && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS))
             if (const auto found = self.streams_.find(number);
-                found != self.streams_.end() && found->second.phase == Phase::kHalf)
+                found != self.streams_.end() && found->second.phase == Phase::kReceiving)
                 self.request_done(number, found->second);
         return 0;
     }
@@ -139,7 +139,7 @@
     static int invalid_frame(nghttp2_session*, const nghttp2_frame* frame, int, void* user) {
         Http2Session& self = session(user);
         const bool crossed =
-            frame->hd.stream_id > 0 && !self.streams_.contains(static_cast<StreamNo>(frame->hd.stream_id));
+            frame->hd.stream_id > 0 && !self.streams_.contains(static_cast<StreamId>(frame->hd.stream_id));
         self.spend(crossed ? ClientAction::kAfterEnd : ClientAction::kBad);
         return 0;
     }
@@ -148,20 +148,20 @@
     // nothing.
     static int frame_sent(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         Http2Session& self = session(user);
-        if (frame->hd.type == NGHTTP2_GOAWAY && self.leaving_ == Leaving::kAnnounced)
-            nghttp2_submit_ping(self.session_, NGHTTP2_FLAG_NONE, kLeavingPing.data());
+        if (frame->hd.type == NGHTTP2_GOAWAY && self.drain_state_ == DrainState::kAnnounced)
+            nghttp2_submit_ping(self.session_, NGHTTP2_FLAG_NONE, kDrainPing.data());
         return 0;
     }
 
     static int stream_closed(nghttp2_session*, std::int32_t id, std::uint32_t, void* user) {
-        session(user).close_stream(static_cast<StreamNo>(id));
+        session(user).close_stream(static_cast<StreamId>(id));
         return 0;
     }
 
     static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* into, std::size_t most,
                              std::uint32_t* flags, nghttp2_data_source*, void* user) {
         Http2Session& self = session(user);
-        const auto found = self.streams_.find(static_cast<StreamNo>(id));
+        const auto found = self.streams_.find(static_cast<StreamId>(id));
         if (found == self.streams_.end()) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
         Stream& stream = found->second;
         const std::size_t count = std::min(most, stream.body.size() - stream.sent);
@@ -172,36 +172,36 @@
     }
 };
 
-Http2Session::Http2Session(const Around& around, const limits::ConnectionLimits& terms)
-    : around_(around), budget_(terms, around.now) {
+Http2Session::Http2Session(const NodeStatus& node_status, const limits::ConnectionLimits& limits)
+    : node_status_(node_status), budget_(limits, node_status.now) {
     nghttp2_session_callbacks* calls = nullptr;
     nghttp2_option* option = nullptr;
     if (nghttp2_session_callbacks_new(&calls) != 0 || nghttp2_option_new(&option) != 0)
         throw std::bad_alloc();
-    nghttp2_session_callbacks_set_on_begin_frame_callback(calls, Wire::begin_frame);
-    nghttp2_session_callbacks_set_on_begin_headers_callback(calls, Wire::begin_headers);
-    nghttp2_session_callbacks_set_on_header_callback(calls, Wire::header);
-    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(calls, Wire::data);
-    nghttp2_session_callbacks_set_on_frame_recv_callback(calls, Wire::frame_came);
-    nghttp2_session_callbacks_set_on_invalid_frame_recv_callback(calls, Wire::invalid_frame);
-    nghttp2_session_callbacks_set_on_frame_send_callback(calls, Wire::frame_sent);
-    nghttp2_session_callbacks_set_on_stream_close_callback(calls, Wire::stream_closed);
+    nghttp2_session_callbacks_set_on_begin_frame_callback(calls, Callbacks::begin_frame);
+    nghttp2_session_callbacks_set_on_begin_headers_callback(calls, Callbacks::begin_headers);
+    nghttp2_session_callbacks_set_on_header_callback(calls, Callbacks::header);
+    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(calls, Callbacks::data);
+    nghttp2_session_callbacks_set_on_frame_recv_callback(calls, Callbacks::frame_received);
+    nghttp2_session_callbacks_set_on_invalid_frame_recv_callback(calls, Callbacks::invalid_frame);
+    nghttp2_session_callbacks_set_on_frame_send_callback(calls, Callbacks::frame_sent);
+    nghttp2_session_callbacks_set_on_stream_close_callback(calls, Callbacks::stream_closed);
     nghttp2_option_set_no_closed_streams(option, 1);
-    nghttp2_option_set_max_outbound_ack(option, terms.max_streams);
+    nghttp2_option_set_max_outbound_ack(option, limits.max_streams);
     const int made = nghttp2_session_server_new2(&session_, calls, this, option);
     nghttp2_session_callbacks_del(calls);
     nghttp2_option_del(option);
     if (made != 0) throw std::bad_alloc();
     const std::array<nghttp2_settings_entry, 3> settings = {{
-        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, static_cast<std::uint32_t>(terms.max_streams)},
-        {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(terms.max_header_list_bytes)},
+        {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, static_cast<std::uint32_t>(limits.max_streams)},
+        {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.max_header_list_bytes)},
         {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
     }};
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
 }
 
 Http2Session::~Http2Session() {
-    for (const auto& [number, stream] : streams_) counts_.unheard += stream.phase == Phase::kAnswered;
+    for (const auto& [number, stream] : streams_) counts_.unread_answers += stream.phase == Phase::kAnswered;
     nghttp2_session_del(session_);
 }
 
@@ -210,7 +210,7 @@
 }
 
 std::size_t Http2Session::feed(std::string_view bytes) {
-    if (!reads()) return bytes.size();
+    if (!wants_input()) return bytes.size();
     bytes = bytes.substr(0, budget_.limits().read_quantum_bytes);
     const ssize_t taken =
         nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
@@ -220,8 +220,8 @@
         const bool flood = taken == NGHTTP2_ERR_FLOODED || taken == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS;
         nghttp2_session_terminate_session(session_,
                                           flood ? NGHTTP2_ENHANCE_YOUR_CALM : NGHTTP2_PROTOCOL_ERROR);
-        counts_.calmed += flood && !calmed_;
-        out_ = take_out(budget_.limits().read_quantum_bytes);
+        counts_.flood_terminations += flood && !flood_terminated_;
+        out_ = take_output(budget_.limits().read_quantum_bytes);
         failed_ = true;
         return bytes.size();
     }
@@ -230,45 +230,45 @@
     if (in_block_) block_bytes_ += bytes.size();
     if (in_block_ &&
         block_bytes_ > 2 * budget_.limits().max_header_list_bytes + budget_.limits().read_quantum_bytes)
-        end_calmly(ClientAction::kBad);
+        terminate_for_flood(ClientAction::kBad);
     return static_cast<std::size_t>(taken);
 }
 
-void Http2Session::spend(ClientAction deed) {
-    if (!budget_.spend(deed, around_.now)) end_calmly(deed);
+void Http2Session::spend(ClientAction action) {
+    if (!budget_.spend(action, node_status_.now)) terminate_for_flood(action);
 }
 
-void Http2Session::end_calmly(ClientAction) {
-    if (std::exchange(calmed_, true)) return;
-    ++counts_.calmed;
+void Http2Session::terminate_for_flood(ClientAction) {
+    if (std::exchange(flood_terminated_, true)) return;
+    ++counts_.flood_terminations;
     nghttp2_session_terminate_session(session_, NGHTTP2_ENHANCE_YOUR_CALM);
-    std::vector<StreamNo> open;
+    std::vector<StreamId> open;
     for (const auto& [number, stream] : streams_) open.push_back(number);
-    for (const StreamNo number : open) close_stream(number); // their searches go with the connection
+    for (const StreamId number : open) close_stream(number); // their searches go with the connection
 }
 
-void Http2Session::close_stream(StreamNo number) {
+void Http2Session::close_stream(StreamId number) {
     const auto found = streams_.find(number);
     if (found == streams_.end()) return;
     Stream& stream = found->second;
-    if (stream.phase == Phase::kHalf) --half_;
-    if (stream.phase == Phase::kSearching) news_.emplace_back(SearchCancelled{number}), ++counts_.taken_back;
-    if (stream.phase == Phase::kAnswered && stream.sent < stream.body.size()) ++counts_.unheard;
-    held_ -= stream.message.body.size() + stream.body.size();
+    if (stream.phase == Phase::kReceiving) --receiving_;
+    if (stream.phase == Phase::kSearching) events_.emplace_back(SearchCancelled{number}), ++counts_.cancelled;
+    if (stream.phase == Phase::kAnswered && stream.sent < stream.body.size()) ++counts_.unread_answers;
+    buffered_bytes_ -= stream.message.body.size() + stream.body.size();
     streams_.erase(found);
 }
 
 // The same reading as on HTTP/1.1, of the same message: pseudo-fields, forbidden fields and lengths were
 // checked by the library on the way.
-void Http2Session::request_done(StreamNo number, Stream& stream) {
+void Http2Session::request_done(StreamId number, Stream& stream) {
     protocol::HttpMessage message = std::move(stream.message);
-    held_ -= message.body.size();
+    buffered_bytes_ -= message.body.size();
     stream.message = {};
-    stream.phase = Phase::kSearching, --half_;
-    const auto refuse = [&](int status, std::string_view why) {
+    stream.phase = Phase::kSearching, --receiving_;
+    const auto refuse = [&](int status, std::string_view reason) {
         spend(ClientAction::kBad);
-        if (streams_.contains(number)) reply(number, protocol::plain_reply(status, why));
-        news_.emplace_back(AnsweredHere{});
+        if (streams_.contains(number)) reply(number, protocol::plain_reply(status, reason));
+        events_.emplace_back(AnsweredLocally{});
     };
     if (stream.too_large)
         return refuse(stream.fields > budget_.limits().max_header_list_bytes ? 431 : 413, "too large");
@@ -279,22 +279,23 @@
     protocol::ClientRequest request = protocol::read_client_request(message);
     if (auto* search = std::get_if<protocol::SearchRequest>(&request)) {
         ++counts_.searches;
-        news_.emplace_back(SearchCame{number, std::move(*search)});
+        events_.emplace_back(SearchRequested{number, std::move(*search)});
     } else if (const auto* bad = std::get_if<protocol::BadRequest>(&request)) {
         refuse(bad->status, bad->why);
     } else {
-        reply(number, protocol::ready_reply(around_.ready));
-        news_.emplace_back(AnsweredHere{});
+        reply(number, protocol::ready_reply(node_status_.ready));
+        events_.emplace_back(AnsweredLocally{});
     }
 }
 
-void Http2Session::reply(StreamNo number, const protocol::Reply& reply) {
+void Http2Session::reply(StreamId number, const protocol::Reply& reply) {
     const auto found = streams_.find(number);
     if (found == streams_.end() || found->second.phase == Phase::kAnswered) return;
     Stream& stream = found->second;
-    if (stream.phase == Phase::kHalf) --half_, held_ -= stream.message.body.size(), stream.message = {};
+    if (stream.phase == Phase::kReceiving)
+        --receiving_, buffered_bytes_ -= stream.message.body.size(), stream.message = {};
     stream.phase = Phase::kAnswered, stream.body = reply.body;
-    held_ += stream.body.size();
+    buffered_bytes_ += stream.body.size();
     std::vector<std::pair<std::string, std::string>> fields = {{":status", std::to_string(reply.status)}};
     for (const auto& [name, value] : reply.fields) fields.emplace_back(lower(name), value);
     fields.emplace_back("content-length", std::to_string(reply.body.size()));
@@ -304,26 +305,26 @@
                          reinterpret_cast<std::uint8_t*>(value.data()), name.size(), value.size(),
                          NGHTTP2_NV_FLAG_NONE});
     nghttp2_data_provider body{};
-    body.read_callback = Wire::read_body;
+    body.read_callback = Callbacks::read_body;
     nghttp2_submit_response(session_, static_cast<std::int32_t>(number), pairs.data(), pairs.size(), &body);
 }
 
 // `last` is the reducer's word that it drains: here the whole connection hears of it, and its other streams
 // go on.
-void Http2Session::answer(StreamNo stream, const protocol::FinalAnswer& answer, bool last) {
+void Http2Session::answer(StreamId stream, const protocol::FinalAnswer& answer, bool last) {
     reply(stream, protocol::reply_to_search(answer));
     if (last) drain();
 }
 
-void Http2Session::reject(StreamNo stream, int status, std::string_view why, std::string_view challenge,
+void Http2Session::reject(StreamId stream, int status, std::string_view reason, std::string_view challenge,
                           bool last) {
     if (stream == 0) { // about the connection: its half-sent requests are out of time
-        std::vector<StreamNo> late;
+        std::vector<StreamId> late;
         for (const auto& [number, held] : streams_)
-            if (held.phase == Phase::kHalf) late.push_back(number);
-        for (const StreamNo number : late) reply(number, protocol::plain_reply(status, why));
+            if (held.phase == Phase::kReceiving) late.push_back(number);
+        for (const StreamId number : late) reply(number, protocol::plain_reply(status, reason));
     } else {
-        reply(stream, protocol::plain_reply(status, why, challenge));
+        reply(stream, protocol::plain_reply(status, reason, challenge));
     }
     if (last) drain();
 }
@@ -331,12 +332,12 @@
 // In two steps, so that no stream which is on its way is lost: all streams may still come, then, after a
 // round trip, none that we have not seen (RFC 9113, 6.8).
 void Http2Session::drain() {
-    if (leaving_ != Leaving::kNo || failed_) return;
-    leaving_ = Leaving::kAnnounced;
+    if (drain_state_ != DrainState::kNo || failed_) return;
+    drain_state_ = DrainState::kAnnounced;
     nghttp2_submit_shutdown_notice(session_);
 }
 
-std::string Http2Session::take_out(std::size_t room) {
+std::string Http2Session::take_output(std::size_t room) {
     std::string made = std::exchange(out_, {});
     while (made.size() < room) {
         const std::uint8_t* bytes = nullptr;
--- a/src/sessions/session.hpp
+++ b/src/sessions/session.hpp
@@ -16,19 +16,19 @@
 
 namespace ivyrill::sessions {
 
-using StreamNo = std::uint32_t; // of a search on its connection; a session with one search at a time uses 0
+using StreamId = std::uint32_t; // of a search on its connection; a session with one search at a time uses 0
 
-struct SearchCame {
-    StreamNo stream = 0;
+struct SearchRequested {
+    StreamId stream = 0;
     protocol::SearchRequest request;
 };
 struct SearchCancelled { // its client has taken it back
-    StreamNo stream = 0;
+    StreamId stream = 0;
 };
-struct AnsweredHere {}; // something else than a search was asked for and has its answer
-using News = std::variant<SearchCame, SearchCancelled, AnsweredHere>;
+struct AnsweredLocally {}; // something else than a search was asked for and has its answer
+using SessionEvent = std::variant<SearchRequested, SearchCancelled, AnsweredLocally>;
 
-struct Around { // what a session may know of the front node; its owner keeps it up to date
+struct NodeStatus { // what a session may know of the front node; its owner keeps it up to date
     bool ready = false;
     Tenths now = 0;
 };
@@ -39,24 +39,28 @@
 
     // Takes bytes until it has news or waits for an answer; says how many.
     virtual std::size_t feed(std::string_view bytes) = 0;
-    virtual bool reads() const = 0;                               // would take bytes now
-    virtual bool midway() const = 0;                              // a request has begun and is not whole
-    std::vector<News> news() { return std::exchange(news_, {}); } // since they were asked for last
+    virtual bool wants_input() const = 0;         // would take bytes now
+    virtual bool has_partial_request() const = 0; // a request has begun and is not whole
+    std::vector<SessionEvent> take_events() {
+        return std::exchange(events_, {});
+    } // since they were asked for last
 
     // The one final answer of a search; one for a stream that has gone is dropped.
-    virtual void answer(StreamNo stream, const protocol::FinalAnswer& answer, bool last) = 0;
+    virtual void answer(StreamId stream, const protocol::FinalAnswer& answer, bool last) = 0;
     // ... or a word about the request itself. `last`: nothing more is taken on this connection.
-    virtual void reject(StreamNo stream, int status, std::string_view why, std::string_view challenge,
+    virtual void reject(StreamId stream, int status, std::string_view reason, std::string_view challenge,
                         bool last) = 0;
     virtual void drain() {} // tell the client, where the protocol can, that it should go elsewhere
 
     virtual std::string
-    take_out(std::size_t room) = 0;                // bytes for the client, no more than there is room for
-    virtual std::size_t owes() const { return 0; } // bytes of answers that the client does not let out
-    virtual bool over() const = 0;                 // the last word is taken out; what still comes is not read
+    take_output(std::size_t room) = 0; // bytes for the client, no more than there is room for
+    virtual std::size_t pending_answer_bytes() const {
+        return 0;
+    }                                // bytes of answers that the client does not let out
+    virtual bool closed() const = 0; // the last word is taken out; what still comes is not read
 
   protected:
-    std::vector<News> news_;
+    std::vector<SessionEvent> events_;
 };
 
 } // namespace ivyrill::sessions
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -2,32 +2,33 @@
 
 namespace ivyrill::transport {
 
-Channel::Channel(Loop& loop, int descriptor, std::size_t most_in, std::size_t most_out,
+Channel::Channel(Loop& loop, int descriptor, std::size_t max_input_bytes, std::size_t max_output_bytes,
                  std::unique_ptr<TlsSession> session)
-    : stream_(loop, descriptor, Stream::Start::kConnected, most_in, most_out), session_(std::move(session)) {}
+    : stream_(loop, descriptor, Stream::Start::kConnected, max_input_bytes, max_output_bytes),
+      session_(std::move(session)) {}
 
-void Channel::shake() {
+void Channel::advance_handshake() {
     while (stream_.unread() && session_->room()) stream_.feed(*session_);
-    session_->shake();
+    session_->advance_handshake();
     flush();
 }
 
 std::shared_ptr<const std::vector<std::string>> Channel::peer_chain() const {
-    if (!session_ || !session_->shaken()) return {};
+    if (!session_ || !session_->handshake_done()) return {};
     auto chain = session_->peer_chain();
     if (chain.empty()) return {};
     return std::make_shared<const std::vector<std::string>>(std::move(chain));
 }
 
-// A record at a time: the rest stays sealed in the stream's ring, whose bound keeps the peer from sending
+// A record at a time: the rest stays ciphertext in the stream's ring, whose bound keeps the peer from sending
 // more.
-void Channel::open_some() {
+void Channel::decrypt_record() {
     std::array<char, 16 * 1024> plain;
-    while (opened_.empty() && !session_->over()) {
+    while (plaintext_.empty() && !session_->closed()) {
         if (const std::size_t count = session_->read(plain.data(), plain.size()); count > 0) {
-            opened_.assign(plain.data(), count);
+            plaintext_.assign(plain.data(), count);
         } else {
-            if (!stream_.unread() || session_->over()) break;
+            if (!stream_.unread() || session_->closed()) break;
             stream_.feed(*session_);
         }
     }
@@ -35,22 +36,22 @@
 }
 
 bool Channel::flush() {
-    const std::string sealed = session_->take_out();
-    return sealed.empty() || stream_.send(sealed);
+    const std::string ciphertext = session_->take_output();
+    return ciphertext.empty() || stream_.send(ciphertext);
 }
 
 bool Channel::unread() {
     if (!session_) return stream_.unread();
-    if (!session_->shaken()) return false;
-    open_some();
-    return !opened_.empty();
+    if (!session_->handshake_done()) return false;
+    decrypt_record();
+    return !plaintext_.empty();
 }
 
 void Channel::discard() {
     if (!session_) return stream_.discard();
-    if (!session_->shaken()) return stream_.discard();
-    while (unread()) opened_.clear();
-    if (session_->over()) stream_.discard();
+    if (!session_->handshake_done()) return stream_.discard();
+    while (unread()) plaintext_.clear();
+    if (session_->closed()) stream_.discard();
 }
 
 bool Channel::send(std::string_view bytes) {
--- a/src/transport/reactor.cpp
+++ b/src/transport/reactor.cpp
@@ -124,8 +124,8 @@
     }
 }
 
-void Reactor::turn(Tenths now, Tenths overslept) {
-    now_ = now, overslept_ = overslept;
+void Reactor::turn(Tenths now, Tenths stalled_for) {
+    now_ = now, stalled_for_ = stalled_for;
     run_due_timers();
     loop_.run_ready();
     free_ended();
--- a/src/transport/reactor.hpp
+++ b/src/transport/reactor.hpp
@@ -29,7 +29,7 @@
     Loop& loop() { return loop_; }
     Tenths now() const { return now_; } // of the present turn
     // How long the process did not run before this turn, beyond what was asked for: it was frozen or starved.
-    Tenths overslept() const { return overslept_; }
+    Tenths stalled_for() const { return stalled_for_; }
 
     TimerId call_at(Tenths at, std::function<void()> call);
     TimerId call_after(Tenths span, std::function<void()> call) {
@@ -46,7 +46,7 @@
     void stop() { stopped_ = true; }
     bool stopped() const { return stopped_; }
     // One turn at a given time: timers that are due, then all coroutines that may go on, then what has ended.
-    void turn(Tenths now, Tenths overslept);
+    void turn(Tenths now, Tenths stalled_for);
     // When the next turn has something to do: `now` where something may go on at once, kNever without timers.
     Tenths next_turn() const;
     static constexpr Tenths kNever = INT64_MAX;
@@ -60,7 +60,7 @@
     void start_pipe();
 
     Loop loop_;
-    Tenths now_, overslept_ = 0;
+    Tenths now_, stalled_for_ = 0;
     std::uint64_t timer_count_ = 0;
     std::map<TimerId, std::function<void()>> timers_;
     std::list<Task> tasks_;
--- a/src/transport/ring.hpp
+++ b/src/transport/ring_buffer.hpp
@@ -9,9 +9,9 @@
 
 namespace ivyrill::transport {
 
-class Ring {
+class RingBuffer {
   public:
-    explicit Ring(std::size_t most) : most_(most) {}
+    explicit RingBuffer(std::size_t most) : most_(most) {}
 
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -16,12 +16,12 @@
 
 int open_socket() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
-void send_at_once(int descriptor) {
+void disable_nagle(int descriptor) {
     const int on = 1;
     setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-[[noreturn]] void give_up(int descriptor, const char* what) {
+[[noreturn]] void throw_system_error(int descriptor, const char* what) {
     const int error = errno;
     if (descriptor >= 0) close(descriptor);
     throw std::system_error(error, std::generic_category(), what);
@@ -46,12 +46,12 @@
 int listen_at(const std::string& text) {
     const sockaddr_in address = read_address(text);
     const int descriptor = open_socket();
-    if (descriptor < 0) give_up(descriptor, "socket");
+    if (descriptor < 0) throw_system_error(descriptor, "socket");
     const int on = 1;
     setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     if (bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
-        give_up(descriptor, "bind");
-    if (listen(descriptor, SOMAXCONN) != 0) give_up(descriptor, "listen");
+        throw_system_error(descriptor, "bind");
+    if (listen(descriptor, SOMAXCONN) != 0) throw_system_error(descriptor, "listen");
     return descriptor;
 }
 
@@ -69,26 +69,26 @@
     } catch (const AddressError&) { return -1; }
     const int descriptor = open_socket();
     if (descriptor < 0) return -1;
-    send_at_once(descriptor);
+    disable_nagle(descriptor);
     const int done = connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address);
     if (done == 0 || errno == EINPROGRESS) return descriptor;
     close(descriptor);
     return -1;
 }
 
-void reset_at_end(int descriptor) {
+void reset_on_close(int descriptor) {
     const linger at_once{1, 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-void lose_after(int descriptor, Tenths span) {
+void set_delivery_timeout(int descriptor, Tenths span) {
     const auto milliseconds = static_cast<unsigned>(span / (kTenthsPerSecond / 1000));
     setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
 }
 
 int accept_from(int listener) {
     const int descriptor = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (descriptor >= 0) send_at_once(descriptor);
+    if (descriptor >= 0) disable_nagle(descriptor);
     return descriptor;
 }
 
@@ -98,22 +98,24 @@
     return getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error == 0;
 }
 
-Stream::Stream(Loop& loop, int descriptor, Start start, std::size_t most_in, std::size_t most_out)
-    : changed(loop), source_(loop, descriptor), came_up_(loop), outgoing_(loop), in_(most_in), out_(most_out),
-      up_(start == Start::kConnected), reader_(pump_in()), writer_(pump_out()) {
+Stream::Stream(Loop& loop, int descriptor, Start start, std::size_t max_input_bytes,
+               std::size_t max_output_bytes)
+    : changed(loop), source_(loop, descriptor), establishment_(loop), outgoing_(loop), in_(max_input_bytes),
+      out_(max_output_bytes), established_(start == Start::kConnected), reader_(pump_in()),
+      writer_(pump_out()) {
     writer_.start();
     reader_.start();
 }
 
 bool Stream::send(std::string_view bytes) {
-    if (ended_ || shut_ || !out_.append(bytes)) return false;
-    if (up_) write_some();
+    if (ended_ || output_closed_ || !out_.append(bytes)) return false;
+    if (established_) write_some();
     if (!out_.empty()) outgoing_.wake();
     return true;
 }
 
 // What came while this process stood still came at its time all the same: the system knows when.
-Tenths Stream::age() const {
+Tenths Stream::last_receive_age() const {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (getsockopt(source_.descriptor(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
@@ -122,14 +124,14 @@
 
 void Stream::finish() { shutdown(source_.descriptor(), SHUT_WR); }
 
-bool Stream::waiting_unread() const {
+bool Stream::has_unread_input() const {
     int count = 0;
     return unread() || (ioctl(source_.descriptor(), FIONREAD, &count) == 0 && count > 0);
 }
 
 void Stream::notify() {
     changed.wake();
-    if (also_ != nullptr) also_->wake();
+    if (other_slot_ != nullptr) other_slot_->wake();
 }
 
 void Stream::end() {
@@ -138,14 +140,14 @@
 }
 
 void Stream::write_some() {
-    while (!out_.empty() && !ended_ && !shut_) {
+    while (!out_.empty() && !ended_ && !output_closed_) {
         const std::string_view bytes = out_.front();
         const ssize_t count = ::send(source_.descriptor(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
         if (count < 0 && errno == EINTR) continue;
         if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
         if (count < 0) {
             // Guards an answer that came together with the reset: it is read before the connection ends.
-            shut_ = failed_ = true;
+            output_closed_ = write_failed_ = true;
             return source_.readable.wake();
         }
         out_.consume(static_cast<std::size_t>(count)), written_ += static_cast<std::uint64_t>(count);
@@ -154,20 +156,20 @@
 }
 
 Task Stream::pump_out() {
-    if (!up_) {
+    if (!established_) {
         co_await source_.writable;
         if (!connected(source_.descriptor())) {
             end();
             co_return;
         }
-        up_ = true;
+        established_ = true;
         notify();
-        came_up_.wake();
+        establishment_.wake();
     }
     while (!ended_) {
         write_some();
         notify();
-        if (out_.empty() || shut_)
+        if (out_.empty() || output_closed_)
             co_await outgoing_;
         else
             co_await source_.writable;
@@ -175,16 +177,16 @@
 }
 
 Task Stream::pump_in() {
-    while (!up_ && !ended_) co_await came_up_;
+    while (!established_ && !ended_) co_await establishment_;
     while (!ended_) {
         const std::span<char> place = in_.space();
         if (place.empty()) {
             // Guards against a client that sends much and goes: its end lies behind bytes for which there is
             // no room while its request is in work.
-            full_ = true;
+            input_full_ = true;
             notify();
             co_await source_.readable;
-            full_ = false;
+            input_full_ = false;
             continue;
         }
         const ssize_t count = ::recv(source_.descriptor(), place.data(), place.size(), 0);
@@ -193,7 +195,7 @@
             notify();
         } else if (count < 0 && errno == EINTR) {
             continue;
-        } else if (count < 0 && !failed_ && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+        } else if (count < 0 && !write_failed_ && (errno == EAGAIN || errno == EWOULDBLOCK)) {
             in_.release();
             co_await source_.readable;
         } else {
--- a/src/transport/tls.cpp
+++ b/src/transport/tls.cpp
@@ -18,35 +18,36 @@
 constexpr int kMostShown = 32 * 1024;          // bytes of a peer's chain
 constexpr std::size_t kMostSealed = 32 * 1024; // bytes held that OpenSSL has not yet read
 
-template <auto Free> struct Freed {
+template <auto Free> struct OpenSslDeleter {
     template <class What> void operator()(What* what) const { Free(what); }
 };
-using Memory = std::unique_ptr<BIO, Freed<BIO_free_all>>;
-using Certificate = std::unique_ptr<X509, Freed<X509_free>>;
-using Secret = std::unique_ptr<EVP_PKEY, Freed<EVP_PKEY_free>>;
+using Memory = std::unique_ptr<BIO, OpenSslDeleter<BIO_free_all>>;
+using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509_free>>;
+using Secret = std::unique_ptr<EVP_PKEY, OpenSslDeleter<EVP_PKEY_free>>;
 
 int accept_any(X509_STORE_CTX*, void*) { return 1; } // who it is is judged elsewhere, again and again
 
 // Who proves itself by certificate gets no ticket (see the constructor): its chain is shown on each
 // connection.
 int handle_ticket(SSL* session, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
-                  EVP_MAC_CTX* mac, int sealing) {
+                  EVP_MAC_CTX* mac, int encrypting) {
     TicketStore* store = static_cast<TicketStore*>(SSL_CTX_get_app_data(SSL_get_SSL_CTX(session)));
     bool renew = false;
-    const TicketSecret* secret = sealing != 0 ? store->sealing() : store->opening(name, renew);
+    const TicketSecret* secret =
+        encrypting != 0 ? store->encryption_key() : store->decryption_key(name, renew);
     if (secret == nullptr) return 0;
     OSSL_PARAM params[] = {
-        OSSL_PARAM_construct_octet_string(OSSL_MAC_PARAM_KEY, const_cast<unsigned char*>(secret->mac),
-                                          sizeof secret->mac),
+        OSSL_PARAM_construct_octet_string(OSSL_MAC_PARAM_KEY, const_cast<unsigned char*>(secret->mac_key),
+                                          sizeof secret->mac_key),
         OSSL_PARAM_construct_utf8_string(OSSL_MAC_PARAM_DIGEST, const_cast<char*>("SHA256"), 0),
         OSSL_PARAM_construct_end()};
     if (EVP_MAC_CTX_set_params(mac, params) != 1) return -1;
-    if (sealing != 0) {
+    if (encrypting != 0) {
         std::memcpy(name, secret->name, sizeof secret->name);
         if (RAND_bytes(iv, EVP_CIPHER_iv_length(EVP_aes_256_cbc())) != 1) return -1;
-        return EVP_EncryptInit_ex(cipher, EVP_aes_256_cbc(), nullptr, secret->seal, iv) == 1 ? 1 : -1;
+        return EVP_EncryptInit_ex(cipher, EVP_aes_256_cbc(), nullptr, secret->cipher_key, iv) == 1 ? 1 : -1;
     }
-    if (EVP_DecryptInit_ex(cipher, EVP_aes_256_cbc(), nullptr, secret->seal, iv) != 1) return -1;
+    if (EVP_DecryptInit_ex(cipher, EVP_aes_256_cbc(), nullptr, secret->cipher_key, iv) != 1) return -1;
     return renew ? 2 : 1;
 }
 
@@ -64,7 +65,7 @@
 
 } // namespace
 
-TlsContext::TlsContext(const TlsTerms& terms) : context_(SSL_CTX_new(TLS_server_method())), terms_(terms) {
+TlsContext::TlsContext(const TlsOptions& terms) : context_(SSL_CTX_new(TLS_server_method())), terms_(terms) {
     const auto refuse = [this](const char* why) {
         SSL_CTX_free(context_);
         ERR_clear_error();
@@ -126,43 +127,43 @@
 bool TlsSession::room() const { return BIO_ctrl_pending(in_) < kMostSealed; }
 
 std::size_t TlsSession::feed(std::string_view sealed) {
-    if (over_) return sealed.size(); // nothing that comes now counts
+    if (closed_) return sealed.size(); // nothing that comes now counts
     if (!room()) return 0;
     const int taken = BIO_write(in_, sealed.data(), static_cast<int>(std::min(sealed.size(), kMostSealed)));
     return taken > 0 ? static_cast<std::size_t>(taken) : 0;
 }
 
 void TlsSession::fail() {
-    over_ = true;
+    closed_ = true;
     ERR_clear_error();
 }
 
-void TlsSession::shake() {
-    if (shaken_ || over_) return;
+void TlsSession::advance_handshake() {
+    if (handshake_done_ || closed_) return;
     ERR_clear_error();
     const int done = SSL_do_handshake(session_);
     if (done == 1) {
-        shaken_ = true;
+        handshake_done_ = true;
     } else if (const int why = SSL_get_error(session_, done); why != SSL_ERROR_WANT_READ) {
         fail();
     }
 }
 
 std::size_t TlsSession::read(char* into, std::size_t most) {
-    if (!shaken_ || over_) return 0;
+    if (!handshake_done_ || closed_) return 0;
     ERR_clear_error();
     const int count = SSL_read(session_, into, static_cast<int>(most));
     if (count > 0) return static_cast<std::size_t>(count);
     const int why = SSL_get_error(session_, count);
     if (why == SSL_ERROR_ZERO_RETURN)
-        over_ = true;
+        closed_ = true;
     else if (why != SSL_ERROR_WANT_READ)
         fail();
     return 0;
 }
 
 bool TlsSession::write(std::string_view plain) {
-    if (!shaken_ || over_) return false;
+    if (!handshake_done_ || closed_) return false;
     ERR_clear_error();
     while (!plain.empty()) {
         const int count = SSL_write(session_, plain.data(), static_cast<int>(plain.size()));
@@ -173,13 +174,13 @@
 }
 
 void TlsSession::finish() {
-    if (!shaken_) return;
+    if (!handshake_done_) return;
     ERR_clear_error();
     SSL_shutdown(session_);
     ERR_clear_error();
 }
 
-std::string TlsSession::take_out() {
+std::string TlsSession::take_output() {
     std::string sealed(BIO_ctrl_pending(out_), '\0');
     if (!sealed.empty()) BIO_read(out_, sealed.data(), static_cast<int>(sealed.size()));
     return sealed;
--- a/src/transport/tls.hpp
+++ b/src/transport/tls.hpp
@@ -24,16 +24,16 @@
 enum class ClientCertificates { kNone, kOptional, kRequired };
 
 struct TicketSecret {
-    unsigned char name[16], seal[32], mac[32];
+    unsigned char name[16], cipher_key[32], mac_key[32];
 };
 class TicketStore { // the keys of session tickets; they change in service
   public:
     virtual ~TicketStore() = default;
-    virtual const TicketSecret* sealing() = 0; // null: no ticket now
-    virtual const TicketSecret* opening(const unsigned char* name, bool& renew) = 0;
+    virtual const TicketSecret* encryption_key() = 0; // null: no ticket now
+    virtual const TicketSecret* decryption_key(const unsigned char* name, bool& renew) = 0;
 };
 
-struct TlsTerms {
+struct TlsOptions {
     std::string certificate, key; // PEM: our chain, the leaf first, and its private key
     ClientCertificates clients = ClientCertificates::kNone;
     std::vector<std::string> protocols = {"http/1.1"}; // of ALPN, the preferred one first
@@ -42,7 +42,7 @@
 
 class TlsContext {
   public:
-    explicit TlsContext(const TlsTerms& terms); // throws TlsError
+    explicit TlsContext(const TlsOptions& terms); // throws TlsError
     ~TlsContext();
     TlsContext(const TlsContext&) = delete;
     TlsContext& operator=(const TlsContext&) = delete;
@@ -50,7 +50,7 @@
   private:
     friend class TlsSession;
     ssl_ctx_st* context_;
-    TlsTerms terms_;
+    TlsOptions terms_;
     std::string alpn_;
 };
 
@@ -63,13 +63,13 @@
 
     std::size_t feed(std::string_view sealed); // takes what there is room for
     bool room() const;                         // for more
-    void shake();                              // as far as what came allows
-    bool shaken() const { return shaken_; }
-    bool over() const { return over_; } // failed, or the peer has said its last word
+    void advance_handshake();                  // as far as what came allows
+    bool handshake_done() const { return handshake_done_; }
+    bool closed() const { return closed_; } // failed, or the peer has said its last word
     std::size_t read(char* into, std::size_t most);
     bool write(std::string_view plain);
-    void finish();          // our last word
-    std::string take_out(); // what must go to the peer
+    void finish();             // our last word
+    std::string take_output(); // what must go to the peer
 
     std::vector<std::string> peer_chain() const; // DER, the leaf first
     std::string protocol() const;                // by ALPN; empty: none was asked for
@@ -80,7 +80,7 @@
     std::shared_ptr<const TlsContext> context_;
     ssl_st* session_;
     bio_st *in_, *out_; // belong to the session
-    bool shaken_ = false, over_ = false;
+    bool handshake_done_ = false, closed_ = false;
 };
 
 } // namespace ivyrill::transport
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -1,9 +1,9 @@
 // Tests of the gate: credentials, keys and lists in, decisions out; no socket and no clock.
-#include "access/clock.hpp"
-#include "access/gate.hpp"
-#include "access/handshakes.hpp"
-#include "access/text.hpp"
+#include "access/authorizer.hpp"
+#include "access/encoding.hpp"
+#include "access/handshake_limiter.hpp"
 #include "access/ticket_keys.hpp"
+#include "access/trusted_clock.hpp"
 #include "fake_host.hpp"
 #include "lab/pki.hpp"
 
@@ -16,11 +16,11 @@
 constexpr Tenths s(std::int64_t count) { return count * kTenthsPerSecond; }
 constexpr Tenths kNow = s(1'800'000'000);
 
-AccessTerms plain_access() {
-    AccessTerms terms;
+AccessOptions plain_access() {
+    AccessOptions terms;
     terms.issuer = "trinacria", terms.audience = "archive";
     terms.skew = s(5), terms.settle = s(10), terms.crl_grace = s(60);
-    terms.most_token = 4096, terms.cached = 64;
+    terms.max_token_bytes = 4096, terms.max_cached_tokens = 64;
     terms.clubs = {{"etna", "t-etna"}, {"conca", "t-conca"}};
     terms.request_classes = {{"find", Right::kRead}, {"annotate", Right::kWriteOwn}};
     terms.names = {{"spiffe://trinacria.example/etna/*", "", "etna", "{rest}", {true, true}, {"g7"}},
@@ -29,7 +29,7 @@
 }
 
 Key make_key(const std::string& name, Algorithm algorithm = Algorithm::kEdDsa,
-             KeyTimes times = {0, s(1), kEver, kEver}) {
+             KeyTimes times = {0, s(1), kNever, kNever}) {
     return {name, SigningKey::generate(algorithm), times};
 }
 
@@ -58,26 +58,27 @@
     }
     std::string reload(Tenths now = kNow) { // empty: it was taken up
         try {
-            gate.swap(policy(&gate.policy(), now));
+            gate.replace_policy(policy(&gate.policy(), now));
         } catch (const AccessError& error) { return error.what(); }
         return {};
     }
-    Decision ask(const std::string& token, const Asked& asked = {"find", "", ""}, Tenths now = kNow) {
+    Decision ask(const std::string& token, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
         return gate.admit({token, false, nullptr}, asked, now);
     }
-    Reason reason(const std::string& token, const Asked& asked = {"find", "", ""}, Tenths now = kNow) {
+    Reason reason(const std::string& token, const AccessRequest& asked = {"find", "", ""},
+                  Tenths now = kNow) {
         return ask(token, asked, now).reason;
     }
-    Reason reason(const Claims& claims, const Asked& asked = {"find", "", ""}, Tenths now = kNow) {
+    Reason reason(const Claims& claims, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
         return reason(sign_token(claims, keys[0]), asked, now);
     }
-    Reason shown(const Chain& chain, const Asked& asked = {"find", "", ""}, Tenths now = kNow) {
+    Reason shown(const Chain& chain, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
         return gate.admit({"", false, std::make_shared<const Chain>(chain)}, asked, now).reason;
     }
     std::vector<Key> keys;
     Revocations revoked;
     std::vector<NamedText> authorities, crls;
-    Gate gate;
+    Authorizer gate;
 };
 
 std::string forge(const json& header, const json& payload, const std::string& signature) {
@@ -111,20 +112,20 @@
     const json claims = payload_of(sign_token(claims_for(), post.keys[0]));
     const std::string key_text = post.keys[0].signing.to_jwk(false)["x"];
     const auto as_secret = SigningKey::from_jwk({{"kty", "oct"}, {"alg", "HS256"}, {"k", key_text}});
-    const json header = {{"alg", "HS256"}, {"kid", "ed"}, {"typ", kTokenSort}};
+    const json header = {{"alg", "HS256"}, {"kid", "ed"}, {"typ", kTokenType}};
     const std::string body = base64url(header.dump()) + "." + base64url(claims.dump());
     assert(post.reason(body + "." + base64url(as_secret.sign(body))) == Reason::kBadSignature);
-    assert(post.reason(forge({{"alg", "none"}, {"kid", "ed"}, {"typ", kTokenSort}}, claims, "x")) ==
+    assert(post.reason(forge({{"alg", "none"}, {"kid", "ed"}, {"typ", kTokenType}}, claims, "x")) ==
            Reason::kMalformed);
     assert(post.reason(body + ".") == Reason::kMalformed);
-    assert(post.reason(forge({{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenSort}}, claims,
+    assert(post.reason(forge({{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenType}}, claims,
                              std::string(64, 1))) == Reason::kBadSignature);
     // The key's own signature under another algorithm's name.
-    const json renamed = {{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenSort}};
+    const json renamed = {{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenType}};
     const std::string text = base64url(renamed.dump()) + "." + base64url(claims.dump());
     assert(post.reason(text + "." + base64url(post.keys[0].signing.sign(text))) == Reason::kBadSignature);
     // The key is not taken from the token, whatever it offers.
-    const json offered = {{"alg", "EdDSA"}, {"typ", kTokenSort}, {"jwk", post.keys[0].signing.to_jwk(false)}};
+    const json offered = {{"alg", "EdDSA"}, {"typ", kTokenType}, {"jwk", post.keys[0].signing.to_jwk(false)}};
     assert(post.reason(forge(offered, claims, std::string(64, 1))) == Reason::kMalformed);
 }
 
@@ -132,7 +133,7 @@
     Post post;
     const std::string good = sign_token(claims_for(), post.keys[0]);
     const json claims = payload_of(good);
-    const json header = {{"alg", "EdDSA"}, {"kid", "ed"}, {"typ", kTokenSort}};
+    const json header = {{"alg", "EdDSA"}, {"kid", "ed"}, {"typ", kTokenType}};
     const auto with = [&](const char* name, const json& value) {
         json changed = claims;
         changed[name] = value;
@@ -183,15 +184,15 @@
 
 // Revocations of members are kept as long as a token can live, and no longer.
 void token_lives_no_longer_than_revocations_are_kept() {
-    AccessTerms terms = plain_access();
-    terms.longest_life = s(3600);
+    AccessOptions terms = plain_access();
+    terms.max_token_lifetime = s(3600);
     const Key key = make_key("k");
     AccessFiles files;
     files.keys = {file_of(key)};
     Revocations kept;
     kept.members = {{"etna/old", kNow - s(4000)}, {"etna/anna", kNow - s(3000)}};
     files.revocations = NamedText{"r", kept.write()};
-    Gate gate(read_policy(terms, files, nullptr, kNow));
+    Authorizer gate(read_policy(terms, files, nullptr, kNow));
     assert(gate.policy().revoked.members.size() == 1);
     Claims claims = claims_for("bruno");
     const auto reason = [&] {
@@ -224,18 +225,18 @@
     for (const Reason reason :
          {Reason::kUnknownKey, Reason::kBadSignature, Reason::kExpired, Reason::kRevoked})
         assert(refusal_of(reason).status == 401 &&
-               refusal_of(reason).words == refusal_of(Reason::kMalformed).words &&
+               refusal_of(reason).message == refusal_of(Reason::kMalformed).message &&
                refusal_of(reason).challenge == refusal_of(Reason::kMalformed).challenge);
     for (const Reason reason : {Reason::kWrongClub, Reason::kNotOwner})
         assert(refusal_of(reason).status == 403 &&
-               refusal_of(reason).words == refusal_of(Reason::kNoRight).words);
+               refusal_of(reason).message == refusal_of(Reason::kNoRight).message);
 }
 
 // Announced, active, outgoing, gone, to the moment.
 void key_verifies_from_active_until_gone() {
     Post post({make_key("old", Algorithm::kEdDsa, {0, s(1), kNow, kNow + s(60)}),
-               make_key("new", Algorithm::kEdDsa, {kNow - s(100), kNow, kEver, kEver}),
-               make_key("next", Algorithm::kEdDsa, {kNow - s(100), kNow + s(30), kEver, kEver})});
+               make_key("new", Algorithm::kEdDsa, {kNow - s(100), kNow, kNever, kNever}),
+               make_key("next", Algorithm::kEdDsa, {kNow - s(100), kNow + s(30), kNever, kNever})});
     const auto with = [&](std::size_t key, Tenths now) {
         return post.reason(sign_token(claims_for("anna", kNow), post.keys[key]), {"find", "", ""}, now);
     };
@@ -253,10 +254,11 @@
     const Key first = make_key("k1", Algorithm::kEs256);
     const KeyRing before = KeyRing::read({file_of(first)}, nullptr);
     const Rotation turn = rotate(before, "k2", {}, kNow + 1, s(30), s(60));
-    assert(turn.fresh.signing.algorithm() == Algorithm::kEs256 && turn.changed.size() == 1);
-    Key read_back = read_key({"k2.jwk", write_key(turn.fresh, true)});
-    assert(read_back.times == turn.fresh.times && read_back.signing.print() == turn.fresh.signing.print());
-    const KeyRing after = KeyRing::read({file_of(turn.fresh), file_of(turn.changed[0])}, &before);
+    assert(turn.new_key.signing.algorithm() == Algorithm::kEs256 && turn.changed_keys.size() == 1);
+    Key read_back = read_key({"k2.jwk", write_key(turn.new_key, true)});
+    assert(read_back.times == turn.new_key.times &&
+           read_back.signing.fingerprint() == turn.new_key.signing.fingerprint());
+    const KeyRing after = KeyRing::read({file_of(turn.new_key), file_of(turn.changed_keys[0])}, &before);
     for (Tenths now = kNow; now < kNow + s(200); now += s(1)) {
         const Key* signer = after.signer(now);
         assert(signer != nullptr && signer->verifies(now, 0));
@@ -286,7 +288,7 @@
     assert(refuses("a new key needs a new name"));
     post.keys.clear();
     assert(refuses("nobody could be let in"));
-    post.keys[2].times = {s(5), s(4), kEver, kEver};
+    post.keys[2].times = {s(5), s(4), kNever, kNever};
     assert(refuses("in this order"));
     post.authorities = {{"ca.pem", "no certificate"}};
     assert(refuses("ca.pem: expected certificates in PEM"));
@@ -317,7 +319,7 @@
     assert(post.gate.counts().from_cache == 1);
     post.revoked.tokens["t1"] = kNow + s(600);
     assert(post.reload().empty());
-    assert(post.reason(anna) == Reason::kRevoked && post.gate.still(held.proof, kNow) == Reason::kRevoked);
+    assert(post.reason(anna) == Reason::kRevoked && post.gate.recheck(held.proof, kNow) == Reason::kRevoked);
     assert(post.reason(second) == Reason::kAdmitted);
     // She moves to another club: what was signed before counts no more, what is signed after does.
     post.revoked.members["etna/anna"] = kNow + s(10);
@@ -328,28 +330,28 @@
     // A key that is taken back ends what it signed, cached or not.
     post.keys[0].times.gone = kNow, post.keys[0].times.outgoing = kNow;
     assert(post.reload().empty() && post.reason(second) == Reason::kUnknownKey);
-    assert(post.gate.still(held.proof, kNow) == Reason::kUnknownKey);
+    assert(post.gate.recheck(held.proof, kNow) == Reason::kUnknownKey);
 }
 
 void proof_of_a_search_in_flight_outlives_its_tokens_time() {
     Post post;
     const Decision held = post.ask(sign_token(claims_for(), post.keys[0]));
-    assert(post.gate.still(held.proof, kNow + s(100'000)) == Reason::kAdmitted); // taken in time
+    assert(post.gate.recheck(held.proof, kNow + s(100'000)) == Reason::kAdmitted); // taken in time
 }
 
 void cache_is_bounded_and_forgets_the_unused() {
-    const TokenCache::Proven proof{std::make_shared<const Claims>(claims_for()), "key"};
+    const TokenCache::VerifiedToken proof{std::make_shared<const Claims>(claims_for()), "key"};
     TokenCache cache(16);
     for (int i = 0; i < 1000; ++i) cache.put("token" + std::to_string(i), proof);
-    assert(cache.held() <= cache.room() && cache.room() == 16);
+    assert(cache.size() <= cache.capacity() && cache.capacity() == 16);
     TokenCache one(8); // one set: who is used stays while others come and go
     one.put("kept", proof);
     for (int i = 0; i < 100; ++i) {
-        assert(one.find("kept").key_print == "key" && !one.find("kept ").claims);
+        assert(one.find("kept").key_fingerprint == "key" && !one.find("kept ").claims);
         one.put("token" + std::to_string(i), proof);
     }
-    one.drop([](const Claims&) { return true; });
-    assert(one.held() == 0 && !one.find("kept").claims);
+    one.erase_if([](const Claims&) { return true; });
+    assert(one.size() == 0 && !one.find("kept").claims);
     TokenCache none(0);
     none.put("kept", proof);
     assert(!none.find("kept").claims);
@@ -428,12 +430,12 @@
     assert(post.reload().empty());
     const auto chain = std::make_shared<const Chain>(Chain{{office.anna.der}});
     const Decision held = post.gate.admit({"", false, chain}, {"find", "", ""}, kNow);
-    assert(held.reason == Reason::kAdmitted && post.gate.still(*chain, kNow) == Reason::kAdmitted);
+    assert(held.reason == Reason::kAdmitted && post.gate.recheck(*chain, kNow) == Reason::kAdmitted);
     post.crls = {{"ca.crl", office.root.crl({office.anna.serial}, kNow - s(50), kNow + s(500))}};
     assert(post.reload().empty());
     assert(post.gate.admit({"", false, chain}, {"find", "", ""}, kNow).reason == Reason::kRevoked);
-    assert(post.gate.still(held.proof, kNow) == Reason::kRevoked &&
-           post.gate.still(*chain, kNow) == Reason::kRevoked);
+    assert(post.gate.recheck(held.proof, kNow) == Reason::kRevoked &&
+           post.gate.recheck(*chain, kNow) == Reason::kRevoked);
     // The list before it would let her in again.
     post.crls = {{"ca.crl", office.root.crl({}, kNow - s(100), kNow + s(500))}};
     assert(post.reload().find("older than the list in force") != std::string::npos);
@@ -441,7 +443,7 @@
     assert(post.reload().find("missing") != std::string::npos);
     post.crls = {{"ca.crl", office.root.crl({}, kNow - s(40), kNow + s(500))}};
     post.revoked.certificates[office.anna.serial] = kNow;
-    assert(post.reload().empty() && post.gate.still(*chain, kNow) == Reason::kRevoked);
+    assert(post.reload().empty() && post.gate.recheck(*chain, kNow) == Reason::kRevoked);
 }
 
 void list_out_of_date_lets_nobody_in_past_its_grace() {
@@ -477,15 +479,15 @@
 }
 
 void flood_of_handshakes_is_bounded_three_ways() {
-    Handshakes<int> gate({4, 100, 2}, 0);
-    for (int i = 0; i < 4; ++i) assert(!gate.begin(i)), gate.ask(i);
+    HandshakeLimiter<int> gate({4, 100, 2}, 0);
+    for (int i = 0; i < 4; ++i) assert(!gate.begin(i)), gate.request_step(i);
     assert(gate.begin(4) == 0 && gate.open() == 4); // the oldest goes
-    gate.ask(4);
+    gate.request_step(4);
     assert(gate.grant(0) == (std::vector<int>{1, 2})); // no more in a turn
-    assert(gate.grant(0).empty() && gate.next(0) == 101);
+    assert(gate.grant(0).empty() && gate.next_step_time(0) == 101);
     assert(gate.grant(101) == (std::vector<int>{3})); // a hundred a second
     gate.end(4);
-    assert(gate.grant(s(1)).empty() && !gate.next(s(1))); // who has gone gets none
+    assert(gate.grant(s(1)).empty() && !gate.next_step_time(s(1))); // who has gone gets none
 }
 
 void ticket_keys_change_and_old_ones_open_nothing() {
@@ -495,15 +497,15 @@
         made.name.fill(number);
         return made;
     };
-    assert(keys.wants_key(0) && keys.sealing() == nullptr);
+    assert(keys.wants_key(0) && keys.encryption_key() == nullptr);
     keys.add(key(1), 0);
     assert(!keys.wants_key(s(10) - 1) && keys.wants_key(s(10)));
     keys.add(key(2), s(10));
-    assert(keys.opening(key(1).name.data()).first == TicketKeys::Use::kOpenAndRenew);
-    assert(keys.opening(key(2).name.data()).first == TicketKeys::Use::kOpen &&
-           keys.sealing()->name == key(2).name);
+    assert(keys.decryption_key(key(1).name.data()).first == TicketKeys::Use::kDecryptAndRenew);
+    assert(keys.decryption_key(key(2).name.data()).first == TicketKeys::Use::kDecrypt &&
+           keys.encryption_key()->name == key(2).name);
     keys.add(key(3), s(20));
-    assert(keys.opening(key(1).name.data()).first == TicketKeys::Use::kNone);
+    assert(keys.decryption_key(key(1).name.data()).first == TicketKeys::Use::kNone);
 }
 
 const Test kTests[] = {
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -12,10 +12,10 @@
 constexpr Tenths s(std::int64_t count) { return count * kTenthsPerSecond; }
 constexpr Tenths kWall = s(1'800'000'000);
 
-AccessTerms terms_of_access() {
-    AccessTerms terms;
+AccessOptions terms_of_access() {
+    AccessOptions terms;
     terms.issuer = "trinacria", terms.audience = "archive";
-    terms.skew = s(5), terms.settle = s(10), terms.most_token = 4096, terms.cached = 8;
+    terms.skew = s(5), terms.settle = s(10), terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
     terms.clubs = {{"etna", "acme"}};
     terms.request_classes = {{"find", Right::kRead}};
     terms.names = {{"spiffe://t/*", "", "etna", "{rest}", {true, false}, {}}};
@@ -77,7 +77,7 @@
         revoked.members["etna/" + member] = kWall + s(1);
         reload();
     }
-    Key key{"k", SigningKey::generate(Algorithm::kEdDsa), {0, s(1), kEver, kEver}};
+    Key key{"k", SigningKey::generate(Algorithm::kEdDsa), {0, s(1), kNever, kNever}};
     lab::Authority root{"root", kWall - s(100), kWall + s(10'000)};
     Revocations revoked;
     std::shared_ptr<const Policy> current;
@@ -260,7 +260,7 @@
     const ClientId client = secured(desk, anna), by_token = desk.asks(desk.token("bruno"));
     for (int i = 0; i < 5; ++i) desk.reload();
     assert(!closed(desk, client) && desk.answers(by_token) == 0 && desk.router.counts().revoked == 0);
-    assert(desk.router.open_searches() == 1 && desk.router.gate()->policy().generation == 6);
+    assert(desk.router.open_searches() == 1 && desk.router.authorizer()->policy().generation == 6);
 }
 
 // ---- handshakes
--- a/tests/event_stream_tests.cpp
+++ b/tests/event_stream_tests.cpp
@@ -24,7 +24,7 @@
     Outcome outcome;
     for (const std::string_view piece : pieces) {
         outcome.failed = !splitter.feed(piece).has_value();
-        outcome.whole += splitter.take_whole();
+        outcome.whole += splitter.take_complete();
     }
     outcome.last_id = splitter.last_id();
     outcome.events = splitter.events();
@@ -105,11 +105,11 @@
         EventStreamSplitter splitter(at_bound.size());
         for (const char letter : first + rest)
             if (!splitter.feed({&letter, 1})) break;
-        BOOST_TEST(splitter.take_whole() == first);
+        BOOST_TEST(splitter.take_complete() == first);
         const auto after = splitter.feed("\n\nid: 2\n\n");
         BOOST_TEST(!after.has_value());
         BOOST_TEST((after.error().kind == ErrorKind::kProtocol));
-        BOOST_TEST(splitter.take_whole().empty());
+        BOOST_TEST(splitter.take_complete().empty());
         BOOST_TEST(splitter.last_id() == "1");
     }
 }
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -26,8 +26,8 @@
 }
 
 transport::Task answer_call(const control::ControlNode& node, protocol::HttpMessage message,
-                            std::function<void(http::Answer)> answered) {
-    http::Answer answer = co_await node.handle(std::move(message));
+                            std::function<void(http::Response)> answered) {
+    http::Response answer = co_await node.handle(std::move(message));
     answered(std::move(answer));
 }
 
@@ -51,7 +51,7 @@
             return network_.schedule(network_.now() + 10, [open] { open->answer({}); });
         network_.run_on(machine, [this, machine, message = std::move(message), open, answering]() mutable {
             control::ControlNode* const node = nodes_.at(machine).process.get();
-            const auto answered = [this, open, answering](const http::Answer& answer) {
+            const auto answered = [this, open, answering](const http::Response& answer) {
                 if (answer.status == 200 && answering) answering();
                 if (network_.chance(answer_lost_)) return;
                 const CallResult result{answer.status, answer.body};
--- a/tests/lab/hall.cpp
+++ b/tests/lab/hall.cpp
@@ -123,10 +123,10 @@
 void Hall::rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap) {
     const Tenths now = wall() / kTenthsPerSecond * kTenthsPerSecond;
     access::Key fresh{
-        name, access::SigningKey::generate(algorithm), {now, now, access::kEver, access::kEver}};
+        name, access::SigningKey::generate(algorithm), {now, now, access::kNever, access::kNever}};
     write_key(fresh); // known before the old one goes out
     for (access::Key& key : keys_) {
-        if (key.times.outgoing != access::kEver) continue;
+        if (key.times.outgoing != access::kNever) continue;
         key.times.outgoing = now;
         key.times.gone = (now + overlap + kTenthsPerSecond - 1) / kTenthsPerSecond * kTenthsPerSecond;
         write_key(key);
--- a/tests/lab/hall.hpp
+++ b/tests/lab/hall.hpp
@@ -2,7 +2,7 @@
 // tests and the measurement of access play in. Everything is on loopback and in a folder of its own, which
 // goes with it.
 #pragma once
-#include "access/gate.hpp"
+#include "access/authorizer.hpp"
 #include "lab/client.hpp"
 #include "lab/fleet.hpp"
 #include "lab/pki.hpp"
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -93,7 +93,7 @@
     transport::Stream& stream = *connection.stream;
     switch (connection.manner) {
     case PlatformManner::kResets:
-        transport::reset_at_end(connection.descriptor);
+        transport::reset_on_close(connection.descriptor);
         connection.is_over = true;
         return;
     case PlatformManner::kGarbage:
--- a/tests/link_tests.cpp
+++ b/tests/link_tests.cpp
@@ -81,7 +81,7 @@
                   1 << 20, 1 << 20) {}
     bool send(std::string_view bytes) { return stream_.send(bytes); }
     bool send(const Message& message) { return send(wire::frame(wire::to_bytes(message))); }
-    bool up() const { return stream_.up(); }
+    bool up() const { return stream_.established(); }
     bool ended() const { return stream_.ended(); }
     std::optional<Message> next() {
         if (!reader_.complete() && stream_.unread()) stream_.feed(reader_);
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -600,7 +600,7 @@
     transport::Stream stream(loop, transport::connect_to(listener.address()),
                              transport::Stream::Start::kConnecting, 1000, 1000);
     Peer peer = listener.accept();
-    while (!stream.up()) loop.wait({});
+    while (!stream.established()) loop.wait({});
     assert(stream.send("asked"));
     peer.await(POLLIN);
     peer.say("answer");
