--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -610,7 +610,7 @@
     transport::Stream stream(loop, transport::connect_to(listener.address()),
                              transport::Stream::Start::kConnecting, 1000, 1000);
     Peer peer = listener.accept();
-    while (!stream.up()) loop.wait({});
+    while (!stream.established()) loop.wait({});
     assert(stream.send("asked"));
     peer.await(POLLIN);
     peer.send_bytes("answer");
