--- a/src/access/handshakes.hpp
+++ b/src/access/handshakes.hpp
@@ -15,7 +15,7 @@
 namespace ivyrill::access {
 
 struct HandshakeTerms {
-    std::size_t most_open = 0; // begun and not done
+    std::size_t max_open = 0;  // begun and not done
     double steps_a_second = 0; // a whole handshake takes two, or three with TLS 1.2
     std::size_t steps_a_turn = 0;
 };
@@ -28,7 +28,7 @@
     // A connection that will shake hands; the one that must go for it, if any.
     std::optional<Name> begin(Name name) {
         std::optional<Name> gone;
-        if (open_.size() >= terms_.most_open && !open_.empty())
+        if (open_.size() >= terms_.max_open && !open_.empty())
             gone = *open_.begin(), end(*gone), ++crowded_out_;
         open_.insert(name);
         return gone;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -29,11 +29,11 @@
 
 } // namespace
 
-void open_log_lines(const std::string& node, const std::string& role) {
+void set_log_identity(const std::string& node, const std::string& role) {
     prefix = fmt::format(" node={} role={}", node, role);
 }
 
-void silence_log_lines(bool silent) { is_silent = silent; }
+void set_log_silent(bool silent) { is_silent = silent; }
 
 void log_line(std::string_view event, std::initializer_list<LogField> fields) {
     if (is_silent) return;
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -14,8 +14,8 @@
     std::string value; // quoted where it holds blanks, quotes or line ends
 };
 
-void open_log_lines(const std::string& node, const std::string& role); // written into every line
-void silence_log_lines(bool silent); // for simulations, whose many processes would all write
+void set_log_identity(const std::string& node, const std::string& role); // written into every line
+void set_log_silent(bool silent); // for simulations, whose many processes would all write
 void log_line(std::string_view event, std::initializer_list<LogField> fields = {});
 
 } // namespace ivyrill
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -9,8 +9,8 @@
 inline constexpr std::int64_t kMicrosPerTenth = 100;
 inline constexpr Tenths kTenthsPerSecond = 10'000;
 
-constexpr Tenths tenths_to_use(std::int64_t micros) { return micros / kMicrosPerTenth; }
-constexpr Tenths tenths_to_wait(std::int64_t micros) {
+constexpr Tenths tenths_rounded_down(std::int64_t micros) { return micros / kMicrosPerTenth; }
+constexpr Tenths tenths_rounded_up(std::int64_t micros) {
     return micros / kMicrosPerTenth + (micros % kMicrosPerTenth > 0 ? 1 : 0);
 }
 constexpr std::int64_t to_micros(Tenths span) { return span * kMicrosPerTenth; }
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -49,7 +49,7 @@
     const auto settings = read_settings(path);
     if (settings.has_error()) return report(settings.error());
     std::signal(SIGPIPE, SIG_IGN);
-    open_log_lines(settings.value().node_name, role);
+    set_log_identity(settings.value().node_name, role);
     transport::Reactor reactor;
     std::function<void()> end;
     std::function<void(const settings::Settings&)> use_settings = [](const settings::Settings&) {};
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -224,7 +224,7 @@
     });
     nlohmann::ordered_json none = nlohmann::ordered_json::object();
     FieldReader tls = top.object("tls").value_or(FieldReader(none, "tls"));
-    result.handshakes.most_open = static_cast<std::size_t>(tls.integer("open_handshakes", 1, 10'000, 64));
+    result.handshakes.max_open = static_cast<std::size_t>(tls.integer("open_handshakes", 1, 10'000, 64));
     result.handshakes.steps_a_second = tls.number("handshake_steps_a_second", 1, 100'000, 1000);
     result.handshakes.steps_a_turn =
         static_cast<std::size_t>(tls.integer("handshake_steps_a_turn", 1, 100, 4));
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -33,7 +33,7 @@
 
 struct CoordinationThread::State {
     State(const operators::OperatorSettings& settings, const std::string& secret,
-          protocol::NodeTerms node_terms, const std::string& name, std::uint64_t seed)
+          protocol::FrontNodeConfig node_terms, const std::string& name, std::uint64_t seed)
         : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(settings.membership->bind)),
           wake_up_event(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           member_count_event(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
@@ -162,7 +162,7 @@
             maintenance_node->counts().proposals);
     }
 
-    protocol::NodeTerms terms;
+    protocol::FrontNodeConfig terms;
     std::map<std::string, Tenths> work;
     Loop loop;
     transport::Source socket, wake_up_event; // the latter: written by the front node's thread
@@ -191,7 +191,7 @@
 };
 
 CoordinationThread::CoordinationThread(const operators::OperatorSettings& settings, const std::string& secret,
-                                       const protocol::NodeTerms& terms, const std::string& name,
+                                       const protocol::FrontNodeConfig& terms, const std::string& name,
                                        std::uint64_t seed)
     : state_(std::make_unique<State>(settings, secret, terms, name, seed)) {}
 
@@ -248,7 +248,7 @@
 int CoordinationThread::port() const { return transport::port_of(state_->socket.descriptor()); }
 
 std::map<std::string, maintenance::ObservedMachine>
-CoordinationThread::observe_machines(const protocol::ServerList& list, const protocol::NodeTerms& terms,
+CoordinationThread::observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& terms,
                                      const std::map<std::string, Tenths>& work, Tenths wall) {
     std::map<std::string, maintenance::ObservedMachine> result;
     for (const protocol::ServerEntry& entry : list.servers) {
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -21,14 +21,14 @@
 
 constexpr const char* kVersion = IVYRILL_VERSION;
 
-protocol::StartOrders read_orders(const std::string& path) {
+protocol::StartConfig read_orders(const std::string& path) {
     if (path.empty()) throw std::runtime_error("no configuration: set RELAY_CONFIG or give --config");
     std::ifstream file(path);
     if (!file) throw std::runtime_error(path + ": cannot be read");
     std::ostringstream text;
     text << file.rdbuf();
     try {
-        return protocol::read_start_orders(text.str());
+        return protocol::read_start_config(text.str());
     } catch (const protocol::ProtocolError& error) { throw std::runtime_error(path + ": " + error.what()); }
 }
 
@@ -41,7 +41,7 @@
         std::cout << evaluate(operator_file).dump(2) << "\n";
         if (path.empty()) return 0;
     }
-    const protocol::StartOrders orders = read_orders(path);
+    const protocol::StartConfig orders = read_orders(path);
     if (loaded) check_names(loaded->settings, orders.terms.request_classes, orders.terms.tenants);
     std::cout << path << ": valid; " << orders.name << " on " << orders.listen << ", discovery at "
               << orders.discovery << ", " << orders.known.servers.size() << " index servers known, "
@@ -52,7 +52,7 @@
 
 int serve(const std::string& path, const std::string& operator_file, const std::string& level) {
     block_signals(); // a SIGHUP may arrive before the configuration is read
-    protocol::StartOrders orders = read_orders(path);
+    protocol::StartConfig orders = read_orders(path);
     open_log(orders.name, level);
     return Node(
                std::move(orders), [path] { return read_orders(path); }, operator_file)
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -87,7 +87,7 @@
                              std::size_t output_buffer)
     : id(number), stream(loop, descriptor, Stream::Start::kConnecting, kReadBuffer, output_buffer) {}
 
-Node::Node(protocol::StartOrders configuration, ReloadConfiguration reload, const std::string& operator_file)
+Node::Node(protocol::StartConfig configuration, ReloadConfiguration reload, const std::string& operator_file)
     : configuration_(std::move(configuration)), reload_(std::move(reload)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, configuration_.listen));
@@ -223,7 +223,7 @@
 void Node::reload_configuration() {
     try {
         if (!reload_) throw std::runtime_error("there is no configuration file to read again");
-        const protocol::StartOrders loaded = reload_();
+        const protocol::StartConfig loaded = reload_();
         log().info("configuration read again, discovery={}", loaded.discovery);
         post(routing::DiscoveryAddressChanged{loaded.discovery});
     } catch (const std::exception& error) { log_limited("configuration not applied: {}", error.what()); }
@@ -545,15 +545,15 @@
 void Node::handle_frame(Connection& connection, const protocol::Frame& frame) {
     try {
         if (frame.letter == 'R')
-            return post(routing::PartAnswered{connection.id, protocol::read_part_answer(frame.rest),
+            return post(routing::PartAnswered{connection.id, protocol::read_part_response(frame.rest),
                                               connection.stream.age()});
         if (frame.letter == 'M')
-            return post(routing::LoadReceived{connection.id, protocol::read_load_answer(frame.rest)});
+            return post(routing::LoadReceived{connection.id, protocol::read_load_response(frame.rest)});
         if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
         log_limited("index server: it rejected a frame: {}", protocol::quoted(frame.rest));
     } catch (const protocol::ProtocolError& error) {
         log_limited("index server: {}", error.what());
-        post(routing::MalformedDataReceived{connection.id, std::string(protocol::part_named(frame.rest))});
+        post(routing::MalformedDataReceived{connection.id, std::string(protocol::read_part_id(frame.rest))});
     }
     connection.closing = true;
 }
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -50,10 +50,10 @@
 class Node {
   public:
     using ReloadConfiguration =
-        std::function<protocol::StartOrders()>; // throws where the configuration is not valid
+        std::function<protocol::StartConfig()>; // throws where the configuration is not valid
     // Without an `operator_file` there is no access control, no further listener and no audit log. Throws
     // where a socket or file cannot be opened or the settings are not valid.
-    explicit Node(protocol::StartOrders configuration, ReloadConfiguration reload = {},
+    explicit Node(protocol::StartConfig configuration, ReloadConfiguration reload = {},
                   const std::string& operator_file = {});
     // Port of the platform's listener (0) or of the operator's file's n-th listener (from 1).
     int port(std::size_t listener = 0) const {
@@ -142,7 +142,7 @@
     void drop_stalled_clients();
     void post(routing::Event event) { inbox_.push_back(std::move(event)); }
 
-    protocol::StartOrders configuration_;
+    protocol::StartConfig configuration_;
     ReloadConfiguration reload_;
     transport::Loop loop_;
     Lifecycle lifecycle_;
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -27,7 +27,7 @@
     while (taken < bytes.size() && !complete() && !broken_) {
         if (header_ < 4) {
             frame_left_ = frame_left_ << 8 | static_cast<unsigned char>(bytes[taken++]);
-            if (++header_ == 4) broken_ = frame_left_ == 0 || frame_left_ > kMostFrame;
+            if (++header_ == 4) broken_ = frame_left_ == 0 || frame_left_ > kMaxFrameBytes;
             continue;
         }
         if (frame_.letter == 0) {
@@ -38,8 +38,8 @@
         const std::size_t size = std::min(frame_left_, bytes.size() - taken);
         frame_.rest.append(bytes.substr(taken, size));
         taken += size, frame_left_ -= size;
-        broken_ = frame_.letter == 'R' && frame_.rest.size() > kMostLine &&
-                  frame_.rest.find('\n') > kMostLine; // npos, too: a line without an end
+        broken_ = frame_.letter == 'R' && frame_.rest.size() > kMaxLineBytes &&
+                  frame_.rest.find('\n') > kMaxLineBytes; // npos, too: a line without an end
     }
     return taken;
 }
@@ -50,9 +50,9 @@
     return out;
 }
 
-std::string call_frame(const std::vector<PartCall>& parts) {
+std::string part_request_frame(const std::vector<PartRequest>& parts) {
     std::string rest;
-    for (const PartCall& part : parts) {
+    for (const PartRequest& part : parts) {
         rest.append(part.id).append(" ").append(std::to_string(part.shard));
         rest.append(" d=").append(std::to_string(part.wait_ms)).append(" ");
         rest.append(std::to_string(part.query.size())).append("\n").append(part.query);
@@ -60,15 +60,15 @@
     return frame('S', rest);
 }
 
-std::string give_up_frame(std::string_view id) { return frame('C', id); }
+std::string cancel_frame(std::string_view id) { return frame('C', id); }
 std::string load_probe_frame() { return frame('M', ""); }
 
-PartAnswer read_part_answer(std::string_view rest) {
+PartResponse read_part_response(std::string_view rest) {
     const std::size_t end = rest.find('\n');
     if (end == std::string_view::npos) throw ProtocolError("answer without a line: " + quoted(rest));
     const auto words = split(rest.substr(0, end), ' ');
     if (words.size() != 4) throw ProtocolError("answer of other than four words: " + quoted(rest));
-    PartAnswer answer;
+    PartResponse answer;
     answer.id = words[0];
     if (words[1] == "done")
         answer.outcome = Outcome::kAnswered;
@@ -81,12 +81,12 @@
     return answer;
 }
 
-std::string_view part_named(std::string_view rest) {
-    rest = rest.substr(0, kMostLine);
+std::string_view read_part_id(std::string_view rest) {
+    rest = rest.substr(0, kMaxLineBytes);
     return rest.substr(0, rest.find_first_of(" \n"));
 }
 
-LoadAnswer read_load_answer(std::string_view rest) {
+LoadResponse read_load_response(std::string_view rest) {
     if (rest.ends_with('\n')) rest.remove_suffix(1);
     if (rest == "failed") return {};
     return {true, read_load_report(rest)};
--- a/src/protocol/frames.hpp
+++ b/src/protocol/frames.hpp
@@ -8,8 +8,8 @@
 
 namespace ivyrill::protocol {
 
-inline constexpr std::size_t kMostFrame = 256 * 1024; // bytes that one frame may claim
-inline constexpr std::size_t kMostLine = 1024;        // bytes in an answer's line
+inline constexpr std::size_t kMaxFrameBytes = 256 * 1024; // bytes that one frame may claim
+inline constexpr std::size_t kMaxLineBytes = 1024;        // bytes in an answer's line
 
 struct Frame {
     char letter = 0;
@@ -30,29 +30,29 @@
     bool broken_ = false;
 };
 
-struct PartCall { // a part as it is sent
+struct PartRequest { // a part as it is sent
     std::string_view id;
     int shard = 0;
     std::int64_t wait_ms = 0;
     std::string_view query;
 };
-std::string call_frame(const std::vector<PartCall>& parts);
-std::string give_up_frame(std::string_view id);
+std::string part_request_frame(const std::vector<PartRequest>& parts);
+std::string cancel_frame(std::string_view id);
 std::string load_probe_frame();
 
-struct PartAnswer { // what an index server says about one part
+struct PartResponse { // what an index server says about one part
     std::string id;
     Outcome outcome = Outcome::kError;
     LoadReport report;
     std::string value;
 };
-struct LoadAnswer {
+struct LoadResponse {
     bool passed = false;
     LoadReport report;
 };
-PartAnswer read_part_answer(std::string_view rest); // throws ProtocolError
-std::string_view part_named(std::string_view rest); // by an answer that cannot be read, as far as it says
-LoadAnswer read_load_answer(std::string_view rest);
+PartResponse read_part_response(std::string_view rest); // throws ProtocolError
+std::string_view read_part_id(std::string_view rest);   // by an answer that cannot be read, as far as it says
+LoadResponse read_load_response(std::string_view rest);
 // Pairs name=value set apart by commas, or -. What cannot be read is no report, and no fault of the answer.
 LoadReport read_load_report(std::string_view text);
 
--- a/src/protocol/terms.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -1,4 +1,4 @@
-#include "protocol/terms.hpp"
+#include "protocol/front_node_config.hpp"
 
 #include "protocol/values.hpp"
 
@@ -43,9 +43,9 @@
         return found == values_.end() ? absent : std::string_view(found->second);
     }
     Tenths to_use(const std::string& path, std::int64_t absent = 0) const {
-        return tenths_to_use(integer(path, absent));
+        return tenths_rounded_down(integer(path, absent));
     }
-    Tenths to_wait(const std::string& path) const { return tenths_to_wait(integer(path, 0)); }
+    Tenths to_wait(const std::string& path) const { return tenths_rounded_up(integer(path, 0)); }
     std::size_t count(const std::string& path) const {
         const std::int64_t value = integer(path + ".count", 0);
         if (value > kMostListed) throw ProtocolError(path + ".count: too large");
@@ -80,14 +80,14 @@
 
 } // namespace
 
-std::string plain_word(std::string_view name) {
+std::string sanitize_name(std::string_view name) {
     std::string plain(name);
     for (char& letter : plain)
         if (letter == ' ' || letter == ',') letter = '_';
     return plain;
 }
 
-SchedulerConfig read_terms(const PathValues& settings, std::uint64_t seed) {
+SchedulerConfig read_scheduler_config(const PathValues& settings, std::uint64_t seed) {
     const Settled settled(settings);
     SchedulerConfig terms;
     terms.seed = seed;
@@ -135,18 +135,18 @@
     return terms;
 }
 
-NodeTerms read_node_terms(const PathValues& settings, std::uint64_t seed) {
+FrontNodeConfig read_front_node_config(const PathValues& settings, std::uint64_t seed) {
     const Settled settled(settings);
-    NodeTerms terms;
-    terms.opening = read_terms(settings, seed);
+    FrontNodeConfig terms;
+    terms.opening = read_scheduler_config(settings, seed);
     for (RequestClassConfig& request_class : terms.opening.request_classes)
         request_class.follow_up_parts = 0; // nor has a search a second step
-    terms.most_open = settled.whole("Limits.MaxOpen", 0);
+    terms.max_open = settled.whole("Limits.MaxOpen", 0);
     terms.batch = settled.at_least_one("Specifics.Batch", 1);
-    terms.calls_a_connection = settled.at_least_one("Limits.StreamsPerConn", 1);
+    terms.max_calls_per_connection = settled.at_least_one("Limits.StreamsPerConn", 1);
     terms.shards = settled.at_least_one("Specifics.Slabs", 1);
-    terms.idle_span = settled.to_use("Limits.ConnIdleUs");
-    terms.ask_span = settled.to_use("Contract.AskWithinUs", 10 * kTenthsPerSecond * kMicrosPerTenth);
+    terms.idle_timeout = settled.to_use("Limits.ConnIdleUs");
+    terms.watch_timeout = settled.to_use("Contract.AskWithinUs", 10 * kTenthsPerSecond * kMicrosPerTenth);
     terms.opening.list_mode = ListMode::kQueried; // on sockets the list comes to those who ask
     terms.request_classes = settled.names_of("Grades");
     terms.tenants = settled.names_of("Tenants");
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -175,10 +175,10 @@
             return;
         }
         std::string joined;
-        for (const Json& item : value.items) joined += (joined.empty() ? "" : ",") + plain_word(item.text);
+        for (const Json& item : value.items) joined += (joined.empty() ? "" : ",") + sanitize_name(item.text);
         values[path] = joined;
     } else if (value.sort != Json::Sort::kNull) {
-        values[path] = plain_word(value.text);
+        values[path] = sanitize_name(value.text);
     }
 }
 
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,7 +1,7 @@
 // JSON, read into a tree of bounded depth and written by hand. Numbers keep their text, so that nothing of
 // their precision is lost before someone asks for it.
 #pragma once
-#include "protocol/terms.hpp"
+#include "protocol/front_node_config.hpp"
 
 #include <cstdint>
 #include <string>
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -76,19 +76,19 @@
                         std::ranges::equal(value.substr(0, kScheme.size()), kScheme, [](char a, char b) {
                             return (a >= 'A' && a <= 'Z' ? static_cast<char>(a - 'A' + 'a') : a) == b;
                         });
-    search.token_spoilt = times > 1 || !bearer;
-    if (!search.token_spoilt) search.token = value.substr(kScheme.size());
+    search.token_malformed = times > 1 || !bearer;
+    if (!search.token_malformed) search.token = value.substr(kScheme.size());
 }
 
 SearchRequest read_search(const HttpMessage& message, std::string_view request_class) {
     for (const char* name : {"host", "x-request-id", "x-tenant-id", "x-timeout", "x-retried"})
         if (message.times(name) > 1) throw ProtocolError(std::string(name) + ": more than once");
     SearchRequest search;
-    search.request_class = plain_word(request_class);
+    search.request_class = sanitize_name(request_class);
     search.id = message.header("x-request-id");
     if (!plain_id(search.id)) throw ProtocolError("X-Request-ID: missing or malformed");
-    search.tenant = plain_word(message.header("x-tenant-id"));
-    search.left_us = read_span_us(message.header("x-timeout"));
+    search.tenant = sanitize_name(message.header("x-tenant-id"));
+    search.timeout_us = read_span_us(message.header("x-timeout"));
     search.repeat = message.header("x-retried") == "1";
     search.key = read_key(message.target);
     read_credential(message, search);
@@ -124,7 +124,7 @@
     } catch (const ProtocolError& error) { return BadRequest{400, error.what()}; }
 }
 
-Reply plain_reply(int status, std::string_view words, std::string_view challenge) {
+Reply error_reply(int status, std::string_view words, std::string_view challenge) {
     Reply reply{status, {{"Content-Type", "application/json"}}, "{\"error\":"};
     write_json_text(reply.body, words);
     reply.body += "}";
@@ -132,13 +132,13 @@
     return reply;
 }
 
-Reply ready_reply(bool ready) { return ready ? Reply{200, {}, "ready\n"} : plain_reply(503, "not ready"); }
+Reply ready_reply(bool ready) { return ready ? Reply{200, {}, "ready\n"} : error_reply(503, "not ready"); }
 
 Reply reply_to_search(const FinalAnswer& answer) {
     if (answer.verdict == Verdict::kFailed)
-        return plain_reply(502, "the search failed and may have run in part");
+        return error_reply(502, "the search failed and may have run in part");
     if (answer.verdict == Verdict::kRejected) {
-        Reply reply = plain_reply(503, "pushed back, nothing has run");
+        Reply reply = error_reply(503, "pushed back, nothing has run");
         if (answer.retry_after > 0) {
             char seconds[32];
             std::snprintf(seconds, sizeof seconds, "%.4f",
@@ -178,8 +178,8 @@
             const Json* found = row.find(name);
             return found != nullptr && found->sort == Json::Sort::kText ? found->text : std::string();
         };
-        entry.address = text("addr"), entry.zone = plain_word(text("zone"));
-        entry.kind = plain_word(text("kind"));
+        entry.address = text("addr"), entry.zone = sanitize_name(text("zone"));
+        entry.kind = sanitize_name(text("kind"));
         if (const Json* cell = row.find("cell")) entry.cell = read_index(*cell, "cell");
         if (const Json* weight = row.find("weight")) entry.weight = weight->as_number("weight");
         if (const Json* started = row.find("started_ms"))
@@ -202,9 +202,9 @@
     return http_request("GET", target, host);
 }
 
-StartOrders read_start_orders(std::string_view text) {
+StartConfig read_start_config(std::string_view text) {
     const Json json = read_json(text);
-    StartOrders orders;
+    StartConfig orders;
     orders.name = json.at("name").as_text("name");
     orders.listen = json.at("listen").as_text("listen");
     orders.discovery = json.at("discovery").as_text("discovery");
@@ -217,7 +217,7 @@
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
     if (error != std::errc{} || end != digits.data() + digits.size())
         throw ProtocolError("seed: not a hexadecimal number: " + quoted(digits));
-    orders.terms = read_node_terms(flatten(json.at("settings")), seed);
+    orders.terms = read_front_node_config(flatten(json.at("settings")), seed);
     return orders;
 }
 
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,8 +1,8 @@
 // What clients and discovery say, typed; and the configuration a front node is started with. Pure.
 #pragma once
+#include "protocol/front_node_config.hpp"
 #include "protocol/http.hpp"
 #include "protocol/json.hpp"
-#include "protocol/terms.hpp"
 #include "search_scheduler.hpp"
 
 #include <cstdint>
@@ -20,12 +20,12 @@
 };
 struct SearchRequest {
     std::string id, request_class, tenant, query;
-    std::int64_t left_us = 0; // the client waits so long from its sending
+    std::int64_t timeout_us = 0; // the client waits so long from its sending
     bool repeat = false;
     std::vector<Target> targets;
-    std::string key = {};      // of the parameter `k`; empty where absent or not told apart
-    std::string token = {};    // of `Authorization: Bearer`; empty where absent
-    bool token_spoilt = false; // that header is there and holds something else, or stands twice
+    std::string key = {};         // of the parameter `k`; empty where absent or not told apart
+    std::string token = {};       // of `Authorization: Bearer`; empty where absent
+    bool token_malformed = false; // that header is there and holds something else, or stands twice
 };
 struct ReadyRequest {};
 struct BadRequest {
@@ -53,7 +53,7 @@
 };
 Reply reply_to_search(const FinalAnswer& answer);
 // `challenge` goes into WWW-Authenticate where it is not empty.
-Reply plain_reply(int status, std::string_view words, std::string_view challenge = {});
+Reply error_reply(int status, std::string_view words, std::string_view challenge = {});
 Reply ready_reply(bool ready);
 std::string write_reply(const Reply& reply, bool close); // in HTTP/1.1
 
@@ -74,12 +74,12 @@
 // The whole list where no version is given, else a watch for what is newer.
 std::string list_request(std::string_view host, std::int64_t after, std::int64_t wait_ms, bool whole);
 
-struct StartOrders { // what a front node is told when it starts
+struct StartConfig { // what a front node is told when it starts
     std::string name, listen, discovery;
     std::int64_t sockets = 0, memory_mb = 0;
     ServerList known;
-    NodeTerms terms;
+    FrontNodeConfig terms;
 };
-StartOrders read_start_orders(std::string_view text); // throws ProtocolError
+StartConfig read_start_config(std::string_view text); // throws ProtocolError
 
 } // namespace ivyrill::protocol
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -20,7 +20,7 @@
 std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
     if (!gate_ || !client.requires_credential) return {};
     const protocol::SearchRequest& request = event.request;
-    const access::Credential credential{request.token, request.token_spoilt, client.chain};
+    const access::Credential credential{request.token, request.token_malformed, client.chain};
     const access::Asked asked{request.request_class, request.tenant,
                               key_is_query_ ? request.query : request.key};
     access::Decision made = gate_->admit(credential, asked, access_now());
--- a/src/routing/events.hpp
+++ b/src/routing/events.hpp
@@ -71,12 +71,12 @@
 };
 struct PartAnswered {
     ConnectionId connection;
-    protocol::PartAnswer answer;
+    protocol::PartResponse answer;
     Tenths age = 0;
 };
 struct LoadReceived {
     ConnectionId connection;
-    protocol::LoadAnswer answer;
+    protocol::LoadResponse answer;
 };
 struct ServerListReceived {
     DiscoveryCallId call;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Router::Router(protocol::NodeTerms terms, const protocol::ServerList& known, std::string discovery,
+Router::Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
                std::size_t descriptors, Tenths now)
     : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.opening)), descriptors_(descriptors),
       now_(now), discovery_(std::move(discovery)) {
@@ -180,9 +180,9 @@
         return reject(400, "unknown partition");
     if (open_ids_.contains(request.id)) return reject(409, "a search with this id is already open");
     ++counts_.searches;
-    const Tenths left = tenths_to_use(request.left_us) - event.age;
-    const bool full = terms_.most_open > 0 &&
-                      searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.most_open);
+    const Tenths left = tenths_rounded_down(request.timeout_us) - event.age;
+    const bool full =
+        terms_.max_open > 0 && searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.max_open);
     if (full || left <= 0 || over_fair_share(event.client, found->second)) {
         ++counts_.over_limit, ++counts_.rejected;
         effects_.push_back(AnswerClient{
@@ -282,12 +282,12 @@
 // A connection with many searches may hold only its fair share of the front node's capacity while others
 // search too. The first search of a connection always passes.
 bool Router::over_fair_share(ClientId id, const Client& client) const {
-    if (client.searches.empty() || terms_.most_open <= 0) return false;
+    if (client.searches.empty() || terms_.max_open <= 0) return false;
     const auto others = std::ranges::count_if(
         clients_, [id](auto& held) { return held.first != id && !held.second.searches.empty(); });
     std::size_t held = client.searches.size();
     for (const auto& [stream, search] : client.searches) held += searches_.at(search).parts.size();
-    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(terms_.most_open),
+    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(terms_.max_open),
                                                   static_cast<std::size_t>(others));
 }
 
@@ -397,7 +397,7 @@
     } else {
         connection.in_flight.erase(attempt.wire_id);
         connection.withdrawn[attempt.wire_id] = attempt.expires_at;
-        std::string bytes = protocol::give_up_frame(attempt.wire_id);
+        std::string bytes = protocol::cancel_frame(attempt.wire_id);
         connection.bytes_queued += bytes.size(), connection.last_used = now_;
         effects_.push_back(WriteConnection{attempt.connection, std::move(bytes)});
         // An early disconnect or a complete answer withdraws attempts that were not overdue.
@@ -486,7 +486,7 @@
 
 // Closes before the index server does: a request written to a connection that it is closing is lost.
 Tenths Router::idle_limit() const {
-    return std::max(terms_.idle_span / 2, terms_.idle_span - 2 * terms_.opening.connect_timeout);
+    return std::max(terms_.idle_timeout / 2, terms_.idle_timeout - 2 * terms_.opening.connect_timeout);
 }
 
 std::optional<ConnectionId> Router::connection_for(ServerId server, const Call& call) {
@@ -496,7 +496,7 @@
     for (const ConnectionId id : servers_.at(server).connections) {
         Connection& connection = connections_.at(id);
         if (connection.retired || connection.frame_started_at > 0) continue;
-        if (idle(connection) && terms_.idle_span > 0 && now_ >= connection.last_used + idle_limit()) {
+        if (idle(connection) && terms_.idle_timeout > 0 && now_ >= connection.last_used + idle_limit()) {
             stale.push_back(id);
             continue;
         }
@@ -507,7 +507,8 @@
         });
         if (known) continue; // an answer there could belong to the earlier attempt
         const int then = occupied_slots(connection) + static_cast<int>(call.size());
-        if (then <= terms_.calls_a_connection && (!fallback || then < least)) fallback = id, least = then;
+        if (then <= terms_.max_calls_per_connection && (!fallback || then < least))
+            fallback = id, least = then;
         if (then > max_occupied_slots()) continue;
         const auto rank = [](const Connection& held) { return held.up ? (held.suspect ? 1 : 2) : 0; };
         if (!best || rank(connection) > rank(connections_.at(*best))) best = id;
@@ -592,7 +593,7 @@
         if (probe) {
             bytes = protocol::load_probe_frame();
         } else {
-            std::vector<protocol::PartCall> parts;
+            std::vector<protocol::PartRequest> parts;
             for (const AttemptKey& key : call) {
                 Attempt& attempt = attempts_.at(key);
                 attempt.send_state = SendState::kWriting;
@@ -601,7 +602,7 @@
                 parts.push_back(
                     {attempt.wire_id, attempt.shard, std::max<Tenths>(1, left / 10), attempt.query});
             }
-            bytes = protocol::call_frame(parts);
+            bytes = protocol::part_request_frame(parts);
         }
         connection.bytes_queued += bytes.size(), connection.last_used = now_;
         connection.write_queue.push_back({connection.bytes_queued, call});
@@ -731,7 +732,7 @@
     if (connection.retired || occupied_slots(connection) >= max_occupied_slots() ||
         (connection.suspect && has_healthy_connection(servers_.at(connection.server), true)))
         return close_connection(id);
-    if (terms_.idle_span == 0 || std::exchange(connection.idle_armed, true)) return;
+    if (terms_.idle_timeout == 0 || std::exchange(connection.idle_armed, true)) return;
     schedule(connection.last_used + idle_limit(), IdleTimeout{id});
 }
 
@@ -875,7 +876,7 @@
 // two more calls.
 void Router::query_discovery() {
     discovery_call_ = DiscoveryCallId{next_ask_++}, discovery_connected_ = false;
-    const Tenths wait = std::min(terms_.ask_span, terms_.opening.list_propagation) / 2;
+    const Tenths wait = std::min(terms_.watch_timeout, terms_.opening.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
     schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
     schedule(now_ + wait + wait / 5, DiscoveryTimeout{*discovery_call_});
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -31,7 +31,7 @@
 class Router : private SchedulerHost {
   public:
     // `descriptors`: limit on connections to clients and index servers together.
-    Router(protocol::NodeTerms terms, const protocol::ServerList& known, std::string discovery,
+    Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
            std::size_t descriptors, Tenths now);
 
     // From here on searches need a credential, on the listeners that require one.
@@ -250,7 +250,7 @@
     void suspect_connection(ConnectionId id, const Attempt& attempt);
     void record_activity(Connection& connection);
     int occupied_slots(const Connection& connection) const;
-    int max_occupied_slots() const { return std::max(1, terms_.calls_a_connection - 1); }
+    int max_occupied_slots() const { return std::max(1, terms_.max_calls_per_connection - 1); }
     Tenths idle_limit() const;
     void close_connection(ConnectionId id, bool malformed = false);
     void check_idle(ConnectionId id);
@@ -276,7 +276,7 @@
     std::size_t max_clients() const { return descriptors_ - max_connections() - max_half_closed(); }
     std::int32_t index_of(std::vector<std::string>& names, const std::string& name);
 
-    protocol::NodeTerms terms_;
+    protocol::FrontNodeConfig terms_;
     std::unique_ptr<SearchScheduler> scheduler_;
     std::size_t descriptors_;
     Tenths now_ = 0, armed_ = 0;
--- a/src/sessions/http1/session.cpp
+++ b/src/sessions/http1/session.cpp
@@ -6,7 +6,7 @@
     if (!reads()) return 0;
     const std::size_t taken = parser_.feed(bytes);
     if (parser_.broken() != 0)
-        say(protocol::plain_reply(parser_.broken(), "not understood"), true);
+        say(protocol::error_reply(parser_.broken(), "not understood"), true);
     else if (parser_.complete())
         take(parser_.take());
     return taken;
@@ -21,7 +21,7 @@
         return;
     }
     if (const auto* bad = std::get_if<protocol::BadRequest>(&request))
-        say(protocol::plain_reply(bad->status, bad->why), false);
+        say(protocol::error_reply(bad->status, bad->why), false);
     else
         say(protocol::ready_reply(around_.ready), false);
     news_.emplace_back(AnsweredHere{});
@@ -38,7 +38,7 @@
 }
 
 void Http1Session::reject(StreamNo, int status, std::string_view why, std::string_view challenge, bool last) {
-    say(protocol::plain_reply(status, why, challenge), last);
+    say(protocol::error_reply(status, why, challenge), last);
 }
 
 // An answer for which there is no room ends the connection: half of one would be worse.
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -267,7 +267,7 @@
     stream.phase = Phase::kSearching, --half_;
     const auto refuse = [&](int status, std::string_view why) {
         spend(ClientAction::kBad);
-        if (streams_.contains(number)) reply(number, protocol::plain_reply(status, why));
+        if (streams_.contains(number)) reply(number, protocol::error_reply(status, why));
         news_.emplace_back(AnsweredHere{});
     };
     if (stream.too_large)
@@ -321,9 +321,9 @@
         std::vector<StreamNo> late;
         for (const auto& [number, held] : streams_)
             if (held.phase == Phase::kHalf) late.push_back(number);
-        for (const StreamNo number : late) reply(number, protocol::plain_reply(status, why));
+        for (const StreamNo number : late) reply(number, protocol::error_reply(status, why));
     } else {
-        reply(stream, protocol::plain_reply(status, why, challenge));
+        reply(stream, protocol::error_reply(status, why, challenge));
     }
     if (last) drain();
 }
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -38,14 +38,14 @@
             scheduler_->handle(
                 now, SearchAccepted{SearchId{request_id(message)}, job,
                                     RequestClassNo{index(message, "Kind")}, TenantNo{index(message, "Realm")},
-                                    tenths_to_use(message.integer("TtlUs")), message.flag("IsRetry")});
+                                    tenths_rounded_down(message.integer("TtlUs")), message.flag("IsRetry")});
         else
             scheduler_->handle(now, PartAdded{PartId{request_id(message)}, job,
                                               ShardNo{static_cast<std::int32_t>(shard)},
                                               message.number("SizeOrWeight", 0)});
     } else if (message.name() == "RETURNED") {
         const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
-        const Tenths took = tenths_to_use(message.integer("DelaySeenUs", 0));
+        const Tenths took = tenths_rounded_down(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
         // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
         if (outcome == Outcome::kConnectTimeout && took < connect_timeout_)
@@ -55,7 +55,7 @@
                                              read_report(message)});
     } else if (message.name() == "CHECKED") {
         scheduler_->handle(now, ProbeEnded{server_of(message.text("Server")), message.text("How") == "pass",
-                                           tenths_to_use(message.integer("DelaySeenUs", 0)),
+                                           tenths_rounded_down(message.integer("DelaySeenUs", 0)),
                                            read_report(message)});
     } else if (message.name() == "LAPSED") {
         scheduler_->handle(now, SearchAbandoned{SearchId{request_id(message)}});
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -23,7 +23,7 @@
     std::string process_batch(const std::string& opening, std::istream& in) {
         const Message begin(opening);
         if (begin.name() != "BEGIN_BATCH") throw WireError("expected BEGIN_BATCH: " + opening.substr(0, 80));
-        now_ = tenths_to_use(begin.integer_within("TimeUs", 0, kMaxInteger));
+        now_ = tenths_rounded_down(begin.integer_within("TimeUs", 0, kMaxInteger));
         addressed_nodes_.clear();
         current_node_ = nullptr;
         for (std::string text;;) {
@@ -60,7 +60,7 @@
             addressed_nodes_.push_back(*current_node_);
         if (message.name() == "OPEN_INSTANCE") {
             instances_.erase(*current_node_);
-            instances_.try_emplace(*current_node_, read_terms(message));
+            instances_.try_emplace(*current_node_, read_scheduler_config(message));
             return;
         }
         const auto found = instances_.find(*current_node_);
@@ -104,7 +104,8 @@
         if (row.has("Availability")) entry.listed = read_listed(row.text("Availability"));
         entry.weight = row.number("Weight", 1);
         // Rounded up: a later start treats the server as cold for longer, which is safe.
-        entry.started = row.has("BornUs") ? tenths_to_wait(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
+        entry.started =
+            row.has("BornUs") ? tenths_rounded_up(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
         return entry;
     }
 
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -51,8 +51,9 @@
 
 bool Message::flag(std::string_view field) const { return has(field) && to_bool(text(field), field); }
 
-SchedulerConfig read_terms(const Message& opening) {
-    return protocol::read_terms(opening.fields(), static_cast<std::uint64_t>(opening.integer("Nonce64", 0)));
+SchedulerConfig read_scheduler_config(const Message& opening) {
+    return protocol::read_scheduler_config(opening.fields(),
+                                           static_cast<std::uint64_t>(opening.integer("Nonce64", 0)));
 }
 
 LoadReport read_report(const Message& message) {
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -1,7 +1,7 @@
 // Parsing of the simulator's text protocol: messages, fields and values. Malformed input throws WireError
 // with a message that names the place.
 #pragma once
-#include "protocol/terms.hpp"
+#include "protocol/front_node_config.hpp"
 #include "protocol/values.hpp"
 #include "search_scheduler.hpp"
 
@@ -36,7 +36,7 @@
     std::map<std::string_view, std::string_view> fields_;
 };
 
-SchedulerConfig read_terms(const Message& opening);
+SchedulerConfig read_scheduler_config(const Message& opening);
 LoadReport read_report(const Message& message);
 Outcome read_outcome(std::string_view value);
 ListedState read_listed(std::string_view value);
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -62,9 +62,9 @@
 
 Loop::~Loop() { close(epoll_); }
 
-Tenths Loop::now() const { return tenths_to_use(steady_us() + steady_to_unix_us_); }
+Tenths Loop::now() const { return tenths_rounded_down(steady_us() + steady_to_unix_us_); }
 
-Tenths Loop::wall() { return tenths_to_use(unix_us()); }
+Tenths Loop::wall() { return tenths_rounded_down(unix_us()); }
 
 void Loop::wait(std::optional<Tenths> until) {
     wait_for_events(until);
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -26,7 +26,7 @@
             if (static_cast<std::uint8_t>(head_[4]) != kProtocolVersion)
                 error_ = error(ErrorKind::kOtherVersion,
                                "a peer speaks another protocol version: run one version everywhere");
-            else if (size > kMostFrameBytes || size == 0)
+            else if (size > kMaxFrameBytes || size == 0)
                 error_ = error(ErrorKind::kProtocol,
                                "a frame is empty or larger than 16 MiB: it is no ivyrill peer");
             left_ = size;
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -13,7 +13,7 @@
 namespace ivyrill::wire {
 
 inline constexpr std::uint8_t kProtocolVersion = 4;
-inline constexpr std::size_t kMostFrameBytes = 16 * 1024 * 1024; // a whole configuration and all servers fit
+inline constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024; // a whole configuration and all servers fit
 
 std::string frame(std::string_view cbor);
 
--- a/tests/desk.hpp
+++ b/tests/desk.hpp
@@ -10,15 +10,17 @@
 
 using protocol::Verdict;
 
-inline protocol::NodeTerms node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
-    protocol::NodeTerms terms;
+inline protocol::FrontNodeConfig
+node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
+    protocol::FrontNodeConfig terms;
     terms.opening = default_config();
     terms.opening.hedging_enabled = false;
     terms.opening.list_mode = ListMode::kQueried;
     terms.opening.request_classes[0].idempotency = idempotency;
     terms.request_classes = {"find"}, terms.tenants = {"acme"}, terms.zones = {"a"}, terms.kinds = {"m"};
-    terms.calls_a_connection = 100, terms.shards = 2;
-    terms.opening.connect_timeout = ms(250), terms.idle_span = ms(15'000), terms.ask_span = ms(10'000);
+    terms.max_calls_per_connection = 100, terms.shards = 2;
+    terms.opening.connect_timeout = ms(250), terms.idle_timeout = ms(15'000),
+    terms.watch_timeout = ms(10'000);
     return terms;
 }
 
@@ -36,7 +38,8 @@
 
 // A router and the effects that it has returned so far.
 struct Desk {
-    explicit Desk(protocol::NodeTerms terms = node_terms(), int servers = 2, std::size_t descriptors = 1000)
+    explicit Desk(protocol::FrontNodeConfig terms = node_terms(), int servers = 2,
+                  std::size_t descriptors = 1000)
         : router(std::move(terms), list(servers), "10.0.1.1:1", descriptors, ms(1000)) {
         turn();
     }
@@ -62,10 +65,10 @@
         tell(ClientOpened{ClientId{++clients}});
         return ClientId{clients};
     }
-    ClientId search(const std::vector<int>& shards = {0}, std::int64_t left_us = 2'000'000) {
+    ClientId search(const std::vector<int>& shards = {0}, std::int64_t timeout_us = 2'000'000) {
         const ClientId id = client();
         protocol::SearchRequest request{
-            "q" + std::to_string(clients), "find", "acme", "text", left_us, false, {}};
+            "q" + std::to_string(clients), "find", "acme", "text", timeout_us, false, {}};
         for (const int shard : shards) request.targets.push_back({shard, 1.0 / shards.size()});
         tell(SearchReceived{id, request, 0});
         return id;
--- a/tests/frame_tests.cpp
+++ b/tests/frame_tests.cpp
@@ -166,7 +166,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_frame_that_is_too_large_or_empty_is_refused_by_its_head) {
-    const auto most = static_cast<std::uint32_t>(wire::kMostFrameBytes);
+    const auto most = static_cast<std::uint32_t>(wire::kMaxFrameBytes);
     for (const std::uint32_t size : {0U, most + 1, most * 2, 0x7FFFFFFFU, 0xFFFFFFFFU}) {
         FrameReader reader;
         reader.feed(framed(size, wire::kProtocolVersion));
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -50,7 +50,7 @@
 }
 
 ControlWorld::ControlWorld(ControlPlan plan) : plan_(plan), network_(plan.seed) {
-    silence_log_lines(true);
+    set_log_silent(true);
     network_.watched = [this](MachineNumber, MachineNumber to, const feed::Message&) {
         if (nodes_.contains(to)) watch_opening(to);
     };
--- a/tests/lab/hall.cpp
+++ b/tests/lab/hall.cpp
@@ -59,7 +59,7 @@
     rotate("k0", access::Algorithm::kEdDsa, kDay);
     write("ivyrill.star", "_FOLDER = \"" + folder_ + "\"\n" + kOperatorFile + plan.more);
 
-    protocol::StartOrders orders;
+    protocol::StartConfig orders;
     orders.name = "hall", orders.listen = "127.0.0.1:0", orders.discovery = fleet.discovery();
     orders.sockets = plan.sockets, orders.memory_mb = 192, orders.known = fleet.list();
     SchedulerConfig& terms = orders.terms.opening;
@@ -77,8 +77,8 @@
     terms.cells = plan.servers;
     orders.terms.request_classes = {"find", "annotate"}, orders.terms.tenants = {"etna", "conca"};
     orders.terms.zones = {"a"}, orders.terms.kinds = {"m"}, orders.terms.shards = plan.servers;
-    orders.terms.calls_a_connection = 100, orders.terms.opening.connect_timeout = kTenthsPerSecond / 4;
-    orders.terms.idle_span = 15 * kTenthsPerSecond, orders.terms.ask_span = 100 * kTenthsPerSecond;
+    orders.terms.max_calls_per_connection = 100, orders.terms.opening.connect_timeout = kTenthsPerSecond / 4;
+    orders.terms.idle_timeout = 15 * kTenthsPerSecond, orders.terms.watch_timeout = 100 * kTenthsPerSecond;
 
     int ends[2];
     if (pipe(ends) != 0) throw std::runtime_error("no pipe");
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -51,7 +51,7 @@
             const ClientRequest read = read_client_request(message);
             const auto& search = std::get<SearchRequest>(read);
             assert(search.id == "9b1f" && search.request_class == "position-find" && search.tenant == "acme");
-            assert(search.left_us == 480'000 && !search.repeat && search.query == kQuery);
+            assert(search.timeout_us == 480'000 && !search.repeat && search.query == kQuery);
             assert(search.targets.size() == 2 && search.targets[1].shard == 9);
         }
     }
@@ -86,7 +86,7 @@
         assert(status() == 400);
     }
     message.body = R"({"query":"q","targets":[{"partition":1,"share":1}]})";
-    assert(std::get<SearchRequest>(read_client_request(message)).left_us == 250'000);
+    assert(std::get<SearchRequest>(read_client_request(message)).timeout_us == 250'000);
     message.headers[0].second = "two words"; // would break the line of a frame
     assert(status() == 400);
 }
@@ -157,13 +157,14 @@
                 if (parser.complete()) frames.push_back(parser.take());
             }
         assert(frames.size() == 3 && !parser.broken());
-        const PartAnswer answer = read_part_answer(frames[0].rest);
+        const PartResponse answer = read_part_response(frames[0].rest);
         assert(answer.id == "9b1f.3" && answer.outcome == Outcome::kAnswered && answer.value == "va\nlue");
         assert(answer.report.in_flight == 7.0 && answer.report.queued == 2.0);
-        assert(read_load_answer(frames[1].rest).passed && !read_load_answer(frames[2].rest).passed);
+        assert(read_load_response(frames[1].rest).passed && !read_load_response(frames[2].rest).passed);
     }
-    assert(call_frame({{"9b1f.3", 3, 240, "c41e77d0"}}) == frame_of('S', "9b1f.3 3 d=240 8\nc41e77d0"));
-    assert(give_up_frame("9b1f.3") == frame_of('C', "9b1f.3"));
+    assert(part_request_frame({{"9b1f.3", 3, 240, "c41e77d0"}}) ==
+           frame_of('S', "9b1f.3 3 d=240 8\nc41e77d0"));
+    assert(cancel_frame("9b1f.3") == frame_of('C', "9b1f.3"));
 }
 
 void hostile_frames_break_before_memory_is_spent() {
@@ -172,14 +173,14 @@
     assert(huge.broken() && none.broken());
     FrameParser letter, endless, midway;
     letter.feed(frame_of('\1', "a.1 done 1 -\nv")); // no letter of the protocol
-    endless.feed(std::string("\0\3\0\0R", 5) + std::string(kMostLine + 1, 'a'));
+    endless.feed(std::string("\0\3\0\0R", 5) + std::string(kMaxLineBytes + 1, 'a'));
     assert(letter.broken() && endless.broken());
     midway.feed(frame_of('R', "a.1 done 1 -\nvalue").substr(0, 9));
     assert(midway.midway() && !midway.complete() && !midway.broken());
     for (const char* rest : {"", "a done 1 -", "a done 1\n", "a perhaps 1 -\n", "a  1 -\n"}) {
         bool thrown = false;
         try {
-            read_part_answer(rest);
+            read_part_response(rest);
         } catch (const ProtocolError&) { thrown = true; }
         assert(thrown);
     }
@@ -189,12 +190,12 @@
 void good_answer_counts_although_its_report_cannot_be_read() {
     for (const char* report :
          {"=,=", "nan", "queue=nan", "queue=x", "inflight=-3", "busy_reqs=1e300,pending=1"}) {
-        const PartAnswer answer = read_part_answer("a.1 done 1 " + std::string(report) + "\nv");
+        const PartResponse answer = read_part_response("a.1 done 1 " + std::string(report) + "\nv");
         assert(answer.outcome == Outcome::kAnswered && answer.value == "v");
         assert(!answer.report.queued && !answer.report.in_flight);
     }
-    assert(read_part_answer("a.1 done 1 busy_reqs=2,pending=0.5\nv").report.queued == 0.5);
-    assert(read_load_answer("queue=x").passed && part_named("a.1 perhaps 1 -") == "a.1");
+    assert(read_part_response("a.1 done 1 busy_reqs=2,pending=0.5\nv").report.queued == 0.5);
+    assert(read_load_response("queue=x").passed && read_part_id("a.1 perhaps 1 -") == "a.1");
 }
 
 // Whatever comes, a parser takes it, says that it is broken, or throws its own error; it never takes more
@@ -218,7 +219,7 @@
         for (std::string_view left = bytes; !left.empty() && !frames.broken();) {
             left.remove_prefix(frames.feed(left));
             if (frames.complete()) try {
-                    read_part_answer(frames.take().rest);
+                    read_part_response(frames.take().rest);
                 } catch (const ProtocolError&) {}
         }
         try {
@@ -268,8 +269,8 @@
         R"("Name":"game annotate","Worth":2.0}],"Limits":{"MostTries":3,"MaxOpen":203,"ConnIdleUs":15000000},)"
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
-    const StartOrders read = read_start_orders(orders);
-    const SchedulerConfig simulated = simulator::read_terms(simulator::Message(
+    const StartConfig read = read_start_config(orders);
+    const SchedulerConfig simulated = simulator::read_scheduler_config(simulator::Message(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
@@ -282,7 +283,7 @@
            terms.request_classes[0].floor == 0.5);
     assert(terms.cells == 4 && simulated.cells == 4 && terms.max_attempts == 3);
     assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
-    assert(read.terms.most_open == 203 && read.terms.idle_span == ms(15'000) && read.sockets == 1024);
+    assert(read.terms.max_open == 203 && read.terms.idle_timeout == ms(15'000) && read.sockets == 1024);
 }
 
 constexpr Test kTests[] = {
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -26,7 +26,7 @@
 }
 
 void parts_for_one_server_are_batched() {
-    protocol::NodeTerms terms = node_terms();
+    protocol::FrontNodeConfig terms = node_terms();
     terms.batch = 2, terms.shards = 3;
     Desk desk(terms, 1);
     const ClientId client = desk.search({0, 1, 2});
@@ -40,8 +40,8 @@
 }
 
 void full_connection_opens_a_second_one() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 3; // of which one slot stays free
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 3; // of which one slot stays free
     Desk desk(terms, 1);
     desk.search({0, 1});
     assert(desk.all<OpenConnection>().size() == 1);
@@ -134,7 +134,7 @@
 void frame_stuck_in_the_write_queue_closes_its_connection() {
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
+        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
         terms.opening.may_cancel = false;
         Desk desk(terms, 1);
         const ClientId client = desk.search({0}, ends == kItsTime ? 400'000 : 2'000'000);
@@ -156,8 +156,8 @@
 // cancellation: withdrawn parts keep their slots until answered, and one slot stays free for the
 // cancellation.
 void withdrawn_part_keeps_its_slot() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 4, terms.shards = 4;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 4, terms.shards = 4;
     Desk desk(terms, 1);
     const ClientId leaving = desk.search({0, 1});
     const ClientId staying = desk.search({0});
@@ -178,8 +178,8 @@
 
 // It could get no new calls, and closing it lets the server drop the withdrawn parts.
 void connection_full_of_withdrawn_parts_is_closed() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 3;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 3;
     Desk desk(terms, 1);
     const ClientId leaving = desk.search({0, 1});
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -192,8 +192,8 @@
 
 // If no other connection can be opened, the last slot is used, but the limit is never exceeded.
 void limit_of_a_connection_is_never_exceeded() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 2;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 2;
     Desk desk(terms, 1, 2); // one connection to index servers
     for (int i = 0; i < 3; ++i) desk.search();
     const ConnectionId connection = desk.all<OpenConnection>()[0].connection;
@@ -444,8 +444,8 @@
 }
 
 void searches_over_the_limit_are_rejected_at_once() {
-    protocol::NodeTerms terms = node_terms();
-    terms.most_open = 3;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_open = 3;
     Desk desk(terms);
     const ClientId first = desk.search({0, 1}), second = desk.search();
     assert(!desk.verdict(first) && desk.verdict(second) == Verdict::kRejected);
@@ -523,7 +523,7 @@
 
 // The client has disconnected and nothing may be cancelled: an unsent attempt is not sent later.
 void nothing_is_sent_for_a_disconnected_client() {
-    protocol::NodeTerms terms = node_terms();
+    protocol::FrontNodeConfig terms = node_terms();
     terms.opening.may_cancel = false;
     Desk desk(terms, 1);
     const ClientId client = desk.search();
@@ -547,7 +547,7 @@
 // Servers drop repeats for 300 ms; the second connection is established later than that.
 void keyed_part_is_not_sent_after_its_dedup_window() {
     for (const bool in_time : {true, false}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
+        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
         terms.opening.request_classes[0].dedup_window = ms(300);
         Desk desk(terms);
         desk.search();
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -183,7 +183,7 @@
     assert(parsed.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
     assert(!parsed.access->terms.other_request_classes && parsed.listeners.size() == 1 &&
            parsed.listeners[0].guarded);
-    assert(parsed.handshakes.most_open == 10 && !settings("").access);
+    assert(parsed.handshakes.max_open == 10 && !settings("").access);
 }
 
 void unknown_field_is_rejected_with_the_nearest_name() {
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -123,8 +123,8 @@
 struct World {
     // With `start`, the front node listens but does not run before `start` is released.
     explicit World(Idempotency idempotency = Idempotency::kIdempotent, std::int64_t sockets = 256,
-                   const Start* start = nullptr, Tenths due = ms(1000), int calls_a_connection = 100) {
-        protocol::StartOrders orders;
+                   const Start* start = nullptr, Tenths due = ms(1000), int max_calls_per_connection = 100) {
+        protocol::StartConfig orders;
         orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
         orders.terms.opening = default_config();
         orders.terms.opening.list_mode = ListMode::kQueried;
@@ -133,14 +133,14 @@
         orders.terms.opening.request_classes[0].idempotency = idempotency,
         orders.terms.opening.request_classes[0].latency_target = due;
         orders.terms.request_classes = {"find"}, orders.terms.shards = 2;
-        orders.terms.calls_a_connection = calls_a_connection;
+        orders.terms.max_calls_per_connection = max_calls_per_connection;
         orders.terms.opening.connect_timeout = ms(250);
-        orders.terms.idle_span = ms(15'000), orders.terms.ask_span = ms(100'000);
+        orders.terms.idle_timeout = ms(15'000), orders.terms.watch_timeout = ms(100'000);
         orders.known.version = 1;
         for (int i = 0; i < 2; ++i)
             orders.known.servers.push_back(
                 {"s" + std::to_string(i), servers[i].address(), "a", "m", i, ListedState::kLive, 1, 0});
-        protocol::StartOrders changed = orders;
+        protocol::StartConfig changed = orders;
         changed.discovery = moved.address();
         int ends[2];
         assert(pipe(ends) == 0);
@@ -568,7 +568,7 @@
 
 void address_in_use_is_a_clear_error() {
     Listener taken;
-    protocol::StartOrders orders;
+    protocol::StartConfig orders;
     orders.listen = taken.address(), orders.sockets = 256;
     bool thrown = false;
     try {
--- a/tests/usage_duty_tests.cpp
+++ b/tests/usage_duty_tests.cpp
@@ -47,7 +47,7 @@
     std::unique_ptr<UsageDuty> duty;
 
     Fixture() {
-        silence_log_lines(true);
+        set_log_silent(true);
         restart();
     }
     void restart() {
--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -377,12 +377,12 @@
         std::size_t sum = 0;
         for (const feed::UsageCounts& message : messages) {
             const std::size_t bytes = wire::to_bytes(feed::Message{message}).size();
-            BOOST_TEST(bytes <= wire::kMostFrameBytes / 8);
+            BOOST_TEST(bytes <= wire::kMaxFrameBytes / 8);
             sum += bytes;
         }
         return sum;
     };
-    BOOST_TEST(bytes_of(exchange.recent()) <= wire::kMostFrameBytes);
+    BOOST_TEST(bytes_of(exchange.recent()) <= wire::kMaxFrameBytes);
     for (const feed::UsageCounts& message : exchange.recent()) peer.merge(message, now);
     const std::int64_t newest = kWindow + kWindows - 1;
     BOOST_TEST((peer_aggregator.counts(newest) == aggregator.counts(newest)));
