--- a/src/base/hash.hpp
+++ b/src/base/hash.hpp
@@ -1,6 +1,6 @@
-// FNV-1a, 64 bits, with a final mix (the finalizer of MurmurHash3) so that every bit of the result depends on
-// every bit of the text. The same on every machine: ranges, parts and rendezvous orders are compared between
-// processes.
+// 64-bit FNV-1a followed by the MurmurHash3 finalizer, so that every bit of the result depends on every bit
+// of the text. Results are the same on every machine, since processes compare ranges, partitions and
+// rendezvous orders.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -17,8 +17,8 @@
 
 constexpr std::uint64_t hash_text(std::string_view text, std::uint64_t seed = 0) {
     std::uint64_t hash = 0xcbf29ce484222325ULL ^ seed;
-    for (const char letter : text) {
-        hash ^= static_cast<unsigned char>(letter);
+    for (const char character : text) {
+        hash ^= static_cast<unsigned char>(character);
         hash *= 0x100000001b3ULL;
     }
     return mix_bits(hash);
--- a/src/base/ids.hpp
+++ b/src/base/ids.hpp
@@ -1,4 +1,4 @@
-// Each kind of id is a type of its own, so that one can never stand in for another.
+// Strongly typed ids: each kind of id is a distinct type, so they cannot be mixed up.
 #pragma once
 #include <compare>
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 using SearchId = Id<struct SearchTag, std::uint32_t>;
 using PartId = Id<struct PartTag, std::uint32_t>;
-using JobNo = Id<struct JobTag, std::uint64_t>; // what ties the parts of one search together
+using JobNo = Id<struct JobTag, std::uint64_t>; // shared by the parts of one search
 using ShardNo = Id<struct ShardTag, std::int32_t>;
 using CellNo = Id<struct CellTag, std::int32_t>;
 using ServerId = Id<struct ServerTag, std::uint32_t>;
@@ -20,6 +20,6 @@
 using TenantNo = Id<struct TenantTag, std::int32_t>;
 using ZoneNo = Id<struct ZoneTag, std::int32_t>;
 using KindNo = Id<struct KindTag, std::int32_t>;
-using AttemptNo = Id<struct AttemptTag, std::uint32_t>; // counts the attempts of one part from 0
+using AttemptNo = Id<struct AttemptTag, std::uint32_t>; // attempt number of a part, from 0
 
 } // namespace ivyrill
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string prefix; // node and role
+std::string identity_fields; // the node and role fields of every line
 std::atomic<bool> is_silent = false;
 
 void append_value(std::string& line, std::string_view value) {
@@ -20,9 +20,9 @@
         return;
     }
     line.push_back('"');
-    for (const char letter : value) {
-        if (letter == '"' || letter == '\\') line.push_back('\\');
-        line.push_back(letter == '\n' || letter == '\r' ? ' ' : letter);
+    for (const char character : value) {
+        if (character == '"' || character == '\\') line.push_back('\\');
+        line.push_back(character == '\n' || character == '\r' ? ' ' : character);
     }
     line.push_back('"');
 }
@@ -30,7 +30,7 @@
 } // namespace
 
 void set_log_identity(const std::string& node, const std::string& role) {
-    prefix = fmt::format(" node={} role={}", node, role);
+    identity_fields = fmt::format(" node={} role={}", node, role);
 }
 
 void set_log_silent(bool silent) { is_silent = silent; }
@@ -38,7 +38,7 @@
 void log_line(std::string_view event, std::initializer_list<LogField> fields) {
     if (is_silent) return;
     const auto now = std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
-    std::string line = "time=" + date::format("%FT%TZ", now) + prefix;
+    std::string line = "time=" + date::format("%FT%TZ", now) + identity_fields;
     line.append(" event=").append(event);
     for (const LogField& field : fields) {
         line.append(" ").append(field.key).append("=");
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,6 +1,5 @@
-// The log of the fleet's programs: one line of key=value pairs for each event, on standard error, by fmt.
-// What could come with every request is counted and told every so often by its caller, not logged line by
-// line.
+// Structured logging: one line of key=value pairs per event, on standard error. Callers aggregate events that
+// can occur with every request and log their counts periodically.
 #pragma once
 #include <initializer_list>
 #include <string>
@@ -11,11 +10,11 @@
 
 struct LogField {
     std::string_view key;
-    std::string value; // quoted where it holds blanks, quotes or line ends
+    std::string value; // quoted if it contains blanks, quotes or newlines
 };
 
-void set_log_identity(const std::string& node, const std::string& role); // written into every line
-void set_log_silent(bool silent); // for simulations, whose many processes would all write
+void set_log_identity(const std::string& node, const std::string& role); // included in every line
+void set_log_silent(bool silent);                                        // for simulations of many processes
 void log_line(std::string_view event, std::initializer_list<LogField> fields = {});
 
 } // namespace ivyrill
--- a/src/base/pcg.hpp
+++ b/src/base/pcg.hpp
@@ -6,18 +6,18 @@
 
 class Pcg {
   public:
-    explicit Pcg(std::uint64_t seed) : state_(seed + kStep) { next(); }
+    explicit Pcg(std::uint64_t seed) : state_(seed + kIncrement) { next(); }
     std::uint32_t next() {
-        const std::uint64_t old = state_;
-        state_ = old * 6364136223846793005ULL + kStep;
-        const auto mixed = static_cast<std::uint32_t>(((old >> 18U) ^ old) >> 27U);
-        const auto turn = static_cast<std::uint32_t>(old >> 59U);
-        return (mixed >> turn) | (mixed << ((32U - turn) & 31U));
+        const std::uint64_t previous = state_;
+        state_ = previous * 6364136223846793005ULL + kIncrement;
+        const auto xorshifted = static_cast<std::uint32_t>(((previous >> 18U) ^ previous) >> 27U);
+        const auto rotation = static_cast<std::uint32_t>(previous >> 59U);
+        return (xorshifted >> rotation) | (xorshifted << ((32U - rotation) & 31U));
     }
     double unit() { return next() / 4294967296.0; } // in [0, 1)
 
   private:
-    static constexpr std::uint64_t kStep = 1442695040888963407ULL;
+    static constexpr std::uint64_t kIncrement = 1442695040888963407ULL;
     std::uint64_t state_;
 };
 
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -1,5 +1,4 @@
-// Typed errors as values: a kind that code can act on, and a message that names the remedy for whoever reads
-// it.
+// Errors as values: a kind for the code to act on, and a message for humans that names the remedy.
 #pragma once
 #include <boost/outcome/basic_result.hpp>
 #include <boost/outcome/policy/all_narrow.hpp>
@@ -12,21 +11,20 @@
 namespace ivyrill {
 
 enum class ErrorKind : std::uint8_t {
-    kInvalidInput,    // what was handed in can't be used as it is; the sender has to change it
-    kVersionConflict, // built on another version than the current one
-    kUnavailable,     // can't be done now; the same call may succeed later or elsewhere
-    kStorage,         // the disk refused, or holds what can't be read
-    kProtocol,        // a peer sent what is no message of this protocol version
-    kOtherVersion     // a peer speaks another version of the protocol
+    kInvalidInput,    // the input is invalid and must be changed by the sender
+    kVersionConflict, // based on another version than the current one
+    kUnavailable,     // temporary failure; a retry later or on another node may succeed
+    kStorage,         // disk I/O failed, or the stored data is unreadable
+    kProtocol,        // malformed message from a peer
+    kOtherVersion     // a peer uses another protocol version
 };
 
 struct Error {
     ErrorKind kind = ErrorKind::kInvalidInput;
-    std::string message; // one sentence; ends with what to do where something can be done
+    std::string message; // one sentence; ends with a remedy if there is one
 };
 
-// Access to a value that isn't there is undefined, so every use asks has_value() or goes through
-// BOOST_OUTCOME_TRY.
+// Accessing an absent value is undefined behavior: check has_value() or use BOOST_OUTCOME_TRY.
 template <class Value>
 using Result = boost::outcome_v2::basic_result<Value, Error, boost::outcome_v2::policy::all_narrow>;
 
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,5 +1,5 @@
-// Times and spans are whole tenths of a millisecond. Conversions name the side they round to: what may be
-// used of a time rounds down, what must be waited out rounds up.
+// Times and durations are integer tenths of a millisecond. Conversions from microseconds round down for time
+// that may be used (timeouts, deadlines) and up for time that must pass (windows, minimum waits).
 #pragma once
 #include <cstdint>
 
@@ -13,6 +13,6 @@
 constexpr Tenths tenths_rounded_up(std::int64_t micros) {
     return micros / kMicrosPerTenth + (micros % kMicrosPerTenth > 0 ? 1 : 0);
 }
-constexpr std::int64_t to_micros(Tenths span) { return span * kMicrosPerTenth; }
+constexpr std::int64_t to_micros(Tenths duration) { return duration * kMicrosPerTenth; }
 
 } // namespace ivyrill
--- a/src/control/heartbeat_call.cpp
+++ b/src/control/heartbeat_call.cpp
@@ -15,7 +15,7 @@
 
 std::string text_or(const protocol::Json& object, std::string_view name, std::string fallback) {
     const protocol::Json* found = object.find(name);
-    return found == nullptr || found->sort == protocol::Json::Sort::kNull ? fallback : found->as_text(name);
+    return found == nullptr || found->type == protocol::Json::Type::kNull ? fallback : found->as_text(name);
 }
 
 std::optional<InstanceState> parse_state(const std::string& text) {
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -544,16 +544,17 @@
 
 void Node::handle_frame(Connection& connection, const protocol::Frame& frame) {
     try {
-        if (frame.letter == 'R')
-            return post(routing::PartAnswered{connection.id, protocol::read_part_response(frame.rest),
+        if (frame.type == 'R')
+            return post(routing::PartAnswered{connection.id, protocol::read_part_response(frame.payload),
                                               connection.stream.age()});
-        if (frame.letter == 'M')
-            return post(routing::LoadReceived{connection.id, protocol::read_load_response(frame.rest)});
-        if (frame.letter != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.letter);
-        log_limited("index server: it rejected a frame: {}", protocol::quoted(frame.rest));
+        if (frame.type == 'M')
+            return post(routing::LoadReceived{connection.id, protocol::read_load_response(frame.payload)});
+        if (frame.type != 'F') throw protocol::ProtocolError(std::string("frame ") + frame.type);
+        log_limited("index server: it rejected a frame: {}", protocol::quoted(frame.payload));
     } catch (const protocol::ProtocolError& error) {
         log_limited("index server: {}", error.what());
-        post(routing::MalformedDataReceived{connection.id, std::string(protocol::read_part_id(frame.rest))});
+        post(routing::MalformedDataReceived{connection.id,
+                                            std::string(protocol::read_part_id(frame.payload))});
     }
     connection.closing = true;
 }
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -1,5 +1,5 @@
-// The one reading of the settings: paths and plain values in, typed terms out. The simulator's first message
-// comes as such paths already; a front node's configuration is flattened into them.
+// Reads the front node's settings from a flat map of dotted paths to values into typed configuration. The
+// simulator's first message already has this form; a front node's JSON configuration is flattened into it.
 #pragma once
 #include "search_scheduler.hpp"
 
@@ -12,19 +12,19 @@
 
 using PathValues = std::map<std::string, std::string, std::less<>>;
 
-// What the network side has to keep, beside what the module is told.
+// The configuration of the network layer, and that of the scheduler in `opening`.
 struct FrontNodeConfig {
     SchedulerConfig opening;
-    int max_open = 0;                 // searches and parts held at once, 0: no limit
-    int batch = 1;                    // parts in one call
-    int max_calls_per_connection = 1; // ... carried at once
+    int max_open = 0;                 // concurrent searches and parts, 0: no limit
+    int batch = 1;                    // parts per call
+    int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
-    Tenths idle_timeout = 0;  // the index server closes an idle connection after this, 0: never
-    Tenths watch_timeout = 0; // without a watch for so long, news counts as told
+    Tenths idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
+    Tenths watch_timeout = 0; // maximum time that a list change may wait for a client to poll
     std::vector<std::string> request_classes, tenants, zones, kinds;
 };
 
-// Spaces and commas become _ wherever a name of the settings is read or looked up.
+// Replaces spaces and commas by _; applied wherever a name of the settings is read or looked up.
 std::string sanitize_name(std::string_view name);
 
 SchedulerConfig read_scheduler_config(const PathValues& settings, std::uint64_t seed);
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -10,8 +10,8 @@
 
 std::string lower(std::string_view text) {
     std::string out(text);
-    for (char& letter : out)
-        if (letter >= 'A' && letter <= 'Z') letter = static_cast<char>(letter - 'A' + 'a');
+    for (char& character : out)
+        if (character >= 'A' && character <= 'Z') character = static_cast<char>(character - 'A' + 'a');
     return out;
 }
 
@@ -27,20 +27,21 @@
 }
 
 bool is_token(std::string_view text) { // RFC 9110, 5.6.2
-    constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-    return !text.empty() && std::ranges::all_of(text, [&](char letter) {
-        return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'z') ||
-               (letter >= 'A' && letter <= 'Z') || kMarks.find(letter) != std::string_view::npos;
+    constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
+    return !text.empty() && std::ranges::all_of(text, [&](char character) {
+        return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+               (character >= 'A' && character <= 'Z') ||
+               kTokenPunctuation.find(character) != std::string_view::npos;
     });
 }
 
-bool is_printed(std::string_view text, bool blanks) { // no control characters
-    return std::ranges::all_of(text, [&](unsigned char letter) {
-        return letter > 0x20 ? letter != 0x7F : blanks && (letter == ' ' || letter == '\t');
+bool is_printable(std::string_view text, bool allow_blanks) { // no control characters
+    return std::ranges::all_of(text, [&](unsigned char character) {
+        return character > 0x20 ? character != 0x7F : allow_blanks && (character == ' ' || character == '\t');
     });
 }
 
-bool lists(std::string_view values, std::string_view wanted) { // a comma-separated list of words
+bool list_contains(std::string_view values, std::string_view wanted) { // in a comma-separated list
     for (std::size_t begin = 0; begin <= values.size();) {
         const std::size_t end = std::min(values.find(',', begin), values.size());
         if (lower(trimmed(values.substr(begin, end - begin))) == wanted) return true;
@@ -104,59 +105,59 @@
 }
 
 std::size_t HttpParser::feed(std::string_view bytes) {
-    std::size_t taken = 0;
-    while (taken < bytes.size() && stage_ != Stage::kComplete && stage_ != Stage::kBroken) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && stage_ != Stage::kComplete && stage_ != Stage::kBroken) {
         begun_ = true;
-        if (stage_ == Stage::kBody || stage_ == Stage::kChunk || stage_ == Stage::kToEnd) {
-            taken += take_body(bytes.substr(taken));
+        if (stage_ == Stage::kBody || stage_ == Stage::kChunk || stage_ == Stage::kUntilClose) {
+            consumed += take_body(bytes.substr(consumed));
             continue;
         }
-        const std::size_t end = bytes.find('\n', taken);
-        const std::size_t upto = end == std::string_view::npos ? bytes.size() : end + 1;
-        head_size_ += upto - taken;
+        const std::size_t end = bytes.find('\n', consumed);
+        const std::size_t line_end = end == std::string_view::npos ? bytes.size() : end + 1;
+        head_size_ += line_end - consumed;
         if (head_size_ > limits_.head) {
             fail(431);
             break;
         }
-        line_.append(bytes.substr(taken, upto - taken));
-        taken = upto;
-        if (end != std::string_view::npos) line_done();
+        line_.append(bytes.substr(consumed, line_end - consumed));
+        consumed = line_end;
+        if (end != std::string_view::npos) finish_line();
     }
-    return taken;
+    return consumed;
 }
 
 std::size_t HttpParser::take_body(std::string_view bytes) {
-    const std::size_t size = stage_ == Stage::kToEnd ? bytes.size() : std::min(left_, bytes.size());
+    const std::size_t size = stage_ == Stage::kUntilClose ? bytes.size() : std::min(remaining_, bytes.size());
     if (message_.body.size() + size > limits_.body) return fail(413), size;
     message_.body.append(bytes.substr(0, size));
-    if (stage_ == Stage::kToEnd) return size;
-    left_ -= size;
-    if (left_ == 0) stage_ = stage_ == Stage::kChunk ? Stage::kChunkEnd : Stage::kComplete;
+    if (stage_ == Stage::kUntilClose) return size;
+    remaining_ -= size;
+    if (remaining_ == 0) stage_ = stage_ == Stage::kChunk ? Stage::kChunkEnd : Stage::kComplete;
     return size;
 }
 
-void HttpParser::line_done() {
-    std::string held = std::move(line_);
+void HttpParser::finish_line() {
+    std::string line_text = std::move(line_);
     line_.clear();
-    std::string_view line(held);
+    std::string_view line(line_text);
     line.remove_suffix(1);
     if (line.ends_with('\r'))
         line.remove_suffix(1);
-    else if (side_ == Side::kRequests) // where one reads a line end and another none, a request can hide
+    else if (side_ == Side::kRequests) // a bare LF that only some parsers accept allows request smuggling
         return fail(400);
     switch (stage_) {
     case Stage::kHead:
         if (line.empty() && first_line_) return void(begun_ = false); // blank lines before a message
-        return line.empty() ? head_done() : head_line(line);
+        return line.empty() ? finish_head() : parse_head_line(line);
     case Stage::kChunkSize: {
         head_size_ = 0;
-        if (const std::size_t more = line.find(';'); more != std::string_view::npos) {
-            line = line.substr(0, more);
+        if (const std::size_t extension = line.find(';'); extension != std::string_view::npos) {
+            line = line.substr(0, extension);
             line = line.substr(0, line.find_last_not_of(" \t") + 1);
         }
-        if (!read_size(line, 16, left_)) return fail(400);
-        if (side_ == Side::kRequests && left_ > limits_.body) return fail(413);
-        stage_ = left_ == 0 ? Stage::kTrailers : Stage::kChunk;
+        if (!read_size(line, 16, remaining_)) return fail(400);
+        if (side_ == Side::kRequests && remaining_ > limits_.body) return fail(413);
+        stage_ = remaining_ == 0 ? Stage::kTrailers : Stage::kChunk;
         return;
     }
     case Stage::kChunkEnd:
@@ -171,63 +172,69 @@
     }
 }
 
-void HttpParser::head_line(std::string_view line) {
+void HttpParser::parse_head_line(std::string_view line) {
     if (first_line_) {
         first_line_ = false;
-        const std::size_t one = line.find(' ');
-        if (one == std::string_view::npos) return fail(400);
-        const std::string_view rest = line.substr(one + 1);
+        const std::size_t first_space = line.find(' ');
+        if (first_space == std::string_view::npos) return fail(400);
+        const std::string_view rest = line.substr(first_space + 1);
         if (side_ == Side::kResponses) {
             std::size_t status = 0;
             if (!line.starts_with("HTTP/1.") || !read_size(rest.substr(0, 3), 10, status)) return fail(400);
             message_.status = static_cast<int>(status);
-            old_version_ = line.substr(0, one) == "HTTP/1.0";
+            is_http_1_0_ = line.substr(0, first_space) == "HTTP/1.0";
             return;
         }
-        const std::size_t two = rest.find(' ');
-        const std::string_view version = two == std::string_view::npos ? "" : rest.substr(two + 1);
+        const std::size_t second_space = rest.find(' ');
+        const std::string_view version =
+            second_space == std::string_view::npos ? "" : rest.substr(second_space + 1);
         if (version != "HTTP/1.1" && version != "HTTP/1.0") return fail(400);
-        if (!is_token(line.substr(0, one)) || two == 0 || !is_printed(rest.substr(0, two), false))
+        if (!is_token(line.substr(0, first_space)) || second_space == 0 ||
+            !is_printable(rest.substr(0, second_space), false))
             return fail(400);
-        message_.method = line.substr(0, one), message_.target = rest.substr(0, two);
-        old_version_ = version == "HTTP/1.0";
+        message_.method = line.substr(0, first_space), message_.target = rest.substr(0, second_space);
+        is_http_1_0_ = version == "HTTP/1.0";
         return;
     }
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon)) ||
-        !is_printed(line.substr(colon + 1), true))
+        !is_printable(line.substr(colon + 1), true))
         return fail(400);
     message_.headers.emplace_back(lower(line.substr(0, colon)), trimmed(line.substr(colon + 1)));
 }
 
-void HttpParser::head_done() {
+void HttpParser::finish_head() {
     const std::string_view connection = message_.header("connection");
-    message_.close = lists(connection, "close") || (old_version_ && !lists(connection, "keep-alive"));
-    const std::string_view coding = message_.header("transfer-encoding");
-    const std::string_view length = message_.header("content-length");
-    const std::size_t codings = message_.times("transfer-encoding");
-    const std::size_t lengths = message_.times("content-length");
-    // Two words on where the body ends, or one that others may read another way, can hide a request in it.
-    if (codings + lengths > 1 || (codings > 0 && (old_version_ || coding.empty()))) return fail(400);
-    if (codings > 0) {
-        if (lower(coding) != "chunked") return fail(501);
+    message_.close =
+        list_contains(connection, "close") || (is_http_1_0_ && !list_contains(connection, "keep-alive"));
+    const std::string_view transfer_encoding = message_.header("transfer-encoding");
+    const std::string_view content_length = message_.header("content-length");
+    const std::size_t transfer_encodings = message_.times("transfer-encoding");
+    const std::size_t content_lengths = message_.times("content-length");
+    // Several framing headers, or an ambiguous one, allow request smuggling: parsers may disagree on where
+    // the body ends.
+    if (transfer_encodings + content_lengths > 1 ||
+        (transfer_encodings > 0 && (is_http_1_0_ || transfer_encoding.empty())))
+        return fail(400);
+    if (transfer_encodings > 0) {
+        if (lower(transfer_encoding) != "chunked") return fail(501);
         stage_ = Stage::kChunkSize, head_size_ = 0;
         return;
     }
     const bool interim = message_.status >= 100 && message_.status < 200;
-    const bool bare = interim || message_.status == 204 || message_.status == 304;
-    if (lengths == 0) {
-        stage_ = side_ == Side::kRequests || bare ? Stage::kComplete : Stage::kToEnd;
+    const bool without_body = interim || message_.status == 204 || message_.status == 304;
+    if (content_lengths == 0) {
+        stage_ = side_ == Side::kRequests || without_body ? Stage::kComplete : Stage::kUntilClose;
         return;
     }
-    if (!read_size(length, 10, left_)) return fail(400);
-    if (side_ == Side::kRequests && left_ > limits_.body) return fail(413);
-    stated_ = left_;
-    stage_ = left_ == 0 || bare ? Stage::kComplete : Stage::kBody;
+    if (!read_size(content_length, 10, remaining_)) return fail(400);
+    if (side_ == Side::kRequests && remaining_ > limits_.body) return fail(413);
+    content_length_ = remaining_;
+    stage_ = remaining_ == 0 || without_body ? Stage::kComplete : Stage::kBody;
 }
 
 void HttpParser::end() {
-    if (stage_ == Stage::kToEnd) stage_ = Stage::kComplete, message_.close = true;
+    if (stage_ == Stage::kUntilClose) stage_ = Stage::kComplete, message_.close = true;
 }
 
 HttpMessage HttpParser::take() {
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages out of bytes that come in any split, and back. Pure: it is handed bytes and says how many
-// it took; those of a following message are left.
+// Incremental HTTP/1.1 parser and writer. No I/O: the parser accepts bytes split at any position and reports
+// how many it consumed; bytes of a following message are not consumed.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -16,56 +16,68 @@
     int status = 0;                                           // of a response
     std::vector<std::pair<std::string, std::string>> headers; // names in lower case
     std::string body;
-    bool close = false; // the sender closes after it
+    bool close = false; // the sender closes the connection after this message
 
     std::string_view header(std::string_view name) const; // empty where absent
-    std::size_t times(std::string_view name) const;       // so often it stands there
+    std::size_t times(std::string_view name) const;       // number of header lines with this name
 };
 
 class HttpParser {
   public:
     enum class Side { kRequests, kResponses };
-    struct Limits { // bytes; of a body, what is held at once
+    struct Limits { // bytes; `body` limits what is buffered at once
         std::size_t head = 16 * 1024, body = 64 * 1024;
     };
     explicit HttpParser(Side side) : side_(side) {}
     HttpParser(Side side, Limits limits) : side_(side), limits_(limits) {}
 
-    std::size_t feed(std::string_view bytes); // takes bytes until the message is complete or broken
-    void end();                               // the sender has closed
+    std::size_t feed(std::string_view bytes); // returns the bytes consumed: up to the end of the message or
+                                              // the first error
+    void end();                               // the sender has closed the connection
     bool complete() const { return stage_ == Stage::kComplete; }
-    int broken() const { return error_; } // the status to answer with, 0 while sound
+    int broken() const { return error_; } // the HTTP status of the error, 0 if there is none
     bool begun() const { return begun_; }
-    HttpMessage take(); // the complete message; the parser starts anew
+    HttpMessage take(); // the complete message; resets the parser
 
-    // For bodies that are passed on while they come.
+    // For bodies that are forwarded while they are received.
     bool head_complete() const { return stage_ > Stage::kHead && stage_ != Stage::kBroken; }
-    const HttpMessage& message() const { return message_; } // as far as it has come
-    std::string take_body();                                // what has come since the last call
-    bool ends_with_connection() const { return stage_ == Stage::kToEnd; }
-    // Of a body with a stated length, what is still to come; nothing for one without.
-    std::optional<std::size_t> stated_length() const { return stated_; }
+    const HttpMessage& message() const { return message_; } // as received so far
+    std::string take_body();                                // body bytes received since the last call
+    bool ends_with_connection() const { return stage_ == Stage::kUntilClose; }
+    // The Content-Length of the body; empty if the message has none.
+    std::optional<std::size_t> stated_length() const { return content_length_; }
 
   private:
-    enum class Stage { kHead, kBody, kToEnd, kChunkSize, kChunk, kChunkEnd, kTrailers, kComplete, kBroken };
+    enum class Stage {
+        kHead,
+        kBody,
+        kUntilClose,
+        kChunkSize,
+        kChunk,
+        kChunkEnd,
+        kTrailers,
+        kComplete,
+        kBroken
+    };
     void fail(int status) { stage_ = Stage::kBroken, error_ = status; }
-    void line_done();
-    void head_line(std::string_view line);
-    void head_done();
+    void finish_line();
+    void parse_head_line(std::string_view line);
+    void finish_head();
     std::size_t take_body(std::string_view bytes);
 
     Side side_;
     Limits limits_;
-    std::optional<std::size_t> stated_;
+    std::optional<std::size_t> content_length_;
     Stage stage_ = Stage::kHead;
     HttpMessage message_;
     std::string line_;
-    std::size_t head_size_ = 0, left_ = 0; // bytes of the head so far; of the body or chunk to come
-    bool begun_ = false, first_line_ = true, old_version_ = false;
+    std::size_t head_size_ = 0,
+                remaining_ = 0; // bytes of the head so far; bytes of the body or chunk not yet received
+    bool begun_ = false, first_line_ = true, is_http_1_0_ = false;
     int error_ = 0;
 };
 
-// A message with a length; `fields` are further header lines, each with its line end.
+// Writes a response with Content-Length; `fields` are further header lines, each ending in CRLF.
 std::string http_response(int status, std::string_view fields, std::string_view body, bool close);
 std::string http_request(std::string_view method, std::string_view target, std::string_view host);
 
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -9,175 +9,176 @@
 
 namespace {
 
-constexpr int kMostDepth = 32;
-constexpr std::size_t kMostMembers = 256; // of one object
+constexpr int kMaxDepth = 32;
+constexpr std::size_t kMaxMembers = 256; // in one object
 
-class Reader {
+class Parser {
   public:
-    explicit Reader(std::string_view text) : text_(text) {}
+    explicit Parser(std::string_view text) : input_(text) {}
 
     Json document() {
         Json value = read(0);
         skip_blanks();
-        if (at_ != text_.size()) fail("something follows the value");
+        if (position_ != input_.size()) fail("unexpected data after the value");
         return value;
     }
 
   private:
     [[noreturn]] void fail(const char* what) const {
-        throw ProtocolError("JSON at byte " + std::to_string(at_) + ": " + what);
+        throw ProtocolError("JSON at byte " + std::to_string(position_) + ": " + what);
     }
     void skip_blanks() {
-        while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
-            ++at_;
+        while (position_ < input_.size() &&
+               std::string_view(" \t\r\n").find(input_[position_]) != std::string_view::npos)
+            ++position_;
     }
-    char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
+    char peek() const { return position_ < input_.size() ? input_[position_] : '\0'; }
     bool take(char wanted) {
-        if (at_ >= text_.size() || text_[at_] != wanted) return false;
-        return ++at_, true;
+        if (position_ >= input_.size() || input_[position_] != wanted) return false;
+        return ++position_, true;
     }
     void expect(char wanted) {
-        if (!take(wanted)) fail("a sign is missing");
+        if (!take(wanted)) fail("unexpected character");
     }
     bool take_word(std::string_view word) {
-        if (!text_.substr(at_).starts_with(word)) return false;
-        return at_ += word.size(), true;
+        if (!input_.substr(position_).starts_with(word)) return false;
+        return position_ += word.size(), true;
     }
 
     Json read(int depth) {
-        if (depth > kMostDepth) fail("too deep");
+        if (depth > kMaxDepth) fail("nested too deeply");
         skip_blanks();
         Json value;
         if (take('{')) {
-            value.sort = Json::Sort::kObject;
+            value.type = Json::Type::kObject;
             for (bool first = true; skip_blanks(), !take('}'); first = false) {
                 if (!first) expect(','), skip_blanks();
-                std::string name = read_text();
+                std::string name = read_string();
                 skip_blanks(), expect(':');
-                if (value.members.size() == kMostMembers || value.find(name) != nullptr)
-                    fail("a name stands twice, or too many names");
+                if (value.members.size() == kMaxMembers || value.find(name) != nullptr)
+                    fail("duplicate member name, or too many members");
                 value.members.push_back({std::move(name), read(depth + 1)});
             }
         } else if (take('[')) {
-            value.sort = Json::Sort::kList;
+            value.type = Json::Type::kList;
             for (bool first = true; skip_blanks(), !take(']'); first = false) {
                 if (!first) expect(',');
                 value.items.push_back(read(depth + 1));
             }
         } else if (peek() == '"') {
-            value.sort = Json::Sort::kText, value.text = read_text();
+            value.type = Json::Type::kText, value.text = read_string();
         } else if (take_word("true")) {
-            value.sort = Json::Sort::kBool, value.text = "true";
+            value.type = Json::Type::kBool, value.text = "true";
         } else if (take_word("false")) {
-            value.sort = Json::Sort::kBool, value.text = "false";
+            value.type = Json::Type::kBool, value.text = "false";
         } else if (!take_word("null")) {
-            value.sort = Json::Sort::kNumber, value.text = read_number();
+            value.type = Json::Type::kNumber, value.text = read_number();
         }
         return value;
     }
 
-    void digits() {
-        const std::size_t begin = at_;
-        while (peek() >= '0' && peek() <= '9') ++at_;
-        if (at_ == begin) fail("a digit is missing");
+    void skip_digits() {
+        const std::size_t begin = position_;
+        while (peek() >= '0' && peek() <= '9') ++position_;
+        if (position_ == begin) fail("expected a digit");
     }
 
     std::string read_number() {
-        const std::size_t begin = at_;
+        const std::size_t begin = position_;
         take('-');
-        if (!take('0')) digits();
-        if (take('.')) digits();
+        if (!take('0')) skip_digits();
+        if (take('.')) skip_digits();
         if (take('e') || take('E')) {
             if (!take('+')) take('-');
-            digits();
+            skip_digits();
         }
-        return std::string(text_.substr(begin, at_ - begin));
+        return std::string(input_.substr(begin, position_ - begin));
     }
 
     unsigned hex4() {
         unsigned value = 0;
         for (int i = 0; i < 4; ++i) {
             const char digit = peek();
-            const auto place = std::string_view("0123456789abcdefABCDEF").find(digit);
-            if (digit == '\0' || place == std::string_view::npos) fail("not a hexadecimal digit");
-            value = value * 16 + static_cast<unsigned>(place < 16 ? place : place - 6);
-            ++at_;
+            const auto index = std::string_view("0123456789abcdefABCDEF").find(digit);
+            if (digit == '\0' || index == std::string_view::npos) fail("not a hexadecimal digit");
+            value = value * 16 + static_cast<unsigned>(index < 16 ? index : index - 6);
+            ++position_;
         }
         return value;
     }
 
-    void put_rune(std::string& out, unsigned rune) {
+    void append_utf8(std::string& out, unsigned code_point) {
         const auto put = [&out](unsigned byte) { out.push_back(static_cast<char>(byte)); };
-        if (rune < 0x80) return put(rune);
-        if (rune < 0x800) return put(0xC0 | rune >> 6), put(0x80 | (rune & 0x3F));
-        if (rune < 0x10000) {
-            put(0xE0 | rune >> 12);
+        if (code_point < 0x80) return put(code_point);
+        if (code_point < 0x800) return put(0xC0 | code_point >> 6), put(0x80 | (code_point & 0x3F));
+        if (code_point < 0x10000) {
+            put(0xE0 | code_point >> 12);
         } else {
-            put(0xF0 | rune >> 18), put(0x80 | (rune >> 12 & 0x3F));
+            put(0xF0 | code_point >> 18), put(0x80 | (code_point >> 12 & 0x3F));
         }
-        put(0x80 | (rune >> 6 & 0x3F)), put(0x80 | (rune & 0x3F));
+        put(0x80 | (code_point >> 6 & 0x3F)), put(0x80 | (code_point & 0x3F));
     }
 
     void read_escape(std::string& out) {
-        const char sign = peek();
-        ++at_;
-        if (const auto plain = std::string_view("\"\\/").find(sign); plain != std::string_view::npos)
-            return out.push_back(sign);
-        if (const auto place = std::string_view("bfnrt").find(sign); place != std::string_view::npos)
-            return out.push_back("\b\f\n\r\t"[place]);
-        if (sign != 'u') fail("unknown escape");
-        unsigned rune = hex4();
-        if (rune >= 0xDC00 && rune < 0xE000) fail("half a surrogate pair");
-        if (rune >= 0xD800 && rune < 0xDC00) {
-            if (!take_word("\\u")) fail("half a surrogate pair");
+        const char character = peek();
+        ++position_;
+        if (const auto plain = std::string_view("\"\\/").find(character); plain != std::string_view::npos)
+            return out.push_back(character);
+        if (const auto index = std::string_view("bfnrt").find(character); index != std::string_view::npos)
+            return out.push_back("\b\f\n\r\t"[index]);
+        if (character != 'u') fail("unknown escape");
+        unsigned code_point = hex4();
+        if (code_point >= 0xDC00 && code_point < 0xE000) fail("unpaired surrogate");
+        if (code_point >= 0xD800 && code_point < 0xDC00) {
+            if (!take_word("\\u")) fail("unpaired surrogate");
             const unsigned low = hex4();
-            if (low < 0xDC00 || low >= 0xE000) fail("half a surrogate pair");
-            rune = 0x10000 + ((rune - 0xD800) << 10) + (low - 0xDC00);
+            if (low < 0xDC00 || low >= 0xE000) fail("unpaired surrogate");
+            code_point = 0x10000 + ((code_point - 0xD800) << 10) + (low - 0xDC00);
         }
-        put_rune(out, rune);
+        append_utf8(out, code_point);
     }
 
-    std::string read_text() {
+    std::string read_string() {
         expect('"');
         std::string out;
         for (;;) {
-            if (at_ >= text_.size()) fail("a text has no end");
+            if (position_ >= input_.size()) fail("unterminated string");
             if (take('"')) return out;
             if (take('\\')) {
                 read_escape(out);
                 continue;
             }
-            if (static_cast<unsigned char>(text_[at_]) < 0x20) fail("a control character in a text");
-            out.push_back(text_[at_++]);
+            if (static_cast<unsigned char>(input_[position_]) < 0x20) fail("control character in a string");
+            out.push_back(input_[position_++]);
         }
     }
 
-    std::string_view text_;
-    std::size_t at_ = 0;
+    std::string_view input_;
+    std::size_t position_ = 0;
 };
 
-void must(bool holds, std::string_view what, const char* sort) {
-    if (!holds) throw ProtocolError(std::string(what) + ": not " + sort);
+void require(bool condition, std::string_view what, const char* type) {
+    if (!condition) throw ProtocolError(std::string(what) + ": not " + type);
 }
 
 void flatten_into(PathValues& values, const std::string& path, const Json& value) {
-    const std::string below = path.empty() ? "" : path + ".";
-    if (value.sort == Json::Sort::kObject) {
-        for (const auto& [name, member] : value.members) flatten_into(values, below + name, member);
-    } else if (value.sort == Json::Sort::kList) {
+    const std::string prefix = path.empty() ? "" : path + ".";
+    if (value.type == Json::Type::kObject) {
+        for (const auto& [name, member] : value.members) flatten_into(values, prefix + name, member);
+    } else if (value.type == Json::Type::kList) {
         const auto nested = [](const Json& item) {
-            return item.sort == Json::Sort::kObject || item.sort == Json::Sort::kList;
+            return item.type == Json::Type::kObject || item.type == Json::Type::kList;
         };
         if (std::ranges::any_of(value.items, nested)) {
-            values[below + "count"] = std::to_string(value.items.size());
+            values[prefix + "count"] = std::to_string(value.items.size());
             for (std::size_t i = 0; i < value.items.size(); ++i)
-                flatten_into(values, below + std::to_string(i), value.items[i]);
+                flatten_into(values, prefix + std::to_string(i), value.items[i]);
             return;
         }
         std::string joined;
         for (const Json& item : value.items) joined += (joined.empty() ? "" : ",") + sanitize_name(item.text);
         values[path] = joined;
-    } else if (value.sort != Json::Sort::kNull) {
+    } else if (value.type != Json::Type::kNull) {
         values[path] = sanitize_name(value.text);
     }
 }
@@ -196,43 +197,43 @@
 }
 
 const std::string& Json::as_text(std::string_view what) const {
-    must(sort == Sort::kText, what, "a text");
+    require(type == Type::kText, what, "a string");
     return text;
 }
 
 std::int64_t Json::as_integer(std::string_view what) const {
-    must(sort == Sort::kNumber, what, "a number");
+    require(type == Type::kNumber, what, "a number");
     return to_integer(text, what);
 }
 
 double Json::as_number(std::string_view what) const {
-    must(sort == Sort::kNumber, what, "a number");
+    require(type == Type::kNumber, what, "a number");
     return to_number(text, what);
 }
 
 bool Json::as_bool(std::string_view what) const {
-    must(sort == Sort::kBool, what, "true or false");
+    require(type == Type::kBool, what, "true or false");
     return text == "true";
 }
 
 const std::vector<Json>& Json::as_list(std::string_view what) const {
-    must(sort == Sort::kList, what, "a list");
+    require(type == Type::kList, what, "a list");
     return items;
 }
 
-Json read_json(std::string_view text) { return Reader(text).document(); }
+Json read_json(std::string_view text) { return Parser(text).document(); }
 
 void write_json_text(std::string& out, std::string_view text) {
     constexpr std::string_view kHex = "0123456789abcdef";
     out.push_back('"');
-    for (const char letter : text) {
-        const auto code = static_cast<unsigned char>(letter);
-        if (letter == '"' || letter == '\\') {
-            out.push_back('\\'), out.push_back(letter);
+    for (const char character : text) {
+        const auto code = static_cast<unsigned char>(character);
+        if (character == '"' || character == '\\') {
+            out.push_back('\\'), out.push_back(character);
         } else if (code < 0x20) {
             out += "\\u00", out.push_back(kHex[code >> 4]), out.push_back(kHex[code & 15]);
         } else {
-            out.push_back(letter);
+            out.push_back(character);
         }
     }
     out.push_back('"');
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -12,24 +12,26 @@
 
 namespace {
 
-constexpr double kShareSlack = 0.01; // shares may be rounded
+constexpr double kShareTolerance = 0.01; // the clients may round the shares
 
 // A number followed by its unit, `m` or `u`; the number may have a fraction.
-std::int64_t read_span_us(std::string_view text) {
+std::int64_t read_timeout_us(std::string_view text) {
     if (text.size() < 2) throw ProtocolError("X-Timeout: missing or malformed");
     const char unit = text.back();
     if (unit != 'm' && unit != 'u') throw ProtocolError("X-Timeout: unknown unit");
     const double count = to_number(text.substr(0, text.size() - 1), "X-Timeout");
-    constexpr double kMostUs = 1e12;
+    constexpr double kMaxTimeoutUs = 1e12;
     const double span = count * (unit == 'm' ? 1000 : 1);
-    if (span < 0 || span > kMostUs) throw ProtocolError("X-Timeout: out of range");
+    if (span < 0 || span > kMaxTimeoutUs) throw ProtocolError("X-Timeout: out of range");
     return static_cast<std::int64_t>(span);
 }
 
-// An id goes into the frames' lines, so it may hold no blank or control character.
-bool plain_id(std::string_view id) {
-    return !id.empty() && id.size() <= 128 &&
-           std::ranges::all_of(id, [](unsigned char letter) { return letter > 0x20 && letter < 0x7F; });
+// Ids are written into space-separated lines of frames, so they must not contain blanks or control
+// characters.
+bool is_valid_id(std::string_view id) {
+    return !id.empty() && id.size() <= 128 && std::ranges::all_of(id, [](unsigned char character) {
+        return character > 0x20 && character < 0x7F;
+    });
 }
 
 int read_index(const Json& json, std::string_view what) {
@@ -38,8 +40,8 @@
     return static_cast<int>(value);
 }
 
-// The bytes that %XX stands for; nothing where it stands for none.
-std::optional<std::string> unescaped(std::string_view text) {
+// Percent-decodes the text; nothing if it contains a malformed escape.
+std::optional<std::string> percent_decoded(std::string_view text) {
     std::string out;
     for (std::size_t i = 0; i < text.size(); ++i) {
         if (text[i] != '%') {
@@ -54,15 +56,15 @@
     return out;
 }
 
-// What the search is about. Where it stands twice, or cannot be read, nobody can say which note is meant.
+// The query parameter `k`. Empty if it is repeated or malformed, since the key is then ambiguous.
 std::string read_key(std::string_view target) {
-    const std::size_t mark = target.find('?');
-    if (mark == std::string_view::npos) return {};
+    const std::size_t question_mark = target.find('?');
+    if (question_mark == std::string_view::npos) return {};
     std::optional<std::string> key;
-    for (const std::string_view pair : split(target.substr(mark + 1), '&')) {
+    for (const std::string_view pair : split(target.substr(question_mark + 1), '&')) {
         if (!pair.starts_with("k=")) continue;
         if (key) return {};
-        key = unescaped(pair.substr(2)).value_or("");
+        key = percent_decoded(pair.substr(2)).value_or("");
     }
     return key.value_or("");
 }
@@ -86,9 +88,9 @@
     SearchRequest search;
     search.request_class = sanitize_name(request_class);
     search.id = message.header("x-request-id");
-    if (!plain_id(search.id)) throw ProtocolError("X-Request-ID: missing or malformed");
+    if (!is_valid_id(search.id)) throw ProtocolError("X-Request-ID: missing or malformed");
     search.tenant = sanitize_name(message.header("x-tenant-id"));
-    search.timeout_us = read_span_us(message.header("x-timeout"));
+    search.timeout_us = read_timeout_us(message.header("x-timeout"));
     search.repeat = message.header("x-retried") == "1";
     search.key = read_key(message.target);
     read_credential(message, search);
@@ -103,7 +105,7 @@
         search.targets.push_back(target), shares += target.share;
     }
     if (search.targets.empty()) throw ProtocolError("targets: none");
-    if (std::abs(shares - 1) > kShareSlack) throw ProtocolError("share: they do not add up to 1");
+    if (std::abs(shares - 1) > kShareTolerance) throw ProtocolError("share: the shares do not add up to 1");
     return search;
 }
 
@@ -124,9 +126,9 @@
     } catch (const ProtocolError& error) { return BadRequest{400, error.what()}; }
 }
 
-Reply error_reply(int status, std::string_view words, std::string_view challenge) {
+Reply error_reply(int status, std::string_view message, std::string_view challenge) {
     Reply reply{status, {{"Content-Type", "application/json"}}, "{\"error\":"};
-    write_json_text(reply.body, words);
+    write_json_text(reply.body, message);
     reply.body += "}";
     if (!challenge.empty()) reply.fields.emplace_back("WWW-Authenticate", challenge);
     return reply;
@@ -136,9 +138,9 @@
 
 Reply reply_to_search(const FinalAnswer& answer) {
     if (answer.verdict == Verdict::kFailed)
-        return error_reply(502, "the search failed and may have run in part");
+        return error_reply(502, "the search failed and may have been partly executed");
     if (answer.verdict == Verdict::kRejected) {
-        Reply reply = error_reply(503, "pushed back, nothing has run");
+        Reply reply = error_reply(503, "request rejected, nothing has run");
         if (answer.retry_after > 0) {
             char seconds[32];
             std::snprintf(seconds, sizeof seconds, "%.4f",
@@ -176,7 +178,7 @@
         entry.id = row.at("id").as_text("id");
         const auto text = [&row](std::string_view name) {
             const Json* found = row.find(name);
-            return found != nullptr && found->sort == Json::Sort::kText ? found->text : std::string();
+            return found != nullptr && found->type == Json::Type::kText ? found->text : std::string();
         };
         entry.address = text("addr"), entry.zone = sanitize_name(text("zone"));
         entry.kind = sanitize_name(text("kind"));
@@ -184,7 +186,7 @@
         if (const Json* weight = row.find("weight")) entry.weight = weight->as_number("weight");
         if (const Json* started = row.find("started_ms"))
             entry.started_ms = started->as_integer("started_ms");
-        // A state that we do not know is no invitation: the server gets nothing new.
+        // Servers in an unknown state receive no new requests.
         const std::string state = text("state");
         entry.listed = state == "SERVING"   ? ListedState::kLive
                        : state == "DELETED" ? ListedState::kGone
@@ -204,21 +206,21 @@
 
 StartConfig read_start_config(std::string_view text) {
     const Json json = read_json(text);
-    StartConfig orders;
-    orders.name = json.at("name").as_text("name");
-    orders.listen = json.at("listen").as_text("listen");
-    orders.discovery = json.at("discovery").as_text("discovery");
+    StartConfig config;
+    config.name = json.at("name").as_text("name");
+    config.listen = json.at("listen").as_text("listen");
+    config.discovery = json.at("discovery").as_text("discovery");
     const Json& limits = json.at("limits");
-    orders.sockets = limits.at("sockets").as_integer("sockets");
-    orders.memory_mb = limits.at("memory_mb").as_integer("memory_mb");
-    orders.known = read_server_list(json.at("known"));
+    config.sockets = limits.at("sockets").as_integer("sockets");
+    config.memory_mb = limits.at("memory_mb").as_integer("memory_mb");
+    config.known = read_server_list(json.at("known"));
     std::uint64_t seed = 0;
     const std::string& digits = json.at("seed").as_text("seed");
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
     if (error != std::errc{} || end != digits.data() + digits.size())
         throw ProtocolError("seed: not a hexadecimal number: " + quoted(digits));
-    orders.terms = read_front_node_config(flatten(json.at("settings")), seed);
-    return orders;
+    config.terms = read_front_node_config(flatten(json.at("settings")), seed);
+    return config;
 }
 
 } // namespace ivyrill::protocol
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,4 +1,5 @@
-// What clients and discovery say, typed; and the configuration a front node is started with. Pure.
+// Typed messages of clients and service discovery, and the configuration with which a front node starts.
+// No I/O.
 #pragma once
 #include "protocol/front_node_config.hpp"
 #include "protocol/http.hpp"
@@ -20,12 +21,12 @@
 };
 struct SearchRequest {
     std::string id, request_class, tenant, query;
-    std::int64_t timeout_us = 0; // the client waits so long from its sending
+    std::int64_t timeout_us = 0; // the client's timeout, counted from when it sent the request
     bool repeat = false;
     std::vector<Target> targets;
-    std::string key = {};         // of the parameter `k`; empty where absent or not told apart
-    std::string token = {};       // of `Authorization: Bearer`; empty where absent
-    bool token_malformed = false; // that header is there and holds something else, or stands twice
+    std::string key = {};         // the query parameter `k`; empty if absent or ambiguous
+    std::string token = {};       // of `Authorization: Bearer`; empty if absent
+    bool token_malformed = false; // the Authorization header is not a bearer token, or is repeated
 };
 struct ReadyRequest {};
 struct BadRequest {
@@ -44,25 +45,25 @@
     Verdict verdict = Verdict::kFailed;
     bool whole = false;
     std::vector<PartResult> results;
-    Tenths retry_after = 0; // 0: no advice
+    Tenths retry_after = 0; // 0: no Retry-After header
 };
-struct Reply { // of any door that speaks HTTP, before it is framed
+struct Reply { // an HTTP response, independent of the HTTP version
     int status = 200;
-    std::vector<std::pair<std::string, std::string>> fields; // names as HTTP/1.1 is used to writing them
+    std::vector<std::pair<std::string, std::string>> fields; // names in the usual HTTP/1.1 capitalization
     std::string body;
 };
 Reply reply_to_search(const FinalAnswer& answer);
-// `challenge` goes into WWW-Authenticate where it is not empty.
-Reply error_reply(int status, std::string_view words, std::string_view challenge = {});
+// A response with a JSON error body. A non-empty `challenge` is sent as WWW-Authenticate.
+Reply error_reply(int status, std::string_view message, std::string_view challenge = {});
 Reply ready_reply(bool ready);
-std::string write_reply(const Reply& reply, bool close); // in HTTP/1.1
+std::string write_reply(const Reply& reply, bool close); // serialized as HTTP/1.1
 
-struct ServerEntry { // as discovery lists it
+struct ServerEntry { // one server in the discovery service's list
     std::string id, address, zone, kind;
     int cell = 0;
     ListedState listed = ListedState::kLive;
     double weight = 1;
-    std::int64_t started_ms = 0; // Unix time, 0: long ago
+    std::int64_t started_ms = 0; // Unix time; 0: unknown, treated as warmed up
 };
 struct ServerList {
     std::int64_t version = 0;
@@ -71,10 +72,10 @@
 };
 ServerList read_server_list(const Json& json); // throws ProtocolError
 ServerList read_server_list(std::string_view body);
-// The whole list where no version is given, else a watch for what is newer.
+// Requests the whole list, or else a long poll of up to `wait_ms` for a version newer than `after`.
 std::string list_request(std::string_view host, std::int64_t after, std::int64_t wait_ms, bool whole);
 
-struct StartConfig { // what a front node is told when it starts
+struct StartConfig { // the start-up configuration of a front node
     std::string name, listen, discovery;
     std::int64_t sockets = 0, memory_mb = 0;
     ServerList known;
--- a/src/protocol/values.hpp
+++ b/src/protocol/values.hpp
@@ -1,5 +1,5 @@
-// Numbers and words out of text. Whatever is malformed is thrown as ProtocolError, with a message that names
-// the place.
+// Parses numbers, booleans and lists from text. Malformed input throws ProtocolError with a message that
+// names the field.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -14,12 +14,12 @@
     using std::runtime_error::runtime_error;
 };
 
-std::string quoted(std::string_view text); // shortened, for messages
+std::string quoted(std::string_view text); // shortened, for error messages
 std::vector<std::string_view> split(std::string_view text, char at);
-// Each name and value of pairs set apart by commas; what has no sign between the two is passed over.
-template <class Each> void for_each_pair(std::string_view text, char sign, Each each) {
+// Calls `each` with the name and value of every comma-separated pair; skips items without the separator.
+template <class Each> void for_each_pair(std::string_view text, char separator, Each each) {
     for (const std::string_view pair : split(text, ','))
-        if (const std::size_t at = pair.find(sign); at != std::string_view::npos)
+        if (const std::size_t at = pair.find(separator); at != std::string_view::npos)
             each(pair.substr(0, at), pair.substr(at + 1));
 }
 std::int64_t to_integer(std::string_view text, std::string_view name);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,5 +1,5 @@
-// Reads the settings file with yaml-cpp. Missing optional keys keep the defaults of the types; the first key
-// that can't be served with ends in an error. Everything yaml-cpp throws stays in here.
+// Reads the settings file with yaml-cpp. Missing optional keys keep the defaults of the types; the first
+// invalid key is reported as an error. Exceptions of yaml-cpp do not leave this file.
 #include "settings/settings.hpp"
 
 #include <arpa/inet.h>
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr std::size_t kLargestFile = 1024 * 1024; // bytes
-constexpr double kLargestNumber = 1e15;           // every whole number up to it has a double of its own
-constexpr int kFewestInnerPorts = 4;              // what the processes of one machine need to talk to others
-constexpr double kLargestPort = 65535;
+constexpr std::size_t kMaxFileBytes = 1024 * 1024; // bytes
+constexpr double kMaxNumber = 1e15;                // integers up to this are exact in a double
+constexpr int kMinInnerPorts = 4; // that the processes of one machine need for peer connections
+constexpr double kMaxPort = 65535;
 
 bool is_ip(const std::string& text) {
     in_addr ignored{};
@@ -35,8 +35,8 @@
     return problem == std::errc{} && stop == end && port > 0;
 }
 
-// One map of the file. The first problem met is kept in what all maps of the file share; a key in trouble
-// leaves its value as it was.
+// One map of the file. All sections share `problem`, which keeps the first error; an invalid key leaves its
+// value unchanged.
 class Section {
   public:
     Section(YAML::Node map, std::string path, std::optional<Error>& problem)
@@ -44,7 +44,7 @@
 
     Section section(const std::string& key) {
         const YAML::Node found = find(key);
-        if (found && !found.IsMap()) report(key, "is not a map", "state its keys under it, or leave it out");
+        if (found && !found.IsMap()) report(key, "is not a map", "nest its keys under it, or remove it");
         const bool usable = found && found.IsMap();
         return {usable ? found : YAML::Node(YAML::NodeType::Map), path_ + key + ".", problem_};
     }
@@ -56,48 +56,47 @@
     }
 
     void require(const std::string& key) {
-        if (!find(key)) report(key, "is missing", "state it in the settings file");
+        if (!find(key)) report(key, "is missing", "add it to the settings file");
     }
 
-    void text(const std::string& key, std::string& into) {
-        if (const YAML::Node found = find(key)) into = text_of(found, key).value_or(into);
+    void string(const std::string& key, std::string& into) {
+        if (const YAML::Node found = find(key)) into = string_of(found, key).value_or(into);
     }
 
-    void texts(const std::string& key, std::vector<std::string>& into) {
+    void strings(const std::string& key, std::vector<std::string>& into) {
         const YAML::Node found = find(key);
         if (!found) return;
-        if (!found.IsSequence()) return report(key, "is not a list", "state a list of texts");
+        if (!found.IsSequence()) return report(key, "is not a list", "set it to a list of strings");
         std::vector<std::string> read;
-        for (const YAML::Node& item : found) read.push_back(text_of(item, key).value_or(""));
+        for (const YAML::Node& item : found) read.push_back(string_of(item, key).value_or(""));
         into = std::move(read);
     }
 
-    void texts_by_name(const std::string& key, std::map<std::string, std::string>& into) {
+    void string_map(const std::string& key, std::map<std::string, std::string>& into) {
         const YAML::Node found = find(key);
         if (!found) return;
-        if (!found.IsMap()) return report(key, "is not a map", "state a map of texts");
+        if (!found.IsMap()) return report(key, "is not a map", "set it to a map of strings");
         std::map<std::string, std::string> read;
         for (const auto& item : found)
-            read[text_of(item.first, key).value_or("")] = text_of(item.second, key).value_or("");
+            read[string_of(item.first, key).value_or("")] = string_of(item.second, key).value_or("");
         into = std::move(read);
     }
 
     void flag(const std::string& key, bool& into) {
         const YAML::Node found = find(key);
         if (found && !YAML::convert<bool>::decode(found, into))
-            report(key, "is neither true nor false", "state one of the two");
+            report(key, "is neither true nor false", "set it to true or false");
     }
 
     void number(const std::string& key, double& into) {
-        if (const YAML::Node found = find(key))
-            into = number_of(found, key, 0, kLargestNumber).value_or(into);
+        if (const YAML::Node found = find(key)) into = number_of(found, key, 0, kMaxNumber).value_or(into);
     }
 
     // A fraction is rounded down.
-    void number(const std::string& key, std::int64_t& into, std::int64_t least = 0) {
+    void number(const std::string& key, std::int64_t& into, std::int64_t min_value = 0) {
         const YAML::Node found = find(key);
         if (!found) return;
-        const auto read = number_of(found, key, static_cast<double>(least), kLargestNumber);
+        const auto read = number_of(found, key, static_cast<double>(min_value), kMaxNumber);
         if (read.has_value()) into = static_cast<std::int64_t>(std::floor(*read));
     }
 
@@ -105,40 +104,41 @@
         const YAML::Node found = find(key);
         if (!found) return;
         if (!found.IsSequence() || found.size() != 2)
-            return report(key, "is not a list of two ports", "state the first and the last port");
-        const auto begin = number_of(found[0], key, 1, kLargestPort);
-        const auto end = number_of(found[1], key, 1, kLargestPort);
+            return report(key, "is not a list of two ports", "set it to the first and the last port");
+        const auto begin = number_of(found[0], key, 1, kMaxPort);
+        const auto end = number_of(found[1], key, 1, kMaxPort);
         if (!begin.has_value() || !end.has_value()) return;
-        if (*end - *begin + 1 < kFewestInnerPorts)
-            return report(key, fmt::format("has fewer than {} ports", kFewestInnerPorts),
-                          "state a wider range");
+        if (*end - *begin + 1 < kMinInnerPorts)
+            return report(key, fmt::format("has fewer than {} ports", kMinInnerPorts), "set a wider range");
         first = static_cast<std::uint16_t>(*begin);
         last = static_cast<std::uint16_t>(*end);
     }
 
   private:
-    // Null and the empty text count as missing. Asked through a const node: the other kind would add the key.
+    // Null and the empty string count as missing. Uses a const node, since a mutable one would insert the
+    // key.
     YAML::Node find(const std::string& key) const {
         const YAML::Node found = static_cast<const YAML::Node&>(map_)[key];
-        const bool stated = found && !found.IsNull() && !(found.IsScalar() && found.Scalar().empty());
-        return stated ? found : YAML::Node(YAML::NodeType::Undefined);
+        const bool present = found && !found.IsNull() && !(found.IsScalar() && found.Scalar().empty());
+        return present ? found : YAML::Node(YAML::NodeType::Undefined);
     }
 
-    std::optional<std::string> text_of(const YAML::Node& node, const std::string& key) {
+    std::optional<std::string> string_of(const YAML::Node& node, const std::string& key) {
         if (node.IsScalar() && !node.Scalar().empty()) return node.Scalar();
-        report(key, "is no text, or holds what is none", "state a text");
+        report(key, "is not a string, or has an item that is not one", "set it to a string");
         return std::nullopt;
     }
 
-    std::optional<double> number_of(const YAML::Node& node, const std::string& key, double least,
-                                    double most) {
+    std::optional<double> number_of(const YAML::Node& node, const std::string& key, double min_value,
+                                    double max_value) {
         double value = 0;
         if (!node.IsScalar() || !YAML::convert<double>::decode(node, value) || !std::isfinite(value)) {
-            report(key, "is not a number", "state a number");
+            report(key, "is not a number", "set it to a number");
             return std::nullopt;
         }
-        if (value >= least && value <= most) return value;
-        report(key, "is out of range", fmt::format("state a number from {:.0f} to {:.0f}", least, most));
+        if (value >= min_value && value <= max_value) return value;
+        report(key, "is out of range",
+               fmt::format("set it to a number from {:.0f} to {:.0f}", min_value, max_value));
         return std::nullopt;
     }
 
@@ -147,21 +147,21 @@
     std::optional<Error>& problem_;
 };
 
-void read_place(Section& root, Settings& settings) {
+void read_identity(Section& root, Settings& settings) {
     for (const char* key : {"nodeName", "ip", "serves", "innerPortRange", "seedNodes"}) root.require(key);
-    root.text("nodeName", settings.node_name);
-    root.text("role", settings.role);
-    root.text("machineClass", settings.machine_class);
-    root.texts("serves", settings.serves);
-    root.text("ip", settings.ip);
+    root.string("nodeName", settings.node_name);
+    root.string("role", settings.role);
+    root.string("machineClass", settings.machine_class);
+    root.strings("serves", settings.serves);
+    root.string("ip", settings.ip);
     if (!settings.ip.empty() && !is_ip(settings.ip))
-        root.report("ip", "is not an IPv4 address", "state one such as 10.1.0.10");
-    root.text("zone", settings.zone);
-    root.text("region", settings.region);
-    root.texts_by_name("zones", settings.zones);
+        root.report("ip", "is not an IPv4 address", "use an address such as 10.1.0.10");
+    root.string("zone", settings.zone);
+    root.string("region", settings.region);
+    root.string_map("zones", settings.zones);
 }
 
-// An address that nothing served here needs is left aside.
+// Addresses that no served role needs are ignored.
 void read_listen_addresses(Section& root, Settings& settings) {
     const auto serves = [&](std::string_view name) { return std::ranges::count(settings.serves, name) > 0; };
     std::vector<std::string> needed;
@@ -172,21 +172,20 @@
     for (const std::string& name : needed) {
         std::string address;
         addresses.require(name);
-        addresses.text(name, address);
+        addresses.string(name, address);
         if (!address.empty() && !is_address(address))
-            addresses.report(name, "is not an IP:PORT address", "state one such as 10.1.0.10:8262");
+            addresses.report(name, "is not an IP:PORT address", "use an address such as 10.1.0.10:8262");
         settings.listen_addrs[name] = address;
     }
 }
 
 void read_peers(Section& root, Settings& settings) {
     root.ports("innerPortRange", settings.first_inner_port, settings.last_inner_port);
-    root.texts("seedNodes", settings.seed_nodes);
-    if (settings.seed_nodes.empty())
-        root.report("seedNodes", "is empty", "state at least one IP:PORT address");
+    root.strings("seedNodes", settings.seed_nodes);
+    if (settings.seed_nodes.empty()) root.report("seedNodes", "is empty", "add at least one IP:PORT address");
     if (!std::ranges::all_of(settings.seed_nodes, is_address))
-        root.report("seedNodes", "holds what is not an IP:PORT address",
-                    "state addresses such as 10.1.0.12:8262");
+        root.report("seedNodes", "has an item that is not an IP:PORT address",
+                    "use addresses such as 10.1.0.12:8262");
 }
 
 void read_limits(Section limits, MachineLimits& into) {
@@ -230,40 +229,41 @@
 }
 
 void read_cloud_api(Section cloud_api, CloudApi& into) {
-    cloud_api.text("address", into.address);
+    cloud_api.string("address", into.address);
     if (!into.address.empty() && !is_address(into.address))
-        cloud_api.report("address", "is not an IP:PORT address", "state one such as 10.200.0.5:8168");
-    cloud_api.texts("duties", into.duties);
+        cloud_api.report("address", "is not an IP:PORT address", "use an address such as 10.200.0.5:8168");
+    cloud_api.strings("duties", into.duties);
     cloud_api.number("dutyPerS", into.duty_per_s);
 }
 
-void read_behaviour(Section& root, Settings& settings) {
+void read_operation(Section& root, Settings& settings) {
     root.flag("firstStart", settings.first_start);
     root.flag("lossCounted", settings.loss_counted);
-    root.text("dataDir", settings.data_dir);
+    root.string("dataDir", settings.data_dir);
     root.number("beatIntervalMs", settings.beat_interval_ms, 1);
-    root.texts("activeContracts", settings.contracts);
+    root.strings("activeContracts", settings.contracts);
     read_limits(root.section("limits"), settings.limits);
     read_tolerance(root.section("tolerance"), settings.tolerance);
     read_bounds(root.section("bounds"), settings.bounds);
     read_cloud_api(root.section("cloudApi"), settings.cloud_api);
 }
 
-Error unreadable(std::string why) { // yaml-cpp's words may span lines
+Error invalid_file(std::string reason) { // messages of yaml-cpp may span lines
     std::ranges::replace_if(
-        why, [](unsigned char c) { return c < ' '; }, ' ');
-    return error(ErrorKind::kInvalidInput, "settings: the file is not YAML (" + why + "); write it anew");
+        reason, [](unsigned char c) { return c < ' '; }, ' ');
+    return error(ErrorKind::kInvalidInput,
+                 "settings: the file is not YAML (" + reason + "); correct its syntax");
 }
 
 Result<Settings> read_root(const YAML::Node& node) {
-    if (!node.IsMap()) return unreadable("its root is not a map");
+    if (!node.IsMap()) return invalid_file("its root is not a map");
     std::optional<Error> problem;
     Section root(node, "", problem);
     Settings settings;
-    read_place(root, settings);
+    read_identity(root, settings);
     read_listen_addresses(root, settings);
     read_peers(root, settings);
-    read_behaviour(root, settings);
+    read_operation(root, settings);
     if (problem.has_value()) return *problem;
     return settings;
 }
@@ -271,19 +271,20 @@
 } // namespace
 
 Result<Settings> parse(std::string_view yaml) {
-    if (yaml.size() > kLargestFile) return unreadable("it is larger than 1 MB");
+    if (yaml.size() > kMaxFileBytes) return invalid_file("it is larger than 1 MB");
     try {
         return read_root(YAML::Load(std::string(yaml)));
-    } catch (const std::exception& problem) { return unreadable(problem.what()); }
+    } catch (const std::exception& problem) { return invalid_file(problem.what()); }
 }
 
 Result<Settings> read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
-    std::string text(kLargestFile + 1, '\0');
+    std::string text(kMaxFileBytes + 1, '\0');
     if (file) file.read(text.data(), static_cast<std::streamsize>(text.size()));
     if (!file.is_open() || file.bad() || (file.fail() && !file.eof())) {
-        constexpr const char* kWords = "settings: {} can't be read; name a readable file in IVYRILL_SETTINGS";
-        return error(ErrorKind::kInvalidInput, fmt::format(kWords, path));
+        constexpr const char* kMessage =
+            "settings: {} can't be read; name a readable file in IVYRILL_SETTINGS";
+        return error(ErrorKind::kInvalidInput, fmt::format(kMessage, path));
     }
     text.resize(static_cast<std::size_t>(file.gcount()));
     return parse(text);
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,6 +1,5 @@
-// The settings file of one process (YAML, named by IVYRILL_SETTINGS), read into types and checked whole.
-// Fields that aren't known are left aside; what is missing or can't be served with is an error that names the
-// key and the remedy.
+// Reads and validates the YAML settings file of one process, named by IVYRILL_SETTINGS. Unknown fields are
+// ignored; a missing or invalid value is an error that names the key and the remedy.
 #pragma once
 #include "base/result.hpp"
 
@@ -18,12 +17,12 @@
     double link_mbps = 0;
 };
 
-// How many may be lost at once with every rule kept.
+// How many simultaneous failures the deployment must tolerate with all guarantees kept.
 struct Tolerance {
     std::int64_t machines = 0, zones = 0, regions = 0;
 };
 
-// The figures of the rules. Milliseconds or seconds, as the names say.
+// The limits of the deployment's guarantees, in the units that the names end with.
 struct Bounds {
     double seed_lag_s = 3, address_reuse_s = 2;
     std::int64_t in_touch_ms = 3000, ack_ms = 4000;
@@ -37,29 +36,30 @@
     std::int64_t transit_ms = 120;
     bool fenced_api = false;
     std::int64_t lease_ms = 3000, thaw_slack_ms = 300;
-    double usage_window_s = 0; // 0: no usage is reported
-    double usage_error = 0.05; // share of a tenant's count that a report may be off
-    double usage_late_s = 10;  // after the end of its window
+    double usage_window_s = 0; // 0: usage is not reported
+    double usage_error = 0.05; // permitted relative error of a tenant's count
+    double usage_late_s = 10;  // latest report after the end of its window
     std::int64_t usage_window_ms() const { return static_cast<std::int64_t>(usage_window_s * 1000); }
 };
 
-// The platform's API (DEPLOY), for the duties of one node at a time.
+// The platform's API (DEPLOY), called by one node at a time for each duty.
 struct CloudApi {
-    std::string address;             // IP:PORT; empty where the deployment has none
+    std::string address;             // IP:PORT; empty if the deployment has none
     std::vector<std::string> duties; // `usage_report`, `autoscale`
-    double duty_per_s = 0;           // calls that it takes from all nodes together; 0: not stated
+    double duty_per_s = 0;           // call rate that it accepts from all nodes together; 0: unspecified
 };
 
 struct Settings {
     std::string node_name, role, machine_class, ip, zone, region;
     std::vector<std::string> serves;
-    std::map<std::string, std::string> zones;        // zone to region
-    std::map<std::string, std::string> listen_addrs; // `front`, `readyAddr`, `controlAddr`: those of `serves`
+    std::map<std::string, std::string> zones; // zone to region
+    std::map<std::string, std::string>
+        listen_addrs; // `front`, `readyAddr`, `controlAddr`, as needed by `serves`
     std::uint16_t first_inner_port = 0, last_inner_port = 0;
     std::vector<std::string> seed_nodes; // controlAddr addresses
     bool first_start = false, loss_counted = false;
     MachineLimits limits;
-    std::string data_dir; // empty where the machine has no disk
+    std::string data_dir; // empty if the machine has no disk
     std::int64_t beat_interval_ms = 1200;
     std::vector<std::string> contracts;
     Tolerance tolerance;
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr std::size_t kMostHeadBytes = 9; // of one item: a byte, and eight of its number
+constexpr std::size_t kMaxHeadBytes = 9; // initial byte of an item and up to eight bytes of argument
 
 template <class Write> void append_head(std::string& out, Write write) {
-    std::array<unsigned char, kMostHeadBytes> head{};
+    std::array<unsigned char, kMaxHeadBytes> head{};
     const std::size_t size = write(head.data(), head.size());
     out.append(reinterpret_cast<const char*>(head.data()), size);
 }
@@ -60,38 +60,38 @@
 Decoder::Item Decoder::next() {
     using Kind = Item::Kind;
     static const cbor_callbacks callbacks = [] {
-        cbor_callbacks made = cbor_empty_callbacks;
-        made.uint8 = [](void* to, std::uint8_t n) { *static_cast<Item*>(to) = {Kind::kUnsigned, n, 0, {}}; };
-        made.uint16 = [](void* to, std::uint16_t n) {
+        cbor_callbacks table = cbor_empty_callbacks;
+        table.uint8 = [](void* to, std::uint8_t n) { *static_cast<Item*>(to) = {Kind::kUnsigned, n, 0, {}}; };
+        table.uint16 = [](void* to, std::uint16_t n) {
             *static_cast<Item*>(to) = {Kind::kUnsigned, n, 0, {}};
         };
-        made.uint32 = [](void* to, std::uint32_t n) {
+        table.uint32 = [](void* to, std::uint32_t n) {
             *static_cast<Item*>(to) = {Kind::kUnsigned, n, 0, {}};
         };
-        made.uint64 = [](void* to, std::uint64_t n) {
+        table.uint64 = [](void* to, std::uint64_t n) {
             *static_cast<Item*>(to) = {Kind::kUnsigned, n, 0, {}};
         };
-        made.negint8 = [](void* to, std::uint8_t n) {
+        table.negint8 = [](void* to, std::uint8_t n) {
             *static_cast<Item*>(to) = {Kind::kNegative, n, 0, {}};
         };
-        made.negint16 = [](void* to, std::uint16_t n) {
+        table.negint16 = [](void* to, std::uint16_t n) {
             *static_cast<Item*>(to) = {Kind::kNegative, n, 0, {}};
         };
-        made.negint32 = [](void* to, std::uint32_t n) {
+        table.negint32 = [](void* to, std::uint32_t n) {
             *static_cast<Item*>(to) = {Kind::kNegative, n, 0, {}};
         };
-        made.negint64 = [](void* to, std::uint64_t n) {
+        table.negint64 = [](void* to, std::uint64_t n) {
             *static_cast<Item*>(to) = {Kind::kNegative, n, 0, {}};
         };
-        made.float8 = [](void* to, double n) { *static_cast<Item*>(to) = {Kind::kReal, 0, n, {}}; };
-        made.boolean = [](void* to, bool n) { *static_cast<Item*>(to) = {Kind::kFlag, n ? 1U : 0U, 0, {}}; };
-        made.byte_string = [](void* to, cbor_data data, std::size_t size) {
+        table.float8 = [](void* to, double n) { *static_cast<Item*>(to) = {Kind::kReal, 0, n, {}}; };
+        table.boolean = [](void* to, bool n) { *static_cast<Item*>(to) = {Kind::kFlag, n ? 1U : 0U, 0, {}}; };
+        table.byte_string = [](void* to, cbor_data data, std::size_t size) {
             *static_cast<Item*>(to) = {Kind::kBytes, 0, 0, {reinterpret_cast<const char*>(data), size}};
         };
-        made.array_start = [](void* to, std::size_t size) {
+        table.array_start = [](void* to, std::size_t size) {
             *static_cast<Item*>(to) = {Kind::kList, size, 0, {}};
         };
-        return made;
+        return table;
     }();
     Item item;
     if (failed_) return item;
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -1,7 +1,7 @@
-// CBOR (RFC 8949) between ivyrill's own processes, on libcbor's streaming coder. A struct that travels names
-// its members once, in order, by a static `tie`; from that both directions follow. Structs are arrays of
-// exactly these members: a message of another protocol version is refused by the frame around it, not guessed
-// at.
+// CBOR (RFC 8949) serialization between ivyrill's own processes, on top of libcbor's streaming coder. A
+// serializable struct lists its members in order in a static `tie`, which encoding and decoding both use.
+// Structs are encoded as arrays of exactly these members: messages of another protocol version are rejected
+// by the frame layer.
 #pragma once
 #include "base/ids.hpp"
 #include "base/result.hpp"
@@ -27,7 +27,7 @@
     void real(double value);
     void flag(bool value);
     void bytes(std::string_view value);
-    void list(std::size_t size); // so many items follow
+    void list(std::size_t size); // header of an array of `size` items
     const std::string& written() const { return out_; }
     std::string take() { return std::move(out_); }
 
@@ -36,7 +36,7 @@
 };
 
 // Reads item by item. After the first failure every read returns an empty value and `failed` stays set, so
-// that callers check once at the end.
+// callers need to check only once at the end.
 class Decoder {
   public:
     explicit Decoder(std::string_view bytes) : rest_(bytes) {}
@@ -45,7 +45,7 @@
     double real();
     bool flag();
     std::string bytes();
-    std::size_t list(); // the number of items that follow; never more than bytes are left
+    std::size_t list(); // the number of items that follow; never more than the bytes left
     void fail() { failed_ = true; }
     bool failed() const { return failed_; }
     bool at_end() const { return rest_.empty(); }
@@ -62,8 +62,8 @@
     T::tie(value);
 };
 
-// An enum that travels tells by `last_of`, found beside it, the last of its values, which are counted from 0:
-// code indexes by them, so that a number beyond is refused as spoilt.
+// A serializable enum has consecutive values from 0 and an overload of `last_of` (found by ADL) that returns
+// the last one. Enums are used as indexes, so larger numbers are rejected.
 template <class T>
 concept BoundedEnum = std::is_enum_v<T> && requires(T value) {
     { last_of(value) } -> std::same_as<T>;
@@ -102,9 +102,9 @@
     } else if constexpr (IsVariant<T>::value) {
         out.list(2);
         out.unsigned_number(value.index());
-        std::visit([&](const auto& held) { encode(out, held); }, value);
+        std::visit([&](const auto& alternative) { encode(out, alternative); }, value);
     } else {
-        static_assert(Tied<const T>, "a type that travels names its members by tie()");
+        static_assert(Tied<const T>, "a serializable type lists its members in tie()");
         const auto members = T::tie(value);
         out.list(std::tuple_size_v<decltype(members)>);
         std::apply([&](const auto&... member) { (encode(out, member), ...); }, members);
@@ -128,7 +128,7 @@
     if constexpr (std::same_as<T, bool>) {
         value = in.flag();
     } else if constexpr (std::is_enum_v<T>) {
-        static_assert(BoundedEnum<T>, "an enum that travels names its last value by last_of()");
+        static_assert(BoundedEnum<T>, "a serializable enum returns its last value from last_of()");
         const std::uint64_t number = in.unsigned_number();
         if (number > static_cast<std::uint64_t>(last_of(T{}))) return in.fail();
         value = static_cast<T>(number);
@@ -167,14 +167,14 @@
     return out.take();
 }
 
-// The whole of `bytes` as one T; an error where it is spoilt, cut short or followed by more.
+// Decodes `bytes` as exactly one T; an error if they are malformed, truncated or followed by more data.
 template <class T> Result<T> from_bytes(std::string_view bytes) {
     Decoder in(bytes);
     T value{};
     decode(in, value);
     if (in.failed() || !in.at_end())
         return error(ErrorKind::kProtocol,
-                     "a message of a peer can't be read: run the same version everywhere");
+                     "malformed message from a peer: run the same version on every node");
     return value;
 }
 
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -16,28 +16,28 @@
 }
 
 std::size_t FrameReader::feed(std::string_view bytes) {
-    std::size_t taken = 0;
-    while (taken < bytes.size() && !complete_ && !error_) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && !complete_ && !error_) {
         if (head_.size() < kHeadBytes) {
-            head_.push_back(bytes[taken++]);
+            head_.push_back(bytes[consumed++]);
             if (head_.size() < kHeadBytes) continue;
             std::size_t size = 0;
             for (std::size_t i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(head_[i]);
             if (static_cast<std::uint8_t>(head_[4]) != kProtocolVersion)
                 error_ = error(ErrorKind::kOtherVersion,
-                               "a peer speaks another protocol version: run one version everywhere");
+                               "peer uses another protocol version: run the same version on every node");
             else if (size > kMaxFrameBytes || size == 0)
                 error_ = error(ErrorKind::kProtocol,
-                               "a frame is empty or larger than 16 MiB: it is no ivyrill peer");
-            left_ = size;
+                               "frame is empty or larger than 16 MiB: the sender is not an ivyrill peer");
+            remaining_ = size;
             continue;
         }
-        const std::size_t count = std::min(left_, bytes.size() - taken);
-        body_.append(bytes.substr(taken, count));
-        taken += count, left_ -= count;
-        complete_ = left_ == 0;
+        const std::size_t count = std::min(remaining_, bytes.size() - consumed);
+        body_.append(bytes.substr(consumed, count));
+        consumed += count, remaining_ -= count;
+        complete_ = remaining_ == 0;
     }
-    return taken;
+    return consumed;
 }
 
 std::string FrameReader::take() {
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -1,6 +1,6 @@
-// Frames between ivyrill's own processes: four bytes of length (big-endian), one byte of protocol version,
-// then one CBOR value. The version is exact: processes of two versions refuse each other and say so in their
-// logs.
+// Frames between ivyrill's own processes: a four-byte big-endian length, one byte of protocol version, and
+// one CBOR value. Versions must match exactly: processes of different versions reject each other's frames and
+// log it.
 #pragma once
 #include "base/result.hpp"
 
@@ -13,22 +13,23 @@
 namespace ivyrill::wire {
 
 inline constexpr std::uint8_t kProtocolVersion = 4;
-inline constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024; // a whole configuration and all servers fit
+inline constexpr std::size_t kMaxFrameBytes = 16 * 1024 * 1024; // fits a full configuration and all servers
 
 std::string frame(std::string_view cbor);
 
-// Out of bytes that come in any split; one frame at a time.
+// Incremental reader of one frame at a time; accepts bytes split at any position.
 class FrameReader {
   public:
-    std::size_t feed(std::string_view bytes); // takes bytes until a frame is whole or broken
+    std::size_t
+    feed(std::string_view bytes); // returns the bytes consumed: up to the end of the frame or the first error
     bool complete() const { return complete_; }
     const std::optional<Error>& broken() const { return error_; }
-    std::string take(); // the CBOR value of the complete frame; the reader starts anew
+    std::string take(); // the CBOR value of the complete frame; resets the reader
 
   private:
     static constexpr std::size_t kHeadBytes = 5;
     std::string head_, body_;
-    std::size_t left_ = 0;
+    std::size_t remaining_ = 0;
     bool complete_ = false;
     std::optional<Error> error_;
 };
--- a/tests/cbor_tests.cpp
+++ b/tests/cbor_tests.cpp
@@ -1,4 +1,5 @@
-// Messages of the consensus travel whole or not at all.
+// Tests of the CBOR serialization: consensus messages round-trip, and malformed ones are rejected without a
+// crash.
 #define BOOST_TEST_MODULE cbor
 #include "consensus/types.hpp"
 #include "wire/cbor.hpp"
@@ -26,7 +27,7 @@
             {from, to, TimeoutNow{9}}};
 }
 
-// What was read must be written the same again: nothing that was read went unused.
+// If the bytes decode, the decoded message must survive another round trip.
 void check_read(const std::string& bytes) {
     const auto read = wire::from_bytes<Message>(bytes);
     if (read.has_value())
@@ -36,7 +37,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_message_survives_the_way_there) {
+BOOST_AUTO_TEST_CASE(each_message_round_trips) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         const auto read = wire::from_bytes<Message>(bytes);
@@ -49,7 +50,7 @@
     BOOST_TEST((std::get<Append>(read.value().body).entry == entry()));
 }
 
-BOOST_AUTO_TEST_CASE(durable_state_survives_the_way_to_disk) {
+BOOST_AUTO_TEST_CASE(durable_state_round_trips) {
     const DurableState state{12, MemberId{4}, entry()};
     const auto read = wire::from_bytes<DurableState>(wire::to_bytes(state));
     BOOST_REQUIRE(read.has_value());
@@ -60,7 +61,7 @@
     BOOST_TEST((!empty.value().voted_for && !empty.value().entry));
 }
 
-BOOST_AUTO_TEST_CASE(a_message_cut_anywhere_is_refused) {
+BOOST_AUTO_TEST_CASE(a_truncated_message_is_rejected) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         for (std::size_t kept = 0; kept < bytes.size(); ++kept) {
@@ -71,26 +72,26 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_message_followed_by_more_is_refused) {
+BOOST_AUTO_TEST_CASE(a_message_with_trailing_bytes_is_rejected) {
     for (const Message& message : each_message())
         for (int more = 0; more < 256; ++more)
             BOOST_REQUIRE(
                 !wire::from_bytes<Message>(wire::to_bytes(message) + static_cast<char>(more)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_flipped_byte_never_crashes) {
+BOOST_AUTO_TEST_CASE(a_changed_byte_never_crashes) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         for (std::size_t at = 0; at < bytes.size(); ++at)
             for (int value = 0; value < 256; ++value) {
-                std::string spoilt = bytes;
-                spoilt[at] = static_cast<char>(value);
-                check_read(spoilt);
+                std::string corrupted = bytes;
+                corrupted[at] = static_cast<char>(value);
+                check_read(corrupted);
             }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_byte_left_out_or_put_in_never_crashes) {
+BOOST_AUTO_TEST_CASE(a_removed_or_inserted_byte_never_crashes) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         for (std::size_t at = 0; at < bytes.size(); ++at) {
@@ -101,7 +102,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_length_beyond_what_is_left_is_refused_at_once) {
+BOOST_AUTO_TEST_CASE(a_length_beyond_the_input_is_rejected) {
     const std::string huge_list("\x9B\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF", 9);
     BOOST_TEST(!wire::from_bytes<std::vector<std::uint64_t>>(huge_list).has_value());
     const std::string huge_bytes("\x5B\xFF\xFF\xFF\xFF\xFF\xFF\xFF\xFF"
--- a/tests/frame_tests.cpp
+++ b/tests/frame_tests.cpp
@@ -1,4 +1,4 @@
-// Frames and the messages in them, spoilt one byte at a time.
+// Tests of frames and of the feed messages in them, with every byte corrupted in turn.
 #define BOOST_TEST_MODULE frame
 #include "feed/messages.hpp"
 #include "wire/cbor.hpp"
@@ -39,7 +39,7 @@
             70'000};
 }
 
-// One of each kind, and in Batch one of each item.
+// One message of each kind; the Batch has one item of each kind.
 std::vector<Message> each_message() {
     const model::EdgeNode edge{"edge-1", "a", "10.0.0.2", 1ULL << 63U};
     const model::ControlNode control{"10.0.0.3:7000", "b", 9};
@@ -86,7 +86,7 @@
 
 bool is_known(model::Stage stage) { return stage <= model::Stage::kDecode; }
 
-// Code that indexes by them must never meet a value that has no name.
+// Enums are used as indexes, so a decoded value must be a declared one.
 bool enums_are_known(const Message& message) {
     if (const auto* known = std::get_if<Instances>(&message))
         return std::ranges::all_of(known->records,
@@ -118,7 +118,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(two_frames_come_whole_in_every_split) {
+BOOST_AUTO_TEST_CASE(two_frames_are_read_at_every_split) {
     const std::string first(1, 'a'), second = "of 11 bytes";
     const std::string bytes = wire::frame(first) + wire::frame(second);
     for (std::size_t split = 0; split <= bytes.size(); ++split) {
@@ -147,41 +147,41 @@
     BOOST_TEST(reader.complete());
 }
 
-BOOST_AUTO_TEST_CASE(every_other_version_is_refused) {
+BOOST_AUTO_TEST_CASE(every_other_version_is_rejected) {
     std::string bytes = wire::frame("payload");
     for (int version = 0; version < 256; ++version) {
         bytes[kVersionByte] = static_cast<char>(version);
         FrameReader reader;
-        const std::size_t taken = reader.feed(bytes);
+        const std::size_t consumed = reader.feed(bytes);
         if (version == wire::kProtocolVersion) {
             BOOST_TEST(reader.complete());
             continue;
         }
         BOOST_REQUIRE(reader.broken());
         BOOST_TEST((reader.broken()->kind == ErrorKind::kOtherVersion));
-        BOOST_TEST(taken == kHeadBytes);
-        BOOST_TEST(reader.feed(bytes) == 0U); // nothing more is taken from such a peer
+        BOOST_TEST(consumed == kHeadBytes);
+        BOOST_TEST(reader.feed(bytes) == 0U); // nothing more is consumed from such a peer
         BOOST_TEST(!reader.complete());
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_frame_that_is_too_large_or_empty_is_refused_by_its_head) {
-    const auto most = static_cast<std::uint32_t>(wire::kMaxFrameBytes);
-    for (const std::uint32_t size : {0U, most + 1, most * 2, 0x7FFFFFFFU, 0xFFFFFFFFU}) {
+BOOST_AUTO_TEST_CASE(a_frame_that_is_too_large_or_empty_is_rejected_by_its_head) {
+    const auto max_size = static_cast<std::uint32_t>(wire::kMaxFrameBytes);
+    for (const std::uint32_t size : {0U, max_size + 1, max_size * 2, 0x7FFFFFFFU, 0xFFFFFFFFU}) {
         FrameReader reader;
         reader.feed(framed(size, wire::kProtocolVersion));
         BOOST_REQUIRE(reader.broken().has_value());
         BOOST_TEST((reader.broken()->kind == ErrorKind::kProtocol), "size " << size);
         BOOST_TEST(!reader.complete());
     }
-    for (const std::uint32_t size : {1U, most}) {
+    for (const std::uint32_t size : {1U, max_size}) {
         FrameReader reader;
         reader.feed(framed(size, wire::kProtocolVersion));
         BOOST_TEST(!reader.broken().has_value(), "size " << size);
     }
 }
 
-BOOST_AUTO_TEST_CASE(each_message_survives_the_way_there) {
+BOOST_AUTO_TEST_CASE(each_message_round_trips) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         const auto read = wire::from_bytes<Message>(bytes);
@@ -191,7 +191,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_message_cut_short_at_any_byte_is_refused) {
+BOOST_AUTO_TEST_CASE(a_truncated_message_is_rejected) {
     for (const Message& message : each_message()) {
         const std::string bytes = wire::to_bytes(message);
         for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -203,23 +203,23 @@
     }
 }
 
-// A byte of a text or a number may become another one; whatever is read must be a message that can be written
-// and read again, and must not be taken for the original.
-BOOST_AUTO_TEST_CASE(a_message_with_any_byte_spoilt_is_refused_or_is_another_sound_message) {
+// A corrupted byte of a string or a number may yield another valid message. It must round-trip and must
+// differ from the original.
+BOOST_AUTO_TEST_CASE(a_corrupted_message_is_rejected_or_is_another_valid_message) {
     for (const Message& message : each_message()) {
-        const std::string sound = wire::to_bytes(message);
-        for (std::size_t i = 0; i < sound.size(); ++i)
+        const std::string original = wire::to_bytes(message);
+        for (std::size_t i = 0; i < original.size(); ++i)
             for (int value = 0; value < 256; ++value) {
-                std::string spoilt = sound;
-                if (spoilt[i] == static_cast<char>(value)) continue;
-                spoilt[i] = static_cast<char>(value);
-                const auto read = wire::from_bytes<Message>(spoilt);
+                std::string corrupted = original;
+                if (corrupted[i] == static_cast<char>(value)) continue;
+                corrupted[i] = static_cast<char>(value);
+                const auto read = wire::from_bytes<Message>(corrupted);
                 if (read.has_error()) continue;
                 const std::string written = wire::to_bytes(read.value());
-                const auto again = wire::from_bytes<Message>(written);
-                BOOST_REQUIRE(again.has_value());
-                BOOST_REQUIRE(wire::to_bytes(again.value()) == written);
-                BOOST_REQUIRE_MESSAGE(written != sound, "kind " << message.index() << ", byte " << i);
+                const auto decoded_again = wire::from_bytes<Message>(written);
+                BOOST_REQUIRE(decoded_again.has_value());
+                BOOST_REQUIRE(wire::to_bytes(decoded_again.value()) == written);
+                BOOST_REQUIRE_MESSAGE(written != original, "kind " << message.index() << ", byte " << i);
                 BOOST_REQUIRE_MESSAGE(enums_are_known(read.value()),
                                       "kind " << message.index() << ", byte " << i << ", value " << value);
             }
--- a/tests/lab/fleet.cpp
+++ b/tests/lab/fleet.cpp
@@ -92,9 +92,9 @@
 }
 
 void Fleet::take(Peer& peer, const protocol::Frame& came) {
-    if (came.letter == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
-    if (came.letter != 'S') return;
-    for (const auto& [id, query] : parts_of(came.rest)) {
+    if (came.type == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
+    if (came.type != 'S') return;
+    for (const auto& [id, query] : parts_of(came.payload)) {
         {
             const std::lock_guard lock(mutex_);
             ++attempts_[id], ++count_;
--- a/tests/lab/rig.cpp
+++ b/tests/lab/rig.cpp
@@ -434,12 +434,12 @@
 }
 
 void Rig::take(Peer& peer, const protocol::Frame& came) {
-    if (came.letter == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
-    if (came.letter == 'H') peer.stream.send(frame('H', "done"));
-    if (came.letter != 'S') return;
+    if (came.type == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
+    if (came.type == 'H') peer.stream.send(frame('H', "done"));
+    if (came.type != 'S') return;
     const std::lock_guard lock(mutex_);
     const std::string name = "s" + std::to_string(peer.target);
-    for (const auto& [id, query] : parts_of(came.rest)) {
+    for (const auto& [id, query] : parts_of(came.payload)) {
         note({RigEvent::What::kAttempt, loop_.now(), peer.front, id, name, 0});
         const std::string answer = frame('R', id + " done 1 inflight=0,queue=0\n" + query);
         if (plan_.service == 0)
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -1,4 +1,4 @@
-// Tests of the parsers: every split of the bytes, and bytes that nobody should send.
+// Tests of the protocol parsers: input split at every position, malformed input and hostile input.
 #include "base/pcg.hpp"
 #include "fake_host.hpp"
 #include "protocol/frames.hpp"
@@ -22,19 +22,20 @@
            std::string(fields) + "\r\n" + std::string(body);
 }
 
-// Feeds the bytes in two pieces, split at `at`, and returns the parser and what it left.
-std::pair<HttpParser, std::size_t> fed(HttpParser::Side side, std::string_view bytes, std::size_t at) {
+// Feeds the bytes in two pieces, split at `at`, and returns the parser and the number of bytes it did not
+// consume.
+std::pair<HttpParser, std::size_t> feed_split(HttpParser::Side side, std::string_view bytes, std::size_t at) {
     HttpParser parser(side);
-    std::size_t taken = parser.feed(bytes.substr(0, at));
-    if (taken == at) taken += parser.feed(bytes.substr(at));
-    return {parser, bytes.size() - taken};
+    std::size_t consumed = parser.feed(bytes.substr(0, at));
+    if (consumed == at) consumed += parser.feed(bytes.substr(at));
+    return {parser, bytes.size() - consumed};
 }
 
 int status_of(const std::string& bytes) {
-    return fed(HttpParser::Side::kRequests, bytes, bytes.size()).first.broken();
+    return feed_split(HttpParser::Side::kRequests, bytes, bytes.size()).first.broken();
 }
 
-void request_is_read_over_every_split() {
+void request_is_parsed_at_every_split() {
     const std::string length = "Content-Length: " + std::to_string(kBody.size()) + "\r\n";
     const std::string chunks = "5;x=y\r\n" + kBody.substr(0, 5) + "\r\n" + "A\r\n" + kBody.substr(5, 10) +
                                "\r\n" + "0\r\nTrailer: x\r\n\r\n";
@@ -43,8 +44,8 @@
          {request(length, kBody) + next, request("Transfer-Encoding: chunked\r\n", chunks) + next}) {
         const bool chunked = bytes.find("chunked") != std::string::npos;
         for (std::size_t at = 0; at <= bytes.size(); ++at) {
-            auto [parser, left] = fed(HttpParser::Side::kRequests, bytes, at);
-            assert(parser.complete() && left == next.size());
+            auto [parser, remaining] = feed_split(HttpParser::Side::kRequests, bytes, at);
+            assert(parser.complete() && remaining == next.size());
             const HttpMessage message = parser.take();
             assert(message.body == (chunked ? kBody.substr(0, 15) : kBody) && !message.close);
             if (chunked) continue;
@@ -57,7 +58,7 @@
     }
 }
 
-void broken_requests_have_their_status() {
+void malformed_requests_have_their_status() {
     assert(status_of("nonsense\r\n\r\n") == 400);
     assert(status_of("GET /x SPDY/9\r\n\r\n") == 400);
     assert(status_of(request("Content-Length: 12x\r\n", "")) == 400);
@@ -87,12 +88,12 @@
     }
     message.body = R"({"query":"q","targets":[{"partition":1,"share":1}]})";
     assert(std::get<SearchRequest>(read_client_request(message)).timeout_us == 250'000);
-    message.headers[0].second = "two words"; // would break the line of a frame
+    message.headers[0].second = "two words"; // a blank would break the line format of a frame
     assert(status() == 400);
 }
 
-// What one reads one way and another the other way could hide a request, split one, or run the wrong one.
-void requests_that_can_be_read_two_ways_are_refused() {
+// Requests that parsers may interpret differently allow request smuggling and must be rejected.
+void ambiguous_requests_are_rejected() {
     for (const char* fields :
          {"Content-Length:\r\n", "Content-Length: \r\nContent-Length: 5\r\n", "Content-Length: +5\r\n",
           "Content-Length: -5\r\n", "Content-Length: 5, 5\r\n", "Content-Length: 99999999999999999999\r\n",
@@ -109,16 +110,16 @@
     HttpMessage message;
     message.method = "POST", message.target = "/position-find";
     message.body = R"({"query":"q","targets":[{"partition":1,"share":0.34},{"partition":2,"share":0.655}]})";
-    const auto refused = [&](std::vector<std::pair<std::string, std::string>> headers) {
+    const auto rejected = [&](std::vector<std::pair<std::string, std::string>> headers) {
         message.headers = std::move(headers);
         return std::holds_alternative<BadRequest>(read_client_request(message));
     };
-    assert(!refused({{"x-request-id", "a"}, {"x-timeout", "25m"}})); // rounded shares are no fault
-    assert(refused({{"x-request-id", "a"}, {"x-timeout", "25m"}, {"x-request-id", "b"}}));
-    assert(refused({{"x-request-id", "a"}, {"x-timeout", "25m"}, {"x-timeout", "900m"}}));
-    assert(refused({{"x-request-id", "a\x80"}, {"x-timeout", "25m"}}));
+    assert(!rejected({{"x-request-id", "a"}, {"x-timeout", "25m"}})); // shares may be rounded
+    assert(rejected({{"x-request-id", "a"}, {"x-timeout", "25m"}, {"x-request-id", "b"}}));
+    assert(rejected({{"x-request-id", "a"}, {"x-timeout", "25m"}, {"x-timeout", "900m"}}));
+    assert(rejected({{"x-request-id", "a\x80"}, {"x-timeout", "25m"}}));
     for (const char* span : {"-25m", "nanm", "infm", "m", "25", "25s", "0x9m", "2 5m", ""})
-        assert(refused({{"x-request-id", "a"}, {"x-timeout", span}}));
+        assert(rejected({{"x-request-id", "a"}, {"x-timeout", span}}));
     for (const char* body :
          {R"({"query":"q","targets":[{"partition":1,"share":0.5}]})",
           R"({"query":"q","targets":[{"partition":1,"share":2}]})",
@@ -127,24 +128,24 @@
           R"({"query":"q","query":"r","targets":[{"partition":1,"share":1}]})",
           R"({"query":"q","targets":[{"partition":1.5,"share":1}]})", R"([{"query":"q"}])"}) {
         message.body = body;
-        assert(refused({{"x-request-id", "a"}, {"x-timeout", "25m"}}));
+        assert(rejected({{"x-request-id", "a"}, {"x-timeout", "25m"}}));
     }
 }
 
 void response_without_length_ends_with_its_connection() {
     const std::string bytes = "HTTP/1.1 200 OK\r\n\r\n{\"version\":1}";
-    auto [parser, left] = fed(HttpParser::Side::kResponses, bytes, 30);
-    assert(!parser.complete() && left == 0);
+    auto [parser, remaining] = feed_split(HttpParser::Side::kResponses, bytes, 30);
+    assert(!parser.complete() && remaining == 0);
     parser.end();
     assert(parser.complete() && parser.take().body == "{\"version\":1}");
 }
 
-std::string frame_of(char letter, const std::string& rest) {
-    const std::size_t size = rest.size() + 1;
-    return std::string{'\0', '\0', static_cast<char>(size >> 8), static_cast<char>(size), letter} + rest;
+std::string frame_of(char type, const std::string& payload) {
+    const std::size_t size = payload.size() + 1;
+    return std::string{'\0', '\0', static_cast<char>(size >> 8), static_cast<char>(size), type} + payload;
 }
 
-void frames_are_read_over_every_split() {
+void frames_are_parsed_at_every_split() {
     const std::string bytes = frame_of('R', "9b1f.3 done 184 inflight=7,util=0.61,queue=2\nva\nlue") +
                               frame_of('M', "") + frame_of('M', "failed");
     for (std::size_t at = 0; at <= bytes.size(); ++at) {
@@ -157,69 +158,70 @@
                 if (parser.complete()) frames.push_back(parser.take());
             }
         assert(frames.size() == 3 && !parser.broken());
-        const PartResponse answer = read_part_response(frames[0].rest);
-        assert(answer.id == "9b1f.3" && answer.outcome == Outcome::kAnswered && answer.value == "va\nlue");
-        assert(answer.report.in_flight == 7.0 && answer.report.queued == 2.0);
-        assert(read_load_response(frames[1].rest).passed && !read_load_response(frames[2].rest).passed);
+        const PartResponse response = read_part_response(frames[0].payload);
+        assert(response.id == "9b1f.3" && response.outcome == Outcome::kAnswered &&
+               response.value == "va\nlue");
+        assert(response.report.in_flight == 7.0 && response.report.queued == 2.0);
+        assert(read_load_response(frames[1].payload).passed && !read_load_response(frames[2].payload).passed);
     }
     assert(part_request_frame({{"9b1f.3", 3, 240, "c41e77d0"}}) ==
            frame_of('S', "9b1f.3 3 d=240 8\nc41e77d0"));
     assert(cancel_frame("9b1f.3") == frame_of('C', "9b1f.3"));
 }
 
-void hostile_frames_break_before_memory_is_spent() {
+void hostile_frames_are_rejected_before_memory_is_allocated() {
     FrameParser huge, none;
     huge.feed(std::string("\x7F\xFF\xFF\xFF", 4)), none.feed(std::string(4, '\0'));
     assert(huge.broken() && none.broken());
-    FrameParser letter, endless, midway;
-    letter.feed(frame_of('\1', "a.1 done 1 -\nv")); // no letter of the protocol
+    FrameParser type, endless, midway;
+    type.feed(frame_of('\1', "a.1 done 1 -\nv")); // unknown frame type
     endless.feed(std::string("\0\3\0\0R", 5) + std::string(kMaxLineBytes + 1, 'a'));
-    assert(letter.broken() && endless.broken());
+    assert(type.broken() && endless.broken());
     midway.feed(frame_of('R', "a.1 done 1 -\nvalue").substr(0, 9));
     assert(midway.midway() && !midway.complete() && !midway.broken());
-    for (const char* rest : {"", "a done 1 -", "a done 1\n", "a perhaps 1 -\n", "a  1 -\n"}) {
+    for (const char* payload : {"", "a done 1 -", "a done 1\n", "a perhaps 1 -\n", "a  1 -\n"}) {
         bool thrown = false;
         try {
-            read_part_response(rest);
+            read_part_response(payload);
         } catch (const ProtocolError&) { thrown = true; }
         assert(thrown);
     }
 }
 
-// The value is what was asked for; the report beside it is only a help.
-void good_answer_counts_although_its_report_cannot_be_read() {
+// The load report is optional, so a malformed one does not invalidate the value.
+void response_with_a_malformed_report_is_accepted() {
     for (const char* report :
          {"=,=", "nan", "queue=nan", "queue=x", "inflight=-3", "busy_reqs=1e300,pending=1"}) {
-        const PartResponse answer = read_part_response("a.1 done 1 " + std::string(report) + "\nv");
-        assert(answer.outcome == Outcome::kAnswered && answer.value == "v");
-        assert(!answer.report.queued && !answer.report.in_flight);
+        const PartResponse response = read_part_response("a.1 done 1 " + std::string(report) + "\nv");
+        assert(response.outcome == Outcome::kAnswered && response.value == "v");
+        assert(!response.report.queued && !response.report.in_flight);
     }
     assert(read_part_response("a.1 done 1 busy_reqs=2,pending=0.5\nv").report.queued == 0.5);
     assert(read_load_response("queue=x").passed && read_part_id("a.1 perhaps 1 -") == "a.1");
 }
 
-// Whatever comes, a parser takes it, says that it is broken, or throws its own error; it never takes more
-// than it was given.
-void noise_does_no_harm() {
-    Pcg chance(7);
+// For mutated input a parser accepts it, reports an error or throws ProtocolError, and never consumes more
+// bytes than it was given.
+void mutated_input_is_handled() {
+    Pcg random(7);
     const std::string list = R"({"version":2,"full":true,"servers":[{"id":"s","addr":"1.2.3.4:5","zone":"a",)"
                              R"("cell":1,"state":"SERVING","weight":1.5,"started_ms":0}]})";
     const std::string length = "Content-Length: " + std::to_string(kBody.size()) + "\r\n";
     const std::vector<std::string> seeds = {request(length, kBody), list, kBody,
                                             frame_of('R', "a.1 done 1 queue=2\nv") + frame_of('M', "-")};
     for (int round = 0; round < 20'000; ++round) {
-        std::string bytes = seeds[chance.next() % seeds.size()];
-        for (std::uint32_t i = chance.next() % 4; i > 0; --i)
-            bytes[chance.next() % bytes.size()] = static_cast<char>(chance.next());
-        bytes.resize(bytes.size() - chance.next() % 8);
+        std::string bytes = seeds[random.next() % seeds.size()];
+        for (std::uint32_t i = random.next() % 4; i > 0; --i)
+            bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
+        bytes.resize(bytes.size() - random.next() % 8);
         HttpParser http(HttpParser::Side::kRequests);
         assert(http.feed(bytes) <= bytes.size());
         if (http.complete()) read_client_request(http.take());
         FrameParser frames;
-        for (std::string_view left = bytes; !left.empty() && !frames.broken();) {
-            left.remove_prefix(frames.feed(left));
+        for (std::string_view remaining = bytes; !remaining.empty() && !frames.broken();) {
+            remaining.remove_prefix(frames.feed(remaining));
             if (frames.complete()) try {
-                    read_part_response(frames.take().rest);
+                    read_part_response(frames.take().payload);
                 } catch (const ProtocolError&) {}
         }
         try {
@@ -248,7 +250,7 @@
     assert(out == "\"a\\\"\\\\\\u0001\"" && read_json(out).text == "a\"\\\x01");
 }
 
-void list_is_read_and_unknown_states_get_nothing_new() {
+void unknown_server_states_are_read_as_draining() {
     const ServerList list = read_server_list(
         R"({"version":43,"full":false,"servers":[{"id":"s-1","addr":"10.1.0.18:8081","zone":"a b","cell":3,)"
         R"("state":"DRAINING","started_ms":1700000000123},{"id":"s-2","state":"RESTING"},)"
@@ -287,16 +289,16 @@
 }
 
 constexpr Test kTests[] = {
-    TEST(request_is_read_over_every_split),
-    TEST(broken_requests_have_their_status),
-    TEST(requests_that_can_be_read_two_ways_are_refused),
+    TEST(request_is_parsed_at_every_split),
+    TEST(malformed_requests_have_their_status),
+    TEST(ambiguous_requests_are_rejected),
     TEST(response_without_length_ends_with_its_connection),
-    TEST(frames_are_read_over_every_split),
-    TEST(hostile_frames_break_before_memory_is_spent),
-    TEST(good_answer_counts_although_its_report_cannot_be_read),
-    TEST(noise_does_no_harm),
+    TEST(frames_are_parsed_at_every_split),
+    TEST(hostile_frames_are_rejected_before_memory_is_allocated),
+    TEST(response_with_a_malformed_report_is_accepted),
+    TEST(mutated_input_is_handled),
     TEST(json_is_strict_and_bounded),
-    TEST(list_is_read_and_unknown_states_get_nothing_new),
+    TEST(unknown_server_states_are_read_as_draining),
     TEST(simulator_and_front_node_read_equal_settings),
 };
 
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -67,7 +67,7 @@
             assert(!byte.empty() && parser.feed(byte) == 1);
         }
         const protocol::Frame frame = parser.take();
-        return frame.letter + frame.rest;
+        return frame.type + frame.payload;
     }
     void reset() { // closes with a TCP reset
         const linger now{1, 0};
@@ -561,7 +561,7 @@
     for (std::string bytes; !(bytes = still[0].receive()).empty();)
         for (std::size_t taken = 0; taken < bytes.size();) {
             taken += parser.feed(std::string_view(bytes).substr(taken));
-            if (parser.complete()) whole += parser.take().letter == 'S' ? 1 : 0;
+            if (parser.complete()) whole += parser.take().type == 'S' ? 1 : 0;
         }
     assert(parser.midway() && whole > 10); // the last frame is incomplete
 }
