--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -20,7 +20,7 @@
 std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
     if (!authorizer_ || !client.requires_credential) return {};
     const protocol::SearchRequest& request = event.request;
-    const access::Credential credential{request.token, request.token_spoilt, client.chain};
+    const access::Credential credential{request.token, request.token_malformed, client.chain};
     const access::AccessRequest access_request{request.request_class, request.tenant,
                                                key_is_query_ ? request.query : request.key};
     access::Decision decision = authorizer_->admit(credential, access_request, access_now());
--- a/src/sessions/http1/session.cpp
+++ b/src/sessions/http1/session.cpp
@@ -6,7 +6,7 @@
     if (!wants_input()) return 0;
     const std::size_t taken = parser_.feed(bytes);
     if (parser_.broken() != 0)
-        say(protocol::plain_reply(parser_.broken(), "not understood"), true);
+        say(protocol::error_reply(parser_.broken(), "not understood"), true);
     else if (parser_.complete())
         take(parser_.take());
     return taken;
@@ -21,7 +21,7 @@
         return;
     }
     if (const auto* bad = std::get_if<protocol::BadRequest>(&request))
-        say(protocol::plain_reply(bad->status, bad->why), false);
+        say(protocol::error_reply(bad->status, bad->why), false);
     else
         say(protocol::ready_reply(node_status_.ready), false);
     events_.emplace_back(AnsweredLocally{});
@@ -39,7 +39,7 @@
 
 void Http1Session::reject(StreamId, int status, std::string_view reason, std::string_view challenge,
                           bool last) {
-    say(protocol::plain_reply(status, reason, challenge), last);
+    say(protocol::error_reply(status, reason, challenge), last);
 }
 
 // An answer for which there is no room ends the connection: half of one would be worse.
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -267,7 +267,7 @@
     stream.phase = Phase::kSearching, --receiving_;
     const auto refuse = [&](int status, std::string_view reason) {
         spend(ClientAction::kBad);
-        if (streams_.contains(number)) reply(number, protocol::plain_reply(status, reason));
+        if (streams_.contains(number)) reply(number, protocol::error_reply(status, reason));
         events_.emplace_back(AnsweredLocally{});
     };
     if (stream.too_large)
@@ -322,9 +322,9 @@
         std::vector<StreamId> late;
         for (const auto& [number, held] : streams_)
             if (held.phase == Phase::kReceiving) late.push_back(number);
-        for (const StreamId number : late) reply(number, protocol::plain_reply(status, reason));
+        for (const StreamId number : late) reply(number, protocol::error_reply(status, reason));
     } else {
-        reply(stream, protocol::plain_reply(status, reason, challenge));
+        reply(stream, protocol::error_reply(status, reason, challenge));
     }
     if (last) drain();
 }
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -26,7 +26,7 @@
 }
 
 void parts_for_one_server_are_batched() {
-    protocol::NodeTerms terms = node_terms();
+    protocol::FrontNodeConfig terms = node_terms();
     terms.batch = 2, terms.shards = 3;
     RouterFixture fixture(terms, 1);
     const ClientId client = fixture.search({0, 1, 2});
@@ -40,8 +40,8 @@
 }
 
 void full_connection_opens_a_second_one() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 3; // of which one slot stays free
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 3; // of which one slot stays free
     RouterFixture fixture(terms, 1);
     fixture.search({0, 1});
     assert(fixture.all<OpenConnection>().size() == 1);
@@ -134,7 +134,7 @@
 void frame_stuck_in_the_write_queue_closes_its_connection() {
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
+        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
         terms.opening.may_cancel = false;
         RouterFixture fixture(terms, 1);
         const ClientId client = fixture.search({0}, ends == kItsTime ? 400'000 : 2'000'000);
@@ -156,8 +156,8 @@
 // cancellation: withdrawn parts keep their slots until answered, and one slot stays free for the
 // cancellation.
 void withdrawn_part_keeps_its_slot() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 4, terms.shards = 4;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 4, terms.shards = 4;
     RouterFixture fixture(terms, 1);
     const ClientId leaving = fixture.search({0, 1});
     const ClientId staying = fixture.search({0});
@@ -179,8 +179,8 @@
 
 // It could get no new calls, and closing it lets the server drop the withdrawn parts.
 void connection_full_of_withdrawn_parts_is_closed() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 3;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 3;
     RouterFixture fixture(terms, 1);
     const ClientId leaving = fixture.search({0, 1});
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
@@ -193,8 +193,8 @@
 
 // If no other connection can be opened, the last slot is used, but the limit is never exceeded.
 void limit_of_a_connection_is_never_exceeded() {
-    protocol::NodeTerms terms = node_terms();
-    terms.calls_a_connection = 2;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_calls_per_connection = 2;
     RouterFixture fixture(terms, 1, 2); // one connection to index servers
     for (int i = 0; i < 3; ++i) fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
@@ -447,8 +447,8 @@
 }
 
 void searches_over_the_limit_are_rejected_at_once() {
-    protocol::NodeTerms terms = node_terms();
-    terms.most_open = 3;
+    protocol::FrontNodeConfig terms = node_terms();
+    terms.max_open = 3;
     RouterFixture fixture(terms);
     const ClientId first = fixture.search({0, 1}), second = fixture.search();
     assert(!fixture.verdict(first) && fixture.verdict(second) == Verdict::kRejected);
@@ -526,7 +526,7 @@
 
 // The client has disconnected and nothing may be cancelled: an unsent attempt is not sent later.
 void nothing_is_sent_for_a_disconnected_client() {
-    protocol::NodeTerms terms = node_terms();
+    protocol::FrontNodeConfig terms = node_terms();
     terms.opening.may_cancel = false;
     RouterFixture fixture(terms, 1);
     const ClientId client = fixture.search();
@@ -550,7 +550,7 @@
 // Servers drop repeats for 300 ms; the second connection is established later than that.
 void keyed_part_is_not_sent_after_its_dedup_window() {
     for (const bool in_time : {true, false}) {
-        protocol::NodeTerms terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
+        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
         terms.opening.request_classes[0].dedup_window = ms(300);
         RouterFixture fixture(terms);
         fixture.search();
