--- a/src/control/configuration_group.cpp
+++ b/src/control/configuration_group.cpp
@@ -145,8 +145,8 @@
     if (!bootstrapping_) group_->receive(message);
 }
 
-void ConfigurationGroup::set_member_statuses(std::vector<consensus::MemberStatus> candidates) {
-    group_->set_member_statuses(std::move(candidates), options_.min_voters, options_.max_voters);
+void ConfigurationGroup::set_member_statuses(std::vector<consensus::MemberStatus> statuses) {
+    group_->set_member_statuses(std::move(statuses), options_.min_voters, options_.max_voters);
 }
 
 void ConfigurationGroup::resign() { group_->resign(); }
--- a/src/control/configuration_group.hpp
+++ b/src/control/configuration_group.hpp
@@ -66,7 +66,7 @@
     // Reports a peer's hello and the newest term that the peer knows: an initial voter learns from it whether
     // the group already exists.
     void handle_peer_hello(const std::string& address, std::uint64_t term);
-    void set_member_statuses(std::vector<consensus::MemberStatus> candidates);
+    void set_member_statuses(std::vector<consensus::MemberStatus> statuses);
     void resign();
     // If this node leads and no initial duty voters are replicated yet, proposes `count` of the voters once
     // there are that many.
--- a/src/control/failure_detector.hpp
+++ b/src/control/failure_detector.hpp
@@ -16,7 +16,7 @@
   public:
     explicit FailureDetector(Tenths heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
 
-    void heard(const std::string& id, Tenths now) { last_heard_[id] = now; }
+    void record_heartbeat(const std::string& id, Tenths now) { last_heard_[id] = now; }
     void forget(const std::string& id) { last_heard_.erase(id); }
     // Excludes a time in which this process itself was suspended and received nothing.
     void discount_pause(Tenths span) {
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -38,7 +38,7 @@
     : reactor_(reactor), log_(log), options_(std::move(options)), callbacks_(std::move(callbacks)),
       partitions_(options_.max_per_owner), failure_detector_(options_.heartbeat_interval),
       sync_tracker_(options_.incarnation) {
-    check_silence();
+    check_failures();
 }
 
 InstanceRegistry::~InstanceRegistry() { reactor_.cancel(timer_); }
@@ -68,7 +68,7 @@
     const Instance* known = table_.find(record.id);
     const bool finished = known != nullptr && known->revision == model::kFinalRevision;
     record_heartbeat(record.id);
-    if (partitions_.owner(record.service) != options_.self) note_for_watchers(record);
+    if (partitions_.owner(record.service) != options_.self) queue_notifications(record);
     if (!finished &&
         (known == nullptr || (record.revision > known->revision && !is_same_content(record, *known)))) {
         const bool inserted = known == nullptr;
@@ -230,7 +230,7 @@
     }
 }
 
-void InstanceRegistry::note_for_watchers(const Instance& record) {
+void InstanceRegistry::queue_notifications(const Instance& record) {
     for (const std::string& node : partitions_.watchers(record.service))
         if (node != options_.self) pending_notifications_[node].insert(record.id);
 }
@@ -244,8 +244,8 @@
     for (const std::string& id : message.instances) record_heartbeat(id);
 }
 
-void InstanceRegistry::check_silence() {
-    timer_ = reactor_.call_after(kCheckInterval, [this] { check_silence(); });
+void InstanceRegistry::check_failures() {
+    timer_ = reactor_.call_after(kCheckInterval, [this] { check_failures(); });
     notify_watchers();
     partitions_.count_servers(table_);
     if (const Tenths suspended = reactor_.overslept(); suspended > kCheckInterval / 5)
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -86,11 +86,11 @@
     bool accept(const model::Instance& record);              // merges and publishes; false if unchanged
     void retire_predecessors(const model::Instance& record);
     transport::Async<bool> replicate_durably(std::vector<model::Instance> records);
-    void check_silence();
+    void check_failures();
     bool remove_gone(); // returns whether any was removed
     bool is_owner(const std::string& service) { return partitions_.owner(service) == options_.self; }
-    void record_heartbeat(const std::string& id) { failure_detector_.heard(id, reactor_.now()); }
-    void note_for_watchers(const model::Instance& record);
+    void record_heartbeat(const std::string& id) { failure_detector_.record_heartbeat(id, reactor_.now()); }
+    void queue_notifications(const model::Instance& record);
     void notify_watchers();
 
     transport::Reactor& reactor_;
--- a/src/control/peer_mesh.cpp
+++ b/src/control/peer_mesh.cpp
@@ -60,11 +60,11 @@
     const std::string address = peer.node.address;
     feed::Link::Callbacks callbacks;
     callbacks.up = [this, address] {
-        Peer& here = this->find_or_add_peer(address);
-        here.retry_delay = kMinRetryDelay;
-        if (here.out) here.out->send(own_hello());
+        Peer& connected = this->find_or_add_peer(address);
+        connected.retry_delay = kMinRetryDelay;
+        if (connected.out) connected.out->send(own_hello());
         // A peer that has just started learns at once whether this node is shutting down or may vote.
-        if (here.out) here.out->send(own_status());
+        if (connected.out) connected.out->send(own_status());
         if (callbacks_.link_up) callbacks_.link_up(address);
         update_liveness();
     };
@@ -85,9 +85,9 @@
 }
 
 void PeerMesh::outgoing_ended(const std::string& address, const std::string&) {
-    Peer& here = find_or_add_peer(address);
-    free_link(reactor_, std::move(here.out));
-    here.next_attempt = std::max(here.next_attempt, reactor_.now() + kMinRetryDelay);
+    Peer& peer = find_or_add_peer(address);
+    free_link(reactor_, std::move(peer.out));
+    peer.next_attempt = std::max(peer.next_attempt, reactor_.now() + kMinRetryDelay);
 }
 
 feed::PeerHello PeerMesh::own_hello() const {
@@ -100,7 +100,7 @@
     for (const auto& [address, peer] : peers_)
         if (peer.out) addresses.push_back(address);
     for (const std::string& address : addresses)
-        if (Peer& here = find_or_add_peer(address); here.out) here.out->end("this node has a new member id");
+        if (Peer& peer = find_or_add_peer(address); peer.out) peer.out->end("this node has a new member id");
 }
 
 std::vector<model::ControlNode> PeerMesh::alive_peers() const {
@@ -138,45 +138,45 @@
         ++rejected_messages_.before_hello;
         return incoming.link->end("message before the hello");
     }
-    Peer& here = find_or_add_peer(incoming.address);
-    if (here.incarnation != incoming.incarnation) {
+    Peer& sender = find_or_add_peer(incoming.address);
+    if (sender.incarnation != incoming.incarnation) {
         ++rejected_messages_.former_process;
         return incoming.link->end("the sending process was replaced by another one");
     }
-    here.last_heard = reactor_.now();
-    if (const auto* status = std::get_if<feed::PeerStatus>(&message)) handle_status(here, *status);
-    callbacks_.received(here.node, std::move(message));
+    sender.last_heard = reactor_.now();
+    if (const auto* status = std::get_if<feed::PeerStatus>(&message)) handle_status(sender, *status);
+    callbacks_.received(sender.node, std::move(message));
 }
 
 void PeerMesh::handle_hello(Incoming& incoming, const feed::PeerHello& message) {
     if (message.node.address == options_.self.address)
         return incoming.link->end("the peer claims this node's address");
-    Peer& here = find_or_add_peer(message.node.address);
+    Peer& sender = find_or_add_peer(message.node.address);
     // Links are accepted in the order in which they were opened, so a hello that arrives over an older link
     // than that of another process is outdated.
-    if (here.incarnation != message.incarnation && incoming.id < here.hello_link) {
+    if (sender.incarnation != message.incarnation && incoming.id < sender.hello_link) {
         ++rejected_messages_.former_process;
         return incoming.link->end("the sending process was replaced by another one");
     }
     incoming.address = message.node.address, incoming.incarnation = message.incarnation;
-    here.hello_link = std::max(here.hello_link, incoming.id);
+    sender.hello_link = std::max(sender.hello_link, incoming.id);
     replaced_members_.erase(message.node.member);
-    if (here.node.member != 0 && here.node.member != message.node.member) {
-        replaced_members_[here.node.member] = reactor_.now();
+    if (sender.node.member != 0 && sender.node.member != message.node.member) {
+        replaced_members_[sender.node.member] = reactor_.now();
         log_line("peer_disk_replaced", {{"address", message.node.address}});
     }
-    if (here.incarnation != message.incarnation) {
-        here.ending = here.ready = false, here.sessions.clear();
+    if (sender.incarnation != message.incarnation) {
+        sender.ending = sender.ready = false, sender.sessions.clear();
         // The peer's side of the former link is gone, even if this side has not noticed yet.
-        if (here.out && here.incarnation != 0) here.out->end("the peer has restarted");
+        if (sender.out && sender.incarnation != 0) sender.out->end("the peer has restarted");
     }
-    here.node = message.node, here.incarnation = message.incarnation;
-    here.last_heard = reactor_.now(), here.next_attempt = std::min(here.next_attempt, reactor_.now());
-    here.retry_delay = kMinRetryDelay;
+    sender.node = message.node, sender.incarnation = message.incarnation;
+    sender.last_heard = reactor_.now(), sender.next_attempt = std::min(sender.next_attempt, reactor_.now());
+    sender.retry_delay = kMinRetryDelay;
     add_peers(message.known);
-    connect_back(here);
+    connect_back(sender);
     update_liveness();
-    if (callbacks_.peer_hello) callbacks_.peer_hello(here.node, message.term);
+    if (callbacks_.peer_hello) callbacks_.peer_hello(sender.node, message.term);
 }
 
 void PeerMesh::handle_status(Peer& peer, const feed::PeerStatus& message) {
@@ -262,7 +262,7 @@
     for (const auto& [address, peer] : peers_)
         if (peer.out && peer.out->up()) addresses.push_back(address);
     for (const std::string& address : addresses)
-        if (Peer& here = find_or_add_peer(address); here.out) here.out->send_frame(frame);
+        if (Peer& peer = find_or_add_peer(address); peer.out) peer.out->send_frame(frame);
 }
 
 std::vector<model::ControlNode> PeerMesh::alive() const {
--- a/src/control/replicated_group.cpp
+++ b/src/control/replicated_group.cpp
@@ -28,9 +28,9 @@
     step();
 }
 
-void ReplicatedGroup::set_member_statuses(std::vector<consensus::MemberStatus> candidates, std::size_t least,
-                                          std::size_t most) {
-    replica_.set_member_statuses(std::move(candidates), least, most, reactor_.now());
+void ReplicatedGroup::set_member_statuses(std::vector<consensus::MemberStatus> statuses,
+                                          std::size_t min_voters, std::size_t max_voters) {
+    replica_.set_member_statuses(std::move(statuses), min_voters, max_voters, reactor_.now());
     step();
 }
 
--- a/src/control/replicated_group.hpp
+++ b/src/control/replicated_group.hpp
@@ -43,8 +43,8 @@
 
     void bootstrap(std::vector<consensus::Member> initial_voters, std::string payload);
     void receive(const consensus::Message& message);
-    void set_member_statuses(std::vector<consensus::MemberStatus> candidates, std::size_t least,
-                             std::size_t most);
+    void set_member_statuses(std::vector<consensus::MemberStatus> statuses, std::size_t min_voters,
+                             std::size_t max_voters);
     void resign();
     // Returns the outcome, or nothing if it is not known within the timeout.
     transport::Async<std::optional<consensus::ProposalOutcome>> propose(consensus::Replica::MakePayload make,
--- a/tests/consensus_tests.cpp
+++ b/tests/consensus_tests.cpp
@@ -426,9 +426,9 @@
     ConsensusWorld world(plan(3));
     const int leader = elect_leader(world);
     world.isolate(leader);
-    const std::size_t under_way = world.write(leader), queued = world.write(leader);
+    const std::size_t active = world.write(leader), queued = world.write(leader);
     world.run_for(3 * kSecond);
-    BOOST_TEST((world.state_of(under_way) == WriteState::kUnknown));
+    BOOST_TEST((world.state_of(active) == WriteState::kUnknown));
     BOOST_TEST((world.state_of(queued) == WriteState::kRejected));
     world.isolate(leader, false);
     world.run_for(3 * kSecond);
