--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -145,7 +145,7 @@
 
 BOOST_AUTO_TEST_CASE(meter_counts_by_window_and_tenant_and_sends_totals) {
     UsageMeter meter(7, kWindowMs);
-    meter.set_fleet_time(exact(0), 0);
+    meter.update_fleet_time(exact(0), 0);
     for (int i = 0; i < 3; ++i) meter.count_started("ada", 0);
     meter.count_started("", 0); // a tenant
     meter.count_started("bob", 5 * kSecond);
