--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -33,8 +33,8 @@
 class TicketKeyStore : public transport::TicketStore {
   public:
     TicketKeyStore(const transport::Loop& loop, Tenths span) : loop_(loop), keys_(span) {}
-    const transport::TicketSecret* sealing() override;
-    const transport::TicketSecret* opening(const unsigned char* name, bool& renew) override;
+    const transport::TicketSecret* encryption_key() override;
+    const transport::TicketSecret* decryption_key(const unsigned char* name, bool& renew) override;
 
   private:
     const transport::TicketSecret* secret_of(const access::TicketKeys::Key* key);
@@ -50,10 +50,10 @@
 class Node {
   public:
     using ReloadConfiguration =
-        std::function<protocol::StartOrders()>; // throws where the configuration is not valid
+        std::function<protocol::StartConfig()>; // throws where the configuration is not valid
     // Without an `operator_file` there is no access control, no further listener and no audit log. Throws
     // where a socket or file cannot be opened or the settings are not valid.
-    explicit Node(protocol::StartOrders configuration, ReloadConfiguration reload = {},
+    explicit Node(protocol::StartConfig configuration, ReloadConfiguration reload = {},
                   const std::string& operator_file = {});
     // Port of the platform's listener (0) or of the operator's file's n-th listener (from 1).
     int port(std::size_t listener = 0) const {
@@ -142,11 +142,11 @@
     void drop_stalled_clients();
     void post(routing::Event event) { inbox_.push_back(std::move(event)); }
 
-    protocol::StartOrders configuration_;
+    protocol::StartConfig configuration_;
     ReloadConfiguration reload_;
     transport::Loop loop_;
     Lifecycle lifecycle_;
-    sessions::Around session_context_;
+    sessions::NodeStatus session_context_;
     limits::ConnectionLimits connection_limits_;
     std::deque<routing::Event> inbox_;
     std::unique_ptr<routing::Router> router_;
