--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -170,7 +170,7 @@
             {name, access::SigningKey::generate(algorithm), {0, 10'000, access::kNever, access::kNever}});
         files.keys.push_back({name, access::write_key(keys.back(), false)});
     }
-    access::Authorizer gate(access::read_policy(terms, files, nullptr, now));
+    access::Authorizer authorizer(access::read_policy(terms, files, nullptr, now));
     std::vector<std::string> tokens;
     for (int i = 0; i < 3000; ++i) {
         access::Claims claims;
@@ -183,13 +183,13 @@
     for (auto* into : {&times.first, &times.second})
         for (const std::string& token : tokens) {
             const auto begun = Clock::now();
-            const auto decision = gate.admit({token, false, nullptr}, {"find", "", ""}, now);
+            const auto decision = authorizer.admit({token, false, nullptr}, {"find", "", ""}, now);
             into->push_back(micros(Clock::now() - begun));
             if (decision.reason != access::Reason::kAdmitted)
                 throw std::runtime_error("a good token was refused");
         }
     // Sets of a fixed size overflow a little before the table is full.
-    if (gate.counts().from_cache * 100 < tokens.size() * 95)
+    if (authorizer.counts().from_cache * 100 < tokens.size() * 95)
         throw std::runtime_error("the cache did not hold what it should");
     return times;
 }
--- a/fuzz/certificate.cpp
+++ b/fuzz/certificate.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a peer's chain, as authorities and as lists; and any names against the rules that map them.
+// Fuzzes certificate chains, authorities and CRLs with arbitrary bytes, and the mapping rules with arbitrary
+// names.
 #include "access/certificate.hpp"
 
 #include <cstdint>
--- a/fuzz/h2.cpp
+++ b/fuzz/h2.cpp
@@ -1,5 +1,5 @@
-// Any bytes at the HTTP/2 session, in any split, with answers in between: memory stays bounded, each search
-// has one answer at most, and nothing is written after the end.
+// Fuzzes the HTTP/2 session with arbitrary bytes in arbitrary chunks and answers in between: memory stays
+// bounded, each search has at most one answer, and nothing is written after the end.
 #include "sessions/http2/session.hpp"
 
 #include <cstdint>
@@ -10,10 +10,10 @@
     using namespace ivyrill;
     using namespace ivyrill::sessions;
     if (size < 2) return 0;
-    limits::ConnectionLimits terms;
-    terms.max_streams = 8, terms.max_buffered_bytes = 64 * 1024, terms.max_body_bytes = 4096;
+    limits::ConnectionLimits limits;
+    limits.max_streams = 8, limits.max_buffered_bytes = 64 * 1024, limits.max_body_bytes = 4096;
     NodeStatus node_status{true, 0};
-    Http2Session session(node_status, terms);
+    Http2Session session(node_status, limits);
     const std::size_t split = 1 + data[0] % 64;
     const bool preface = (data[1] & 1U) != 0;
     std::string bytes = preface ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
@@ -33,7 +33,7 @@
                 done.insert(cancelled->stream);
             }
         }
-        if (at % 3 == 0 && !open.empty()) { // twice: the second finds nothing
+        if (at % 3 == 0 && !open.empty()) { // answered twice: the second answer must be ignored
             const StreamId stream = *open.begin();
             session.answer(stream, {protocol::Verdict::kRejected, false, {}, 0}, at % 5 == 0);
             session.answer(stream, {protocol::Verdict::kFailed, false, {}, 0}, false);
@@ -42,8 +42,8 @@
         const std::string out = session.take_output(at % 7 == 0 ? 10 : 100'000);
         if (ended && !out.empty()) std::abort();
         ended = session.closed();
-        if (session.open_streams() > terms.max_streams ||
-            session.pending_answer_bytes() > terms.max_buffered_bytes + 8 * 1024)
+        if (session.open_streams() > limits.max_streams ||
+            session.pending_answer_bytes() > limits.max_buffered_bytes + 8 * 1024)
             std::abort();
     }
     return 0;
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a token: read, judged, never let in without a signature, never a crash.
+// Fuzzes tokens: arbitrary bytes must never be admitted without a valid signature and never crash.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
 
@@ -12,9 +12,9 @@
 
 constexpr Tenths kNow = 1'800'000'000 * kTenthsPerSecond;
 
-struct Post {
+struct Fixture {
     Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kNever, kNever}};
-    Authorizer gate{policy()};
+    Authorizer authorizer{policy()};
     std::shared_ptr<const Policy> policy() const {
         AccessOptions terms;
         terms.issuer = "i", terms.audience = "a", terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
@@ -28,20 +28,20 @@
 } // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static Post post;
+    static Fixture fixture;
     const std::string bytes(reinterpret_cast<const char*>(data), size);
-    if (post.gate.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
+    if (fixture.authorizer.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
         std::abort();
-    // The same bytes as header and payload, behind a signature that holds: what is read must be what was
-    // written.
+    // The same bytes as header and payload with a valid signature: what is parsed must satisfy the
+    // invariants.
     const std::size_t half = size / 2;
     const std::string body = base64url(bytes.substr(0, half)) + "." + base64url(bytes.substr(half));
-    const TokenParseResult form = parse_token(body + "." + base64url(post.key.signing.sign(body)), 8192);
-    if (const auto* token = std::get_if<ParsedToken>(&form)) {
+    const TokenParseResult parsed = parse_token(body + "." + base64url(fixture.key.signing.sign(body)), 8192);
+    if (const auto* token = std::get_if<ParsedToken>(&parsed)) {
         if (token->claims.expires < 0 || !is_valid_name(token->claims.caller.club)) std::abort();
-        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, post.key)) std::abort();
+        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, fixture.key)) std::abort();
     }
-    // Text to bytes and back is the same text, or no text at all.
+    // Decoding and encoding again yields the same text, or the text is rejected.
     if (const auto raw = read_base64url(bytes); raw && base64url(*raw) != bytes) std::abort();
     try {
         read_key({"f", bytes});
--- a/src/access/authorizer.cpp
+++ b/src/access/authorizer.cpp
@@ -4,98 +4,101 @@
 
 namespace ivyrill::access {
 
-std::shared_ptr<const Policy> read_policy(AccessOptions terms, const AccessFiles& files, const Policy* before,
-                                          Tenths now) {
-    auto made = std::make_shared<Policy>();
-    made->ring = KeyRing::read(files.keys, before != nullptr ? &before->ring : nullptr);
-    if (made->ring.keys().empty() && files.authorities.empty())
-        throw AccessError("neither a key nor an authority: nobody could be let in");
-    if (files.revocations) made->revoked = Revocations::read(*files.revocations);
-    if (!files.revocations && before != nullptr && before->terms.issuer == terms.issuer) {
-        const Revocations& old = before->revoked;
+std::shared_ptr<const Policy> read_policy(AccessOptions options, const AccessFiles& files,
+                                          const Policy* previous, Tenths now) {
+    auto result = std::make_shared<Policy>();
+    result->ring = KeyRing::read(files.keys, previous != nullptr ? &previous->ring : nullptr);
+    if (result->ring.keys().empty() && files.authorities.empty())
+        throw AccessError(
+            "neither a key nor a certificate authority is configured; no caller could be authenticated");
+    if (files.revocations) result->revoked = Revocations::read(*files.revocations);
+    if (!files.revocations && previous != nullptr && previous->options.issuer == options.issuer) {
+        const Revocations& old = previous->revoked;
         if (!old.tokens.empty() || !old.members.empty() || !old.certificates.empty())
-            throw AccessError("the revocations that are in force are missing");
+            throw AccessError("the revocation file is missing, but revocations are in force");
     }
     if (!files.authorities.empty())
-        made->authorities = Authorities::read(files.authorities, files.crls, now, terms.crl_grace,
-                                              before != nullptr ? before->authorities.get() : nullptr);
-    made->revoked.remove_expired(now, terms.skew, terms.max_token_lifetime);
-    made->terms = std::move(terms);
-    made->generation = before != nullptr ? before->generation + 1 : 1;
-    return made;
+        result->authorities = Authorities::read(files.authorities, files.crls, now, options.crl_grace,
+                                                previous != nullptr ? previous->authorities.get() : nullptr);
+    result->revoked.remove_expired(now, options.skew, options.max_token_lifetime);
+    result->options = std::move(options);
+    result->generation = previous != nullptr ? previous->generation + 1 : 1;
+    return result;
 }
 
 Authorizer::Authorizer(std::shared_ptr<const Policy> policy)
-    : policy_(std::move(policy)), cache_(policy_->terms.max_cached_tokens) {}
+    : policy_(std::move(policy)), cache_(policy_->options.max_cached_tokens) {}
 
 Decision Authorizer::admit(const Credential& credential, const AccessRequest& request, Tenths now) {
-    Decision made = authenticate(credential, now);
-    made.proof.request = request;
-    if (made.reason == Reason::kAdmitted) made.reason = check_rights(made.caller, request);
-    if (made.reason == Reason::kAdmitted) made.tenant = policy_->terms.clubs.find(made.caller.club)->second;
-    ++(made.reason == Reason::kAdmitted ? counts_.admitted : counts_.refused);
-    ++counts_.reasons[made.reason];
-    return made;
+    Decision result = authenticate(credential, now);
+    result.proof.request = request;
+    if (result.reason == Reason::kAdmitted) result.reason = check_rights(result.caller, request);
+    if (result.reason == Reason::kAdmitted)
+        result.tenant = policy_->options.clubs.find(result.caller.club)->second;
+    ++(result.reason == Reason::kAdmitted ? counts_.admitted : counts_.refused);
+    ++counts_.reasons[result.reason];
+    return result;
 }
 
-// A token goes before a certificate: who shows one wants to be taken for its bearer, and where it is not good
-// the certificate beside it does not make it so.
+// A token takes precedence over a client certificate: the caller asks to act as the token's subject, and a
+// valid certificate does not make an invalid token acceptable.
 Decision Authorizer::authenticate(const Credential& credential, Tenths now) {
-    Decision made;
-    if (credential.malformed) return made.reason = Reason::kMalformed, made;
+    Decision result;
+    if (credential.malformed) return result.reason = Reason::kMalformed, result;
     if (credential.token.empty()) {
-        if (!credential.chain || credential.chain->certificates.empty()) return made;
+        if (!credential.chain || credential.chain->certificates.empty()) return result;
         const MappedCaller& mapped = cached_chain_check(credential.chain, now);
-        made.reason = mapped.reason, made.caller = mapped.caller;
-        made.proof.chain = credential.chain;
-        return made;
+        result.reason = mapped.reason, result.caller = mapped.caller;
+        result.proof.chain = credential.chain;
+        return result;
     }
-    // A token that was proven before is neither read nor verified again; all else is judged as for a fresh
-    // one.
+    // A cached token is neither parsed nor verified again; all other checks are made as for a new one.
     TokenCache::VerifiedToken proof = cache_.find(credential.token);
-    const bool fresh = proof.claims == nullptr;
-    if (!fresh) {
+    const bool is_new = proof.claims == nullptr;
+    if (!is_new) {
         ++counts_.from_cache;
-        made.key = proof.claims->key;
+        result.key = proof.claims->key;
     } else {
-        const TokenParseResult form = parse_token(credential.token, policy_->terms.max_token_bytes);
-        if (const auto* reason = std::get_if<Reason>(&form)) return made.reason = *reason, made;
-        const ParsedToken& token = std::get<ParsedToken>(form);
-        made.key = token.claims.key;
+        const TokenParseResult parsed = parse_token(credential.token, policy_->options.max_token_bytes);
+        if (const auto* reason = std::get_if<Reason>(&parsed)) return result.reason = *reason, result;
+        const ParsedToken& token = std::get<ParsedToken>(parsed);
+        result.key = token.claims.key;
         const Key* key = policy_->ring.find(token.claims.key);
-        // A key that is not active yet, or gone, is as good as none: that it exists is told to nobody.
-        if (key == nullptr || !key->verifies(now, policy_->terms.skew))
-            return made.reason = Reason::kUnknownKey, made;
+        // Keys that are not yet active or already expired are reported as unknown, so that their existence is
+        // not disclosed.
+        if (key == nullptr || !key->verifies(now, policy_->options.skew))
+            return result.reason = Reason::kUnknownKey, result;
         ++counts_.verified;
-        if (!has_valid_signature(token, *key)) return made.reason = Reason::kBadSignature, made;
+        if (!has_valid_signature(token, *key)) return result.reason = Reason::kBadSignature, result;
         proof = {std::make_shared<const Claims>(token.claims), key->signing.fingerprint()};
     }
-    made.reason = check_claims(*proof.claims, proof.key_fingerprint, now, true);
-    if (made.reason != Reason::kAdmitted) return made;
-    if (fresh) cache_.put(credential.token, proof);
-    made.caller = proof.claims->caller;
-    made.proof.claims = std::move(proof.claims),
-    made.proof.key_fingerprint = std::move(proof.key_fingerprint);
-    return made;
+    result.reason = check_claims(*proof.claims, proof.key_fingerprint, now, true);
+    if (result.reason != Reason::kAdmitted) return result;
+    if (is_new) cache_.put(credential.token, proof);
+    result.caller = proof.claims->caller;
+    result.proof.claims = std::move(proof.claims),
+    result.proof.key_fingerprint = std::move(proof.key_fingerprint);
+    return result;
 }
 
 Reason Authorizer::check_claims(const Claims& claims, const std::string& key_fingerprint, Tenths now,
                                 bool check_times) const {
-    const AccessOptions& terms = policy_->terms;
+    const AccessOptions& options = policy_->options;
     const Key* key = policy_->ring.find(claims.key);
-    if (key == nullptr || !key->verifies(now, terms.skew) || key->signing.fingerprint() != key_fingerprint)
+    if (key == nullptr || !key->verifies(now, options.skew) || key->signing.fingerprint() != key_fingerprint)
         return Reason::kUnknownKey;
-    if (claims.issuer != terms.issuer || std::ranges::count(claims.audience, terms.audience) == 0)
+    if (claims.issuer != options.issuer || std::ranges::count(claims.audience, options.audience) == 0)
         return Reason::kWrongAudience;
-    if (claims.expires - claims.issued > terms.max_token_lifetime) return Reason::kMalformed;
-    if (check_times && now >= claims.expires + terms.skew) return Reason::kExpired;
-    if (check_times && (now + terms.skew < claims.not_before || now + terms.skew < claims.issued))
+    if (claims.expires - claims.issued > options.max_token_lifetime) return Reason::kMalformed;
+    if (check_times && now >= claims.expires + options.skew) return Reason::kExpired;
+    if (check_times && (now + options.skew < claims.not_before || now + options.skew < claims.issued))
         return Reason::kNotYet;
     if (!claims.id.empty() && policy_->revoked.tokens.contains(claims.id)) return Reason::kRevoked;
     return revoked(claims.caller, claims.issued) ? Reason::kRevoked : Reason::kAdmitted;
 }
 
-// Tokens of a member from before that time: who has moved to another club, or lost a device, gets a new one.
+// Whether the member's tokens issued at that time are revoked. Members that changed clubs or lost a device
+// get a new token.
 bool Authorizer::revoked(const Caller& caller, Tenths issued) const {
     const auto found = policy_->revoked.members.find(caller.club + "/" + caller.member);
     return found != policy_->revoked.members.end() && issued < found->second;
@@ -108,33 +111,35 @@
     try {
         const LeafNames names = read_leaf(chain);
         if (policy_->revoked.certificates.contains(names.serial)) return {Reason::kRevoked, {}};
-        return map_names(names, policy_->terms.names);
+        return map_names(names, policy_->options.names);
     } catch (const AccessError&) { return {Reason::kMalformed, {}}; }
 }
 
 const MappedCaller& Authorizer::cached_chain_check(const std::shared_ptr<const Chain>& chain, Tenths now) {
-    CachedChain& known = chains_[chain.get()];
-    const bool fits = known.generation == policy_->generation && now >= known.from && now < known.until;
-    if (known.chain.lock() == chain && fits) return known.mapped;
-    if (chains_.size() > 64) // of connections that are gone: looked for when some come
-        std::erase_if(chains_,
-                      [&](auto& held) { return held.first != chain.get() && held.second.chain.expired(); });
+    CachedChain& cached = chains_[chain.get()];
+    const bool valid =
+        cached.generation == policy_->generation && now >= cached.valid_from && now < cached.valid_until;
+    if (cached.chain.lock() == chain && valid) return cached.mapped;
+    if (chains_.size() > 64) // removes entries of closed connections
+        std::erase_if(
+            chains_, [&](auto& entry) { return entry.first != chain.get() && entry.second.chain.expired(); });
     CachedChain fresh{chain, policy_->generation, now, now, check_chain(*chain, now)};
     if (fresh.mapped.reason == Reason::kAdmitted)
-        fresh.until = std::min(read_leaf(*chain).not_after, policy_->authorities->next_change(now));
+        fresh.valid_until = std::min(read_leaf(*chain).not_after, policy_->authorities->next_change(now));
     return (chains_[chain.get()] = std::move(fresh)).mapped;
 }
 
-// The club that a client names must be the one that it is proven to belong to; a name left out is filled in.
+// The tenant that a client names must be that of its authenticated club; if it names none, the club's tenant
+// is used.
 Reason Authorizer::check_rights(const Caller& caller, const AccessRequest& request) const {
-    const AccessOptions& terms = policy_->terms;
-    const auto club = terms.clubs.find(caller.club);
-    if (club == terms.clubs.end()) return Reason::kWrongClub;
+    const AccessOptions& options = policy_->options;
+    const auto club = options.clubs.find(caller.club);
+    if (club == options.clubs.end()) return Reason::kWrongClub;
     if (!request.tenant.empty() && request.tenant != club->second) return Reason::kWrongClub;
-    const auto request_class = terms.request_classes.find(request.request_class);
-    const std::optional<Right> right = request_class != terms.request_classes.end()
+    const auto request_class = options.request_classes.find(request.request_class);
+    const std::optional<Right> right = request_class != options.request_classes.end()
                                            ? std::optional(request_class->second)
-                                           : terms.other_request_classes;
+                                           : options.other_request_classes;
     if (!right || !caller.rights.has(*right)) return Reason::kNoRight;
     if (*right == Right::kWriteOwn && !owns(caller, request.key)) return Reason::kNotOwner;
     return Reason::kAdmitted;
@@ -153,15 +158,15 @@
 Reason Authorizer::recheck(const Chain& chain, Tenths now) const { return check_chain(chain, now).reason; }
 
 void Authorizer::replace_policy(std::shared_ptr<const Policy> next) {
-    const bool resized = next->terms.max_cached_tokens != policy_->terms.max_cached_tokens;
+    const bool resized = next->options.max_cached_tokens != policy_->options.max_cached_tokens;
     policy_ = std::move(next);
     ++counts_.policy_replacements;
-    if (resized) cache_ = TokenCache(policy_->terms.max_cached_tokens);
+    if (resized) cache_ = TokenCache(policy_->options.max_cached_tokens);
     cache_.erase_if([this](const Claims& claims) { return policy_->ring.find(claims.key) == nullptr; });
 }
 
 Tenths Authorizer::next_change(Tenths after) const {
-    const Tenths keys = policy_->ring.next_change(after, policy_->terms.skew);
+    const Tenths keys = policy_->ring.next_change(after, policy_->options.skew);
     return policy_->authorities ? std::min(keys, policy_->authorities->next_change(after)) : keys;
 }
 
--- a/src/access/authorizer.hpp
+++ b/src/access/authorizer.hpp
@@ -1,6 +1,6 @@
-// The gate: who is calling, and may this search be taken. A state machine free of I/O and of the clock but
-// the one handed in. It holds one policy, which a reload replaces whole, and a cache of proofs; each decision
-// is made from the policy in force at that moment.
+// Authenticates callers and authorizes searches. A state machine without I/O or a clock of its own. It holds
+// one policy, which a reload replaces as a whole, and a cache of verified tokens; each decision uses the
+// policy in force at that moment.
 #pragma once
 #include "access/certificate.hpp"
 #include "access/keys.hpp"
@@ -18,64 +18,64 @@
 
 namespace ivyrill::access {
 
-// What the operator's file says of access.
+// The access section of the operator's configuration.
 struct AccessOptions {
     std::string issuer, audience;
-    Tenths skew = 0;      // by which signers' clocks may differ from ours
-    Tenths settle = 0;    // how long a jump of the clock must stand before it is believed
-    Tenths crl_grace = 0; // how long a CRL counts past its time
-    Tenths max_token_lifetime =
-        kNever; // from a token's `iat` to its `exp`: bounds how long revocations are kept
-    std::size_t max_token_bytes = 0;                           // bytes
-    std::size_t max_cached_tokens = 0;                         // tokens whose signature is remembered
-    std::map<std::string, std::string, std::less<>> clubs;     // to the tenant that bears its share
-    std::map<std::string, Right, std::less<>> request_classes; // the right that each asks for
-    std::optional<Right> other_request_classes;                // ... of the others; nothing: nobody may
-    std::vector<NameRule> names;                               // of client certificates
+    Tenths skew = 0;                    // tolerated difference between the signers' clocks and ours
+    Tenths settle = 0;                  // how long a clock jump must persist before it is accepted
+    Tenths crl_grace = 0;               // how long a CRL is accepted past its nextUpdate time
+    Tenths max_token_lifetime = kNever; // from `iat` to `exp`; bounds how long revocations are kept
+    std::size_t max_token_bytes = 0;
+    std::size_t max_cached_tokens = 0;
+    std::map<std::string, std::string, std::less<>> clubs;     // to the tenant that it is accounted to
+    std::map<std::string, Right, std::less<>> request_classes; // to the right that each requires
+    std::optional<Right> other_request_classes;                // for all others; nullopt: refused
+    std::vector<NameRule> names;                               // for client certificates
 };
 
-struct AccessFiles { // as they were read; what is empty was not there
+struct AccessFiles { // contents as read; empty members were absent
     std::vector<NamedText> keys, authorities, crls;
     std::optional<NamedText> revocations;
 };
 
 struct Policy {
-    AccessOptions terms;
+    AccessOptions options;
     KeyRing ring;
     Revocations revoked;
-    std::shared_ptr<const Authorities> authorities; // null: certificates prove nothing
-    std::uint64_t generation = 0;                   // counts the policy_replacements
+    std::shared_ptr<const Authorities> authorities; // null: client certificates are not accepted
+    std::uint64_t generation = 0;                   // incremented on each replacement
 };
 
-// Reads and checks everything together. Throws AccessError, and then nothing has changed.
-std::shared_ptr<const Policy> read_policy(AccessOptions terms, const AccessFiles& files, const Policy* before,
-                                          Tenths now);
+// Reads and checks all files together. Throws AccessError on any problem; the previous policy then stays in
+// force.
+std::shared_ptr<const Policy> read_policy(AccessOptions options, const AccessFiles& files,
+                                          const Policy* previous, Tenths now);
 
 struct Credential {
-    std::string token;                  // of `Authorization: Bearer`; empty: none
-    bool malformed = false;             // that header was there and held something else
-    std::shared_ptr<const Chain> chain; // that the peer's TLS layer showed; null: none
+    std::string token;                  // from `Authorization: Bearer`; empty if absent
+    bool malformed = false;             // the Authorization header is present but is not a Bearer token
+    std::shared_ptr<const Chain> chain; // the peer's TLS client certificate; null if none
 };
 
-struct AccessRequest { // what a search is about
+struct AccessRequest { // what a search asks for
     std::string request_class, tenant, key;
     friend bool operator==(const AccessRequest&, const AccessRequest&) = default;
 };
 
-// What a search was let in by: it can be judged again later, without the credential's bytes.
+// The evidence that a search was admitted by. It can be rechecked later without the credential's bytes.
 struct Proof {
-    std::shared_ptr<const Claims> claims; // of a token
+    std::shared_ptr<const Claims> claims; // of a token, or null
     std::string key_fingerprint;
-    std::shared_ptr<const Chain> chain; // or of a certificate
+    std::shared_ptr<const Chain> chain; // of a client certificate, or null
     AccessRequest request;
 };
 
 struct Decision {
     Reason reason = Reason::kNoCredential;
-    Caller caller;      // whom the credential proves, where one is proven
-    std::string tenant; // that the search counts for
+    Caller caller;      // set if the credential is valid
+    std::string tenant; // that the search is accounted to
     Proof proof;
-    std::string key; // the named key, as the token says it; not proven, for the audit log
+    std::string key; // the key id that the token names; unverified, only for the audit log
 };
 
 struct AuthorizerCounts {
@@ -89,13 +89,15 @@
     explicit Authorizer(std::shared_ptr<const Policy> policy);
 
     Decision admit(const Credential& credential, const AccessRequest& request, Tenths now);
-    // Whether what was let in by this proof would be let in still, apart from the token's own time: a search
-    // that was taken in time is not ended by its token's expiry. Keys, revocations, clubs and rights count.
+    // Whether a search admitted by this proof would still be admitted. The token's own expiry is ignored,
+    // since a search that was admitted in time is not ended by it. Keys, revocations, clubs and rights are
+    // checked.
     Reason recheck(const Proof& proof, Tenths now) const;
-    // Whether this chain proves a caller still.
+    // Whether this chain is still valid.
     Reason recheck(const Chain& chain, Tenths now) const;
     void replace_policy(std::shared_ptr<const Policy> next);
-    // When something changes by itself: a key becomes active, is gone, a CRL runs out. kNever: never.
+    // The next time after `after` at which a key becomes active or expires, or a CRL expires; kNever if there
+    // is none.
     Tenths next_change(Tenths after) const;
 
     const Policy& policy() const { return *policy_; }
@@ -111,12 +113,12 @@
     Reason check_rights(const Caller& caller, const AccessRequest& request) const;
     bool revoked(const Caller& caller, Tenths issued) const;
 
-    // A connection shows one chain for all its searches: what was found of it holds until the policy changes,
-    // a CRL runs out or the leaf does.
+    // All searches on a connection share one chain: its check result is reused until the policy changes, a
+    // CRL expires or the leaf certificate expires.
     struct CachedChain {
         std::weak_ptr<const Chain> chain;
         std::uint64_t generation = 0;
-        Tenths from = 0, until = 0;
+        Tenths valid_from = 0, valid_until = 0;
         MappedCaller mapped;
     };
 
--- a/src/access/certificate.hpp
+++ b/src/access/certificate.hpp
@@ -1,6 +1,6 @@
-// Client certificates: the chain that a peer showed, judged against the operator's authorities, CRLs (RFC
-// 5280) and rules that map names to callers. The TLS layer has proven that the peer holds the leaf's key and
-// no more; all else is decided here, at the time handed in, as often as asked.
+// Client certificates: verifies a peer's chain against the configured authorities, CRLs (RFC 5280) and rules
+// that map certificate names to callers. The TLS layer proves only that the peer holds the leaf's private
+// key; every other check is made here for a given time and can be repeated.
 #pragma once
 #include "access/types.hpp"
 
@@ -11,15 +11,16 @@
 
 namespace ivyrill::access {
 
-struct Chain { // DER, the leaf first, as it was shown
+struct Chain { // DER, leaf first, as sent by the peer
     std::vector<std::string> certificates;
     friend bool operator==(const Chain&, const Chain&) = default;
 };
 
-// A subject alternative name and who bears it: a URI (`spiffe://` among them) or a DNS name. A pattern that
-// ends in * stands for all that begin so; `{rest}` in the member's name is what the * stood for.
+// Maps a subject alternative name, a URI (including `spiffe://`) or a DNS name, to a caller. A pattern that
+// ends in * matches every name with that prefix; `{rest}` in the member's name is replaced by the part that *
+// matched.
 struct NameRule {
-    std::string uri, dns; // one of the two
+    std::string uri, dns; // exactly one is set
     std::string club, member;
     Rights rights;
     std::vector<std::string> owned;
@@ -27,12 +28,13 @@
 
 struct LeafNames {
     std::vector<std::string> uris, dns;
-    std::string serial; // hexadecimal, lower case, no leading zeros
+    std::string serial; // lower-case hexadecimal without leading zeros
     Tenths not_after = 0;
 };
 LeafNames read_leaf(const Chain& chain); // throws AccessError
 
-// Who the names stand for; kNoRight where no rule knows them, kMalformed where there are none or two callers.
+// The caller that the names map to; kNoRight if no rule matches, kMalformed if the certificate has no names
+// or maps to two callers.
 struct MappedCaller {
     Reason reason = Reason::kNoRight;
     Caller caller;
@@ -41,24 +43,26 @@
 
 class Authorities {
   public:
-    // PEM files. Throws AccessError: nothing in it, a CRL of no authority here, one that is out of date by
-    // more than `grace` already, or one older than that which it would replace.
+    // Reads PEM files. Throws AccessError if a file holds no certificate, a CRL is not signed by one of the
+    // authorities, a CRL has been out of date for longer than `grace`, or a CRL is older than the one it
+    // would replace.
     static std::shared_ptr<const Authorities> read(const std::vector<NamedText>& certificates,
                                                    const std::vector<NamedText>& crls, Tenths now,
-                                                   Tenths grace, const Authorities* before);
-    // kAdmitted where the chain leads to an authority and nothing in it is revoked.
+                                                   Tenths grace, const Authorities* previous);
+    // Returns kAdmitted if the chain leads to an authority and none of its certificates is revoked.
     Reason verify(const Chain& chain, Tenths now) const;
-    // When a CRL runs out, with its grace: after it, nobody whom its authority signed is let in.
+    // The next time after `after` at which a CRL and its grace period expire. From then on, every certificate
+    // of its authority is rejected.
     Tenths next_change(Tenths after) const;
     std::size_t certificates() const;
     std::size_t crls() const;
 
   private:
-    struct Held;
-    std::shared_ptr<const Held> held_;
+    struct State;
+    std::shared_ptr<const State> state_;
 };
 
-inline constexpr std::size_t kMaxChainCertificates = 4;    // certificates that a peer may show
-inline constexpr std::size_t kMaxCertificateBytes = 16384; // bytes of one
+inline constexpr std::size_t kMaxChainCertificates = 4; // of a peer's chain
+inline constexpr std::size_t kMaxCertificateBytes = 16384;
 
 } // namespace ivyrill::access
--- a/src/access/handshake_limiter.hpp
+++ b/src/access/handshake_limiter.hpp
@@ -1,7 +1,7 @@
-// Which TLS handshakes may go on. One costs more than many searches, and anybody can ask for one, so they are
-// bounded three ways: so many begun and not done at once (the oldest goes when a newer one comes), so many
-// steps a second (a token bucket), and so many in one turn, so that searches on the plain port wait for no
-// more than that. Times are the reducer's. Free of I/O.
+// Limits TLS handshakes, each of which costs more than many searches and can be requested by anyone. Three
+// limits apply: the number of handshakes in progress (a new one evicts the oldest), the steps per second (a
+// token bucket) and the steps per event loop turn, which bounds the delay of searches on the plain port.
+// Times are those of the reducer. No I/O.
 #pragma once
 #include "base/time.hpp"
 
@@ -15,66 +15,68 @@
 namespace ivyrill::access {
 
 struct HandshakeLimits {
-    std::size_t max_open = 0;    // begun and not done
-    double steps_per_second = 0; // a whole handshake takes two, or three with TLS 1.2
+    std::size_t max_open = 0;    // handshakes in progress
+    double steps_per_second = 0; // a full handshake takes two steps, or three with TLS 1.2
     std::size_t steps_per_turn = 0;
 };
 
-// Names are serial numbers: the least is the oldest.
+// Names are serial numbers; the lowest is the oldest.
 template <class Name> class HandshakeLimiter {
   public:
-    HandshakeLimiter(HandshakeLimits terms, Tenths now) : terms_(terms), room_(burst()), filled_(now) {}
+    HandshakeLimiter(HandshakeLimits limits, Tenths now)
+        : limits_(limits), tokens_(burst()), refilled_at_(now) {}
 
-    // A connection that will advance_handshake hands; the one that must go for it, if any.
+    // Adds a connection that starts a handshake; returns the connection evicted for it, if any.
     std::optional<Name> begin(Name name) {
-        std::optional<Name> gone;
-        if (open_.size() >= terms_.max_open && !open_.empty())
-            gone = *open_.begin(), end(*gone), ++crowded_out_;
+        std::optional<Name> evicted;
+        if (open_.size() >= limits_.max_open && !open_.empty())
+            evicted = *open_.begin(), end(*evicted), ++evicted_;
         open_.insert(name);
-        return gone;
+        return evicted;
     }
-    void request_step(Name name) { // its bytes have come: it wants a step
-        if (open_.contains(name) && !waits_.contains(name)) waits_.insert(name), waiting_.push_back(name);
+    void request_step(Name name) { // call when input has arrived and the connection needs a step
+        if (open_.contains(name) && !waiting_names_.contains(name))
+            waiting_names_.insert(name), queue_.push_back(name);
     }
-    void end(Name name) { // done, or gone
-        open_.erase(name), waits_.erase(name);
-        if (waits_.empty()) waiting_.clear();
+    void end(Name name) { // the handshake is complete, or the connection is closed
+        open_.erase(name), waiting_names_.erase(name);
+        if (waiting_names_.empty()) queue_.clear();
     }
-    // Those that may take their step in this turn, the longest waiting first.
+    // The connections that may take a step in this turn, longest-waiting first.
     std::vector<Name> grant(Tenths now) {
-        room_ = std::min(burst(), room_ + terms_.steps_per_second * static_cast<double>(now - filled_) /
-                                              kTenthsPerSecond);
-        filled_ = now;
+        tokens_ = std::min(burst(), tokens_ + limits_.steps_per_second *
+                                                  static_cast<double>(now - refilled_at_) / kTenthsPerSecond);
+        refilled_at_ = now;
         std::vector<Name> granted;
-        while (!waiting_.empty() && granted.size() < terms_.steps_per_turn && room_ >= 1) {
-            const Name next = waiting_.front();
-            waiting_.pop_front();
-            if (waits_.erase(next) == 0) continue;
-            granted.push_back(next), room_ -= 1;
+        while (!queue_.empty() && granted.size() < limits_.steps_per_turn && tokens_ >= 1) {
+            const Name next = queue_.front();
+            queue_.pop_front();
+            if (waiting_names_.erase(next) == 0) continue;
+            granted.push_back(next), tokens_ -= 1;
         }
-        while (!waiting_.empty() && !waits_.contains(waiting_.front())) waiting_.pop_front();
+        while (!queue_.empty() && !waiting_names_.contains(queue_.front())) queue_.pop_front();
         return granted;
     }
-    // When the next one may go on; nothing where none waits.
+    // When the next waiting connection may take a step; nullopt if none waits.
     std::optional<Tenths> next_step_time(Tenths now) const {
-        if (waits_.empty()) return {};
-        if (room_ >= 1) return now + 1;
-        const double span = (1 - room_) * kTenthsPerSecond / terms_.steps_per_second;
+        if (waiting_names_.empty()) return {};
+        if (tokens_ >= 1) return now + 1;
+        const double span = (1 - tokens_) * kTenthsPerSecond / limits_.steps_per_second;
         return now + std::max<Tenths>(1, static_cast<Tenths>(span) + 1);
     }
     std::size_t open() const { return open_.size(); }
     bool open(Name name) const { return open_.contains(name); }
-    std::uint64_t crowded_out() const { return crowded_out_; }
+    std::uint64_t evicted() const { return evicted_; }
 
   private:
-    double burst() const { return std::max(1.0, static_cast<double>(terms_.steps_per_turn)); }
+    double burst() const { return std::max(1.0, static_cast<double>(limits_.steps_per_turn)); }
 
-    HandshakeLimits terms_;
-    double room_;
-    Tenths filled_;
-    std::set<Name> open_, waits_;
-    std::deque<Name> waiting_;
-    std::uint64_t crowded_out_ = 0;
+    HandshakeLimits limits_;
+    double tokens_;
+    Tenths refilled_at_;
+    std::set<Name> open_, waiting_names_;
+    std::deque<Name> queue_;
+    std::uint64_t evicted_ = 0;
 };
 
 } // namespace ivyrill::access
--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t kMostKeys = 64, kMostFile = 16 * 1024, kMostRevoked = 100'000;
-constexpr std::size_t kMostRevocations = 16 * 1024 * 1024; // bytes
+constexpr std::size_t kMaxKeys = 64, kMaxKeyFileBytes = 16 * 1024, kMaxRevocationEntries = 100'000;
+constexpr std::size_t kMaxRevocationFileBytes = 16 * 1024 * 1024;
 
 Tenths time_of(const nlohmann::json& json, const char* name, std::optional<Tenths> otherwise) {
     const auto found = json.find(name);
@@ -25,7 +25,7 @@
     const auto found = json.find(name);
     if (found == json.end()) return;
     if (!found->is_object()) throw AccessError(std::string(name) + ": expected an object");
-    if (found->size() > kMostRevoked) throw AccessError(std::string(name) + ": too many");
+    if (found->size() > kMaxRevocationEntries) throw AccessError(std::string(name) + ": too many entries");
     for (const auto& [key, value] : found->items()) {
         const auto time = read_seconds(value);
         if (!time) throw AccessError(std::string(name) + ": expected whole seconds since 1970 for " + key);
@@ -59,17 +59,17 @@
 
 bool is_valid_name(std::string_view name) {
     return !name.empty() && name.size() <= 64 && name != "." && name != ".." &&
-           std::ranges::all_of(name, [](char letter) {
-               return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-                      (letter >= '0' && letter <= '9') || letter == '-' || letter == '_' || letter == '.';
+           std::ranges::all_of(name, [](char c) {
+               return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                      c == '-' || c == '_' || c == '.';
            });
 }
 
 Key read_key(const NamedText& file) {
     try {
-        if (file.text.size() > kMostFile) throw AccessError("more than 16 kB");
+        if (file.text.size() > kMaxKeyFileBytes) throw AccessError("more than 16 kB");
         const auto json = read_object(file.text);
-        if (!json) throw AccessError("expected one JSON object, each name once");
+        if (!json) throw AccessError("expected one JSON object, without duplicate names");
         const auto name = json->find("kid");
         if (name == json->end() || !name->is_string() || !is_valid_name(name->get_ref<const std::string&>()))
             throw AccessError("kid: expected 1 to 64 letters, digits, '-', '_' or '.'");
@@ -81,7 +81,7 @@
         key.times.outgoing = time_of(*json, "outgoing", kNever);
         key.times.gone = time_of(*json, "gone", kNever);
         const KeyTimes& t = key.times;
-        // A key that is taken back may be gone before it was ever active.
+        // A revoked key may be gone before it was ever active.
         if (t.announced > t.active || (t.outgoing != kNever && t.active > t.outgoing && t.gone > t.active) ||
             (t.gone != kNever && t.outgoing != kNever && t.outgoing > t.gone))
             throw AccessError("expected announced, active, outgoing and gone in this order");
@@ -101,24 +101,25 @@
 
 KeyRing KeyRing::read(const std::vector<NamedText>& files, const KeyRing* before) {
     KeyRing ring;
-    if (files.size() > kMostKeys) throw AccessError("more than " + std::to_string(kMostKeys) + " keys");
-    if (before != nullptr) ring.prints_ = before->prints_;
+    if (files.size() > kMaxKeys) throw AccessError("more than " + std::to_string(kMaxKeys) + " keys");
+    if (before != nullptr) ring.fingerprints_ = before->fingerprints_;
     std::map<std::string, std::string> file_of;
     for (const NamedText& file : files) {
         Key key = read_key(file);
         if (const auto [place, fresh] = file_of.emplace(key.name, file.name); !fresh)
-            throw AccessError(file.name + ": the key '" + key.name + "' stands in " + place->second + " too");
-        const std::string print = key.signing.fingerprint();
-        // A token names its key: were a name given to a second one, nobody could tell which is meant.
-        if (const auto [place, fresh] = ring.prints_.emplace(key.name, print);
-            !fresh && place->second != print)
+            throw AccessError(file.name + ": the key '" + key.name + "' is defined in " + place->second +
+                              " too");
+        const std::string fingerprint = key.signing.fingerprint();
+        // Tokens refer to keys by name, so a reused name would be ambiguous.
+        if (const auto [place, fresh] = ring.fingerprints_.emplace(key.name, fingerprint);
+            !fresh && place->second != fingerprint)
             throw AccessError(file.name + ": the key '" + key.name +
-                              "' was another key or had another algorithm; "
+                              "' previously had different key material or another algorithm; "
                               "a new key needs a new name");
         ring.keys_.emplace(key.name, std::move(key));
     }
-    if (ring.prints_.size() > 16 * kMostKeys) { // names of long ago may be used again
-        std::erase_if(ring.prints_, [&](auto& print) { return !ring.keys_.contains(print.first); });
+    if (ring.fingerprints_.size() > 16 * kMaxKeys) { // bounded: old names may be reused
+        std::erase_if(ring.fingerprints_, [&](auto& entry) { return !ring.keys_.contains(entry.first); });
     }
     return ring;
 }
@@ -147,18 +148,18 @@
 }
 
 Revocations Revocations::read(const NamedText& file) {
-    Revocations made;
+    Revocations result;
     try {
-        if (file.text.size() > kMostRevocations) throw AccessError("more than 16 MB");
+        if (file.text.size() > kMaxRevocationFileBytes) throw AccessError("more than 16 MB");
         const auto json = read_object(file.text);
-        if (!json) throw AccessError("expected one JSON object, each name once");
+        if (!json) throw AccessError("expected one JSON object, without duplicate names");
         for (const auto& [name, value] : json->items())
             if (name != "tokens" && name != "members" && name != "certificates")
-                throw AccessError("unknown: '" + name + "'; expected tokens, members or certificates");
-        read_times(*json, "tokens", made.tokens);
-        read_times(*json, "members", made.members);
-        read_times(*json, "certificates", made.certificates);
-        return made;
+                throw AccessError("unknown member '" + name + "'; expected tokens, members or certificates");
+        read_times(*json, "tokens", result.tokens);
+        read_times(*json, "members", result.members);
+        read_times(*json, "certificates", result.certificates);
+        return result;
     } catch (const AccessError& error) { throw AccessError(file.name + ": " + error.what()); }
 }
 
@@ -166,41 +167,41 @@
     nlohmann::json json = {{"tokens", nlohmann::json::object()},
                            {"members", nlohmann::json::object()},
                            {"certificates", nlohmann::json::object()}};
-    for (const auto& [name, held] : {std::pair{"tokens", &tokens}, std::pair{"members", &members},
-                                     std::pair{"certificates", &certificates}})
-        for (const auto& [key, time] : *held) json[name][key] = time / kTenthsPerSecond;
+    for (const auto& [name, entries] : {std::pair{"tokens", &tokens}, std::pair{"members", &members},
+                                        std::pair{"certificates", &certificates}})
+        for (const auto& [key, time] : *entries) json[name][key] = time / kTenthsPerSecond;
     return json.dump(2) + "\n";
 }
 
 void Revocations::remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime) {
     if (max_token_lifetime != kNever)
-        std::erase_if(members, [&](auto& held) { return held.second + max_token_lifetime + skew < now; });
-    std::erase_if(tokens, [&](auto& held) { return held.second + skew < now; });
+        std::erase_if(members, [&](auto& entry) { return entry.second + max_token_lifetime + skew < now; });
+    std::erase_if(tokens, [&](auto& entry) { return entry.second + skew < now; });
 }
 
 Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Tenths now,
                 Tenths lead, Tenths overlap) {
     if (!is_valid_name(name)) throw AccessError("a key's name has 1 to 64 letters, digits, '-', '_' or '.'");
-    if (ring.find(name) != nullptr) throw AccessError("there is a key '" + name + "' already");
+    if (ring.find(name) != nullptr) throw AccessError("a key named '" + name + "' already exists");
     const Key* signer = ring.signer(now);
     const Algorithm wanted = algorithm           ? *algorithm
                              : signer != nullptr ? signer->signing.algorithm()
                                                  : Algorithm::kEdDsa;
-    // Files hold whole seconds: a start is rounded up, so that no key is active before it was announced.
-    const auto second = [](Tenths at) {
+    // Files hold whole seconds: activation is rounded up, so that no key is active before it was announced.
+    const auto round_up_to_second = [](Tenths at) {
         return (at + kTenthsPerSecond - 1) / kTenthsPerSecond * kTenthsPerSecond;
     };
     const Tenths announced = now / kTenthsPerSecond * kTenthsPerSecond;
-    const Tenths active = lead == 0 ? announced : second(now + lead);
-    Rotation made{{std::move(name), SigningKey::generate(wanted), {announced, active, kNever, kNever}}, {}};
+    const Tenths active = lead == 0 ? announced : round_up_to_second(now + lead);
+    Rotation result{{std::move(name), SigningKey::generate(wanted), {announced, active, kNever, kNever}}, {}};
     for (const auto& [other, key] : ring.keys()) {
         const KeyState state = key.times.at(now);
         if (state != KeyState::kActive || key.times.outgoing != kNever) continue;
         Key changed = key;
-        changed.times.outgoing = active, changed.times.gone = second(active + overlap);
-        made.changed_keys.push_back(std::move(changed));
+        changed.times.outgoing = active, changed.times.gone = round_up_to_second(active + overlap);
+        result.changed_keys.push_back(std::move(changed));
     }
-    return made;
+    return result;
 }
 
 } // namespace ivyrill::access
--- a/src/access/keys.hpp
+++ b/src/access/keys.hpp
@@ -1,7 +1,7 @@
-// The key ring: named keys, each with the states announced, active, outgoing and gone and the times at which
-// they follow on. A ring is read and checked whole from the files of a key directory and never changes after.
-// A key file is a JSON Web Key (RFC 7517) with `kid` and, in whole seconds since 1970, `announced`, `active`
-// and, where they are known, `outgoing` and `gone`.
+// The key ring: named keys, each with its lifecycle states (announced, active, outgoing, gone) and the times
+// at which they begin. A ring is read from the files of a key directory, checked as a whole, and immutable
+// afterwards. A key file is a JSON Web Key (RFC 7517) with `kid` and the times `announced`, `active` and, if
+// known, `outgoing` and `gone` in whole seconds since 1970.
 #pragma once
 #include "access/signature.hpp"
 #include "access/types.hpp"
@@ -16,10 +16,10 @@
 namespace ivyrill::access {
 
 enum class KeyState {
-    kAnnounced, // verifiers know it, nobody signs with it yet; it verifies nothing
+    kAnnounced, // published to verifiers but not yet used to sign; tokens signed with it are rejected
     kActive,    // signs and verifies
-    kOutgoing,  // signs nothing new, verifies what it signed
-    kGone,      // verifies nothing
+    kOutgoing,  // no longer signs, still verifies
+    kGone,      // expired; tokens signed with it are rejected
 };
 std::string_view name_of(KeyState state);
 
@@ -33,46 +33,48 @@
     std::string name; // its `kid`
     SigningKey signing;
     KeyTimes times;
-    // Whether it verifies now. Signers' clocks may be ahead of ours by the skew when it becomes active; that
-    // it is gone holds from the stated moment on.
+    // Whether the key verifies signatures now. Signers' clocks may be ahead by `skew` when the key becomes
+    // active; `gone` takes effect exactly at its time.
     bool verifies(Tenths now, Tenths skew) const;
 };
 
 class KeyRing {
   public:
-    // Throws AccessError: a file that cannot be read, two keys of one name, times out of order, a name of
-    // which another key was in the ring before.
+    // Throws AccessError if a file cannot be parsed, two keys have the same name, a key's times are out of
+    // order, or a name belonged to a different key before.
     static KeyRing read(const std::vector<NamedText>& files, const KeyRing* before);
 
     const Key* find(std::string_view name) const;
     const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
-    // The active key that became so last: what a signer uses.
+    // The most recently activated active key: the one that a signer uses.
     const Key* signer(Tenths now) const;
-    Tenths next_change(Tenths after, Tenths skew) const; // kNever where nothing is to come
+    Tenths next_change(Tenths after, Tenths skew) const; // kNever if no change is pending
 
   private:
     std::map<std::string, Key, std::less<>> keys_;
-    std::map<std::string, std::string, std::less<>> prints_; // of all keys ever seen, gone ones too
+    // Of all keys seen so far, including removed ones.
+    std::map<std::string, std::string, std::less<>> fingerprints_;
 };
 
 Key read_key(const NamedText& file);                      // throws AccessError
-std::string write_key(const Key& key, bool with_private); // the text of its file
-bool is_valid_name(std::string_view name);                // of keys, members and clubs: 1 to 64 plain letters
+std::string write_key(const Key& key, bool with_private); // the contents of its file
+// For keys, members and clubs: 1 to 64 letters, digits, '-', '_' or '.'.
+bool is_valid_name(std::string_view name);
 
-// What is taken back before its time. The file `revocations.json`: tokens by `jti` with the time until which
-// they are kept (their expiry), members as club/member with the time before which their tokens do not count,
-// certificates by serial number, in hexadecimal.
+// Revoked credentials, stored in `revocations.json`: tokens by `jti` with the time until which the entry is
+// kept (their expiry); members as club/member with the time before which their tokens are rejected;
+// certificates by serial number in hexadecimal.
 struct Revocations {
     std::map<std::string, Tenths, std::less<>> tokens, members;
-    std::map<std::string, Tenths, std::less<>> certificates; // when that was said
+    std::map<std::string, Tenths, std::less<>> certificates; // with the time of revocation
     static Revocations read(const NamedText& file);          // throws AccessError
     std::string write() const;
-    // Tokens that have expired by themselves, and members none of whose tokens from before can still be good.
+    // Removes entries of expired tokens, and of members whose earlier tokens have all expired.
     void remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime);
 };
 
-// What a rotation makes of a ring: a fresh key of the same algorithm, announced now and active after `lead`;
-// the signer of today goes out then, and is gone after `overlap` more.
+// The result of a key rotation: a new key of the same algorithm, announced now and active after `lead`. The
+// current signing key becomes outgoing then, and gone after another `overlap`.
 struct Rotation {
     Key new_key;
     std::vector<Key> changed_keys;
--- a/src/access/openssl_deleter.hpp
+++ b/src/access/openssl_deleter.hpp
@@ -1,4 +1,4 @@
-// Owns what OpenSSL hands out, with the function that frees it.
+// Deleter for std::unique_ptr that calls an OpenSSL free function.
 #pragma once
 
 namespace ivyrill::access {
--- a/src/access/ticket_keys.hpp
+++ b/src/access/ticket_keys.hpp
@@ -1,4 +1,4 @@
-// Keys of TLS session tickets, and when they change. Free of I/O.
+// Rotation of the keys for TLS session tickets (RFC 5077). No I/O.
 #pragma once
 #include "base/time.hpp"
 
@@ -9,8 +9,8 @@
 
 namespace ivyrill::access {
 
-// The keys that session tickets are sealed with: a fresh one each span, the one before still opens what it
-// sealed, older ones open nothing.
+// Creates a new key every `span`. The previous key still decrypts the tickets that it encrypted, which are
+// then renewed; older keys are discarded.
 class TicketKeys {
   public:
     struct Key {
@@ -20,25 +20,25 @@
     enum class Use { kNone, kDecrypt, kDecryptAndRenew };
     explicit TicketKeys(Tenths span) : span_(span) {}
 
-    // Bytes are drawn by the caller, who may: 80 of them make a key.
-    bool wants_key(Tenths now) const { return !keys_.has_value() || now >= made_ + span_; }
-    void add(const Key& fresh, Tenths now) {
-        if (keys_) before_ = keys_;
-        keys_ = fresh, made_ = now;
+    // Whether a new key is due. The caller supplies the 80 random bytes of a new key.
+    bool wants_key(Tenths now) const { return !current_.has_value() || now >= created_at_ + span_; }
+    void add(const Key& new_key, Tenths now) {
+        if (current_) previous_ = current_;
+        current_ = new_key, created_at_ = now;
     }
-    const Key* encryption_key() const { return keys_ ? &*keys_ : nullptr; }
+    const Key* encryption_key() const { return current_ ? &*current_ : nullptr; }
     std::pair<Use, const Key*> decryption_key(const unsigned char* name) const {
         const auto named = [name](const Key& key) {
             return std::equal(key.name.begin(), key.name.end(), name);
         };
-        if (keys_ && named(*keys_)) return {Use::kDecrypt, &*keys_};
-        if (before_ && named(*before_)) return {Use::kDecryptAndRenew, &*before_};
+        if (current_ && named(*current_)) return {Use::kDecrypt, &*current_};
+        if (previous_ && named(*previous_)) return {Use::kDecryptAndRenew, &*previous_};
         return {Use::kNone, nullptr};
     }
 
   private:
-    Tenths span_, made_ = 0;
-    std::optional<Key> keys_, before_;
+    Tenths span_, created_at_ = 0;
+    std::optional<Key> current_, previous_;
 };
 
 } // namespace ivyrill::access
--- a/src/access/token.cpp
+++ b/src/access/token.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-// A text member: absent is empty; false where it is there and no text.
-bool take_text(const json& object, const char* name, std::string& into) {
+// Reads an optional text member; false if it is present but not a string.
+bool read_text(const json& object, const char* name, std::string& into) {
     const auto found = object.find(name);
     if (found == object.end()) return true;
     if (!found->is_string()) return false;
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool take_time(const json& object, const char* name, Tenths& into) {
+bool read_time(const json& object, const char* name, Tenths& into) {
     const auto found = object.find(name);
     if (found == object.end()) return true;
     const auto read = read_seconds(*found);
@@ -27,8 +27,8 @@
     return read.has_value();
 }
 
-bool take_texts(const json& list, std::vector<std::string>& into, std::size_t most) {
-    if (!list.is_array() || list.size() > most) return false;
+bool read_text_list(const json& list, std::vector<std::string>& into, std::size_t max_entries) {
+    if (!list.is_array() || list.size() > max_entries) return false;
     for (const json& item : list) {
         if (!item.is_string()) return false;
         into.push_back(item.get<std::string>());
@@ -40,67 +40,68 @@
     Rights rights;
     for (std::size_t from = 0; from <= scope.size();) {
         const std::size_t end = std::min(scope.find(' ', from), scope.size());
-        const std::string_view word = scope.substr(from, end - from);
-        rights.read = rights.read || word == "read";
-        rights.write_own = rights.write_own || word == "write";
+        const std::string_view right = scope.substr(from, end - from);
+        rights.read = rights.read || right == "read";
+        rights.write_own = rights.write_own || right == "write";
         from = end + 1;
     }
     return rights;
 }
 
 bool read_header(const json& header, ParsedToken& token) {
-    std::string algorithm, sort;
-    if (!take_text(header, "alg", algorithm) || !take_text(header, "typ", sort) ||
-        !take_text(header, "kid", token.claims.key) || header.contains("crit") || header.contains("b64"))
-        return false; // `crit` asks for what we do not know
+    std::string algorithm, type;
+    if (!read_text(header, "alg", algorithm) || !read_text(header, "typ", type) ||
+        !read_text(header, "kid", token.claims.key) || header.contains("crit") || header.contains("b64"))
+        return false; // `crit` requires extensions that are not supported
     const auto known = algorithm_named(algorithm);
     if (!known || !is_valid_name(token.claims.key)) return false;
     token.algorithm = *known;
-    std::ranges::transform(sort, sort.begin(), [](char c) {
+    std::ranges::transform(type, type.begin(), [](char c) {
         return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
     });
-    return sort == kTokenType || sort == "application/" + std::string(kTokenType);
+    return type == kTokenType || type == "application/" + std::string(kTokenType);
 }
 
 bool read_claims(const json& payload, Claims& claims) {
     std::string scope;
-    const bool texts = take_text(payload, "iss", claims.issuer) && take_text(payload, "jti", claims.id) &&
-                       take_text(payload, "sub", claims.caller.member) &&
-                       take_text(payload, "club", claims.caller.club) && take_text(payload, "scope", scope);
-    const bool times = payload.contains("exp") && take_time(payload, "exp", claims.expires) &&
-                       take_time(payload, "nbf", claims.not_before) &&
-                       take_time(payload, "iat", claims.issued);
+    const bool texts = read_text(payload, "iss", claims.issuer) && read_text(payload, "jti", claims.id) &&
+                       read_text(payload, "sub", claims.caller.member) &&
+                       read_text(payload, "club", claims.caller.club) && read_text(payload, "scope", scope);
+    const bool times = payload.contains("exp") && read_time(payload, "exp", claims.expires) &&
+                       read_time(payload, "nbf", claims.not_before) &&
+                       read_time(payload, "iat", claims.issued);
     if (!texts || !times || !is_valid_name(claims.caller.member) || !is_valid_name(claims.caller.club) ||
         claims.id.size() > 64)
         return false;
     if (const auto audience = payload.find("aud"); audience != payload.end()) {
         if (audience->is_string())
             claims.audience.push_back(audience->get<std::string>());
-        else if (!take_texts(*audience, claims.audience, 16))
+        else if (!read_text_list(*audience, claims.audience, 16))
             return false;
     }
     if (const auto own = payload.find("own"); own != payload.end())
-        if (!take_texts(*own, claims.caller.owned, kMaxOwnedPatterns)) return false;
+        if (!read_text_list(*own, claims.caller.owned, kMaxOwnedPatterns)) return false;
     claims.caller.rights = rights_of(scope);
     return true;
 }
 
 } // namespace
 
-TokenParseResult parse_token(std::string_view bytes, std::size_t most) {
-    if (bytes.size() > most) return Reason::kMalformed;
-    const std::size_t one = bytes.find('.'), two = bytes.rfind('.');
-    if (one == std::string_view::npos || one == two || bytes.find('.', one + 1) != two)
+TokenParseResult parse_token(std::string_view bytes, std::size_t max_bytes) {
+    if (bytes.size() > max_bytes) return Reason::kMalformed;
+    const std::size_t first_dot = bytes.find('.'), last_dot = bytes.rfind('.');
+    if (first_dot == std::string_view::npos || first_dot == last_dot ||
+        bytes.find('.', first_dot + 1) != last_dot)
         return Reason::kMalformed;
-    const auto header_text = read_base64url(bytes.substr(0, one));
-    const auto payload_text = read_base64url(bytes.substr(one + 1, two - one - 1));
-    auto signature = read_base64url(bytes.substr(two + 1));
+    const auto header_text = read_base64url(bytes.substr(0, first_dot));
+    const auto payload_text = read_base64url(bytes.substr(first_dot + 1, last_dot - first_dot - 1));
+    auto signature = read_base64url(bytes.substr(last_dot + 1));
     if (!header_text || !payload_text || !signature || signature->empty()) return Reason::kMalformed;
     const auto header = read_object(*header_text), payload = read_object(*payload_text);
     ParsedToken token;
     if (!header || !payload || !read_header(*header, token) || !read_claims(*payload, token.claims))
         return Reason::kMalformed;
-    token.signed_part = bytes.substr(0, two), token.signature = std::move(*signature);
+    token.signed_part = bytes.substr(0, last_dot), token.signature = std::move(*signature);
     return token;
 }
 
--- a/src/access/token_cache.cpp
+++ b/src/access/token_cache.cpp
@@ -38,7 +38,7 @@
     auto place = std::ranges::find(set.entries, digest, &Entry::digest);
     if (place == set.entries.end())
         place = std::ranges::find_if(set.entries, [](auto& e) { return !e.proof.claims; });
-    while (place == set.entries.end()) { // the hand passes over who was used since it came by
+    while (place == set.entries.end()) { // CLOCK: skips entries used since the last pass
         Entry& entry = set.entries[set.clock_hand];
         if (!entry.used) place = set.entries.begin() + static_cast<std::ptrdiff_t>(set.clock_hand);
         entry.used = false;
--- a/src/access/token_cache.hpp
+++ b/src/access/token_cache.hpp
@@ -1,8 +1,8 @@
-// Tokens whose signatures have been verified, so that the next search with the same token need not verify it
-// again. What it keeps is the proof alone: expiry, key state, revocation and rights are judged anew each
-// time, so that nothing here can outlive them. A set-associative table of fixed size with a second chance in
-// each set (the CLOCK approximation of least recently used), by the SHA-256 of the token's bytes: nobody can
-// make two tokens meet. What failed is not kept: a stranger could fill the table with it.
+// Cache of tokens whose signatures have been verified, so that repeated use of a token skips the signature
+// check. Only the verification result is cached: expiry, key state, revocation and rights are checked on
+// every use. The table has a fixed size and is set-associative with CLOCK replacement in each set; entries
+// are indexed by the SHA-256 of the token's bytes, so an attacker cannot produce collisions. Failed
+// verifications are not cached, since anyone could fill the table with them.
 #pragma once
 #include "access/token.hpp"
 
@@ -16,16 +16,14 @@
 
 class TokenCache {
   public:
-    explicit TokenCache(std::size_t max_tokens); // tokens; rounded up to whole sets, 0: none
-    struct VerifiedToken { // the claims of a token, and the print of the key that proved them; null where
-                           // none is
-                           // held
+    explicit TokenCache(std::size_t max_tokens); // rounded up to whole sets; 0 disables the cache
+    struct VerifiedToken {                       // claims is null if the token is not cached
         std::shared_ptr<const Claims> claims;
         std::string key_fingerprint;
     };
     VerifiedToken find(std::string_view token);
     void put(std::string_view token, VerifiedToken proof);
-    // Takes out what nobody can use any more.
+    // Removes the entries whose claims satisfy the predicate.
     template <class Predicate> void erase_if(Predicate predicate) {
         for (Set& set : sets_)
             for (Entry& entry : set.entries)
--- a/src/access/trusted_clock.hpp
+++ b/src/access/trusted_clock.hpp
@@ -1,7 +1,7 @@
-// The time that credentials are judged by. The reducer's clock never goes back, but starts from what the
-// system thought at the start; the system's clock is set right by others, and may jump. What is small is
-// followed at once; a jump past the skew is believed only once it has stood for the settling span, so that a
-// clock set wrong for a moment neither expires every token nor brings one back.
+// The time used to check credentials. The steady clock never goes back, but starts from the system's time at
+// startup; the system's clock is adjusted externally and may jump. Small differences are followed at once. A
+// jump larger than the skew is accepted only after it has persisted for the settling time, so that a briefly
+// wrong clock neither expires all tokens nor makes expired ones valid again.
 #pragma once
 #include "base/time.hpp"
 
@@ -12,15 +12,16 @@
 class TrustedClock {
   public:
     TrustedClock(Tenths skew, Tenths settle) : skew_(skew), settle_(settle) {}
-    // `steady` never goes back; `wall` is what the system's clock says then.
+    // Returns the trusted time. `steady` must never go back; `wall` is the system clock's time at that
+    // moment.
     Tenths observe(Tenths steady, Tenths wall) {
         const Tenths offset = wall - steady;
-        if (std::abs(offset - offset_) <= skew_ || !begun_) {
-            offset_ = offset, begun_ = true, doubted_since_ = 0;
-        } else if (doubted_since_ == 0 || std::abs(offset - doubted_) > skew_) {
-            doubted_ = offset, doubted_since_ = steady, ++jumps_;
-        } else if (steady >= doubted_since_ + settle_) {
-            offset_ = offset, doubted_since_ = 0;
+        if (std::abs(offset - offset_) <= skew_ || !initialized_) {
+            offset_ = offset, initialized_ = true, candidate_since_ = 0;
+        } else if (candidate_since_ == 0 || std::abs(offset - candidate_) > skew_) {
+            candidate_ = offset, candidate_since_ = steady, ++jumps_;
+        } else if (steady >= candidate_since_ + settle_) {
+            offset_ = offset, candidate_since_ = 0;
         }
         return steady + offset_;
     }
@@ -28,9 +29,9 @@
     std::uint64_t jumps() const { return jumps_; }
 
   private:
-    Tenths skew_, settle_, offset_ = 0, doubted_ = 0, doubted_since_ = 0;
+    Tenths skew_, settle_, offset_ = 0, candidate_ = 0, candidate_since_ = 0;
     std::uint64_t jumps_ = 0;
-    bool begun_ = false;
+    bool initialized_ = false;
 };
 
 } // namespace ivyrill::access
--- a/src/access/types.cpp
+++ b/src/access/types.cpp
@@ -42,7 +42,7 @@
 }
 
 bool owns(const Caller& caller, std::string_view key) {
-    if (key.empty()) return false; // a note without a name has no owner
+    if (key.empty()) return false; // a note without a key has no owner
     return std::ranges::any_of(caller.owned, [key](std::string_view pattern) {
         if (!pattern.ends_with('*')) return key == pattern;
         pattern.remove_suffix(1);
--- a/src/access/types.hpp
+++ b/src/access/types.hpp
@@ -1,5 +1,5 @@
-// What access knows of a caller and says of a search. Free of I/O. Times are tenths of a millisecond since
-// 1970 (UTC), as the trusted clock of clock.hpp tells them.
+// Types for callers, rights and access decisions. No I/O. Times are tenths of a millisecond since 1970 (UTC),
+// as given by the trusted clock in trusted_clock.hpp.
 #pragma once
 #include "base/ids.hpp"
 #include "base/time.hpp"
@@ -13,7 +13,7 @@
 
 namespace ivyrill::access {
 
-inline constexpr Tenths kNever = std::numeric_limits<Tenths>::max(); // a time that does not come
+inline constexpr Tenths kNever = std::numeric_limits<Tenths>::max(); // no such time
 
 enum class Right { kRead, kWriteOwn };
 struct Rights {
@@ -22,7 +22,8 @@
     friend bool operator==(const Rights&, const Rights&) = default;
 };
 
-// Each with the answer that a client hears; the name goes to the audit log alone.
+// Why a request was refused. The client receives the answer of refusal_of; the name is written only to the
+// audit log.
 enum class Reason {
     kAdmitted,
     kNoCredential,
@@ -39,8 +40,8 @@
 };
 std::string_view name_of(Reason reason);
 
-// What the client hears of a refusal: 401 and 403 do not differ within themselves, so that nobody learns
-// which keys, members or notes there are.
+// The response to a refused request. All 401 responses are alike, and so are all 403 responses, so that a
+// client cannot find out which keys, members or notes exist.
 struct Refusal {
     int status = 401;
     std::string_view challenge; // of WWW-Authenticate (RFC 6750)
@@ -48,21 +49,21 @@
 };
 Refusal refusal_of(Reason reason);
 
-struct Caller { // whom a credential proves
+struct Caller { // identity that a credential proves
     std::string club, member;
     Rights rights;
-    std::vector<std::string> owned; // keys of notes; one that ends in * stands for all that begin so
+    std::vector<std::string> owned; // keys of notes; a trailing * matches every key with that prefix
     friend bool operator==(const Caller&, const Caller&) = default;
 };
 bool owns(const Caller& caller, std::string_view key);
 
-// A file, key or list that cannot be used; the message names it.
+// A file, key or revocation list that cannot be used; the message names it.
 class AccessError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-struct NamedText { // the bytes of a file
+struct NamedText { // contents of a file
     std::string name, text;
 };
 
--- a/src/http/call_router.cpp
+++ b/src/http/call_router.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-// Whether an endpoint's path is the target's; the rest of it is the call's.
+// Whether an endpoint's path matches the target; `rest` is set to what follows it.
 bool matches(const std::string& path, std::string_view target, std::string& rest) {
     if (path.ends_with('/')) {
         if (!target.starts_with(path) || target.size() == path.size()) return false;
--- a/src/http/call_router.hpp
+++ b/src/http/call_router.hpp
@@ -1,6 +1,6 @@
-// Calls of servers, operators and the platform over HTTP: each is a pair of types, the call and its reply,
-// behind one generic handler that reads the one, has it carried out and writes the other. Errors become
-// statuses by their kind.
+// Routes HTTP calls of model servers, operators and the platform. Each endpoint is a pair of types, the call
+// and its reply; a generic handler parses the call, executes it and writes the reply. Errors are mapped to
+// HTTP statuses by kind.
 #pragma once
 #include "base/result.hpp"
 #include "protocol/http.hpp"
@@ -16,7 +16,7 @@
 
 struct Response {
     int status = 200;
-    std::string fields; // further header lines, each with its line end
+    std::string fields; // additional header lines, each with its line end
     std::string body;
 };
 
@@ -25,7 +25,7 @@
 
 template <class Call, class Reply> struct Endpoint {
     std::string method;
-    std::string path; // ends with a slash where the rest of the path belongs to the call
+    std::string path; // a trailing slash: the rest of the path is passed to the call
     std::function<Result<Call>(const protocol::HttpMessage&, const std::string& rest)> read;
     std::function<transport::Async<Result<Reply>>(Call)> execute;
     std::function<Response(const Reply&)> write;
--- a/src/http/call_server.cpp
+++ b/src/http/call_server.cpp
@@ -37,11 +37,11 @@
 }
 
 transport::Task CallServer::accept_all() {
-    transport::Source& listener = *listener_; // as in Reactor::read_pipe
+    transport::Source& listener = *listener_; // works around GCC 12, see Reactor::read_pipe
     for (;;) {
         const int descriptor = transport::accept_from(listener.descriptor());
         if (descriptor < 0) {
-            // Out of descriptors: what waits is taken with the next connection.
+            // If out of descriptors, waiting connections are accepted with the next one.
             co_await listener.readable;
             continue;
         }
@@ -53,9 +53,9 @@
 }
 
 void CallServer::reap() {
-    if (std::exchange(reap_set_, true)) return;
+    if (std::exchange(reap_scheduled_, true)) return;
     reactor_.free_later([this] {
-        reap_set_ = false;
+        reap_scheduled_ = false;
         connections_.remove_if([](const Connection& connection) { return connection.closed; });
     });
 }
@@ -93,7 +93,7 @@
     }
     connection.stream.send(protocol::http_response(response.status, response.fields, response.body, close));
     if (!close) co_return transport::Done{};
-    // What is sent has to leave, and the peer's end to come, before the connection is freed.
+    // Before the connection is freed, the output must be written and the peer must close.
     const Tenths until = reactor_.now() + options_.request_timeout;
     const transport::WakeAt timer(reactor_, until, connection.wake);
     while (connection.stream.unwritten() > 0 && !connection.stream.ended() && reactor_.now() < until)
--- a/src/http/call_server.hpp
+++ b/src/http/call_server.hpp
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server for calls: listens at one address, reads one request at a time from each connection, has
-// it handled, and answers. Bodies are held whole, up to a bound.
+// An HTTP/1.1 server: listens at one address, reads one request at a time from each connection, runs the
+// handler and sends the response. Bodies are held in memory up to a limit.
 #pragma once
 #include "http/call_router.hpp"
 #include "transport/reactor.hpp"
@@ -15,15 +15,15 @@
 class CallServer {
   public:
     struct Options {
-        std::size_t max_body_bytes = 8 * 1024 * 1024; // bytes
-        std::size_t max_connections = 1000;           // further ones are closed at once
-        Tenths request_timeout = 50'000;              // for a whole request once it has begun
-        Tenths idle_timeout = 300'000;                // between requests
+        std::size_t max_body_bytes = 8 * 1024 * 1024;
+        std::size_t max_connections = 1000; // further connections are closed at once
+        Tenths request_timeout = 50'000;    // for a whole request, from its first byte
+        Tenths idle_timeout = 300'000;      // between requests
     };
     using Handler = std::function<transport::Async<Response>(protocol::HttpMessage)>;
     CallServer(transport::Reactor& reactor, const std::string& address, Options options, Handler handler);
     ~CallServer();
-    void close_listener(); // no further connections; what is open goes on
+    void close_listener(); // accepts no further connections; open ones continue
     int port() const;
 
   private:
@@ -46,7 +46,7 @@
     std::list<Connection> connections_;
     std::unique_ptr<transport::Source> listener_;
     transport::Task accepting_;
-    bool reap_set_ = false;
+    bool reap_scheduled_ = false;
 };
 
 } // namespace ivyrill::http
--- a/src/http/client_connection.hpp
+++ b/src/http/client_connection.hpp
@@ -1,4 +1,4 @@
-// One HTTP/1.1 connection to a server, for one request at a time. Who uses it says which slot its news wakes.
+// An HTTP/1.1 client connection for one request at a time. The user selects the slot that its stream wakes.
 #pragma once
 #include "protocol/http.hpp"
 #include "transport/reactor.hpp"
@@ -13,14 +13,15 @@
 
 class ClientConnection {
   public:
-    // Null where the system refuses at once.
+    // Returns null if connecting fails at once.
     static std::unique_ptr<ClientConnection> open(transport::Reactor& reactor, const std::string& address,
                                                   std::size_t max_output_bytes) {
         const int descriptor = transport::connect_to(address);
         if (descriptor < 0) return nullptr;
         return std::unique_ptr<ClientConnection>(new ClientConnection(reactor, descriptor, max_output_bytes));
     }
-    // What has not come in within `delivery_timeout` is lost, and what is on its way at its end.
+    // For a single call: data that is not delivered within `delivery_timeout` is dropped, as is data in
+    // transit when the connection is closed.
     static std::unique_ptr<ClientConnection> open_for_one_call(transport::Reactor& reactor,
                                                                const std::string& address,
                                                                std::size_t max_output_bytes,
@@ -34,20 +35,20 @@
 
     transport::Stream& stream() { return stream_; }
     protocol::HttpParser& parser() { return parser_; }
-    // Takes what has come into the parser; true where that was anything.
+    // Feeds received bytes to the parser; returns whether there were any.
     bool read() {
         bool any = false;
         while (stream_.unread() && !parser_.complete() && parser_.broken() == 0)
             any = stream_.feed(parser_) > 0 || any;
         return any;
     }
-    // Nothing lies unread and nothing has ended: the next request may go over it.
+    // Established, with no unread input and no close by the server: the next request may use it.
     bool reusable() {
         return stream_.established() && !stream_.hung_up() && !stream_.has_unread_input() && !parser_.begun();
     }
 
     Tenths idle_since = 0;
-    Tenths server_idle_timeout = 0; // the server's own, from Keep-Alive; 0 where it said none
+    Tenths server_idle_timeout = 0; // from the server's Keep-Alive header; 0 if absent
     std::uint64_t uses = 0;
 
   private:
--- a/src/http/event_stream.cpp
+++ b/src/http/event_stream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF"; // may stand before the first line
+constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF"; // allowed before the first line
 constexpr std::string_view kIdField = "id";
 
 } // namespace
@@ -21,21 +21,21 @@
         }
         event_.append(bytes.substr(0, size));
         bytes.remove_prefix(size);
-        if (end != std::string_view::npos) line_done();
+        if (end != std::string_view::npos) finish_line();
     }
     if (!too_long_) return boost::outcome_v2::success();
     return error(ErrorKind::kProtocol, "an event is longer than " + std::to_string(max_event_bytes_) +
-                                           " bytes; end the answer as broken, or raise the bound");
+                                           " bytes; abort the answer or raise the limit");
 }
 
-void EventStreamSplitter::line_done() {
+void EventStreamSplitter::finish_line() {
     std::string_view line(event_);
     line.remove_prefix(line_begin_);
     line.remove_suffix(1);
     if (line.ends_with('\r')) line.remove_suffix(1);
     if (std::exchange(at_start_, false) && line.starts_with(kByteOrderMark))
         line.remove_prefix(kByteOrderMark.size());
-    if (line.empty()) return event_done();
+    if (line.empty()) return finish_event();
     read_field(line);
     line_begin_ = event_.size();
 }
@@ -47,18 +47,18 @@
     if (value.starts_with(' ')) value.remove_prefix(1);
     if (value.find('\0') != std::string_view::npos) return; // the standard ignores such an id
     id_ = value;
-    id_named_ = true;
+    id_seen_ = true;
 }
 
-void EventStreamSplitter::event_done() {
+void EventStreamSplitter::finish_event() {
     const bool blank = line_begin_ == 0;
-    whole_ += event_;
+    complete_ += event_;
     event_.clear();
     line_begin_ = 0;
-    if (std::exchange(id_named_, false)) last_id_ = std::move(id_);
+    if (std::exchange(id_seen_, false)) last_id_ = std::move(id_);
     if (!blank) ++events_;
 }
 
-std::string EventStreamSplitter::take_complete() { return std::exchange(whole_, {}); }
+std::string EventStreamSplitter::take_complete() { return std::exchange(complete_, {}); }
 
 } // namespace ivyrill::http
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -8,14 +8,16 @@
 
 void Router::enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query,
                                    Tenths now, Tenths wall) {
-    clock_ = access::TrustedClock(policy->terms.skew, policy->terms.settle);
+    clock_ = access::TrustedClock(policy->options.skew, policy->options.settle);
     clock_.observe(now, wall);
     authorizer_.emplace(std::move(policy));
     key_is_query_ = key_is_query;
     schedule_access_change();
 }
 
-void Router::limit_handshakes(access::HandshakeLimits terms, Tenths now) { handshakes_.emplace(terms, now); }
+void Router::limit_handshakes(access::HandshakeLimits limits, Tenths now) {
+    handshakes_.emplace(limits, now);
+}
 
 std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
     if (!authorizer_ || !client.requires_credential) return {};
@@ -124,7 +126,7 @@
     if (!authorizer_) return;
     const Tenths before = access_now();
     clock_.observe(now_, event.wall);
-    if (std::abs(access_now() - before) <= authorizer_->policy().terms.skew) return;
+    if (std::abs(access_now() - before) <= authorizer_->policy().options.skew) return;
     access_timer_ = 0;
     recheck_access();
 }
--- a/src/sessions/http1/session.cpp
+++ b/src/sessions/http1/session.cpp
@@ -4,15 +4,15 @@
 
 std::size_t Http1Session::feed(std::string_view bytes) {
     if (!wants_input()) return 0;
-    const std::size_t taken = parser_.feed(bytes);
+    const std::size_t consumed = parser_.feed(bytes);
     if (parser_.broken() != 0)
-        say(protocol::error_reply(parser_.broken(), "not understood"), true);
+        send_reply(protocol::error_reply(parser_.broken(), "malformed request"), true);
     else if (parser_.complete())
-        take(parser_.take());
-    return taken;
+        handle_request(parser_.take());
+    return consumed;
 }
 
-void Http1Session::take(const protocol::HttpMessage& message) {
+void Http1Session::handle_request(const protocol::HttpMessage& message) {
     closing_ = message.close;
     protocol::ClientRequest request = protocol::read_client_request(message);
     if (auto* search = std::get_if<protocol::SearchRequest>(&request)) {
@@ -21,28 +21,28 @@
         return;
     }
     if (const auto* bad = std::get_if<protocol::BadRequest>(&request))
-        say(protocol::error_reply(bad->status, bad->why), false);
+        send_reply(protocol::error_reply(bad->status, bad->why), false);
     else
-        say(protocol::ready_reply(node_status_.ready), false);
+        send_reply(protocol::ready_reply(node_status_.ready), false);
     events_.emplace_back(AnsweredLocally{});
 }
 
-// An answer is the last word on its connection where the reducer or the client's request says so.
-void Http1Session::say(const protocol::Reply& reply, bool last) {
+// The connection closes after an answer if the reducer or the client's request says so.
+void Http1Session::send_reply(const protocol::Reply& reply, bool last) {
     busy_ = false, closing_ = closing_ || last;
     out_ += protocol::write_reply(reply, closing_);
 }
 
 void Http1Session::answer(StreamId, const protocol::FinalAnswer& answer, bool last) {
-    say(protocol::reply_to_search(answer), last);
+    send_reply(protocol::reply_to_search(answer), last);
 }
 
 void Http1Session::reject(StreamId, int status, std::string_view reason, std::string_view challenge,
                           bool last) {
-    say(protocol::error_reply(status, reason, challenge), last);
+    send_reply(protocol::error_reply(status, reason, challenge), last);
 }
 
-// An answer for which there is no room ends the connection: half of one would be worse.
+// If there is no room for an answer, the connection is closed without sending part of it.
 std::string Http1Session::take_output(std::size_t room) {
     if (out_.size() <= room) return std::exchange(out_, {});
     closing_ = true;
--- a/src/sessions/http1/session.hpp
+++ b/src/sessions/http1/session.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 (RFC 9112): one request at a time, answers in their order.
+// HTTP/1.1 (RFC 9112): one request at a time, answered in order.
 #pragma once
 #include "protocol/http.hpp"
 #include "sessions/session.hpp"
@@ -18,13 +18,14 @@
     bool closed() const override { return closing_ && !busy_ && out_.empty(); }
 
   private:
-    void say(const protocol::Reply& reply, bool last);
-    void take(const protocol::HttpMessage& message);
+    void send_reply(const protocol::Reply& reply, bool last);
+    void handle_request(const protocol::HttpMessage& message);
 
     const NodeStatus& node_status_;
     protocol::HttpParser parser_{protocol::HttpParser::Side::kRequests};
     std::string out_;
-    bool busy_ = false, closing_ = false; // a search is out; its answer is the last word here
+    // busy_: a search is in flight. closing_: the connection closes after the next answer.
+    bool busy_ = false, closing_ = false;
 };
 
 } // namespace ivyrill::sessions
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -14,8 +14,9 @@
 
 namespace {
 
-constexpr std::size_t kFieldCost = 32; // of each field beside its bytes (RFC 9113, 6.5.2)
-// A leaving client's last PING: its answer tells that it has heard of our leaving.
+constexpr std::size_t kFieldOverheadBytes = 32; // per-field overhead (RFC 9113, 6.5.2)
+// PING payload sent after the shutdown notice: its acknowledgement proves that the client has received the
+// notice.
 constexpr std::array<std::uint8_t, 8> kDrainPing = {'i', 'v', 'y', 'l', 'e', 'a', 'v', 'e'};
 
 std::string lower(std::string text) {
@@ -27,11 +28,12 @@
 
 } // namespace
 
-// What the library calls. Nothing is thrown through it: an error code goes back.
+// libnghttp2's callbacks. They return error codes and never throw.
 struct Http2Session::Callbacks {
     static Http2Session& session(void* user) { return *static_cast<Http2Session*>(user); }
 
-    // A frame begins, so no block of fields is open; of a stream that was refused the library tells no end.
+    // A new frame ends any header block. For a refused stream the library does not report the end of the
+    // block.
     static int begin_frame(nghttp2_session*, const nghttp2_frame_hd* head, void* user) {
         if (head->type != NGHTTP2_CONTINUATION)
             session(user).in_block_ = false, session(user).block_bytes_ = 0;
@@ -45,7 +47,7 @@
         ++self.counts_.streams;
         if (!self.budget_.allows_stream(self.streams_.size(), self.buffered_bytes_)) {
             ++self.counts_.refused;
-            // Not processed, so it may be asked again elsewhere (RFC 9113, 8.7).
+            // Not processed, so the client may retry it (RFC 9113, 8.7).
             nghttp2_submit_rst_stream(self.session_, NGHTTP2_FLAG_NONE, frame->hd.stream_id,
                                       NGHTTP2_REFUSED_STREAM);
             return 0;
@@ -60,10 +62,11 @@
         Http2Session& self = session(user);
         const auto found = self.streams_.find(static_cast<StreamId>(frame->hd.stream_id));
         if (found == self.streams_.end() || frame->headers.cat != NGHTTP2_HCAT_REQUEST)
-            return 0; // trailers: unread
+            return 0; // trailers are ignored
         Stream& stream = found->second;
-        stream.fields += name_size + value_size + kFieldCost;
-        if (stream.fields > self.budget_.limits().max_header_list_bytes) return stream.too_large = true, 0;
+        stream.header_list_bytes += name_size + value_size + kFieldOverheadBytes;
+        if (stream.header_list_bytes > self.budget_.limits().max_header_list_bytes)
+            return stream.too_large = true, 0;
         std::string key(reinterpret_cast<const char*>(name), name_size);
         std::string text(reinterpret_cast<const char*>(value), value_size);
         if (key == ":method")
@@ -105,14 +108,15 @@
                 self.spend(ClientAction::kPing);
             } else if (self.drain_state_ == DrainState::kAnnounced &&
                        std::memcmp(frame->ping.opaque_data, kDrainPing.data(), kDrainPing.size()) == 0) {
-                // The round trip is over: no stream that it opened before it knew is still on its way.
+                // After this round trip, no stream opened before the client received the notice is still in
+                // transit.
                 self.drain_state_ = DrainState::kFinal;
                 nghttp2_submit_goaway(self.session_, NGHTTP2_FLAG_NONE,
                                       nghttp2_session_get_last_proc_stream_id(self.session_),
                                       NGHTTP2_NO_ERROR, nullptr, 0);
             }
             break;
-        case NGHTTP2_PRIORITY: // RFC 9113, 5.3: nothing depends on it here
+        case NGHTTP2_PRIORITY: // RFC 9113, 5.3: deprecated, ignored
             self.spend(ClientAction::kEmpty);
             break;
         case NGHTTP2_WINDOW_UPDATE:
@@ -134,18 +138,17 @@
         return 0;
     }
 
-    // What comes on a stream that we have refused or ended may have crossed our word, and is no fault by
-    // itself.
+    // A frame on a refused or closed stream may have crossed our reset, and is not an error by itself.
     static int invalid_frame(nghttp2_session*, const nghttp2_frame* frame, int, void* user) {
         Http2Session& self = session(user);
-        const bool crossed =
+        const bool stream_closed =
             frame->hd.stream_id > 0 && !self.streams_.contains(static_cast<StreamId>(frame->hd.stream_id));
-        self.spend(crossed ? ClientAction::kAfterEnd : ClientAction::kBad);
+        self.spend(stream_closed ? ClientAction::kAfterEnd : ClientAction::kBad);
         return 0;
     }
 
-    // The library sends a PING ahead of what waits, the notice too; heard before it, its answer would prove
-    // nothing.
+    // libnghttp2 sends a PING ahead of queued frames, including the notice; acknowledged before the notice,
+    // it would prove nothing.
     static int frame_sent(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         Http2Session& self = session(user);
         if (frame->hd.type == NGHTTP2_GOAWAY && self.drain_state_ == DrainState::kAnnounced)
@@ -174,24 +177,24 @@
 
 Http2Session::Http2Session(const NodeStatus& node_status, const limits::ConnectionLimits& limits)
     : node_status_(node_status), budget_(limits, node_status.now) {
-    nghttp2_session_callbacks* calls = nullptr;
+    nghttp2_session_callbacks* callbacks = nullptr;
     nghttp2_option* option = nullptr;
-    if (nghttp2_session_callbacks_new(&calls) != 0 || nghttp2_option_new(&option) != 0)
+    if (nghttp2_session_callbacks_new(&callbacks) != 0 || nghttp2_option_new(&option) != 0)
         throw std::bad_alloc();
-    nghttp2_session_callbacks_set_on_begin_frame_callback(calls, Callbacks::begin_frame);
-    nghttp2_session_callbacks_set_on_begin_headers_callback(calls, Callbacks::begin_headers);
-    nghttp2_session_callbacks_set_on_header_callback(calls, Callbacks::header);
-    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(calls, Callbacks::data);
-    nghttp2_session_callbacks_set_on_frame_recv_callback(calls, Callbacks::frame_received);
-    nghttp2_session_callbacks_set_on_invalid_frame_recv_callback(calls, Callbacks::invalid_frame);
-    nghttp2_session_callbacks_set_on_frame_send_callback(calls, Callbacks::frame_sent);
-    nghttp2_session_callbacks_set_on_stream_close_callback(calls, Callbacks::stream_closed);
+    nghttp2_session_callbacks_set_on_begin_frame_callback(callbacks, Callbacks::begin_frame);
+    nghttp2_session_callbacks_set_on_begin_headers_callback(callbacks, Callbacks::begin_headers);
+    nghttp2_session_callbacks_set_on_header_callback(callbacks, Callbacks::header);
+    nghttp2_session_callbacks_set_on_data_chunk_recv_callback(callbacks, Callbacks::data);
+    nghttp2_session_callbacks_set_on_frame_recv_callback(callbacks, Callbacks::frame_received);
+    nghttp2_session_callbacks_set_on_invalid_frame_recv_callback(callbacks, Callbacks::invalid_frame);
+    nghttp2_session_callbacks_set_on_frame_send_callback(callbacks, Callbacks::frame_sent);
+    nghttp2_session_callbacks_set_on_stream_close_callback(callbacks, Callbacks::stream_closed);
     nghttp2_option_set_no_closed_streams(option, 1);
     nghttp2_option_set_max_outbound_ack(option, limits.max_streams);
-    const int made = nghttp2_session_server_new2(&session_, calls, this, option);
-    nghttp2_session_callbacks_del(calls);
+    const int created = nghttp2_session_server_new2(&session_, callbacks, this, option);
+    nghttp2_session_callbacks_del(callbacks);
     nghttp2_option_del(option);
-    if (made != 0) throw std::bad_alloc();
+    if (created != 0) throw std::bad_alloc();
     const std::array<nghttp2_settings_entry, 3> settings = {{
         {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, static_cast<std::uint32_t>(limits.max_streams)},
         {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.max_header_list_bytes)},
@@ -212,12 +215,11 @@
 std::size_t Http2Session::feed(std::string_view bytes) {
     if (!wants_input()) return bytes.size();
     bytes = bytes.substr(0, budget_.limits().read_quantum_bytes);
-    const ssize_t taken =
+    const ssize_t consumed =
         nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-    if (taken < 0) {
-        // What cannot be read at all, or a flood that the library itself counts: the client is told, and it
-        // is over.
-        const bool flood = taken == NGHTTP2_ERR_FLOODED || taken == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS;
+    if (consumed < 0) {
+        // Unparseable input, or a flood detected by the library: sends GOAWAY and closes.
+        const bool flood = consumed == NGHTTP2_ERR_FLOODED || consumed == NGHTTP2_ERR_TOO_MANY_CONTINUATIONS;
         nghttp2_session_terminate_session(session_,
                                           flood ? NGHTTP2_ENHANCE_YOUR_CALM : NGHTTP2_PROTOCOL_ERROR);
         counts_.flood_terminations += flood && !flood_terminated_;
@@ -225,13 +227,13 @@
         failed_ = true;
         return bytes.size();
     }
-    // A block of CONTINUATION frames that does not end tells nothing and costs: nothing else may come
-    // meanwhile.
+    // An endless sequence of CONTINUATION frames costs memory and work without an event, and blocks all other
+    // frames.
     if (in_block_) block_bytes_ += bytes.size();
     if (in_block_ &&
         block_bytes_ > 2 * budget_.limits().max_header_list_bytes + budget_.limits().read_quantum_bytes)
         terminate_for_flood(ClientAction::kBad);
-    return static_cast<std::size_t>(taken);
+    return static_cast<std::size_t>(consumed);
 }
 
 void Http2Session::spend(ClientAction action) {
@@ -244,7 +246,8 @@
     nghttp2_session_terminate_session(session_, NGHTTP2_ENHANCE_YOUR_CALM);
     std::vector<StreamId> open;
     for (const auto& [number, stream] : streams_) open.push_back(number);
-    for (const StreamId number : open) close_stream(number); // their searches go with the connection
+    for (const StreamId number : open)
+        close_stream(number); // their searches are cancelled with the connection
 }
 
 void Http2Session::close_stream(StreamId number) {
@@ -258,30 +261,31 @@
     streams_.erase(found);
 }
 
-// The same reading as on HTTP/1.1, of the same message: pseudo-fields, forbidden fields and lengths were
-// checked by the library on the way.
+// Requests are parsed as on HTTP/1.1, from the same message type; libnghttp2 has already checked
+// pseudo-header fields, forbidden fields and lengths.
 void Http2Session::request_done(StreamId number, Stream& stream) {
     protocol::HttpMessage message = std::move(stream.message);
     buffered_bytes_ -= message.body.size();
     stream.message = {};
     stream.phase = Phase::kSearching, --receiving_;
-    const auto refuse = [&](int status, std::string_view reason) {
+    const auto reject_request = [&](int status, std::string_view reason) {
         spend(ClientAction::kBad);
         if (streams_.contains(number)) reply(number, protocol::error_reply(status, reason));
         events_.emplace_back(AnsweredLocally{});
     };
     if (stream.too_large)
-        return refuse(stream.fields > budget_.limits().max_header_list_bytes ? 431 : 413, "too large");
+        return reject_request(stream.header_list_bytes > budget_.limits().max_header_list_bytes ? 431 : 413,
+                              "too large");
     const std::string_view host = message.header("host");
     if (!host.empty() && !stream.authority.empty() && lower(std::string(host)) != lower(stream.authority))
-        return refuse(400, "host and :authority differ");
+        return reject_request(400, "host and :authority differ");
     if (host.empty() && !stream.authority.empty()) message.headers.emplace_back("host", stream.authority);
     protocol::ClientRequest request = protocol::read_client_request(message);
     if (auto* search = std::get_if<protocol::SearchRequest>(&request)) {
         ++counts_.searches;
         events_.emplace_back(SearchRequested{number, std::move(*search)});
     } else if (const auto* bad = std::get_if<protocol::BadRequest>(&request)) {
-        refuse(bad->status, bad->why);
+        reject_request(bad->status, bad->why);
     } else {
         reply(number, protocol::ready_reply(node_status_.ready));
         events_.emplace_back(AnsweredLocally{});
@@ -309,8 +313,8 @@
     nghttp2_submit_response(session_, static_cast<std::int32_t>(number), pairs.data(), pairs.size(), &body);
 }
 
-// `last` is the reducer's word that it drains: here the whole connection hears of it, and its other streams
-// go on.
+// `last` means that the reducer drains: the client is notified for the whole connection, and the other
+// streams continue.
 void Http2Session::answer(StreamId stream, const protocol::FinalAnswer& answer, bool last) {
     reply(stream, protocol::reply_to_search(answer));
     if (last) drain();
@@ -318,19 +322,19 @@
 
 void Http2Session::reject(StreamId stream, int status, std::string_view reason, std::string_view challenge,
                           bool last) {
-    if (stream == 0) { // about the connection: its half-sent requests are out of time
-        std::vector<StreamId> late;
-        for (const auto& [number, held] : streams_)
-            if (held.phase == Phase::kReceiving) late.push_back(number);
-        for (const StreamId number : late) reply(number, protocol::error_reply(status, reason));
+    if (stream == 0) { // about the connection: its incomplete requests have timed out
+        std::vector<StreamId> timed_out;
+        for (const auto& [number, open_stream] : streams_)
+            if (open_stream.phase == Phase::kReceiving) timed_out.push_back(number);
+        for (const StreamId number : timed_out) reply(number, protocol::error_reply(status, reason));
     } else {
         reply(stream, protocol::error_reply(status, reason, challenge));
     }
     if (last) drain();
 }
 
-// In two steps, so that no stream which is on its way is lost: all streams may still come, then, after a
-// round trip, none that we have not seen (RFC 9113, 6.8).
+// Two steps, so that no stream in transit is lost: the notice allows all streams, and after a round trip the
+// final GOAWAY excludes those not yet seen (RFC 9113, 6.8).
 void Http2Session::drain() {
     if (drain_state_ != DrainState::kNo || failed_) return;
     drain_state_ = DrainState::kAnnounced;
@@ -338,15 +342,16 @@
 }
 
 std::string Http2Session::take_output(std::size_t room) {
-    std::string made = std::exchange(out_, {});
-    while (made.size() < room) {
+    std::string output = std::exchange(out_, {});
+    while (output.size() < room) {
         const std::uint8_t* bytes = nullptr;
         const ssize_t count = nghttp2_session_mem_send(session_, &bytes);
         if (count <= 0) break;
-        made.append(reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(count));
+        output.append(reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(count));
     }
-    if (made.size() > room) out_ = made.substr(room), made.resize(room); // a frame that did not fit whole
-    return made;
+    if (output.size() > room)
+        out_ = output.substr(room), output.resize(room); // part of a frame that did not fit
+    return output;
 }
 
 } // namespace ivyrill::sessions
--- a/src/sessions/http2/session.hpp
+++ b/src/sessions/http2/session.hpp
@@ -1,6 +1,6 @@
-// HTTP/2 (RFC 9113), with prior knowledge or agreed by ALPN: streams are searches. Frames and HPACK are
-// libnghttp2's, which is given bytes and gives bytes; what a stream is, what is taken on, what is owed and
-// when it ends is decided here and in limits/connection_budget.hpp.
+// HTTP/2 (RFC 9113), with prior knowledge or by ALPN: each search is a stream. libnghttp2 handles frames and
+// HPACK, bytes in and bytes out; this class and limits/connection_budget.hpp decide what a stream means,
+// which requests are accepted, how much is buffered and when the connection ends.
 #pragma once
 #include "limits/connection_budget.hpp"
 #include "sessions/session.hpp"
@@ -40,24 +40,21 @@
     std::size_t open_streams() const { return streams_.size(); }
     const Http2Counts& counts() const { return counts_; }
     const limits::ConnectionBudget& budget() const { return budget_; }
-    struct Callbacks; // the library's callbacks
+    struct Callbacks; // libnghttp2's callbacks
 
   private:
     friend struct Callbacks;
-    enum class Phase {
-        kReceiving,
-        kSearching,
-        kAnswered
-    }; // its request comes, its search is out, its answer is
+    // Receiving the request, search in flight, sending the answer.
+    enum class Phase { kReceiving, kSearching, kAnswered };
     struct Stream {
         Phase phase = Phase::kReceiving;
         protocol::HttpMessage message;
-        std::string authority, body; // the latter: of the answer
-        std::size_t sent = 0, fields = 0;
+        std::string authority, body; // body: of the answer
+        std::size_t sent = 0, header_list_bytes = 0;
         bool too_large = false;
     };
     bool finished() const;
-    void terminate_for_flood(limits::ClientAction action); // GOAWAY with ENHANCE_YOUR_CALM
+    void terminate_for_flood(limits::ClientAction action); // sends GOAWAY with ENHANCE_YOUR_CALM
     void spend(limits::ClientAction action);
     void request_done(StreamId number, Stream& stream);
     void reply(StreamId number, const protocol::Reply& reply);
@@ -68,9 +65,9 @@
     nghttp2_session* session_ = nullptr;
     std::map<StreamId, Stream> streams_;
     std::string out_;
-    std::size_t buffered_bytes_ = 0,
-                receiving_ = 0;   // bytes of requests and answers; requests that are not whole
-    std::size_t block_bytes_ = 0; // of a header block that has not ended
+    // Request and answer bytes; incomplete requests.
+    std::size_t buffered_bytes_ = 0, receiving_ = 0;
+    std::size_t block_bytes_ = 0; // of an incomplete header block
     bool in_block_ = false, failed_ = false, flood_terminated_ = false;
     enum class DrainState { kNo, kAnnounced, kFinal } drain_state_ = DrainState::kNo;
     Http2Counts counts_;
--- a/src/sessions/session.hpp
+++ b/src/sessions/session.hpp
@@ -1,7 +1,8 @@
-// A session: one client connection's protocol as a state machine free of I/O. Bytes go in and searches come
-// out; final answers go in and bytes come out. Whoever owns the connection moves the bytes and hands the news
-// to the reducer; no session knows a socket, a loop or the reducer. What a new session has to write is this
-// interface, and how its requests become `protocol::SearchRequest` (see docs/architecture.md).
+// A session: the protocol of one client connection as a state machine without I/O. Bytes go in and searches
+// come out; final answers go in and bytes come out. The owner of the connection transfers the bytes and
+// passes the events to the reducer; a session knows no socket, event loop or reducer. A new protocol
+// implements this interface and the translation of its requests into `protocol::SearchRequest` (see
+// docs/architecture.md).
 #pragma once
 #include "base/time.hpp"
 #include "protocol/messages.hpp"
@@ -16,19 +17,20 @@
 
 namespace ivyrill::sessions {
 
-using StreamId = std::uint32_t; // of a search on its connection; a session with one search at a time uses 0
+// Identifies a search on its connection; 0 for protocols with one search at a time.
+using StreamId = std::uint32_t;
 
 struct SearchRequested {
     StreamId stream = 0;
     protocol::SearchRequest request;
 };
-struct SearchCancelled { // its client has taken it back
+struct SearchCancelled { // the client cancelled it
     StreamId stream = 0;
 };
-struct AnsweredLocally {}; // something else than a search was asked for and has its answer
+struct AnsweredLocally {}; // a request other than a search was received and answered by the session
 using SessionEvent = std::variant<SearchRequested, SearchCancelled, AnsweredLocally>;
 
-struct NodeStatus { // what a session may know of the front node; its owner keeps it up to date
+struct NodeStatus { // front node state that sessions use; kept up to date by the owner
     bool ready = false;
     Tenths now = 0;
 };
@@ -37,27 +39,24 @@
   public:
     virtual ~Session() = default;
 
-    // Takes bytes until it has news or waits for an answer; says how many.
+    // Consumes bytes until there is an event or it waits for an answer; returns how many.
     virtual std::size_t feed(std::string_view bytes) = 0;
-    virtual bool wants_input() const = 0;         // would take bytes now
-    virtual bool has_partial_request() const = 0; // a request has begun and is not whole
-    std::vector<SessionEvent> take_events() {
-        return std::exchange(events_, {});
-    } // since they were asked for last
+    virtual bool wants_input() const = 0;         // would consume bytes now
+    virtual bool has_partial_request() const = 0; // a request has begun but is incomplete
+    std::vector<SessionEvent> take_events() { return std::exchange(events_, {}); } // since the last call
 
-    // The one final answer of a search; one for a stream that has gone is dropped.
+    // Sends the final answer of a search; dropped if its stream is closed.
     virtual void answer(StreamId stream, const protocol::FinalAnswer& answer, bool last) = 0;
-    // ... or a word about the request itself. `last`: nothing more is taken on this connection.
+    // Answers the request with an error instead. `last`: no further requests are accepted on this connection.
     virtual void reject(StreamId stream, int status, std::string_view reason, std::string_view challenge,
                         bool last) = 0;
-    virtual void drain() {} // tell the client, where the protocol can, that it should go elsewhere
+    virtual void drain() {} // tells the client to reconnect elsewhere, if the protocol can
 
-    virtual std::string
-    take_output(std::size_t room) = 0; // bytes for the client, no more than there is room for
+    virtual std::string take_output(std::size_t room) = 0; // returns at most `room` bytes for the client
     virtual std::size_t pending_answer_bytes() const {
         return 0;
-    }                                // bytes of answers that the client does not let out
-    virtual bool closed() const = 0; // the last word is taken out; what still comes is not read
+    }                                // answer bytes held back by the client's flow control
+    virtual bool closed() const = 0; // all output has been taken and no more input is read
 
   protected:
     std::vector<SessionEvent> events_;
--- a/src/transport/address.hpp
+++ b/src/transport/address.hpp
@@ -1,4 +1,4 @@
-// Addresses as text, `1.2.3.4:80`.
+// IPv4 addresses as text, `1.2.3.4:80`.
 #pragma once
 #include <netinet/in.h>
 #include <stdexcept>
--- a/src/transport/async.hpp
+++ b/src/transport/async.hpp
@@ -1,5 +1,5 @@
-// A coroutine that another one awaits for its result. It starts when awaited, and its frame is owned by the
-// Async, so that freeing the outermost coroutine frees all that it waits for.
+// A coroutine that another coroutine awaits for its result. It starts when awaited. Its frame is owned by the
+// Async, so destroying the outermost coroutine destroys all that it awaits.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -50,6 +50,6 @@
     std::coroutine_handle<promise_type> handle_;
 };
 
-struct Done {}; // the result of a coroutine that is awaited for its end alone
+struct Done {}; // the result of a coroutine that returns no value
 
 } // namespace ivyrill::transport
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -20,13 +20,13 @@
     return std::make_shared<const std::vector<std::string>>(std::move(chain));
 }
 
-// A record at a time: the rest stays ciphertext in the stream's ring, whose bound keeps the peer from sending
-// more.
+// Decrypts one record at a time. The rest stays encrypted in the stream's ring buffer, whose limit provides
+// backpressure to the peer.
 void Channel::decrypt_record() {
-    std::array<char, 16 * 1024> plain;
+    std::array<char, 16 * 1024> record;
     while (plaintext_.empty() && !session_->closed()) {
-        if (const std::size_t count = session_->read(plain.data(), plain.size()); count > 0) {
-            plaintext_.assign(plain.data(), count);
+        if (const std::size_t count = session_->read(record.data(), record.size()); count > 0) {
+            plaintext_.assign(record.data(), count);
         } else {
             if (!stream_.unread() || session_->closed()) break;
             stream_.feed(*session_);
--- a/src/transport/datagrams.cpp
+++ b/src/transport/datagrams.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kQueued = 1 << 20; // bytes in the system, for bursts and for the time that we sleep
+constexpr int kReceiveBufferBytes = 1 << 20; // for bursts and for times when the process does not run
 
 } // namespace
 
@@ -21,7 +21,7 @@
     const sockaddr_in address = read_address(text);
     const int descriptor = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor < 0) throw std::system_error(errno, std::generic_category(), "socket");
-    setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &kQueued, sizeof kQueued);
+    setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes, sizeof kReceiveBufferBytes);
     if (bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
         const int error = errno;
         close(descriptor);
@@ -35,11 +35,11 @@
         const sockaddr_in address = read_address(to);
         sendto(descriptor, bytes.data(), bytes.size(), MSG_NOSIGNAL,
                reinterpret_cast<const sockaddr*>(&address), sizeof address);
-    } catch (const AddressError&) { return; } // what a member said of itself is no address
+    } catch (const AddressError&) { return; } // a member may advertise an invalid address
 }
 
-std::optional<Received> receive_datagram(int descriptor) {
-    std::array<char, 2048> bytes; // longer ones come short, and no seal holds then
+std::optional<ReceivedDatagram> receive_datagram(int descriptor) {
+    std::array<char, 2048> bytes; // longer datagrams are truncated and then fail authentication
     sockaddr_in address{};
     socklen_t size = sizeof address;
     const ssize_t count =
@@ -47,8 +47,8 @@
     if (count < 0) return {};
     std::array<char, INET_ADDRSTRLEN> host;
     inet_ntop(AF_INET, &address.sin_addr, host.data(), host.size());
-    return Received{std::string(host.data()) + ":" + std::to_string(ntohs(address.sin_port)),
-                    {bytes.data(), static_cast<std::size_t>(count)}};
+    return ReceivedDatagram{std::string(host.data()) + ":" + std::to_string(ntohs(address.sin_port)),
+                            {bytes.data(), static_cast<std::size_t>(count)}};
 }
 
 } // namespace ivyrill::transport
--- a/src/transport/datagrams.hpp
+++ b/src/transport/datagrams.hpp
@@ -1,4 +1,4 @@
-// Datagrams over UDP: bound to one address, never waiting.
+// UDP datagrams on one bound address, without blocking.
 #pragma once
 #include <optional>
 #include <string>
@@ -6,13 +6,13 @@
 
 namespace ivyrill::transport {
 
-struct Received {
+struct ReceivedDatagram {
     std::string from, bytes;
 };
 
 int bind_datagrams(const std::string& address); // `1.2.3.4:80`; throws AddressError or std::system_error
-// What the system cannot take at once is lost, as anything on the way may be.
+// A datagram that the system cannot take at once is dropped, as any datagram may be in transit.
 void send_datagram(int descriptor, const std::string& to, std::string_view bytes);
-std::optional<Received> receive_datagram(int descriptor); // nothing: there is none now
+std::optional<ReceivedDatagram> receive_datagram(int descriptor); // nullopt if none is pending
 
 } // namespace ivyrill::transport
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -49,8 +49,8 @@
     }
 }
 
-// To close it would take it out of the epoll set, unless a process that is just being started holds a copy:
-// then events would go on coming for what is no more.
+// Closing a descriptor removes it from the epoll set only if no copy exists. A child process that is being
+// started may hold one, and events would then keep arriving for a destroyed Source.
 Source::~Source() {
     epoll_ctl(loop_.epoll_, EPOLL_CTL_DEL, descriptor_, nullptr);
     close(descriptor_);
@@ -73,29 +73,29 @@
 
 void Loop::wait_for_events(std::optional<Tenths> until) {
     std::array<epoll_event, 256> events;
-    timespec span{};
+    timespec timeout{};
     timespec* limit = nullptr;
     if (!ready_.empty()) {
-        limit = &span;
+        limit = &timeout;
     } else if (until) {
         const std::int64_t left =
             std::max<std::int64_t>(0, to_micros(*until) - steady_us() - steady_to_unix_us_);
-        span.tv_sec = left / 1'000'000, span.tv_nsec = left % 1'000'000 * 1000;
-        limit = &span;
+        timeout.tv_sec = left / 1'000'000, timeout.tv_nsec = left % 1'000'000 * 1000;
+        limit = &timeout;
     }
     const int count = epoll_pwait2(epoll_, events.data(), events.size(), limit, nullptr);
     if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_pwait2");
     for (int i = 0; i < count; ++i) {
         auto* source = static_cast<Source*>(events[i].data.ptr);
-        const auto what = events[i].events;
-        if (what & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) source->hung_up_ = true;
-        if (what & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) source->readable.wake();
-        if (what & (EPOLLOUT | EPOLLHUP | EPOLLERR)) source->writable.wake();
+        const auto flags = events[i].events;
+        if (flags & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) source->hung_up_ = true;
+        if (flags & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) source->readable.wake();
+        if (flags & (EPOLLOUT | EPOLLHUP | EPOLLERR)) source->writable.wake();
     }
 }
 
 void Loop::run_ready() {
-    // Those that others wake meanwhile go on too; a round is bounded, so that timers get their turn.
+    // Coroutines woken meanwhile run too; the round is bounded so that timers are served.
     for (std::size_t left = ready_.size() * 4; left > 0 && !ready_.empty(); --left) {
         const std::coroutine_handle<> next = ready_.front();
         ready_.pop_front();
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -1,5 +1,6 @@
-// The scheduler: one epoll set, edge-triggered, and a queue of coroutines that may go on. Nothing but `wait`
-// resumes a coroutine, so whoever owns one may free it at any time that no coroutine runs.
+// The coroutine scheduler: one edge-triggered epoll set and a queue of coroutines that are ready to run.
+// Coroutines are resumed only by `wait` and `run_ready`, so an owner may destroy one whenever no coroutine
+// runs.
 #pragma once
 #include "base/time.hpp"
 
@@ -13,14 +14,14 @@
 
 class Loop;
 
-// A place where one coroutine may wait; freed, it takes the waiting one out of the queue.
+// A place where one coroutine can wait; destroying the slot removes the waiting coroutine from the queue.
 class Slot {
   public:
     explicit Slot(Loop& loop) : loop_(loop) {}
     ~Slot();
     Slot(const Slot&) = delete;
     Slot& operator=(const Slot&) = delete;
-    void wake(); // lets the one that waits go on; remembered where nobody waits yet
+    void wake(); // schedules the waiting coroutine; if none waits, the next wait returns at once
 
     bool await_ready() { return std::exchange(set_, false); }
     void await_suspend(std::coroutine_handle<> waiting) { waiting_ = waiting; }
@@ -32,16 +33,16 @@
     bool set_ = false, queued_ = false;
 };
 
-// A descriptor in the epoll set. Its slots are woken on each edge; whoever waits tries again until the system
-// has no more.
+// A descriptor in the epoll set. Its slots are woken on each edge; the waiting coroutine must read or write
+// until the system returns EAGAIN.
 class Source {
   public:
-    Source(Loop& loop, int descriptor); // owns the descriptor from here on
+    Source(Loop& loop, int descriptor); // takes ownership of the descriptor
     ~Source();
     Source(const Source&) = delete;
     Source& operator=(const Source&) = delete;
     int descriptor() const { return descriptor_; }
-    // The other side sends nothing more, or the connection is broken: known also while nothing is read.
+    // The peer has closed its side or the connection is broken; known even if nothing is read.
     bool hung_up() const { return hung_up_; }
 
     Slot readable, writable;
@@ -60,15 +61,15 @@
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    // Waits for an edge or until that time, and lets all that are woken run until they wait again.
+    // Waits for events or until the given time, then runs all ready coroutines until they wait again.
     void wait(std::optional<Tenths> until);
-    // Its two halves: waits and marks whom the edges wake; lets all that are woken run until they wait again.
+    // The two halves of `wait`: waits for events and queues the coroutines they wake; runs the queue.
     void wait_for_events(std::optional<Tenths> until);
     void run_ready();
     bool has_ready() const { return !ready_.empty(); }
-    // Unix time at the start, then the system's steady clock: it never goes back.
+    // Unix time at startup, advanced by the monotonic clock: never goes back.
     Tenths now() const;
-    static Tenths wall(); // what the system's clock says: it may jump
+    static Tenths wall(); // the system's real-time clock, which may jump
 
   private:
     friend class Slot;
--- a/src/transport/pending.hpp
+++ b/src/transport/pending.hpp
@@ -1,5 +1,5 @@
-// A result that comes later, awaited by one coroutine with a bound in time. Shared by whoever awaits and
-// whoever resolves, since either may be gone first.
+// A result that arrives later, awaited by one coroutine with a timeout. Shared between the awaiting and the
+// resolving side, since either may be destroyed first.
 #pragma once
 #include "transport/async.hpp"
 #include "transport/reactor.hpp"
@@ -19,12 +19,12 @@
         slot_.wake();
     }
     bool resolved() const { return value_.has_value(); }
-    // Nothing where it has not come by then.
+    // nullopt if the result has not arrived by `until`.
     static Async<std::optional<Value>> wait(std::shared_ptr<Pending> pending, Tenths until) {
-        Pending& here = *pending;
-        const WakeAt timer(here.reactor_, until, here.slot_);
-        while (!here.value_ && here.reactor_.now() < until) co_await here.slot_;
-        co_return here.value_;
+        Pending& self = *pending;
+        const WakeAt timer(self.reactor_, until, self.slot_);
+        while (!self.value_ && self.reactor_.now() < until) co_await self.slot_;
+        co_return self.value_;
     }
 
   private:
--- a/src/transport/reactor.cpp
+++ b/src/transport/reactor.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr char kPosted = 0; // in the pipe: a call was posted; any other byte is a signal's number
-int signal_pipe = -1;       // where the handler of this process writes
+constexpr char kPosted = 0; // byte in the pipe for a posted call; any other byte is a signal number
+int signal_pipe = -1;       // written by this process's signal handler
 
 void write_signal(int number) {
     const int error = errno;
@@ -79,7 +79,8 @@
 }
 
 Task Reactor::read_pipe() {
-    Source& pipe = *pipe_; // GCC 12 loses a pointer that is followed in a co_await under its sanitizers
+    // Works around GCC 12, which loses a pointer dereferenced in a co_await under its sanitizers.
+    Source& pipe = *pipe_;
     for (;;) {
         std::array<char, 64> bytes{};
         const ssize_t count = read(pipe.descriptor(), bytes.data(), bytes.size());
--- a/src/transport/reactor.hpp
+++ b/src/transport/reactor.hpp
@@ -1,5 +1,5 @@
-// One process's event loop with what its coroutines need beside sockets: timers, a clock that stands still
-// within a turn, tasks that are freed once they have ended, and calls from other threads.
+// A process's event loop with what coroutines need besides sockets: timers, a clock that is constant within a
+// turn, tasks that are destroyed after they end, and calls from other threads.
 #pragma once
 #include "transport/loop.hpp"
 #include "transport/task.hpp"
@@ -20,15 +20,16 @@
     using TimerId = std::pair<Tenths, std::uint64_t>;
 
     Reactor();
-    // Time is handed in by `turn`: for simulations. Nothing waits, and `run` must not be called.
+    // For simulations: time is given by `turn`. Nothing waits, and `run` must not be called.
     explicit Reactor(Tenths start);
     ~Reactor();
     Reactor(const Reactor&) = delete;
     Reactor& operator=(const Reactor&) = delete;
 
     Loop& loop() { return loop_; }
-    Tenths now() const { return now_; } // of the present turn
-    // How long the process did not run before this turn, beyond what was asked for: it was frozen or starved.
+    Tenths now() const { return now_; } // of the current turn
+    // How long this turn was delayed beyond the requested wakeup time, since the process was suspended or
+    // starved.
     Tenths stalled_for() const { return stalled_for_; }
 
     TimerId call_at(Tenths at, std::function<void()> call);
@@ -36,21 +37,21 @@
         return call_at(now_ + span, std::move(call));
     }
     void cancel(TimerId id) { timers_.erase(id); }
-    void spawn(Task task); // started at once; freed in a later turn than the one in which it ends
-    void post(std::function<void()> call); // from any thread; runs in a turn of this loop
-    // `on_signal` is called with the number in a turn of this loop, also for signals that were blocked until
-    // now.
+    void spawn(Task task);                 // started at once; destroyed after the turn in which it ends
+    void post(std::function<void()> call); // thread-safe; the call runs in a turn of this loop
+    // `on_signal` is called with the signal's number in a turn of this loop, also for signals that were
+    // blocked until now.
     void handle_signals(const std::vector<int>& numbers, std::function<void(int)> on_signal);
 
-    void run(); // until stopped
+    void run(); // until stop() is called
     void stop() { stopped_ = true; }
     bool stopped() const { return stopped_; }
-    // One turn at a given time: timers that are due, then all coroutines that may go on, then what has ended.
+    // Runs one turn at the given time: due timers, then all ready coroutines, then destroys what has ended.
     void turn(Tenths now, Tenths stalled_for);
-    // When the next turn has something to do: `now` where something may go on at once, kNever without timers.
+    // When the next turn has work: `now` if a coroutine is ready, kNever if there are no timers.
     Tenths next_turn() const;
     static constexpr Tenths kNever = INT64_MAX;
-    // To free something that a running coroutine stands on.
+    // Defers destroying an object that a running coroutine uses to the end of the turn.
     void free_later(std::function<void()> call) { freed_later_.push_back(std::move(call)); }
 
   private:
@@ -74,7 +75,7 @@
     bool stopped_ = false;
 };
 
-// A timer that wakes a slot, taken back when it goes out of scope.
+// A timer that wakes a slot; cancelled when it goes out of scope.
 class WakeAt {
   public:
     WakeAt(Reactor& reactor, Tenths at, Slot& slot)
--- a/src/transport/ring_buffer.hpp
+++ b/src/transport/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// A ring buffer of bytes: one a direction for each connection. It grows by doubling up to its bound.
+// A ring buffer of bytes, used for each direction of a connection. It grows by doubling up to its limit.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 class RingBuffer {
   public:
-    explicit RingBuffer(std::size_t most) : most_(most) {}
+    explicit RingBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
-    std::size_t room() const { return most_ - size_; } // until the bound
+    std::size_t room() const { return max_bytes_ - size_; } // until the limit
 
-    std::string_view front() const { // the oldest bytes, as many as lie in a row
+    std::string_view front() const { // the oldest bytes, as many as are contiguous
         return {data_.get() + begin_, std::min(size_, capacity_ - begin_)};
     }
     void consume(std::size_t count) {
@@ -25,7 +25,7 @@
         size_ -= count;
         if (size_ == 0) begin_ = 0;
     }
-    std::span<char> space() { // where new bytes go; empty at the bound
+    std::span<char> space() { // contiguous space for new bytes; empty at the limit
         if (size_ == capacity_) grow(capacity_ + 1);
         if (size_ == capacity_) return {};
         const std::size_t end = (begin_ + size_) % capacity_;
@@ -36,32 +36,32 @@
         if (bytes.size() > room()) return false;
         if (size_ + bytes.size() > capacity_) grow(size_ + bytes.size());
         while (!bytes.empty()) {
-            const std::span<char> place = space();
-            const std::size_t count = std::min(place.size(), bytes.size());
-            std::memcpy(place.data(), bytes.data(), count);
+            const std::span<char> target = space();
+            const std::size_t count = std::min(target.size(), bytes.size());
+            std::memcpy(target.data(), bytes.data(), count);
             commit(count), bytes.remove_prefix(count);
         }
         return true;
     }
-    void release() { // gives back the memory of an empty ring
+    void release() { // frees the memory if the buffer is empty
         if (size_ == 0) data_.reset(), capacity_ = begin_ = 0;
     }
 
   private:
-    void grow(std::size_t wanted) {
-        std::size_t capacity = std::max<std::size_t>(capacity_, kLeast);
-        while (capacity < wanted && capacity < most_) capacity *= 2;
-        capacity = std::min(capacity, most_);
+    void grow(std::size_t required) {
+        std::size_t capacity = std::max<std::size_t>(capacity_, kMinCapacity);
+        while (capacity < required && capacity < max_bytes_) capacity *= 2;
+        capacity = std::min(capacity, max_bytes_);
         if (capacity <= capacity_) return;
-        auto fresh = std::make_unique<char[]>(capacity);
+        auto grown = std::make_unique<char[]>(capacity);
         const std::string_view head = front();
-        std::copy(head.begin(), head.end(), fresh.get());
-        std::copy(data_.get(), data_.get() + (size_ - head.size()), fresh.get() + head.size());
-        data_ = std::move(fresh), capacity_ = capacity, begin_ = 0;
+        std::copy(head.begin(), head.end(), grown.get());
+        std::copy(data_.get(), data_.get() + (size_ - head.size()), grown.get() + head.size());
+        data_ = std::move(grown), capacity_ = capacity, begin_ = 0;
     }
 
-    static constexpr std::size_t kLeast = 1024;
-    std::size_t most_, capacity_ = 0, begin_ = 0, size_ = 0;
+    static constexpr std::size_t kMinCapacity = 1024;
+    std::size_t max_bytes_, capacity_ = 0, begin_ = 0, size_ = 0;
     std::unique_ptr<char[]> data_;
 };
 
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -38,7 +38,7 @@
     const auto [end, error] = std::from_chars(begin, text.data() + text.size(), port);
     if (colon == std::string::npos || error != std::errc{} || end != text.data() + text.size() ||
         port > 65535 || inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr) != 1)
-        throw AddressError("not an address: '" + text.substr(0, 80) + "'");
+        throw AddressError("invalid address, expected 1.2.3.4:80: '" + text.substr(0, 80) + "'");
     address.sin_port = htons(static_cast<std::uint16_t>(port));
     return address;
 }
@@ -70,8 +70,8 @@
     const int descriptor = open_socket();
     if (descriptor < 0) return -1;
     disable_nagle(descriptor);
-    const int done = connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address);
-    if (done == 0 || errno == EINPROGRESS) return descriptor;
+    const int result = connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address);
+    if (result == 0 || errno == EINPROGRESS) return descriptor;
     close(descriptor);
     return -1;
 }
@@ -114,7 +114,7 @@
     return true;
 }
 
-// What came while this process stood still came at its time all the same: the system knows when.
+// Taken from the system, so that data received while the process was suspended counts from its arrival.
 Tenths Stream::last_receive_age() const {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -146,7 +146,7 @@
         if (count < 0 && errno == EINTR) continue;
         if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
         if (count < 0) {
-            // Guards an answer that came together with the reset: it is read before the connection ends.
+            // An answer may have arrived together with the reset: it is read before the connection ends.
             output_closed_ = write_failed_ = true;
             return source_.readable.wake();
         }
@@ -179,17 +179,17 @@
 Task Stream::pump_in() {
     while (!established_ && !ended_) co_await establishment_;
     while (!ended_) {
-        const std::span<char> place = in_.space();
-        if (place.empty()) {
-            // Guards against a client that sends much and goes: its end lies behind bytes for which there is
-            // no room while its request is in work.
+        const std::span<char> target = in_.space();
+        if (target.empty()) {
+            // A client may send a lot and close: its close is queued behind bytes for which there is no room
+            // while its request is processed.
             input_full_ = true;
             notify();
             co_await source_.readable;
             input_full_ = false;
             continue;
         }
-        const ssize_t count = ::recv(source_.descriptor(), place.data(), place.size(), 0);
+        const ssize_t count = ::recv(source_.descriptor(), target.data(), target.size(), 0);
         if (count > 0) {
             in_.commit(static_cast<std::size_t>(count)), received_ += static_cast<std::uint64_t>(count);
             notify();
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,4 +1,5 @@
-// A TCP connection: a ring a direction, and two coroutines that keep the rings and the system in step.
+// A TCP connection: a ring buffer for each direction, and two coroutines that transfer between the buffers
+// and the system.
 #pragma once
 #include "transport/address.hpp"
 #include "transport/loop.hpp"
@@ -13,14 +14,15 @@
 namespace ivyrill::transport {
 
 int listen_at(const std::string& address);  // `1.2.3.4:80`; throws AddressError or std::system_error
-int port_of(int descriptor);                // the local one
-int connect_to(const std::string& address); // does not wait; below zero where it fails at once
-void reset_on_close(int descriptor);        // what its end has not received by then is lost
-// What the other end has not received so long after it was sent is lost with the connection. The system keeps
-// it, also where this process stands still.
+int port_of(int descriptor);                // the local port
+int connect_to(const std::string& address); // non-blocking; negative if it fails at once
+// On close, data that the peer has not received is discarded and the connection is reset.
+void reset_on_close(int descriptor);
+// The system drops the connection, with its unacknowledged data, if data stays unacknowledged for this long,
+// even while this process does not run.
 void set_delivery_timeout(int descriptor, Tenths span);
-int accept_from(int listener);  // below zero where there is none, see errno
-bool connected(int descriptor); // once it can be written to
+int accept_from(int listener);  // negative if there is none, see errno
+bool connected(int descriptor); // after the descriptor became writable
 
 class Stream {
   public:
@@ -28,35 +30,33 @@
     Stream(Loop& loop, int descriptor, Start start, std::size_t max_input_bytes,
            std::size_t max_output_bytes);
 
-    Slot changed; // woken on new bytes, on the end, once connected, and when bytes were written
+    Slot changed; // woken by new input, end of the connection, establishment and written output
 
-    // Woken with `changed` from here on; null for none. It must outlive its being named here.
+    // Also woken whenever `changed` is; null for none. Must outlive its registration.
     void also_wake(Slot* slot) { other_slot_ = slot; }
 
     bool established() const { return established_; }
-    bool ended() const { return ended_; }     // nothing comes any more, nothing can be written
-    bool was_reset() const { return reset_; } // it ended by an error, not by the other side's close
-    // The other side has closed, though bytes that it sent before may be unread for want of room.
+    bool ended() const { return ended_; }     // no more input arrives and nothing can be written
+    bool was_reset() const { return reset_; } // ended by an error, not by the peer's close
+    // The peer has closed, even if input that it sent before is still unread for lack of room.
     bool hung_up() const { return ended_ || source_.hung_up(); }
-    bool has_unread_input() const;                     // bytes lie here or with the system
-    std::uint64_t written() const { return written_; } // bytes that the system has taken so far
+    bool has_unread_input() const;                     // in this buffer or in the system's
+    std::uint64_t written() const { return written_; } // total bytes written to the system
     std::uint64_t transferred_bytes() const { return received_ + written_; }
     std::size_t unwritten() const { return out_.size(); }
     std::size_t room() const { return out_.room(); }
-    Tenths last_receive_age() const;   // of the last bytes that reached this machine, read or not
-    bool send(std::string_view bytes); // false where the ring has no room for them
-    void finish();                     // nothing more will be sent; the other side is told
-    void abandon() {
-        output_closed_ = true;
-    } // nothing more is written from here on, not even what is in the ring
-    // Hands what has come to a parser, as far as it takes it; the room is read into again.
-    template <class Parser> std::size_t feed(Parser& parser) { // so many bytes it took
-        const std::size_t taken = parser.feed(in_.front());
-        in_.consume(taken);
+    Tenths last_receive_age() const;          // time since the last bytes reached this machine, read or not
+    bool send(std::string_view bytes);        // false if the buffer has no room for them
+    void finish();                            // closes the sending side of the connection
+    void abandon() { output_closed_ = true; } // writes nothing more, not even what is buffered
+    // Feeds received bytes to a parser, which may consume only some, and resumes reading.
+    template <class Parser> std::size_t feed(Parser& parser) { // returns the number of bytes consumed
+        const std::size_t consumed = parser.feed(in_.front());
+        in_.consume(consumed);
         if (input_full_) source_.readable.wake();
-        return taken;
+        return consumed;
     }
-    void discard() { // what has come
+    void discard() { // drops all received input
         in_.consume(in_.front().size());
         if (input_full_) source_.readable.wake();
     }
@@ -75,10 +75,10 @@
     RingBuffer in_, out_;
     std::uint64_t received_ = 0, written_ = 0;
     bool established_, ended_ = false, reset_ = false;
-    bool output_closed_ = false,
-         write_failed_ = false; // nothing more is written; because the system refused it
-    bool input_full_ = false;   // the reader waits for room, or for the other side's end
-    Task reader_, writer_;      // last, so that they are freed first
+    // output_closed_: nothing more is written. write_failed_: because a write failed.
+    bool output_closed_ = false, write_failed_ = false;
+    bool input_full_ = false; // the reader waits for room or for the peer's close
+    Task reader_, writer_;    // declared last, so that they are destroyed first
 };
 
 } // namespace ivyrill::transport
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -1,5 +1,5 @@
-// A coroutine owned by exactly one Task. It starts when told to, runs until it waits for something, and its
-// frame is freed with the Task, which must not happen while it runs.
+// A coroutine owned by exactly one Task. It runs from start() until it first waits. Its frame is destroyed
+// with the Task, which must not happen while the coroutine runs.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -21,10 +21,10 @@
     Task() = default;
     Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
     Task& operator=(Task&& other) noexcept {
-        if (this != &other) free(), handle_ = std::exchange(other.handle_, {});
+        if (this != &other) destroy(), handle_ = std::exchange(other.handle_, {});
         return *this;
     }
-    ~Task() { free(); }
+    ~Task() { destroy(); }
 
     void start() { handle_.resume(); }
     bool done() const { return !handle_ || handle_.done(); }
@@ -32,7 +32,7 @@
 
   private:
     explicit Task(std::coroutine_handle<promise_type> handle) : handle_(handle) {}
-    void free() {
+    void destroy() {
         if (handle_) handle_.destroy();
         handle_ = {};
     }
--- a/src/transport/tls.cpp
+++ b/src/transport/tls.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr int kMostShown = 32 * 1024;          // bytes of a peer's chain
-constexpr std::size_t kMostSealed = 32 * 1024; // bytes held that OpenSSL has not yet read
+constexpr int kMaxChainBytes = 32 * 1024;
+constexpr std::size_t kMaxPendingInputBytes = 32 * 1024; // input that OpenSSL has not read yet
 
 template <auto Free> struct OpenSslDeleter {
     template <class What> void operator()(What* what) const { Free(what); }
@@ -25,9 +25,9 @@
 using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509_free>>;
 using Secret = std::unique_ptr<EVP_PKEY, OpenSslDeleter<EVP_PKEY_free>>;
 
-int accept_any(X509_STORE_CTX*, void*) { return 1; } // who it is is judged elsewhere, again and again
+int accept_any_chain(X509_STORE_CTX*, void*) { return 1; } // the chain is verified in access/, repeatedly
 
-// Who proves itself by certificate gets no ticket (see the constructor): its chain is shown on each
+// Used only without client certificates (see the constructor): a client certificate must be sent on each
 // connection.
 int handle_ticket(SSL* session, unsigned char* name, unsigned char* iv, EVP_CIPHER_CTX* cipher,
                   EVP_MAC_CTX* mac, int encrypting) {
@@ -65,47 +65,50 @@
 
 } // namespace
 
-TlsContext::TlsContext(const TlsOptions& terms) : context_(SSL_CTX_new(TLS_server_method())), terms_(terms) {
-    const auto refuse = [this](const char* why) {
+TlsContext::TlsContext(const TlsOptions& options)
+    : context_(SSL_CTX_new(TLS_server_method())), options_(options) {
+    const auto fail = [this](const char* reason) {
         SSL_CTX_free(context_);
         ERR_clear_error();
-        throw TlsError(why);
+        throw TlsError(reason);
     };
-    if (context_ == nullptr) refuse("OpenSSL gives no context");
+    if (context_ == nullptr) fail("SSL_CTX_new failed");
     SSL_CTX_set_min_proto_version(context_, TLS1_2_VERSION);
     SSL_CTX_set_options(context_,
                         SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION | SSL_OP_CIPHER_SERVER_PREFERENCE);
     SSL_CTX_set_mode(context_, SSL_MODE_RELEASE_BUFFERS);
     SSL_CTX_set_session_cache_mode(context_, SSL_SESS_CACHE_OFF);
-    SSL_CTX_set_max_cert_list(context_, kMostShown);
+    SSL_CTX_set_max_cert_list(context_, kMaxChainBytes);
 
-    const Memory chain(BIO_new_mem_buf(terms.certificate.data(), static_cast<int>(terms.certificate.size())));
+    const Memory chain(
+        BIO_new_mem_buf(options.certificate.data(), static_cast<int>(options.certificate.size())));
     const Certificate leaf(PEM_read_bio_X509(chain.get(), nullptr, nullptr, nullptr));
-    if (!leaf || SSL_CTX_use_certificate(context_, leaf.get()) != 1) refuse("the certificate cannot be read");
+    if (!leaf || SSL_CTX_use_certificate(context_, leaf.get()) != 1) fail("the certificate cannot be parsed");
     while (X509* more = PEM_read_bio_X509(chain.get(), nullptr, nullptr, nullptr))
         if (SSL_CTX_add0_chain_cert(context_, more) != 1) X509_free(more);
     ERR_clear_error();
-    const Memory text(BIO_new_mem_buf(terms.key.data(), static_cast<int>(terms.key.size())));
+    const Memory text(BIO_new_mem_buf(options.key.data(), static_cast<int>(options.key.size())));
     const Secret key(PEM_read_bio_PrivateKey(text.get(), nullptr, nullptr, nullptr));
     if (!key || SSL_CTX_use_PrivateKey(context_, key.get()) != 1 || SSL_CTX_check_private_key(context_) != 1)
-        refuse("the private key is not that of the certificate");
+        fail("the private key cannot be parsed or does not match the certificate");
 
-    if (terms.clients != ClientCertificates::kNone) {
+    if (options.clients != ClientCertificates::kNone) {
         const int require =
-            terms.clients == ClientCertificates::kRequired ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0;
+            options.clients == ClientCertificates::kRequired ? SSL_VERIFY_FAIL_IF_NO_PEER_CERT : 0;
         SSL_CTX_set_verify(context_, SSL_VERIFY_PEER | require, nullptr);
-        SSL_CTX_set_cert_verify_callback(context_, accept_any, nullptr);
+        SSL_CTX_set_cert_verify_callback(context_, accept_any_chain, nullptr);
     }
-    // A resumed session does not show its chain again, and revocation must see it: no tickets there.
-    if (terms.tickets != nullptr && terms.clients == ClientCertificates::kNone) {
-        SSL_CTX_set_app_data(context_, terms_.tickets);
+    // A resumed session does not send the chain again, which revocation checks need: no tickets with client
+    // certificates.
+    if (options.tickets != nullptr && options.clients == ClientCertificates::kNone) {
+        SSL_CTX_set_app_data(context_, options_.tickets);
         SSL_CTX_set_tlsext_ticket_key_evp_cb(context_, handle_ticket);
         SSL_CTX_set_num_tickets(context_, 1);
     } else {
         SSL_CTX_set_options(context_, SSL_OP_NO_TICKET);
         SSL_CTX_set_num_tickets(context_, 0);
     }
-    for (const std::string& protocol : terms.protocols)
+    for (const std::string& protocol : options.protocols)
         alpn_ += static_cast<char>(protocol.size()), alpn_ += protocol;
     SSL_CTX_set_alpn_select_cb(context_, choose_protocol, &alpn_);
 }
@@ -115,7 +118,7 @@
 TlsSession::TlsSession(std::shared_ptr<const TlsContext> context)
     : context_(std::move(context)), session_(SSL_new(context_->context_)), in_(BIO_new(BIO_s_mem())),
       out_(BIO_new(BIO_s_mem())) {
-    if (session_ == nullptr || in_ == nullptr || out_ == nullptr) throw TlsError("OpenSSL gives no session");
+    if (session_ == nullptr || in_ == nullptr || out_ == nullptr) throw TlsError("SSL_new failed");
     BIO_set_mem_eof_return(in_, -1);
     BIO_set_mem_eof_return(out_, -1);
     SSL_set_bio(session_, in_, out_);
@@ -124,13 +127,14 @@
 
 TlsSession::~TlsSession() { SSL_free(session_); }
 
-bool TlsSession::room() const { return BIO_ctrl_pending(in_) < kMostSealed; }
+bool TlsSession::room() const { return BIO_ctrl_pending(in_) < kMaxPendingInputBytes; }
 
-std::size_t TlsSession::feed(std::string_view sealed) {
-    if (closed_) return sealed.size(); // nothing that comes now counts
+std::size_t TlsSession::feed(std::string_view ciphertext) {
+    if (closed_) return ciphertext.size(); // input after the end is ignored
     if (!room()) return 0;
-    const int taken = BIO_write(in_, sealed.data(), static_cast<int>(std::min(sealed.size(), kMostSealed)));
-    return taken > 0 ? static_cast<std::size_t>(taken) : 0;
+    const int consumed = BIO_write(in_, ciphertext.data(),
+                                   static_cast<int>(std::min(ciphertext.size(), kMaxPendingInputBytes)));
+    return consumed > 0 ? static_cast<std::size_t>(consumed) : 0;
 }
 
 void TlsSession::fail() {
@@ -141,34 +145,34 @@
 void TlsSession::advance_handshake() {
     if (handshake_done_ || closed_) return;
     ERR_clear_error();
-    const int done = SSL_do_handshake(session_);
-    if (done == 1) {
+    const int result = SSL_do_handshake(session_);
+    if (result == 1) {
         handshake_done_ = true;
-    } else if (const int why = SSL_get_error(session_, done); why != SSL_ERROR_WANT_READ) {
+    } else if (const int error = SSL_get_error(session_, result); error != SSL_ERROR_WANT_READ) {
         fail();
     }
 }
 
-std::size_t TlsSession::read(char* into, std::size_t most) {
+std::size_t TlsSession::read(char* into, std::size_t max_bytes) {
     if (!handshake_done_ || closed_) return 0;
     ERR_clear_error();
-    const int count = SSL_read(session_, into, static_cast<int>(most));
+    const int count = SSL_read(session_, into, static_cast<int>(max_bytes));
     if (count > 0) return static_cast<std::size_t>(count);
-    const int why = SSL_get_error(session_, count);
-    if (why == SSL_ERROR_ZERO_RETURN)
+    const int error = SSL_get_error(session_, count);
+    if (error == SSL_ERROR_ZERO_RETURN)
         closed_ = true;
-    else if (why != SSL_ERROR_WANT_READ)
+    else if (error != SSL_ERROR_WANT_READ)
         fail();
     return 0;
 }
 
-bool TlsSession::write(std::string_view plain) {
+bool TlsSession::write(std::string_view plaintext) {
     if (!handshake_done_ || closed_) return false;
     ERR_clear_error();
-    while (!plain.empty()) {
-        const int count = SSL_write(session_, plain.data(), static_cast<int>(plain.size()));
+    while (!plaintext.empty()) {
+        const int count = SSL_write(session_, plaintext.data(), static_cast<int>(plaintext.size()));
         if (count <= 0) return fail(), false;
-        plain.remove_prefix(static_cast<std::size_t>(count));
+        plaintext.remove_prefix(static_cast<std::size_t>(count));
     }
     return true;
 }
@@ -181,9 +185,9 @@
 }
 
 std::string TlsSession::take_output() {
-    std::string sealed(BIO_ctrl_pending(out_), '\0');
-    if (!sealed.empty()) BIO_read(out_, sealed.data(), static_cast<int>(sealed.size()));
-    return sealed;
+    std::string output(BIO_ctrl_pending(out_), '\0');
+    if (!output.empty()) BIO_read(out_, output.data(), static_cast<int>(output.size()));
+    return output;
 }
 
 std::vector<std::string> TlsSession::peer_chain() const {
@@ -195,7 +199,7 @@
         OPENSSL_free(der);
     };
     if (X509* leaf = SSL_get0_peer_certificate(session_)) add(leaf);
-    const STACK_OF(X509)* others = SSL_get_peer_cert_chain(session_); // on a server, without the leaf
+    const STACK_OF(X509)* others = SSL_get_peer_cert_chain(session_); // on a server, excludes the leaf
     for (int i = 0; others != nullptr && i < sk_X509_num(others); ++i) add(sk_X509_value(others, i));
     return chain;
 }
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -1,4 +1,5 @@
-// Tests of the gate: credentials, keys and lists in, decisions out; no socket and no clock.
+// Tests of access control: credentials, keys and revocation lists in, decisions out; no sockets and no real
+// clock.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
 #include "access/handshake_limiter.hpp"
@@ -16,7 +17,7 @@
 constexpr Tenths s(std::int64_t count) { return count * kTenthsPerSecond; }
 constexpr Tenths kNow = s(1'800'000'000);
 
-AccessOptions plain_access() {
+AccessOptions default_access() {
     AccessOptions terms;
     terms.issuer = "trinacria", terms.audience = "archive";
     terms.skew = s(5), terms.settle = s(10), terms.crl_grace = s(60);
@@ -43,42 +44,44 @@
     return claims;
 }
 
-// A gate with one key of each algorithm.
-struct Post {
-    explicit Post(std::vector<Key> own = {make_key("ed"), make_key("ec", Algorithm::kEs256),
-                                          make_key("hs", Algorithm::kHs256)})
-        : keys(std::move(own)), gate(policy()) {}
+// An Authorizer with one key of each algorithm.
+struct Fixture {
+    explicit Fixture(std::vector<Key> ring_keys = {make_key("ed"), make_key("ec", Algorithm::kEs256),
+                                                   make_key("hs", Algorithm::kHs256)})
+        : keys(std::move(ring_keys)), authorizer(policy()) {}
     std::shared_ptr<const Policy> policy(const Policy* before = nullptr, Tenths now = kNow) const {
         AccessFiles files;
         for (const Key& key : keys) files.keys.push_back(file_of(key));
         if (!revoked.tokens.empty() || !revoked.members.empty() || !revoked.certificates.empty())
             files.revocations = NamedText{"revocations.json", revoked.write()};
         files.authorities = authorities, files.crls = crls;
-        return read_policy(plain_access(), files, before, now);
+        return read_policy(default_access(), files, before, now);
     }
-    std::string reload(Tenths now = kNow) { // empty: it was taken up
+    std::string reload(Tenths now = kNow) { // returns the error; empty on success
         try {
-            gate.replace_policy(policy(&gate.policy(), now));
+            authorizer.replace_policy(policy(&authorizer.policy(), now));
         } catch (const AccessError& error) { return error.what(); }
         return {};
     }
-    Decision ask(const std::string& token, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
-        return gate.admit({token, false, nullptr}, asked, now);
+    Decision admit(const std::string& token, const AccessRequest& asked = {"find", "", ""},
+                   Tenths now = kNow) {
+        return authorizer.admit({token, false, nullptr}, asked, now);
     }
     Reason reason(const std::string& token, const AccessRequest& asked = {"find", "", ""},
                   Tenths now = kNow) {
-        return ask(token, asked, now).reason;
+        return admit(token, asked, now).reason;
     }
     Reason reason(const Claims& claims, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
         return reason(sign_token(claims, keys[0]), asked, now);
     }
-    Reason shown(const Chain& chain, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
-        return gate.admit({"", false, std::make_shared<const Chain>(chain)}, asked, now).reason;
+    Reason certificate_reason(const Chain& chain, const AccessRequest& asked = {"find", "", ""},
+                              Tenths now = kNow) {
+        return authorizer.admit({"", false, std::make_shared<const Chain>(chain)}, asked, now).reason;
     }
     std::vector<Key> keys;
     Revocations revoked;
     std::vector<NamedText> authorities, crls;
-    Authorizer gate;
+    Authorizer authorizer;
 };
 
 std::string forge(const json& header, const json& payload, const std::string& signature) {
@@ -90,101 +93,105 @@
         *read_base64url(token.substr(token.find('.') + 1, token.rfind('.') - token.find('.') - 1)));
 }
 
-void all_three_algorithms_prove_their_bearer() {
-    Post post;
-    for (const Key& key : post.keys) {
+void all_three_algorithms_authenticate_the_caller() {
+    Fixture fixture;
+    for (const Key& key : fixture.keys) {
         const std::string token = sign_token(claims_for(), key);
-        const Decision made = post.ask(token);
+        const Decision made = fixture.admit(token);
         assert(made.reason == Reason::kAdmitted && made.tenant == "t-etna" && made.caller.member == "anna");
-        std::string spoilt = token;
-        spoilt[token.rfind('.') + 3] = spoilt[token.rfind('.') + 3] == 'A' ? 'B' : 'A';
-        assert(post.reason(spoilt) == Reason::kBadSignature);
-        // Another's claims behind this signature.
+        std::string tampered = token;
+        tampered[token.rfind('.') + 3] = tampered[token.rfind('.') + 3] == 'A' ? 'B' : 'A';
+        assert(fixture.reason(tampered) == Reason::kBadSignature);
+        // Claims of another member with this signature.
         const std::string other = sign_token(claims_for("bruno"), key);
-        assert(post.reason(other.substr(0, other.rfind('.')) + token.substr(token.rfind('.'))) ==
+        assert(fixture.reason(other.substr(0, other.rfind('.')) + token.substr(token.rfind('.'))) ==
                Reason::kBadSignature);
     }
 }
 
-// RFC 8725: a public key taken for a shared secret, an algorithm of the token's choice, none at all.
-void algorithm_is_the_keys_and_not_the_tokens() {
-    Post post;
-    const json claims = payload_of(sign_token(claims_for(), post.keys[0]));
-    const std::string key_text = post.keys[0].signing.to_jwk(false)["x"];
+// RFC 8725: a public key used as a shared secret, an algorithm chosen by the token, and no algorithm at all.
+void algorithm_comes_from_the_key_and_not_the_token() {
+    Fixture fixture;
+    const json claims = payload_of(sign_token(claims_for(), fixture.keys[0]));
+    const std::string key_text = fixture.keys[0].signing.to_jwk(false)["x"];
     const auto as_secret = SigningKey::from_jwk({{"kty", "oct"}, {"alg", "HS256"}, {"k", key_text}});
     const json header = {{"alg", "HS256"}, {"kid", "ed"}, {"typ", kTokenType}};
     const std::string body = base64url(header.dump()) + "." + base64url(claims.dump());
-    assert(post.reason(body + "." + base64url(as_secret.sign(body))) == Reason::kBadSignature);
-    assert(post.reason(forge({{"alg", "none"}, {"kid", "ed"}, {"typ", kTokenType}}, claims, "x")) ==
+    assert(fixture.reason(body + "." + base64url(as_secret.sign(body))) == Reason::kBadSignature);
+    assert(fixture.reason(forge({{"alg", "none"}, {"kid", "ed"}, {"typ", kTokenType}}, claims, "x")) ==
            Reason::kMalformed);
-    assert(post.reason(body + ".") == Reason::kMalformed);
-    assert(post.reason(forge({{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenType}}, claims,
-                             std::string(64, 1))) == Reason::kBadSignature);
-    // The key's own signature under another algorithm's name.
+    assert(fixture.reason(body + ".") == Reason::kMalformed);
+    assert(fixture.reason(forge({{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenType}}, claims,
+                                std::string(64, 1))) == Reason::kBadSignature);
+    // A valid signature labelled with another algorithm.
     const json renamed = {{"alg", "ES256"}, {"kid", "ed"}, {"typ", kTokenType}};
     const std::string text = base64url(renamed.dump()) + "." + base64url(claims.dump());
-    assert(post.reason(text + "." + base64url(post.keys[0].signing.sign(text))) == Reason::kBadSignature);
-    // The key is not taken from the token, whatever it offers.
-    const json offered = {{"alg", "EdDSA"}, {"typ", kTokenType}, {"jwk", post.keys[0].signing.to_jwk(false)}};
-    assert(post.reason(forge(offered, claims, std::string(64, 1))) == Reason::kMalformed);
+    assert(fixture.reason(text + "." + base64url(fixture.keys[0].signing.sign(text))) ==
+           Reason::kBadSignature);
+    // A key embedded in the token is ignored.
+    const json offered = {
+        {"alg", "EdDSA"}, {"typ", kTokenType}, {"jwk", fixture.keys[0].signing.to_jwk(false)}};
+    assert(fixture.reason(forge(offered, claims, std::string(64, 1))) == Reason::kMalformed);
 }
 
-void what_can_be_read_two_ways_is_malformed() {
-    Post post;
-    const std::string good = sign_token(claims_for(), post.keys[0]);
+void ambiguous_tokens_are_malformed() {
+    Fixture fixture;
+    const std::string good = sign_token(claims_for(), fixture.keys[0]);
     const json claims = payload_of(good);
     const json header = {{"alg", "EdDSA"}, {"kid", "ed"}, {"typ", kTokenType}};
     const auto with = [&](const char* name, const json& value) {
         json changed = claims;
         changed[name] = value;
-        return post.reason(forge(header, changed, std::string(64, 1)));
+        return fixture.reason(forge(header, changed, std::string(64, 1)));
     };
     json critical = header;
     critical["crit"] = json::array({"exp"});
-    assert(post.reason(forge(critical, claims, std::string(64, 1))) == Reason::kMalformed);
-    json other_sort = header;
-    other_sort["typ"] = "JWT";
-    assert(post.reason(forge(other_sort, claims, std::string(64, 1))) == Reason::kMalformed);
+    assert(fixture.reason(forge(critical, claims, std::string(64, 1))) == Reason::kMalformed);
+    json other_type = header;
+    other_type["typ"] = "JWT";
+    assert(fixture.reason(forge(other_type, claims, std::string(64, 1))) == Reason::kMalformed);
     const std::string twice = R"({"sub":"anna","sub":"bruno","club":"etna","exp":1900000000})";
-    assert(post.reason(base64url(header.dump()) + "." + base64url(twice) + "." + base64url("x")) ==
+    assert(fixture.reason(base64url(header.dump()) + "." + base64url(twice) + "." + base64url("x")) ==
            Reason::kMalformed);
     for (const json& time : {json(-1), json(1e300), json(1e18), json(18446744073709551615ULL),
                              json("1800000600"), json(1800000600.5), json(nullptr)})
         assert(with("exp", time) == Reason::kMalformed && with("nbf", time) == Reason::kMalformed);
     assert(with("own", json::array({1})) == Reason::kMalformed && with("sub", "../x") == Reason::kMalformed);
-    assert(post.reason(good + "=") == Reason::kMalformed && post.reason(good + ".x") == Reason::kMalformed);
-    assert(post.reason(std::string(60'000, 'a')) == Reason::kMalformed &&
-           post.reason("..") == Reason::kMalformed);
-    assert(post.reason(good.substr(0, 40)) == Reason::kMalformed &&
-           post.reason(" " + good) == Reason::kMalformed);
-    // Stray bits: the last letter of a text says more than its bytes hold.
+    assert(fixture.reason(good + "=") == Reason::kMalformed &&
+           fixture.reason(good + ".x") == Reason::kMalformed);
+    assert(fixture.reason(std::string(60'000, 'a')) == Reason::kMalformed &&
+           fixture.reason("..") == Reason::kMalformed);
+    assert(fixture.reason(good.substr(0, 40)) == Reason::kMalformed &&
+           fixture.reason(" " + good) == Reason::kMalformed);
+    // The last character must not encode bits beyond the last byte.
     assert(read_base64url("QQ") == "A" && !read_base64url("QR") && !read_base64url("Q") &&
            !read_base64url("QQ=="));
-    assert(post.gate.admit({"", true, nullptr}, {"find", "", ""}, kNow).reason == Reason::kMalformed);
-    assert(post.reason("") == Reason::kNoCredential);
-    // None of it was worth a signature's work.
-    assert(post.gate.counts().verified == 0);
+    assert(fixture.authorizer.admit({"", true, nullptr}, {"find", "", ""}, kNow).reason ==
+           Reason::kMalformed);
+    assert(fixture.reason("") == Reason::kNoCredential);
+    // Malformed tokens are rejected before any signature is verified.
+    assert(fixture.authorizer.counts().verified == 0);
 }
 
-void token_counts_in_its_time_and_for_its_audience() {
-    Post post;
+void token_is_valid_in_its_time_and_for_its_audience() {
+    Fixture fixture;
     Claims claims = claims_for();
-    assert(post.reason(claims, {"find", "", ""}, claims.expires + s(5) - 1) == Reason::kAdmitted);
-    assert(post.reason(claims, {"find", "", ""}, claims.expires + s(5)) == Reason::kExpired);
+    assert(fixture.reason(claims, {"find", "", ""}, claims.expires + s(5) - 1) == Reason::kAdmitted);
+    assert(fixture.reason(claims, {"find", "", ""}, claims.expires + s(5)) == Reason::kExpired);
     claims.not_before = kNow + s(6);
-    assert(post.reason(claims) == Reason::kNotYet &&
-           post.reason(claims, {"find", "", ""}, kNow + s(1)) == Reason::kAdmitted);
+    assert(fixture.reason(claims) == Reason::kNotYet &&
+           fixture.reason(claims, {"find", "", ""}, kNow + s(1)) == Reason::kAdmitted);
     claims = claims_for(), claims.audience = {"other", "shop"};
-    assert(post.reason(claims) == Reason::kWrongAudience);
+    assert(fixture.reason(claims) == Reason::kWrongAudience);
     claims.audience = {"other", "archive"};
-    assert(post.reason(claims) == Reason::kAdmitted);
+    assert(fixture.reason(claims) == Reason::kAdmitted);
     claims.issuer = "someone";
-    assert(post.reason(claims) == Reason::kWrongAudience);
+    assert(fixture.reason(claims) == Reason::kWrongAudience);
 }
 
-// Revocations of members are kept as long as a token can live, and no longer.
-void token_lives_no_longer_than_revocations_are_kept() {
-    AccessOptions terms = plain_access();
+// Member revocations are kept for the maximum lifetime of a token, so longer-lived tokens are rejected.
+void token_lifetime_is_bounded_by_revocation_retention() {
+    AccessOptions terms = default_access();
     terms.max_token_lifetime = s(3600);
     const Key key = make_key("k");
     AccessFiles files;
@@ -192,11 +199,11 @@
     Revocations kept;
     kept.members = {{"etna/old", kNow - s(4000)}, {"etna/anna", kNow - s(3000)}};
     files.revocations = NamedText{"r", kept.write()};
-    Authorizer gate(read_policy(terms, files, nullptr, kNow));
-    assert(gate.policy().revoked.members.size() == 1);
+    Authorizer authorizer(read_policy(terms, files, nullptr, kNow));
+    assert(authorizer.policy().revoked.members.size() == 1);
     Claims claims = claims_for("bruno");
     const auto reason = [&] {
-        return gate.admit({sign_token(claims, key), false, nullptr}, {"find", "", ""}, kNow).reason;
+        return authorizer.admit({sign_token(claims, key), false, nullptr}, {"find", "", ""}, kNow).reason;
     };
     claims.expires = claims.issued + s(3600);
     assert(reason() == Reason::kAdmitted);
@@ -207,21 +214,21 @@
 }
 
 void rights_clubs_and_owners() {
-    Post post;
+    Fixture fixture;
     const Claims anna = claims_for();
-    assert(post.reason(anna, {"annotate", "", "g1"}) == Reason::kAdmitted);
-    assert(post.reason(anna, {"annotate", "t-etna", "a77"}) == Reason::kAdmitted);
-    assert(post.reason(anna, {"annotate", "", "g2"}) == Reason::kNotOwner);
-    assert(post.reason(anna, {"annotate", "", "g11"}) == Reason::kNotOwner);
-    assert(post.reason(anna, {"annotate", "", ""}) == Reason::kNotOwner);
-    assert(post.reason(anna, {"find", "t-conca", ""}) == Reason::kWrongClub);
-    assert(post.reason(anna, {"unlisted", "", ""}) == Reason::kNoRight);
+    assert(fixture.reason(anna, {"annotate", "", "g1"}) == Reason::kAdmitted);
+    assert(fixture.reason(anna, {"annotate", "t-etna", "a77"}) == Reason::kAdmitted);
+    assert(fixture.reason(anna, {"annotate", "", "g2"}) == Reason::kNotOwner);
+    assert(fixture.reason(anna, {"annotate", "", "g11"}) == Reason::kNotOwner);
+    assert(fixture.reason(anna, {"annotate", "", ""}) == Reason::kNotOwner);
+    assert(fixture.reason(anna, {"find", "t-conca", ""}) == Reason::kWrongClub);
+    assert(fixture.reason(anna, {"unlisted", "", ""}) == Reason::kNoRight);
     Claims reader = anna;
     reader.caller.rights = {true, false};
-    assert(post.reason(reader, {"annotate", "", "g1"}) == Reason::kNoRight);
+    assert(fixture.reason(reader, {"annotate", "", "g1"}) == Reason::kNoRight);
     reader.caller.club = "unknown";
-    assert(post.reason(reader) == Reason::kWrongClub);
-    // A stranger cannot tell one refusal from another.
+    assert(fixture.reason(reader) == Reason::kWrongClub);
+    // A client cannot distinguish the reasons behind a status.
     for (const Reason reason :
          {Reason::kUnknownKey, Reason::kBadSignature, Reason::kExpired, Reason::kRevoked})
         assert(refusal_of(reason).status == 401 &&
@@ -232,33 +239,34 @@
                refusal_of(reason).message == refusal_of(Reason::kNoRight).message);
 }
 
-// Announced, active, outgoing, gone, to the moment.
+// The lifecycle states announced, active, outgoing and gone begin exactly at their times.
 void key_verifies_from_active_until_gone() {
-    Post post({make_key("old", Algorithm::kEdDsa, {0, s(1), kNow, kNow + s(60)}),
-               make_key("new", Algorithm::kEdDsa, {kNow - s(100), kNow, kNever, kNever}),
-               make_key("next", Algorithm::kEdDsa, {kNow - s(100), kNow + s(30), kNever, kNever})});
+    Fixture fixture({make_key("old", Algorithm::kEdDsa, {0, s(1), kNow, kNow + s(60)}),
+                     make_key("new", Algorithm::kEdDsa, {kNow - s(100), kNow, kNever, kNever}),
+                     make_key("next", Algorithm::kEdDsa, {kNow - s(100), kNow + s(30), kNever, kNever})});
     const auto with = [&](std::size_t key, Tenths now) {
-        return post.reason(sign_token(claims_for("anna", kNow), post.keys[key]), {"find", "", ""}, now);
+        return fixture.reason(sign_token(claims_for("anna", kNow), fixture.keys[key]), {"find", "", ""}, now);
     };
-    assert(post.keys[0].times.at(kNow) == KeyState::kOutgoing &&
-           post.gate.policy().ring.signer(kNow)->name == "new");
+    assert(fixture.keys[0].times.at(kNow) == KeyState::kOutgoing &&
+           fixture.authorizer.policy().ring.signer(kNow)->name == "new");
     assert(with(0, kNow + s(60) - 1) == Reason::kAdmitted && with(1, kNow) == Reason::kAdmitted);
-    assert(with(0, kNow + s(60)) == Reason::kUnknownKey); // the proof is cached; the key is gone all the same
+    assert(with(0, kNow + s(60)) == Reason::kUnknownKey); // the verification is cached, but the key is gone
     assert(with(2, kNow) == Reason::kUnknownKey);
-    assert(with(2, kNow + s(25)) == Reason::kAdmitted); // its signer's clock may be ahead by the skew
-    assert(post.gate.next_change(kNow) == kNow + s(25) &&
-           post.gate.next_change(kNow + s(30)) == kNow + s(60));
+    assert(with(2, kNow + s(25)) == Reason::kAdmitted); // the signer's clock may be ahead by the skew
+    assert(fixture.authorizer.next_change(kNow) == kNow + s(25) &&
+           fixture.authorizer.next_change(kNow + s(30)) == kNow + s(60));
 }
 
-void rotation_leaves_no_moment_without_a_key() {
+void rotation_always_leaves_an_active_key() {
     const Key first = make_key("k1", Algorithm::kEs256);
     const KeyRing before = KeyRing::read({file_of(first)}, nullptr);
-    const Rotation turn = rotate(before, "k2", {}, kNow + 1, s(30), s(60));
-    assert(turn.new_key.signing.algorithm() == Algorithm::kEs256 && turn.changed_keys.size() == 1);
-    Key read_back = read_key({"k2.jwk", write_key(turn.new_key, true)});
-    assert(read_back.times == turn.new_key.times &&
-           read_back.signing.fingerprint() == turn.new_key.signing.fingerprint());
-    const KeyRing after = KeyRing::read({file_of(turn.new_key), file_of(turn.changed_keys[0])}, &before);
+    const Rotation rotation = rotate(before, "k2", {}, kNow + 1, s(30), s(60));
+    assert(rotation.new_key.signing.algorithm() == Algorithm::kEs256 && rotation.changed_keys.size() == 1);
+    Key read_back = read_key({"k2.jwk", write_key(rotation.new_key, true)});
+    assert(read_back.times == rotation.new_key.times &&
+           read_back.signing.fingerprint() == rotation.new_key.signing.fingerprint());
+    const KeyRing after =
+        KeyRing::read({file_of(rotation.new_key), file_of(rotation.changed_keys[0])}, &before);
     for (Tenths now = kNow; now < kNow + s(200); now += s(1)) {
         const Key* signer = after.signer(now);
         assert(signer != nullptr && signer->verifies(now, 0));
@@ -267,35 +275,35 @@
     assert(after.find("k1")->times.at(kNow + s(91)) == KeyState::kGone);
 }
 
-// A reload that is not sound changes nothing and says why.
-void broken_reload_keeps_what_was() {
-    Post post;
-    const auto good = post.keys;
-    const auto refuses = [&](const std::string& words) {
-        const std::uint64_t generation = post.gate.policy().generation;
-        const std::string why = post.reload();
-        const bool kept = post.gate.policy().generation == generation &&
-                          post.reason(sign_token(claims_for(), good[0])) == Reason::kAdmitted;
-        post.keys = good, post.authorities.clear(), post.crls.clear();
-        if (why.find(words) == std::string::npos) std::cerr << "heard '" << why << "'\n";
-        return kept && why.find(words) != std::string::npos;
+// A reload that fails leaves the policy in force and reports the reason.
+void failed_reload_keeps_the_policy() {
+    Fixture fixture;
+    const auto good = fixture.keys;
+    const auto refuses = [&](const std::string& expected) {
+        const std::uint64_t generation = fixture.authorizer.policy().generation;
+        const std::string error = fixture.reload();
+        const bool kept = fixture.authorizer.policy().generation == generation &&
+                          fixture.reason(sign_token(claims_for(), good[0])) == Reason::kAdmitted;
+        fixture.keys = good, fixture.authorities.clear(), fixture.crls.clear();
+        if (error.find(expected) == std::string::npos) std::cerr << "unexpected error '" << error << "'\n";
+        return kept && error.find(expected) != std::string::npos;
     };
-    post.keys[1].name = "ed";
-    assert(refuses("the key 'ed' stands in"));
-    post.keys[0] = make_key("ed", Algorithm::kEs256);
+    fixture.keys[1].name = "ed";
+    assert(refuses("the key 'ed' is defined in"));
+    fixture.keys[0] = make_key("ed", Algorithm::kEs256);
     assert(refuses("a new key needs a new name"));
-    post.keys[0] = make_key("ed"); // the same algorithm, another key
+    fixture.keys[0] = make_key("ed"); // the same algorithm, but another key
     assert(refuses("a new key needs a new name"));
-    post.keys.clear();
-    assert(refuses("nobody could be let in"));
-    post.keys[2].times = {s(5), s(4), kNever, kNever};
+    fixture.keys.clear();
+    assert(refuses("no caller could be authenticated"));
+    fixture.keys[2].times = {s(5), s(4), kNever, kNever};
     assert(refuses("in this order"));
-    post.authorities = {{"ca.pem", "no certificate"}};
+    fixture.authorities = {{"ca.pem", "no certificate"}};
     assert(refuses("ca.pem: expected certificates in PEM"));
-    post.revoked.members["etna/bruno"] = kNow;
-    assert(post.reload().empty());
-    post.revoked = {};
-    assert(refuses("the revocations that are in force are missing"));
+    fixture.revoked.members["etna/bruno"] = kNow;
+    assert(fixture.reload().empty());
+    fixture.revoked = {};
+    assert(refuses("the revocation file is missing, but revocations are in force"));
     for (const char* text :
          {"", "{", "[]", R"({"kid":"x"})", R"({"kid":"x","kid":"y"})", R"({"kid":"../x","alg":"EdDSA"})",
           R"({"kid":"x","alg":"HS256","kty":"oct","k":"c2hvcnQ","active":1})",
@@ -308,43 +316,47 @@
     }
 }
 
-void revocation_outlives_the_cache() {
-    Post post;
-    const std::string anna = sign_token(claims_for(), post.keys[0]);
+void revocation_applies_to_cached_tokens() {
+    Fixture fixture;
+    const std::string anna = sign_token(claims_for(), fixture.keys[0]);
     Claims other = claims_for();
     other.id = "t2";
-    const std::string second = sign_token(other, post.keys[0]);
-    const Decision held = post.ask(anna);
-    assert(post.reason(second) == Reason::kAdmitted && post.reason(anna) == Reason::kAdmitted);
-    assert(post.gate.counts().from_cache == 1);
-    post.revoked.tokens["t1"] = kNow + s(600);
-    assert(post.reload().empty());
-    assert(post.reason(anna) == Reason::kRevoked && post.gate.recheck(held.proof, kNow) == Reason::kRevoked);
-    assert(post.reason(second) == Reason::kAdmitted);
-    // She moves to another club: what was signed before counts no more, what is signed after does.
-    post.revoked.members["etna/anna"] = kNow + s(10);
-    assert(post.reload().empty() && post.reason(second) == Reason::kRevoked);
+    const std::string second = sign_token(other, fixture.keys[0]);
+    const Decision held = fixture.admit(anna);
+    assert(fixture.reason(second) == Reason::kAdmitted && fixture.reason(anna) == Reason::kAdmitted);
+    assert(fixture.authorizer.counts().from_cache == 1);
+    fixture.revoked.tokens["t1"] = kNow + s(600);
+    assert(fixture.reload().empty());
+    assert(fixture.reason(anna) == Reason::kRevoked &&
+           fixture.authorizer.recheck(held.proof, kNow) == Reason::kRevoked);
+    assert(fixture.reason(second) == Reason::kAdmitted);
+    // The member moves to another club: tokens issued before are rejected, tokens issued afterwards are
+    // accepted.
+    fixture.revoked.members["etna/anna"] = kNow + s(10);
+    assert(fixture.reload().empty() && fixture.reason(second) == Reason::kRevoked);
     Claims moved = claims_for("anna", kNow + s(10));
     moved.caller.club = "conca", moved.id = "t3";
-    assert(post.ask(sign_token(moved, post.keys[0]), {"find", "", ""}, kNow + s(10)).tenant == "t-conca");
-    // A key that is taken back ends what it signed, cached or not.
-    post.keys[0].times.gone = kNow, post.keys[0].times.outgoing = kNow;
-    assert(post.reload().empty() && post.reason(second) == Reason::kUnknownKey);
-    assert(post.gate.recheck(held.proof, kNow) == Reason::kUnknownKey);
+    assert(fixture.admit(sign_token(moved, fixture.keys[0]), {"find", "", ""}, kNow + s(10)).tenant ==
+           "t-conca");
+    // Revoking a key invalidates the tokens that it signed, cached or not.
+    fixture.keys[0].times.gone = kNow, fixture.keys[0].times.outgoing = kNow;
+    assert(fixture.reload().empty() && fixture.reason(second) == Reason::kUnknownKey);
+    assert(fixture.authorizer.recheck(held.proof, kNow) == Reason::kUnknownKey);
 }
 
-void proof_of_a_search_in_flight_outlives_its_tokens_time() {
-    Post post;
-    const Decision held = post.ask(sign_token(claims_for(), post.keys[0]));
-    assert(post.gate.recheck(held.proof, kNow + s(100'000)) == Reason::kAdmitted); // taken in time
+void token_expiry_does_not_end_a_search_in_flight() {
+    Fixture fixture;
+    const Decision held = fixture.admit(sign_token(claims_for(), fixture.keys[0]));
+    assert(fixture.authorizer.recheck(held.proof, kNow + s(100'000)) ==
+           Reason::kAdmitted); // admitted in time
 }
 
-void cache_is_bounded_and_forgets_the_unused() {
+void cache_is_bounded_and_evicts_unused_entries() {
     const TokenCache::VerifiedToken proof{std::make_shared<const Claims>(claims_for()), "key"};
     TokenCache cache(16);
     for (int i = 0; i < 1000; ++i) cache.put("token" + std::to_string(i), proof);
     assert(cache.size() <= cache.capacity() && cache.capacity() == 16);
-    TokenCache one(8); // one set: who is used stays while others come and go
+    TokenCache one(8); // a single set: a used entry stays while others are replaced
     one.put("kept", proof);
     for (int i = 0; i < 100; ++i) {
         assert(one.find("kept").key_fingerprint == "key" && !one.find("kept ").claims);
@@ -359,7 +371,7 @@
 
 // ---- certificates
 
-struct Office { // a root, and what it issues
+struct CertificateAuthority { // a root CA and certificates that it issues
     lab::Authority root{"root", kNow - s(1000), kNow + s(100'000)};
     lab::Issued anna = issue({"spiffe://trinacria.example/etna/anna"});
     lab::Issued issue(std::vector<std::string> uris, std::vector<std::string> dns = {}) const {
@@ -368,129 +380,132 @@
     NamedText file() const { return {"ca.pem", root.certificate()}; }
 };
 
-void certificate_proves_whom_its_names_are_mapped_to() {
-    Office office;
-    Post post;
-    assert(post.shown({{office.anna.der}}) == Reason::kUnknownKey); // no authority yet
-    post.authorities = {office.file()};
-    assert(post.reload().empty());
-    const Decision made = post.gate.admit(
-        {"", false, std::make_shared<const Chain>(Chain{{office.anna.der}})}, {"annotate", "", "g7"}, kNow);
+void certificate_authenticates_the_mapped_caller() {
+    CertificateAuthority ca;
+    Fixture fixture;
+    assert(fixture.certificate_reason({{ca.anna.der}}) == Reason::kUnknownKey); // no authority configured yet
+    fixture.authorities = {ca.file()};
+    assert(fixture.reload().empty());
+    const Decision made = fixture.authorizer.admit(
+        {"", false, std::make_shared<const Chain>(Chain{{ca.anna.der}})}, {"annotate", "", "g7"}, kNow);
     assert(made.reason == Reason::kAdmitted && made.caller.member == "anna" && made.tenant == "t-etna");
-    assert(post.shown({{office.anna.der}}, {"find", "t-conca", ""}) == Reason::kWrongClub);
-    assert(post.shown({{office.issue({}, {"SITE.conca.example.org"}).der}}, {"annotate", "", "x"}) ==
-           Reason::kNoRight);
-    assert(post.shown({{office.issue({}).der}}) == Reason::kMalformed); // without names
-    assert(post.shown({{office.issue({"spiffe://other.example/x"}).der}}) == Reason::kNoRight);
-    assert(post.shown({{office.issue({"spiffe://trinacria.example/etna/a/b"}).der}}) == Reason::kMalformed);
+    assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "t-conca", ""}) == Reason::kWrongClub);
+    assert(fixture.certificate_reason({{ca.issue({}, {"SITE.conca.example.org"}).der}},
+                                      {"annotate", "", "x"}) == Reason::kNoRight);
+    assert(fixture.certificate_reason({{ca.issue({}).der}}) == Reason::kMalformed); // no names
+    assert(fixture.certificate_reason({{ca.issue({"spiffe://other.example/x"}).der}}) == Reason::kNoRight);
+    assert(fixture.certificate_reason({{ca.issue({"spiffe://trinacria.example/etna/a/b"}).der}}) ==
+           Reason::kMalformed);
+    assert(
+        fixture.certificate_reason(
+            {{ca.issue({"spiffe://trinacria.example/etna/a", "spiffe://trinacria.example/etna/b"}).der}}) ==
+        Reason::kMalformed); // two callers
+    assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "", ""}, kNow + s(1001)) == Reason::kExpired);
+    assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "", ""}, kNow - s(11)) == Reason::kNotYet);
+    assert(fixture.certificate_reason({{"no certificate"}}) == Reason::kMalformed &&
+           fixture.certificate_reason({{}}) == Reason::kNoCredential);
+    const CertificateAuthority unknown_ca;
+    assert(fixture.certificate_reason({{unknown_ca.anna.der}}) == Reason::kUnknownKey);
+    // A valid client certificate does not make an invalid token acceptable.
     assert(
-        post.shown({{office.issue({"spiffe://trinacria.example/etna/a", "spiffe://trinacria.example/etna/b"})
-                         .der}}) == Reason::kMalformed); // two callers
-    assert(post.shown({{office.anna.der}}, {"find", "", ""}, kNow + s(1001)) == Reason::kExpired);
-    assert(post.shown({{office.anna.der}}, {"find", "", ""}, kNow - s(11)) == Reason::kNotYet);
-    assert(post.shown({{"no certificate"}}) == Reason::kMalformed &&
-           post.shown({{}}) == Reason::kNoCredential);
-    const Office stranger;
-    assert(post.shown({{stranger.anna.der}}) == Reason::kUnknownKey);
-    // A token that is not good is not made good by the certificate beside it.
-    assert(post.gate
-               .admit({"x", false, std::make_shared<const Chain>(Chain{{office.anna.der}})}, {"find", "", ""},
-                      kNow)
-               .reason == Reason::kMalformed);
+        fixture.authorizer
+            .admit({"x", false, std::make_shared<const Chain>(Chain{{ca.anna.der}})}, {"find", "", ""}, kNow)
+            .reason == Reason::kMalformed);
 }
 
-void chain_is_bounded_and_a_leaf_is_no_authority() {
-    Office office;
-    Post post;
-    post.authorities = {office.file()};
-    assert(post.reload().empty());
-    const lab::Authority below = office.root.below("below", kNow - s(10), kNow + s(1000));
+void chain_length_is_bounded_and_a_leaf_is_not_an_authority() {
+    CertificateAuthority ca;
+    Fixture fixture;
+    fixture.authorities = {ca.file()};
+    assert(fixture.reload().empty());
+    const lab::Authority below = ca.root.below("below", kNow - s(10), kNow + s(1000));
     const lab::Wish wish{"x",  {"spiffe://trinacria.example/etna/anna"}, {}, kNow - s(10), kNow + s(1000),
                          false};
-    assert(post.shown({{below.issue(wish).der, below.der()}}) == Reason::kAdmitted);
-    assert(post.shown({{below.issue(wish).der}}) == Reason::kUnknownKey);
-    lab::Authority last = office.root;
+    assert(fixture.certificate_reason({{below.issue(wish).der, below.der()}}) == Reason::kAdmitted);
+    assert(fixture.certificate_reason({{below.issue(wish).der}}) == Reason::kUnknownKey);
+    lab::Authority last = ca.root;
     Chain ten;
     for (int i = 0; i < 9; ++i) {
         last = last.below("n" + std::to_string(i), kNow - s(10), kNow + s(1000));
         ten.certificates.insert(ten.certificates.begin(), last.der());
     }
     ten.certificates.insert(ten.certificates.begin(), last.issue(wish).der);
-    assert(post.shown(ten) == Reason::kMalformed);
-    const std::string leaf = office.anna.der; // good by itself, and too much beside it
-    assert(post.shown({{leaf, leaf, leaf, leaf}}) == Reason::kAdmitted);
-    assert(post.shown({{leaf, leaf, leaf, leaf, leaf}}) == Reason::kMalformed);
+    assert(fixture.certificate_reason(ten) == Reason::kMalformed);
+    const std::string leaf = ca.anna.der; // valid, with superfluous certificates after it
+    assert(fixture.certificate_reason({{leaf, leaf, leaf, leaf}}) == Reason::kAdmitted);
+    assert(fixture.certificate_reason({{leaf, leaf, leaf, leaf, leaf}}) == Reason::kMalformed);
 }
 
-void revoked_certificate_is_known_by_list_or_serial() {
-    Office office;
-    Post post;
-    post.authorities = {office.file()};
-    post.crls = {{"ca.crl", office.root.crl({}, kNow - s(100), kNow + s(500))}};
-    assert(post.reload().empty());
-    const auto chain = std::make_shared<const Chain>(Chain{{office.anna.der}});
-    const Decision held = post.gate.admit({"", false, chain}, {"find", "", ""}, kNow);
-    assert(held.reason == Reason::kAdmitted && post.gate.recheck(*chain, kNow) == Reason::kAdmitted);
-    post.crls = {{"ca.crl", office.root.crl({office.anna.serial}, kNow - s(50), kNow + s(500))}};
-    assert(post.reload().empty());
-    assert(post.gate.admit({"", false, chain}, {"find", "", ""}, kNow).reason == Reason::kRevoked);
-    assert(post.gate.recheck(held.proof, kNow) == Reason::kRevoked &&
-           post.gate.recheck(*chain, kNow) == Reason::kRevoked);
-    // The list before it would let her in again.
-    post.crls = {{"ca.crl", office.root.crl({}, kNow - s(100), kNow + s(500))}};
-    assert(post.reload().find("older than the list in force") != std::string::npos);
-    post.crls.clear();
-    assert(post.reload().find("missing") != std::string::npos);
-    post.crls = {{"ca.crl", office.root.crl({}, kNow - s(40), kNow + s(500))}};
-    post.revoked.certificates[office.anna.serial] = kNow;
-    assert(post.reload().empty() && post.gate.recheck(*chain, kNow) == Reason::kRevoked);
+void certificate_is_revoked_by_crl_or_serial() {
+    CertificateAuthority ca;
+    Fixture fixture;
+    fixture.authorities = {ca.file()};
+    fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(100), kNow + s(500))}};
+    assert(fixture.reload().empty());
+    const auto chain = std::make_shared<const Chain>(Chain{{ca.anna.der}});
+    const Decision held = fixture.authorizer.admit({"", false, chain}, {"find", "", ""}, kNow);
+    assert(held.reason == Reason::kAdmitted && fixture.authorizer.recheck(*chain, kNow) == Reason::kAdmitted);
+    fixture.crls = {{"ca.crl", ca.root.crl({ca.anna.serial}, kNow - s(50), kNow + s(500))}};
+    assert(fixture.reload().empty());
+    assert(fixture.authorizer.admit({"", false, chain}, {"find", "", ""}, kNow).reason == Reason::kRevoked);
+    assert(fixture.authorizer.recheck(held.proof, kNow) == Reason::kRevoked &&
+           fixture.authorizer.recheck(*chain, kNow) == Reason::kRevoked);
+    // An older CRL would accept the certificate again.
+    fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(100), kNow + s(500))}};
+    assert(fixture.reload().find("older than the one in force") != std::string::npos);
+    fixture.crls.clear();
+    assert(fixture.reload().find("missing") != std::string::npos);
+    fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(40), kNow + s(500))}};
+    fixture.revoked.certificates[ca.anna.serial] = kNow;
+    assert(fixture.reload().empty() && fixture.authorizer.recheck(*chain, kNow) == Reason::kRevoked);
 }
 
-void list_out_of_date_lets_nobody_in_past_its_grace() {
-    Office office;
-    Post post;
-    post.authorities = {office.file()};
-    post.crls = {{"ca.crl", office.root.crl({}, kNow - s(100), kNow + s(100))}};
-    assert(post.reload().empty());
-    assert(post.shown({{office.anna.der}}, {"find", "", ""}, kNow + s(159)) == Reason::kAdmitted);
-    assert(post.shown({{office.anna.der}}, {"find", "", ""}, kNow + s(160)) == Reason::kRevoked);
-    assert(post.gate.next_change(kNow) == kNow + s(160)); // so that open connections hear of it
-    assert(post.reload(kNow + s(160)).find("out of date") != std::string::npos);
-    const Office other;
-    post.crls = {{"ca.crl", other.root.crl({}, kNow, kNow + s(100))}};
-    assert(post.reload().find("no authority here has signed it") != std::string::npos);
+void expired_crl_rejects_all_after_its_grace_period() {
+    CertificateAuthority ca;
+    Fixture fixture;
+    fixture.authorities = {ca.file()};
+    fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(100), kNow + s(100))}};
+    assert(fixture.reload().empty());
+    assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "", ""}, kNow + s(159)) == Reason::kAdmitted);
+    assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "", ""}, kNow + s(160)) == Reason::kRevoked);
+    assert(fixture.authorizer.next_change(kNow) == kNow + s(160)); // so that open connections are rechecked
+    assert(fixture.reload(kNow + s(160)).find("out of date") != std::string::npos);
+    const CertificateAuthority other;
+    fixture.crls = {{"ca.crl", other.root.crl({}, kNow, kNow + s(100))}};
+    assert(fixture.reload().find("not signed by a configured authority") != std::string::npos);
 }
 
-// ---- clock, handshakes, tickets
+// ---- clock, handshakes, session tickets
 
-void clock_that_jumps_is_not_believed_at_once() {
+void clock_jump_is_accepted_only_after_settling() {
     TrustedClock clock(s(5), s(10));
     Tenths steady = s(1000);
     assert(clock.observe(steady, kNow) == kNow);
     steady += s(1);
-    assert(clock.observe(steady, kNow + s(1) + 300) == kNow + s(1) + 300); // set right by a little
+    assert(clock.observe(steady, kNow + s(1) + 300) ==
+           kNow + s(1) + 300); // small adjustments are followed at once
     assert(clock.observe(steady, kNow + s(86'400)) == kNow + s(1) + 300);
-    assert(clock.observe(steady + s(1), kNow + s(2)) == kNow + s(2)); // it was for a moment
+    assert(clock.observe(steady + s(1), kNow + s(2)) == kNow + s(2)); // the jump did not persist
     for (int i = 0; i < 10; ++i)
         assert(clock.observe(steady + s(2 + i), kNow + s(86'402 + i)) < kNow + s(100));
-    assert(clock.observe(steady + s(12), kNow + s(86'412)) == kNow + s(86'412)); // it has stood
-    // Back again: for the time that it must stand, nothing that has expired comes back.
+    assert(clock.observe(steady + s(12), kNow + s(86'412)) == kNow + s(86'412)); // the jump has persisted
+    // Jumping back: expired credentials must not become valid during the settling time.
     assert(clock.observe(steady + s(13), kNow + s(13)) == kNow + s(86'413) && clock.jumps() == 3);
 }
 
-void flood_of_handshakes_is_bounded_three_ways() {
-    HandshakeLimiter<int> gate({4, 100, 2}, 0);
-    for (int i = 0; i < 4; ++i) assert(!gate.begin(i)), gate.request_step(i);
-    assert(gate.begin(4) == 0 && gate.open() == 4); // the oldest goes
-    gate.request_step(4);
-    assert(gate.grant(0) == (std::vector<int>{1, 2})); // no more in a turn
-    assert(gate.grant(0).empty() && gate.next_step_time(0) == 101);
-    assert(gate.grant(101) == (std::vector<int>{3})); // a hundred a second
-    gate.end(4);
-    assert(gate.grant(s(1)).empty() && !gate.next_step_time(s(1))); // who has gone gets none
+void handshakes_are_limited_in_three_ways() {
+    HandshakeLimiter<int> limiter({4, 100, 2}, 0);
+    for (int i = 0; i < 4; ++i) assert(!limiter.begin(i)), limiter.request_step(i);
+    assert(limiter.begin(4) == 0 && limiter.open() == 4); // the oldest is evicted
+    limiter.request_step(4);
+    assert(limiter.grant(0) == (std::vector<int>{1, 2})); // limit per turn
+    assert(limiter.grant(0).empty() && limiter.next_step_time(0) == 101);
+    assert(limiter.grant(101) == (std::vector<int>{3})); // limit per second
+    limiter.end(4);
+    assert(limiter.grant(s(1)).empty() && !limiter.next_step_time(s(1))); // closed connections get no step
 }
 
-void ticket_keys_change_and_old_ones_open_nothing() {
+void ticket_keys_rotate_and_old_ones_expire() {
     TicketKeys keys(s(10));
     const auto key = [](unsigned char number) {
         TicketKeys::Key made;
@@ -509,25 +524,25 @@
 }
 
 const Test kTests[] = {
-    TEST(all_three_algorithms_prove_their_bearer),
-    TEST(algorithm_is_the_keys_and_not_the_tokens),
-    TEST(what_can_be_read_two_ways_is_malformed),
-    TEST(token_counts_in_its_time_and_for_its_audience),
-    TEST(token_lives_no_longer_than_revocations_are_kept),
+    TEST(all_three_algorithms_authenticate_the_caller),
+    TEST(algorithm_comes_from_the_key_and_not_the_token),
+    TEST(ambiguous_tokens_are_malformed),
+    TEST(token_is_valid_in_its_time_and_for_its_audience),
+    TEST(token_lifetime_is_bounded_by_revocation_retention),
     TEST(rights_clubs_and_owners),
     TEST(key_verifies_from_active_until_gone),
-    TEST(rotation_leaves_no_moment_without_a_key),
-    TEST(broken_reload_keeps_what_was),
-    TEST(revocation_outlives_the_cache),
-    TEST(proof_of_a_search_in_flight_outlives_its_tokens_time),
-    TEST(cache_is_bounded_and_forgets_the_unused),
-    TEST(certificate_proves_whom_its_names_are_mapped_to),
-    TEST(chain_is_bounded_and_a_leaf_is_no_authority),
-    TEST(revoked_certificate_is_known_by_list_or_serial),
-    TEST(list_out_of_date_lets_nobody_in_past_its_grace),
-    TEST(clock_that_jumps_is_not_believed_at_once),
-    TEST(flood_of_handshakes_is_bounded_three_ways),
-    TEST(ticket_keys_change_and_old_ones_open_nothing),
+    TEST(rotation_always_leaves_an_active_key),
+    TEST(failed_reload_keeps_the_policy),
+    TEST(revocation_applies_to_cached_tokens),
+    TEST(token_expiry_does_not_end_a_search_in_flight),
+    TEST(cache_is_bounded_and_evicts_unused_entries),
+    TEST(certificate_authenticates_the_mapped_caller),
+    TEST(chain_length_is_bounded_and_a_leaf_is_not_an_authority),
+    TEST(certificate_is_revoked_by_crl_or_serial),
+    TEST(expired_crl_rejects_all_after_its_grace_period),
+    TEST(clock_jump_is_accepted_only_after_settling),
+    TEST(handshakes_are_limited_in_three_ways),
+    TEST(ticket_keys_rotate_and_old_ones_expire),
 };
 
 } // namespace
