--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -1,5 +1,5 @@
-// Tests of HTTP/2 over loopback: a front node in a process of its own, clients that behave and clients that
-// do not. Every wait ends with what it waits for or fails.
+// Tests of HTTP/2 over loopback: a front node in its own process, with well-behaved and misbehaving clients.
+// Every wait ends with the expected event or fails the test.
 #include "fake_host.hpp"
 #include "lab/h2_client.hpp"
 #include "lab/hall.hpp"
@@ -25,13 +25,13 @@
 
 int status(H2Client& client, const Ask& ask) { return client.await(send(client, ask)).status; }
 
-void go_on(H2Client& client) { // something more is to come
+void step(H2Client& client) { // fails if the connection has ended
     const bool open = client.step();
-    if (!open) std::cerr << "ended, last word " << client.goaway_code << "\n";
+    if (!open) std::cerr << "connection ended, GOAWAY code " << client.goaway_code << "\n";
     assert(open);
 }
 
-bool served(const Hall& hall, const std::string& id) { // by another client
+bool served(const Hall& hall, const std::string& id) { // on another connection
     H2Client other(hall.h2());
     const H2Answer& answer = other.await(send(other, ask_for(id)));
     return answer.status == 200 && answer.ended && hall.fleet.attempts(id + ".0") == 1;
@@ -40,7 +40,8 @@
 void many_searches_on_one_connection() {
     Hall hall({});
     H2Client client(hall.h2());
-    for (int round = 0; round < 6; ++round) { // ten at once: an untaught module lets no more in
+    for (int round = 0; round < 6;
+         ++round) { // ten at once: the scheduler admits no more without load reports
         std::vector<std::int32_t> streams;
         for (int i = 0; i < 10; ++i) {
             Ask ask = ask_for("q" + std::to_string(round) + "-" + std::to_string(i));
@@ -73,8 +74,8 @@
     assert(status(certified, ask_for("d")) == 200 && status(certified, ask_for("e")) == 200);
 }
 
-// Taken back before its attempt, between attempt and answer, twice: one attempt at most, no answer, and the
-// other streams go on. What was non-idempotent is not sent again either.
+// A stream is reset before its attempt, and another one between attempt and answer, twice: at most one
+// attempt, no answer, and the other streams continue. Non-idempotent searches are not retried either.
 void stream_that_is_reset_is_attempted_once_and_not_answered() {
     for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
         Hall hall({2, idempotency, true, {}, 512});
@@ -86,7 +87,7 @@
         };
         hall.fleet.hold(true);
         const auto early = write("early");
-        client.reset(early); // in the same breath
+        client.reset(early); // right after the request
         const auto out = write("out"), kept = write("kept");
         assert(hall.fleet.await_attempt("out.0") && hall.fleet.await_attempt("kept.0"));
         client.reset(out);
@@ -106,28 +107,29 @@
     Hall hall({});
     H2Client client(hall.h2(), {false, 100});
     const auto half = send(client, ask_for("half", 20'000));
-    while (client.answer(half).body.size() < 100) go_on(client);
+    while (client.answer(half).body.size() < 100) step(client);
     client.reset(half);
     assert(client.await(send(client, ask_for("small", 2))).ended);
     assert(client.answer(half).body.size() == 100 && hall.fleet.attempts("half.0") == 1);
 }
 
-void drain_answers_all_that_were_open_and_those_that_cross() {
+void drain_answers_open_streams_and_those_in_transit() {
     Hall hall({});
     H2Client client(hall.h2());
     hall.fleet.hold(true);
-    client.holds_pongs = true; // all answers come before the last notice
+    client.holds_pongs = true; // all answers arrive before the final GOAWAY
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 98; ++i) streams.push_back(send(client, ask_for("q" + std::to_string(i))));
-    assert(hall.fleet.await_attempt("q0.0")); // others wait for an attempt
+    assert(hall.fleet.await_attempt("q0.0")); // the others wait for an attempt
     Client plain(hall.plain());
     hall.signal(SIGTERM);
-    for (int code = 200; code == 200;) { // until it has heard
+    for (int code = 200; code == 200;) { // until the node drains
         plain.say("GET /-/ready HTTP/1.1\r\n\r\n");
         code = plain.answer().status;
     }
     for (int i = 98; i < 100; ++i)
-        streams.push_back(send(client, ask_for("q" + std::to_string(i)))); // unheard yet
+        streams.push_back(
+            send(client, ask_for("q" + std::to_string(i)))); // sent before the client sees the GOAWAY
     hall.fleet.hold(false);
     int delivered = 0;
     for (const std::int32_t stream : streams) {
@@ -136,30 +138,33 @@
         delivered += answer.status == 200 ? 1 : 0;
     }
     assert(delivered > 0);
-    while (client.leaving.size() < 2) go_on(client);
+    while (client.leaving.size() < 2) step(client);
     client.let_pong();
     client.await_end();
     assert(client.goaways == 2 && client.goaway_code == NGHTTP2_NO_ERROR &&
            client.goaway_last == streams.back());
-    assert(client.leaving == "GPG"); // else its answer to the PING tells nothing of the notice
+    assert(client.leaving == "GPG"); // GOAWAY, PING, GOAWAY: otherwise acknowledging the PING would not prove
+                                     // receipt of the notice
     assert(hall.exit_status() == 0 && hall.fleet.max_attempts() == 1);
 }
 
-// It goes on asking after both notices: what it asks then is not taken, and nobody waits for it.
-void client_that_ignores_the_notices_holds_up_no_stop() {
+// A client that keeps sending requests after both GOAWAY frames: they are ignored, and shutdown does not wait
+// for it.
+void client_that_ignores_goaway_does_not_delay_shutdown() {
     Hall hall({});
     H2Client client(hall.h2());
     assert(status(client, ask_for("a")) == 200);
     hall.signal(SIGTERM);
     while (client.goaways < 2 && client.step()) {}
-    // An index of the static table each, for as much as a search needs; it need not be a good one.
+    // Each byte is an index of the HPACK static table: the fields of a request, which need not be valid.
     client.raw(raw_frame(NGHTTP2_HEADERS, 5, 101, "\x83\x86\x84"));
     client.await_end();
     assert(hall.exit_status() == 0 && hall.fleet.attempts() == 1);
 }
 
-// A window that never opens: its answers wait, bounded, and delay nobody else's.
-void closed_window_delays_nobody_and_is_bounded() {
+// A client's flow control window stays closed: its answers are buffered up to a limit and delay no other
+// client.
+void closed_window_delays_no_other_client_and_is_bounded() {
     Hall hall({2, Idempotency::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
     H2Client blocked(hall.h2(), {false, 0});
     std::vector<std::int32_t> streams;
@@ -174,49 +179,50 @@
         waiting += blocked.answer(stream).status == 200 ? 1 : 0;
         assert(blocked.answer(stream).body.empty());
     }
-    assert(waiting == 5 && refused == 35); // 300,000 bytes, of which a request may need 65,536
+    assert(waiting == 5 && refused == 35); // 300,000 bytes, of which 65,536 are reserved for a request
     assert(served(hall, "other"));
     blocked.open_window(streams[0], 1); // by one byte
-    while (blocked.answer(streams[0]).body.empty()) go_on(blocked);
+    while (blocked.answer(streams[0]).body.empty()) step(blocked);
     assert(blocked.answer(streams[0]).body.size() == 1);
-    blocked.set_window(65'535); // while answers are half sent
-    const auto all = [&] {      // of what came; the connection's own window stays at its first size
+    blocked.set_window(65'535); // while answers are partly sent
+    const auto all = [&] {      // bytes received; the connection's window stays at its initial size
         std::size_t sum = 0;
         for (const std::int32_t stream : streams) sum += blocked.answer(stream).body.size();
         return sum;
     };
-    while (all() < 65'535) go_on(blocked);
-    blocked.open_window(streams[1], 0x7FFFFFFF); // past what a window can be (RFC 9113, 6.9.1)
+    while (all() < 65'535) step(blocked);
+    blocked.open_window(streams[1], 0x7FFFFFFF); // exceeds the maximum window
     assert(blocked.await(streams[1]).error == NGHTTP2_FLOW_CONTROL_ERROR);
     assert(served(hall, "another"));
 }
 
-// Its time runs out while its client lets nothing through: it hears that, and no more than that.
-void expiry_behind_a_closed_window_is_heard_as_far_as_it_goes() {
+// A search expires while its client's window is closed: the headers of the error are delivered, its body only
+// once the window opens.
+void expiry_behind_a_closed_window_is_answered() {
     Hall hall({});
     H2Client client(hall.h2(), {false, 0});
     hall.fleet.hold(true);
     Ask ask = ask_for("late");
     ask.left_ms = 300;
     const auto stream = send(client, ask);
-    while (client.answer(stream).status == 0) go_on(client);
+    while (client.answer(stream).status == 0) step(client);
     assert(client.answer(stream).status >= 500 && client.answer(stream).body.empty() &&
            !client.answer(stream).ended);
     client.set_window(1000);
     assert(client.await(stream).ended);
 }
 
-void connection_that_breaks_takes_its_streams_along() {
+void broken_connection_cancels_its_streams() {
     Hall hall({});
     hall.fleet.hold(true);
     {
         H2Client client(hall.h2(), {false, 10});
         send(client, ask_for("out"));
-        client.ask(search_fields(ask_for("half")), {}, false); // its body does not come
+        client.ask(search_fields(ask_for("half")), {}, false); // the body is never sent
         assert(hall.fleet.await_attempt("out.0"));
         hall.fleet.hold(false);
         const auto answered = send(client, ask_for("answered", 5000));
-        while (client.answer(answered).body.size() < 10) go_on(client);
+        while (client.answer(answered).body.size() < 10) step(client);
         hall.fleet.hold(true);
         send(client, ask_for("again"));
         assert(hall.fleet.await_attempt("again.0"));
@@ -235,7 +241,8 @@
         ask.token = hall.token("anna", hall.key()), ask.shard = i % 2;
         streams.push_back(send(client, ask));
     }
-    for (int i = 0; i < 10; ++i) // all are out: one that came later would be refused, not barred
+    for (int i = 0; i < 10; ++i) // wait until all are attempted: a later one would be refused on arrival
+                                 // rather than after admission
         assert(hall.fleet.await_attempt("q" + std::to_string(i) + "." + std::to_string(i % 2)));
     hall.revoke_member("anna", transport::Loop::wall() + 10 * kTenthsPerSecond);
     assert(hall.await_audit("\"what\":\"barred\"", 10));
@@ -247,7 +254,7 @@
     assert(client.answer(streams[0]).status == 200 && hall.fleet.max_attempts() == 1);
 }
 
-void upgrade_on_the_plain_port_stays_http_1() {
+void upgrade_request_on_the_plain_port_stays_http_1() {
     Hall hall({2, Idempotency::kIdempotent, false, {}, 512});
     Client client(hall.plain());
     std::string bytes = search_bytes({"a1"});
@@ -262,8 +269,8 @@
     assert(preface.answer().status == 400);
 }
 
-// As strictly as on HTTP/1.1, by the same reading where the protocol leaves it to us.
-void requests_are_read_strictly() {
+// Requests are validated as strictly as on HTTP/1.1, with the same parser where the protocol allows.
+void requests_are_validated_strictly() {
     Hall hall({});
     H2Client client(hall.h2());
     const Ask good = ask_for("x");
@@ -291,7 +298,7 @@
     assert(hall.fleet.attempts() == 0 && status(client, good) == 200 && !client.ended);
 }
 
-// Each flood ends its own connection, in words that say so, and nobody else's.
+// Each flood closes its own connection with an error code, and no other.
 void floods_end_their_own_connection() {
     Hall hall({});
     const std::string eight(8, 'p'), settings, priority("\0\0\0\0\0", 5);
@@ -300,10 +307,10 @@
         int sent = 0;
         try {
             for (; sent < 20'000; ++sent) act(client, sent);
-        } catch (const std::runtime_error&) {} // it takes no more
+        } catch (const std::runtime_error&) {} // the node accepts no more
         client.await_end();
         const bool ended = client.ended && (client.goaways == 0 || client.goaway_code != NGHTTP2_NO_ERROR);
-        if (!ended) std::cerr << name << " went on\n";
+        if (!ended) std::cerr << name << ": the flood did not end the connection\n";
         return ended && served(hall, std::string("after-") + name);
     };
     assert(flood("ping", [&](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PING, 0, 0, eight)); }));
@@ -342,7 +349,7 @@
     assert(resets == 20 && !budget.spend(ClientAction::kReset, 999) &&
            budget.spend(ClientAction::kReset, kTenthsPerSecond));
     assert(budget.spend(ClientAction::kPing, 0) &&
-           budget.count(ClientAction::kReset) == 23); // each has its own
+           budget.count(ClientAction::kReset) == 23); // each action has its own budget
     assert(budget.allows_stream(9, 900) && !budget.allows_stream(10, 0) && !budget.allows_stream(0, 901));
 }
 
@@ -351,14 +358,14 @@
     TEST(access_applies_to_each_stream),
     TEST(stream_that_is_reset_is_attempted_once_and_not_answered),
     TEST(stream_reset_with_its_answer_half_written),
-    TEST(drain_answers_all_that_were_open_and_those_that_cross),
-    TEST(client_that_ignores_the_notices_holds_up_no_stop),
-    TEST(closed_window_delays_nobody_and_is_bounded),
-    TEST(expiry_behind_a_closed_window_is_heard_as_far_as_it_goes),
-    TEST(connection_that_breaks_takes_its_streams_along),
+    TEST(drain_answers_open_streams_and_those_in_transit),
+    TEST(client_that_ignores_goaway_does_not_delay_shutdown),
+    TEST(closed_window_delays_no_other_client_and_is_bounded),
+    TEST(expiry_behind_a_closed_window_is_answered),
+    TEST(broken_connection_cancels_its_streams),
     TEST(caller_revoked_with_ten_streams_open),
-    TEST(upgrade_on_the_plain_port_stays_http_1),
-    TEST(requests_are_read_strictly),
+    TEST(upgrade_request_on_the_plain_port_stays_http_1),
+    TEST(requests_are_validated_strictly),
     TEST(floods_end_their_own_connection),
     TEST(share_of_a_connection_shrinks_beside_others),
 };
--- a/tests/lab/model_server.cpp
+++ b/tests/lab/model_server.cpp
@@ -42,7 +42,7 @@
 
 void OutgoingCall::pass(Tenths now) {
     if (done_) return;
-    if (stream_->up() && !request_.empty()) stream_->send(std::exchange(request_, {}));
+    if (stream_->established() && !request_.empty()) stream_->send(std::exchange(request_, {}));
     while (stream_->unread() && !reader_.complete() && !reader_.broken()) stream_->feed(reader_);
     body_ += reader_.take_body();
     if (stream_->ended()) reader_.end();
--- a/tests/lab/stream_client.cpp
+++ b/tests/lab/stream_client.cpp
@@ -95,7 +95,7 @@
 std::optional<Tenths> StreamClient::due() const {
     if (!stream_) return std::nullopt;
     std::optional<Tenths> first;
-    if (!unsent_.empty() && stream_->up()) first = write_at_;
+    if (!unsent_.empty() && stream_->established()) first = write_at_;
     if (stream_->unread() && behaviour_.read_bytes > 0) first = first ? std::min(*first, read_at_) : read_at_;
     return first;
 }
@@ -120,7 +120,7 @@
         asked_ = true;
         answers_[current_].sent_at = now;
     }
-    if (unsent_.empty() || !stream_->up() || now < write_at_) return;
+    if (unsent_.empty() || !stream_->established() || now < write_at_) return;
     const std::size_t size = behaviour_.piece_bytes > 0 ? behaviour_.piece_bytes : unsent_.size();
     const std::string piece = unsent_.substr(0, size);
     if (!stream_->send(piece)) return;
--- a/tests/lab/stream_client.hpp
+++ b/tests/lab/stream_client.hpp
@@ -72,7 +72,7 @@
     const ClientAnswer& answer() const { return answers_.back(); }
     // Bytes that came with no request waiting; they belong to no answer.
     const std::string& surplus() const { return surplus_; }
-    bool connected() const { return stream_ && stream_->up() && !stream_->ended(); }
+    bool connected() const { return stream_ && stream_->established() && !stream_->ended(); }
 
   private:
     void write(Tenths now);
--- a/tests/model_server_socket_tests.cpp
+++ b/tests/model_server_socket_tests.cpp
@@ -1,4 +1,4 @@
-// The stand-in model server and the stand-in client over loopback sockets.
+// Tests of the simulated model server and client over loopback sockets.
 #define BOOST_TEST_MODULE model_server_socket
 #include "lab/model_server.hpp"
 #include "lab/model_server_world.hpp"
@@ -15,7 +15,7 @@
 using transport::Stream;
 
 constexpr Tenths kSecond = kTenthsPerSecond, kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kPatience = 20 * kSecond; // real time; only a failure lasts so long
+constexpr Tenths kTimeout = 20 * kSecond; // real time; reached only on failure
 
 ModelServerPlan fast(ModelServerPlan plan = {}) {
     plan.read_tokens_per_s = 1e6;
@@ -23,7 +23,7 @@
     return plan;
 }
 
-// Takes heartbeats and answers each with the next of `answers`, the last one again and again.
+// Receives heartbeats and answers each with `answer`.
 class Registry {
   public:
     explicit Registry(transport::Loop& loop)
@@ -78,21 +78,21 @@
         return *registries_.back();
     }
     const ClientAnswer& ask(const ModelServer& server, const ClientRequest& request) {
-        StreamClient& asking = client(server);
-        asking.send(request);
-        until([&] { return asking.over(); });
-        return asking.answer();
+        StreamClient& sender = client(server);
+        sender.send(request);
+        until([&] { return sender.over(); });
+        return sender.answer();
     }
-    // Turns the loop until that holds; fails the test where it doesn't come to hold.
-    void until(const std::function<bool()>& holds) {
-        const Tenths give_up = loop.now() + kPatience;
-        for (pass(); !holds() && loop.now() < give_up; pass()) {
-            Tenths next = give_up;
+    // Runs the loop until the condition holds; fails the test on timeout.
+    void until(const std::function<bool()>& condition) {
+        const Tenths deadline = loop.now() + kTimeout;
+        for (pass(); !condition() && loop.now() < deadline; pass()) {
+            Tenths next = deadline;
             for (const auto& server : servers_) next = std::min(next, server->due().value_or(next));
             for (const auto& client : clients_) next = std::min(next, client->due().value_or(next));
             loop.wait(next);
         }
-        BOOST_REQUIRE(holds());
+        BOOST_REQUIRE(condition());
     }
 
   private:
@@ -110,7 +110,7 @@
     return read_json(answer.body).at("promptHandle").as_text("promptHandle");
 }
 
-void check_whole(const ClientAnswer& answer, const ClientRequest& request) {
+void check_complete(const ClientAnswer& answer, const ClientRequest& request) {
     BOOST_TEST((answer.end == AnswerEnd::kComplete));
     BOOST_TEST(answer.head.status == 200);
     BOOST_TEST(answer.head.field("attempt-id") == request.attempt);
@@ -120,14 +120,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_stream_comes_event_by_event) {
+BOOST_AUTO_TEST_CASE(a_stream_arrives_event_by_event) {
     Network network;
     ModelServerPlan plan;
     plan.token_step = 10;
     ModelServer& server = network.server(plan);
     const ClientRequest request = generation("a1");
     const ClientAnswer& answer = network.ask(server, request);
-    check_whole(answer, request);
+    check_complete(answer, request);
     BOOST_REQUIRE(answer.events.size() == 3U);
     BOOST_TEST(answer.events[0].id == "1");
     BOOST_TEST(answer.events[2].id == "3");
@@ -137,7 +137,7 @@
     BOOST_TEST(server.core().record("a1").runs == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_read_at_one_server_is_run_at_another) {
+BOOST_AUTO_TEST_CASE(a_prompt_prefilled_at_one_server_is_decoded_at_another) {
     Network network;
     ModelServer& reader = network.server(prefill_plan());
     ModelServer& decoder = network.server();
@@ -145,17 +145,17 @@
     BOOST_TEST(read.head.status == 200);
     ClientRequest request = generation("a1");
     request.more.push_back({"Kv-From", reader.address() + "/" + handle_in(read)});
-    check_whole(network.ask(decoder, request), request);
+    check_complete(network.ask(decoder, request), request);
     BOOST_TEST(decoder.core().tokens_read() == 0);
     BOOST_TEST(decoder.core().foreign_handles() == 0);
     BOOST_TEST(reader.core().handles() == 0U);
-    const ClientAnswer& again = network.ask(decoder, request); // each handle is taken once
+    const ClientAnswer& again = network.ask(decoder, request); // each handle can be used only once
     BOOST_TEST(again.head.status == 503);
     BOOST_TEST(again.head.has("not-run"));
     BOOST_TEST(reader.core().record("a1").runs + decoder.core().record("a1").runs == 1);
 }
 
-BOOST_AUTO_TEST_CASE(memory_of_a_server_that_is_gone_cannot_be_had) {
+BOOST_AUTO_TEST_CASE(kv_transfer_from_an_unreachable_server_fails) {
     Network network;
     ModelServer& decoder = network.server();
     const int unused = transport::listen_at("127.0.0.1:0");
@@ -169,7 +169,7 @@
     BOOST_TEST(decoder.core().record("a1").runs == 0);
 }
 
-BOOST_AUTO_TEST_CASE(bodies_with_a_length_or_in_chunks_come_whole_in_any_pieces) {
+BOOST_AUTO_TEST_CASE(bodies_with_a_length_or_in_chunks_are_read_in_any_pieces) {
     Network network;
     ModelServer& server = network.server();
     ClientRequest request = generation("a1");
@@ -180,7 +180,7 @@
             StreamClient& client = network.client(server, {piece_bytes, 0, 0, 0, -1});
             client.send(request);
             network.until([&] { return client.over(); });
-            check_whole(client.answer(), request);
+            check_complete(client.answer(), request);
         }
 }
 
@@ -195,7 +195,7 @@
         client.send(requests.back());
     }
     network.until([&] { return client.over(); });
-    for (std::size_t i = 0; i < requests.size(); ++i) check_whole(client.answers()[i], requests[i]);
+    for (std::size_t i = 0; i < requests.size(); ++i) check_complete(client.answers()[i], requests[i]);
     BOOST_TEST(server.connections() == 1U);
     BOOST_TEST(client.surplus().empty());
 }
@@ -212,7 +212,7 @@
     BOOST_TEST(server.connections() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_client_that_reads_slowly_gets_all_of_it) {
+BOOST_AUTO_TEST_CASE(a_slow_reader_receives_the_whole_answer) {
     Network network;
     ModelServer& server = network.server();
     StreamClient& client = network.client(server, {0, 0, 4096, 1, -1});
@@ -220,7 +220,7 @@
     request.token_counts = "10,4000";
     client.send(request);
     network.until([&] { return client.over(); });
-    check_whole(client.answer(), request);
+    check_complete(client.answer(), request);
 }
 
 BOOST_AUTO_TEST_CASE(connections_beyond_the_limit_are_reset) {
@@ -238,22 +238,22 @@
     BOOST_TEST(server.core().record("a3").runs == 0);
     one.send(generation("a1")), two.send(generation("a2"));
     network.until([&] { return one.over() && two.over(); });
-    check_whole(one.answer(), generation("a1"));
-    check_whole(two.answer(), generation("a2"));
+    check_complete(one.answer(), generation("a1"));
+    check_complete(two.answer(), generation("a2"));
 }
 
-BOOST_AUTO_TEST_CASE(a_cut_within_an_event_is_seen_as_one) {
+BOOST_AUTO_TEST_CASE(a_connection_cut_within_an_event_is_detected) {
     Network network;
     ModelServer& server = network.server();
     server.core().plant({FaultKind::kCutInEvent, "", false, 1, 1});
     const ClientAnswer& answer = network.ask(server, generation("a1"));
     BOOST_TEST((answer.end == AnswerEnd::kCut));
     BOOST_TEST(answer.events.size() == 1U);
-    BOOST_TEST(answer.body.size() > answer.event_bytes().size()); // part of the next one came
+    BOOST_TEST(answer.body.size() > answer.event_bytes().size()); // part of the next event arrived
     BOOST_TEST(expected_stream(generation("a1")).starts_with(answer.body));
 }
 
-BOOST_AUTO_TEST_CASE(a_lost_answer_garbage_and_surplus_are_seen_as_such) {
+BOOST_AUTO_TEST_CASE(a_lost_answer_garbage_and_surplus_are_detected) {
     Network network;
     ModelServer& server = network.server();
     server.core().plant({FaultKind::kAnswerLost, "", false, 0, 1});
@@ -268,10 +268,10 @@
     StreamClient& client = network.client(server);
     client.send(generation("a3"));
     network.until([&] { return client.over() && client.surplus().ends_with("surplus"); });
-    check_whole(client.answer(), generation("a3"));
+    check_complete(client.answer(), generation("a3"));
 }
 
-BOOST_AUTO_TEST_CASE(a_dark_server_keeps_silent_until_its_caller_goes) {
+BOOST_AUTO_TEST_CASE(an_unresponsive_server_is_silent_until_its_client_closes) {
     Network network;
     ModelServer& server = network.server();
     server.core().plant({FaultKind::kDark, "", false, 0, 1});
@@ -284,7 +284,7 @@
     BOOST_TEST(server.connections() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_request_are_refused) {
+BOOST_AUTO_TEST_CASE(invalid_requests_are_refused) {
     Network network;
     ModelServer& server = network.server();
     StreamClient& client = network.client(server);
@@ -294,7 +294,7 @@
     BOOST_TEST(client.answer().head.has("not-run"));
 }
 
-BOOST_AUTO_TEST_CASE(an_idle_connection_is_closed_after_its_time) {
+BOOST_AUTO_TEST_CASE(an_idle_connection_is_closed_after_its_timeout) {
     Network network;
     ModelServerPlan plan;
     plan.idle_close = 20 * kMs;
@@ -302,11 +302,11 @@
     StreamClient& client = network.client(server);
     client.send(generation("a1"));
     network.until([&] { return client.over() && !client.connected(); });
-    check_whole(client.answer(), generation("a1"));
+    check_complete(client.answer(), generation("a1"));
     BOOST_TEST(client.answer().head.has("keep-alive"));
 }
 
-BOOST_AUTO_TEST_CASE(a_server_registers_and_follows_the_address_it_is_told) {
+BOOST_AUTO_TEST_CASE(a_server_registers_and_follows_the_heartbeat_address) {
     Network network;
     Registry& first = network.registry();
     Registry& later = network.registry();
@@ -321,16 +321,16 @@
     BOOST_TEST(first.bodies.size() == 1U);
     BOOST_TEST(first.heads[0].method == "PUT");
     BOOST_TEST(first.heads[0].target == "/instances/i-7f3a91c2");
-    const auto said = read_json(first.bodies[0]);
-    BOOST_TEST(said.at("service").as_text("service") == "huvo11a");
-    BOOST_TEST(said.at("address").as_text("address") == server.address());
-    BOOST_TEST(said.at("zone").as_text("zone") == "wien-nord");
-    BOOST_TEST(said.at("version").as_text("version") == "v1");
-    BOOST_TEST(said.at("slots").as_integer("slots") == 48);
-    BOOST_TEST(said.at("state").as_text("state") == "serving");
-    BOOST_TEST(said.at("coldLeftMs").as_integer("coldLeftMs") == 0);
-    BOOST_TEST(said.at("stage").as_text("stage") == "decode");
-    BOOST_TEST(said.at("models").items.at(0).at("name").as_text("name") == "m");
+    const auto call = read_json(first.bodies[0]);
+    BOOST_TEST(call.at("service").as_text("service") == "huvo11a");
+    BOOST_TEST(call.at("address").as_text("address") == server.address());
+    BOOST_TEST(call.at("zone").as_text("zone") == "wien-nord");
+    BOOST_TEST(call.at("version").as_text("version") == "v1");
+    BOOST_TEST(call.at("slots").as_integer("slots") == 48);
+    BOOST_TEST(call.at("state").as_text("state") == "serving");
+    BOOST_TEST(call.at("coldLeftMs").as_integer("coldLeftMs") == 0);
+    BOOST_TEST(call.at("stage").as_text("stage") == "decode");
+    BOOST_TEST(call.at("models").items.at(0).at("name").as_text("name") == "m");
     const auto number = [](const std::string& body) {
         return read_json(body).at("callSeq").as_integer("callSeq");
     };
@@ -338,7 +338,7 @@
     BOOST_TEST(number(later.bodies[1]) > number(later.bodies[0]));
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_is_told_to_end_drains_serves_on_and_leaves) {
+BOOST_AUTO_TEST_CASE(a_server_that_is_stopped_drains_and_deregisters) {
     Network network;
     Registry& registry = network.registry();
     HeartbeatPlan heartbeats;
@@ -350,7 +350,7 @@
     network.until([&] { return registry.bodies.size() == 2; });
     BOOST_TEST(read_json(registry.bodies[1]).at("state").as_text("state") == "draining");
     const ClientAnswer& answer = network.ask(server, generation("a1"));
-    check_whole(answer, generation("a1"));
+    check_complete(answer, generation("a1"));
     BOOST_TEST(answer.head.closes());
     network.until([&] { return server.ended(); });
     BOOST_TEST(registry.heads.back().method == "DELETE");
