--- a/fuzz/script.cpp
+++ b/fuzz/script.cpp
@@ -1,5 +1,5 @@
-// Any text as an operators' script: it ends, within its bounds, the same way each time, and what it gives is
-// read or refused.
+// Fuzzes the operators' script: any text must terminate within its limits with the same result each time, and
+// the result must be accepted or rejected by the settings reader.
 #include "script/script.hpp"
 #include "operator/operator_settings.hpp"
 
@@ -9,20 +9,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace ivyrill;
     const std::string text(reinterpret_cast<const char*>(data), size);
-    const script::Bounds bounds{20'000, 1U << 20U, 4};
+    const script::Limits limits{20'000, 1U << 20U, 4};
     std::string first, second;
-    for (std::string* heard : {&first, &second}) {
+    for (std::string* result : {&first, &second}) {
         try {
-            const auto made = script::run_script(
-                "a.star", [&](const std::string&) { return text; }, bounds);
-            if (made.steps > bounds.steps || made.bytes > bounds.bytes) std::abort();
-            *heard = made.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
+            const auto outcome = script::run_script(
+                "a.star", [&](const std::string&) { return text; }, limits);
+            if (outcome.steps > limits.steps || outcome.bytes > limits.bytes) std::abort();
+            *result = outcome.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
             try {
-                operators::read_operator_settings(made.result);
+                operators::read_operator_settings(outcome.result);
             } catch (const operators::SettingsError&) {}
         } catch (const script::ScriptError& error) {
-            *heard = error.what();
-            if (error.at.line < 1 || error.at.column < 1) std::abort();
+            *result = error.what();
+            if (error.location.line < 1 || error.location.column < 1) std::abort();
         }
     }
     if (first != second) std::abort();
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -20,7 +20,7 @@
     int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
     Tenths idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
-    Tenths watch_timeout = 0; // maximum time that a list change may wait for a client to poll
+    Tenths watch_timeout = 0; // list changes count as delivered to a node that has not polled for this long
     std::vector<std::string> request_classes, tenants, zones, kinds;
 };
 
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -63,7 +63,7 @@
     int cell = 0;
     ListedState listed = ListedState::kLive;
     double weight = 1;
-    std::int64_t started_ms = 0; // Unix time; 0: unknown, treated as warmed up
+    std::int64_t started_ms = 0; // Unix time; 0: long ago
 };
 struct ServerList {
     std::int64_t version = 0;
--- a/src/script/builtins.hpp
+++ b/src/script/builtins.hpp
@@ -1,4 +1,4 @@
-// The functions and methods of the script language; none of them reaches outside.
+// The built-in functions and methods of the script language. None of them performs I/O.
 #pragma once
 #include "script/value.hpp"
 
@@ -8,10 +8,11 @@
 namespace ivyrill::script {
 
 std::map<std::string, Value> make_builtins(Heap& heap);
-// A method of this value, ready to be called; throws ValueError where there is none.
+// The bound method of this value; throws ValueError if there is none.
 Value method_of(Heap& heap, const Value& value, const std::string& name);
-std::string format_percent(const std::string& form, const Value& with);
-// Known names at the least distance from this one, to help who mistyped; empty where none is near.
+// The % operator on strings.
+std::string format_percent(const std::string& format, const Value& operand);
+// The known name with the least edit distance, for error messages; empty if none is close.
 std::string nearest(const std::string& name, const std::vector<std::string>& known);
 
 } // namespace ivyrill::script
--- a/src/script/lexer.cpp
+++ b/src/script/lexer.cpp
@@ -10,152 +10,159 @@
 constexpr std::array<std::string_view, 20> kKeywords = {
     "and", "break", "continue", "def",    "elif", "else", "for",   "if",    "in",     "load",
     "not", "or",    "pass",     "return", "None", "True", "False", "while", "lambda", "import"};
-constexpr std::array<std::string_view, 12> kLongSigns = {
+constexpr std::array<std::string_view, 12> kLongOperators = {
     "//=", "==", "!=", "<=", ">=", "+=", "-=", "*=", "/=", "//", "%=", "**"};
-constexpr std::string_view kSigns = "+-*/%<>=()[]{},:.|";
-constexpr std::size_t kMostIndents = 64;
+constexpr std::string_view kOperators = "+-*/%<>=()[]{},:.|";
+constexpr std::size_t kMaxIndents = 64;
 
-bool is_digit(char letter) { return letter >= '0' && letter <= '9'; }
-bool starts_name(char letter) {
-    return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') || letter == '_';
+bool is_digit(char character) { return character >= '0' && character <= '9'; }
+bool starts_name(char character) {
+    return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
+           character == '_';
 }
 
-class Reader {
+class Lexer {
   public:
-    Reader(const std::string& file, std::string_view text) : text_(text) { here_.file = file; }
+    Lexer(const std::string& file, std::string_view text) : text_(text) { location_.file = file; }
 
     std::vector<Token> read() {
-        while (at_ < text_.size()) {
-            if (line_start_ && open_ == 0 && !indent()) continue;
-            step();
+        while (position_ < text_.size()) {
+            if (at_line_start_ && open_brackets_ == 0 && !read_indent()) continue;
+            read_token();
         }
-        if (!words_.empty() && words_.back().word != Word::kNewLine) add(Word::kNewLine, "", here_);
-        for (; indents_.size() > 1; indents_.pop_back()) add(Word::kDedent, "", here_);
-        if (open_ > 0) throw ScriptError(opened_, "expected the closing bracket of this one");
-        add(Word::kEnd, "", here_);
-        return std::move(words_);
+        if (!tokens_.empty() && tokens_.back().kind != TokenKind::kNewLine)
+            add(TokenKind::kNewLine, "", location_);
+        for (; indents_.size() > 1; indents_.pop_back()) add(TokenKind::kDedent, "", location_);
+        if (open_brackets_ > 0)
+            throw ScriptError(bracket_location_, "expected the closing bracket of this one");
+        add(TokenKind::kEnd, "", location_);
+        return std::move(tokens_);
     }
 
   private:
-    char peek(std::size_t ahead = 0) const { return at_ + ahead < text_.size() ? text_[at_ + ahead] : '\0'; }
+    char peek(std::size_t ahead = 0) const {
+        return position_ + ahead < text_.size() ? text_[position_ + ahead] : '\0';
+    }
     char next() {
-        const char letter = text_[at_++];
-        if (letter == '\n')
-            ++here_.line, here_.column = 1;
+        const char character = text_[position_++];
+        if (character == '\n')
+            ++location_.line, location_.column = 1;
         else
-            ++here_.column;
-        return letter;
+            ++location_.column;
+        return character;
     }
-    void add(Word word, std::string text, const Place& place) {
-        words_.push_back({word, std::move(text), place});
+    void add(TokenKind kind, std::string text, const SourceLocation& location) {
+        tokens_.push_back({kind, std::move(text), location});
     }
 
-    // False for a line that holds nothing.
-    bool indent() {
+    // Returns false for an empty line.
+    bool read_indent() {
         std::size_t width = 0;
         while (peek() == ' ' || peek() == '\t') {
             if (peek() == '\t')
-                throw ScriptError(here_, "expected blanks, not a tab, at the start of a line");
+                throw ScriptError(location_, "expected blanks, not a tab, at the start of a line");
             next(), ++width;
         }
         if (peek() == '#' || peek() == '\n' || peek() == '\r') {
-            while (at_ < text_.size() && next() != '\n') {}
+            while (position_ < text_.size() && next() != '\n') {}
             return false;
         }
-        if (at_ == text_.size()) return false;
-        line_start_ = false;
+        if (position_ == text_.size()) return false;
+        at_line_start_ = false;
         if (width > indents_.back()) {
-            if (indents_.size() > kMostIndents) throw ScriptError(here_, "nested too deeply");
-            indents_.push_back(width), add(Word::kIndent, "", here_);
+            if (indents_.size() > kMaxIndents) throw ScriptError(location_, "nested too deeply");
+            indents_.push_back(width), add(TokenKind::kIndent, "", location_);
         }
-        for (; width < indents_.back(); indents_.pop_back()) add(Word::kDedent, "", here_);
-        if (width != indents_.back()) throw ScriptError(here_, "expected the indent of a line above");
+        for (; width < indents_.back(); indents_.pop_back()) add(TokenKind::kDedent, "", location_);
+        if (width != indents_.back()) throw ScriptError(location_, "expected the indent of a line above");
         return true;
     }
 
-    void step() {
-        const Place place = here_;
-        const char letter = peek();
-        if (letter == '\n') {
+    void read_token() {
+        const SourceLocation location = location_;
+        const char character = peek();
+        if (character == '\n') {
             next();
-            if (open_ == 0) add(Word::kNewLine, "", place), line_start_ = true;
-        } else if (letter == ' ' || letter == '\t' || letter == '\r') {
+            if (open_brackets_ == 0) add(TokenKind::kNewLine, "", location), at_line_start_ = true;
+        } else if (character == ' ' || character == '\t' || character == '\r') {
             next();
-        } else if (letter == '#') {
-            while (at_ < text_.size() && peek() != '\n') next();
-        } else if (letter == '\\' && (peek(1) == '\n')) {
+        } else if (character == '#') {
+            while (position_ < text_.size() && peek() != '\n') next();
+        } else if (character == '\\' && (peek(1) == '\n')) {
             next(), next();
-        } else if (letter == '"' || letter == '\'') {
-            text_literal(place, false);
-        } else if (letter == 'r' && (peek(1) == '"' || peek(1) == '\'')) {
+        } else if (character == '"' || character == '\'') {
+            read_string(location, false);
+        } else if (character == 'r' && (peek(1) == '"' || peek(1) == '\'')) {
             next();
-            text_literal(place, true);
-        } else if (starts_name(letter)) {
+            read_string(location, true);
+        } else if (starts_name(character)) {
             std::string name;
             while (starts_name(peek()) || is_digit(peek())) name += next();
             const bool keyword = std::ranges::find(kKeywords, name) != kKeywords.end();
-            add(keyword ? Word::kKeyword : Word::kName, name, place);
-        } else if (is_digit(letter) || (letter == '.' && is_digit(peek(1)))) {
-            number(place);
+            add(keyword ? TokenKind::kKeyword : TokenKind::kName, name, location);
+        } else if (is_digit(character) || (character == '.' && is_digit(peek(1)))) {
+            read_number(location);
         } else {
-            sign(place);
+            read_operator(location);
         }
     }
 
-    void number(const Place& place) {
+    void read_number(const SourceLocation& location) {
         std::string text;
         bool real = false;
-        const bool based = peek() == '0' && (peek(1) == 'x' || peek(1) == 'o' || peek(1) == 'X');
-        if (based) text += next(), text += next();
+        const bool has_base_prefix = peek() == '0' && (peek(1) == 'x' || peek(1) == 'o' || peek(1) == 'X');
+        if (has_base_prefix) text += next(), text += next();
         while (is_digit(peek()) || starts_name(peek()) || peek() == '.' ||
-               (!based && (peek() == '+' || peek() == '-') && !text.empty() &&
+               (!has_base_prefix && (peek() == '+' || peek() == '-') && !text.empty() &&
                 (text.back() == 'e' || text.back() == 'E'))) {
-            real = real || (!based && (peek() == '.' || peek() == 'e' || peek() == 'E'));
+            real = real || (!has_base_prefix && (peek() == '.' || peek() == 'e' || peek() == 'E'));
             text += next();
         }
-        add(real ? Word::kFloat : Word::kInt, text, place);
+        add(real ? TokenKind::kFloat : TokenKind::kInt, text, location);
     }
 
-    void sign(const Place& place) {
-        for (const std::string_view sign : kLongSigns) {
-            if (text_.substr(at_, sign.size()) != sign) continue;
-            for (std::size_t i = 0; i < sign.size(); ++i) next();
-            return add(Word::kSign, std::string(sign), place);
+    void read_operator(const SourceLocation& location) {
+        for (const std::string_view op : kLongOperators) {
+            if (text_.substr(position_, op.size()) != op) continue;
+            for (std::size_t i = 0; i < op.size(); ++i) next();
+            return add(TokenKind::kOperator, std::string(op), location);
         }
-        const char letter = peek();
-        if (kSigns.find(letter) == std::string_view::npos)
-            throw ScriptError(place, std::string("expected a word of the script, not '") + letter + "'");
+        const char character = peek();
+        if (kOperators.find(character) == std::string_view::npos)
+            throw ScriptError(location, std::string("unexpected character '") + character + "'");
         next();
-        if (letter == '(' || letter == '[' || letter == '{') opened_ = place, ++open_;
-        if ((letter == ')' || letter == ']' || letter == '}') && open_ > 0) --open_;
-        add(Word::kSign, std::string(1, letter), place);
+        if (character == '(' || character == '[' || character == '{')
+            bracket_location_ = location, ++open_brackets_;
+        if ((character == ')' || character == ']' || character == '}') && open_brackets_ > 0)
+            --open_brackets_;
+        add(TokenKind::kOperator, std::string(1, character), location);
     }
 
-    void text_literal(const Place& place, bool raw) {
+    void read_string(const SourceLocation& location, bool raw) {
         const char quote = next();
         const bool triple = peek() == quote && peek(1) == quote;
         if (triple) next(), next();
         std::string value;
         for (;;) {
-            if (at_ == text_.size() || (!triple && peek() == '\n'))
-                throw ScriptError(place, "expected the closing quote of this text");
-            const char letter = next();
-            if (letter == quote && (!triple || (peek() == quote && peek(1) == quote))) {
+            if (position_ == text_.size() || (!triple && peek() == '\n'))
+                throw ScriptError(location, "expected the closing quote of this string");
+            const char character = next();
+            if (character == quote && (!triple || (peek() == quote && peek(1) == quote))) {
                 if (triple) next(), next();
                 break;
             }
-            if (letter != '\\' || at_ == text_.size())
-                value += letter;
+            if (character != '\\' || position_ == text_.size())
+                value += character;
             else if (raw)
-                value += letter, value += next();
+                value += character, value += next();
             else
-                value += escape(place);
+                value += read_escape(location);
         }
-        add(Word::kText, std::move(value), place);
+        add(TokenKind::kString, std::move(value), location);
     }
 
-    std::string escape(const Place& place) {
-        switch (const char letter = next()) {
+    std::string read_escape(const SourceLocation& location) {
+        switch (const char character = next()) {
         case 'n':
             return "\n";
         case 't':
@@ -165,40 +172,40 @@
         case '\\':
         case '\'':
         case '"':
-            return std::string(1, letter);
+            return std::string(1, character);
         case '\n':
             return "";
         case 'x': {
             int value = 0;
             for (int i = 0; i < 2; ++i) {
-                const char digit = at_ < text_.size() ? next() : '\0';
-                const std::size_t worth =
+                const char digit = position_ < text_.size() ? next() : '\0';
+                const std::size_t digit_value =
                     std::string_view("0123456789abcdef").find(static_cast<char>(digit | 0x20));
-                if (worth == std::string_view::npos)
-                    throw ScriptError(place, "expected two digits after \\x");
-                value = value * 16 + static_cast<int>(worth);
+                if (digit_value == std::string_view::npos)
+                    throw ScriptError(location, "expected two digits after \\x");
+                value = value * 16 + static_cast<int>(digit_value);
             }
-            if (value > 0x7F) throw ScriptError(place, "expected \\x00 to \\x7f");
+            if (value > 0x7F) throw ScriptError(location, "expected \\x00 to \\x7f");
             return std::string(1, static_cast<char>(value));
         }
         default:
-            throw ScriptError(place, std::string("expected a known escape, not '\\") + letter + "'");
+            throw ScriptError(location, std::string("expected a known escape, not '\\") + character + "'");
         }
     }
 
     std::string_view text_;
-    std::size_t at_ = 0;
-    Place here_, opened_;
-    int open_ = 0; // brackets
-    bool line_start_ = true;
+    std::size_t position_ = 0;
+    SourceLocation location_, bracket_location_;
+    int open_brackets_ = 0; // number of open brackets
+    bool at_line_start_ = true;
     std::vector<std::size_t> indents_ = {0};
-    std::vector<Token> words_;
+    std::vector<Token> tokens_;
 };
 
 } // namespace
 
-std::vector<Token> read_words(const std::string& file, std::string_view text) {
-    return Reader(file, text).read();
+std::vector<Token> tokenize(const std::string& file, std::string_view text) {
+    return Lexer(file, text).read();
 }
 
 } // namespace ivyrill::script
--- a/src/script/parser.cpp
+++ b/src/script/parser.cpp
@@ -9,456 +9,471 @@
 
 namespace {
 
-constexpr int kMostHeight = 400;  // of a chain of operators, which nests to the left
-constexpr int kMostNesting = 100; // of expressions and blocks: the reader calls itself for each
+constexpr int kMaxHeight = 400;  // of a chain of left-associative operators
+constexpr int kMaxNesting = 100; // of expressions and blocks, since the parser is recursive
 
 class Parser {
   public:
-    Parser(const std::string& file, std::string_view text) : words_(read_words(file, text)) {}
+    Parser(const std::string& file, std::string_view text) : tokens_(tokenize(file, text)) {}
 
     Block script() {
         Block block;
-        while (here().word != Word::kEnd) statement(block);
+        while (current().kind != TokenKind::kEnd) statement(block);
         return block;
     }
 
   private:
-    struct Deeper { // guards the stack against a text of brackets
-        explicit Deeper(Parser& parser) : parser(parser) {
-            if (++parser.depth_ > kMostNesting) throw ScriptError(parser.here().place, "nested too deeply");
+    struct DepthGuard { // limits recursion, for example in deeply nested brackets
+        explicit DepthGuard(Parser& parser) : parser(parser) {
+            if (++parser.depth_ > kMaxNesting)
+                throw ScriptError(parser.current().location, "nested too deeply");
         }
-        ~Deeper() { --parser.depth_; }
+        ~DepthGuard() { --parser.depth_; }
         Parser& parser;
     };
 
-    const Token& here() const { return words_[at_]; }
+    const Token& current() const { return tokens_[position_]; }
     bool is(std::string_view text) const {
-        return here().text == text && (here().word == Word::kSign || here().word == Word::kKeyword);
+        return current().text == text &&
+               (current().kind == TokenKind::kOperator || current().kind == TokenKind::kKeyword);
     }
-    bool take(std::string_view text) { return is(text) ? (++at_, true) : false; }
-    static std::string named(const Token& token) {
-        switch (token.word) {
-        case Word::kEnd:
+    bool accept(std::string_view text) { return is(text) ? (++position_, true) : false; }
+    static std::string describe(const Token& token) {
+        switch (token.kind) {
+        case TokenKind::kEnd:
             return "the end of the file";
-        case Word::kNewLine:
+        case TokenKind::kNewLine:
             return "the end of the line";
-        case Word::kIndent:
+        case TokenKind::kIndent:
             return "a deeper indent";
-        case Word::kDedent:
+        case TokenKind::kDedent:
             return "the end of the block";
-        case Word::kText:
-            return "a text";
+        case TokenKind::kString:
+            return "a string";
         default:
             return "'" + token.text.substr(0, 40) + "'";
         }
     }
-    [[noreturn]] void wanted(const std::string& what) const {
-        throw ScriptError(here().place, "expected " + what + ", got " + named(here()));
+    [[noreturn]] void fail_expected(const std::string& what) const {
+        throw ScriptError(current().location, "expected " + what + ", got " + describe(current()));
     }
-    void must(std::string_view text) {
-        if (!take(text)) wanted("'" + std::string(text) + "'");
+    void expect(std::string_view text) {
+        if (!accept(text)) fail_expected("'" + std::string(text) + "'");
     }
-    std::string name(const char* what) {
-        if (here().word != Word::kName) wanted(what);
-        return words_[at_++].text;
+    std::string expect_name(const char* what) {
+        if (current().kind != TokenKind::kName) fail_expected(what);
+        return tokens_[position_++].text;
     }
-    void line_end() {
-        if (here().word == Word::kEnd) return;
-        if (here().word != Word::kNewLine) wanted("the end of the line");
-        ++at_;
+    void expect_line_end() {
+        if (current().kind == TokenKind::kEnd) return;
+        if (current().kind != TokenKind::kNewLine) fail_expected("the end of the line");
+        ++position_;
     }
 
     Block block() {
-        const Deeper guard(*this);
-        must(":");
+        const DepthGuard guard(*this);
+        expect(":");
         Block block;
-        if (here().word != Word::kNewLine) {
-            simple(block);
+        if (current().kind != TokenKind::kNewLine) {
+            simple_statement(block);
             return block;
         }
-        ++at_;
-        if (here().word != Word::kIndent) wanted("an indented block");
-        ++at_;
-        while (here().word != Word::kDedent && here().word != Word::kEnd) statement(block);
-        if (here().word == Word::kDedent) ++at_;
+        ++position_;
+        if (current().kind != TokenKind::kIndent) fail_expected("an indented block");
+        ++position_;
+        while (current().kind != TokenKind::kDedent && current().kind != TokenKind::kEnd) statement(block);
+        if (current().kind == TokenKind::kDedent) ++position_;
         return block;
     }
 
     void statement(Block& into) {
-        for (const std::string_view word : {"while", "lambda", "import"})
-            if (is(word))
-                throw ScriptError(here().place, "'" + std::string(word) + "' is not in this language");
-        if (here().word == Word::kIndent) wanted("a statement at the indent of the line above");
-        if (!is("def") && !is("for") && !is("if")) return simple(into);
-        auto made = std::make_unique<Statement>();
-        made->place = here().place;
-        if (take("def")) {
-            define(*made);
-        } else if (take("for")) {
-            made->act = Act::kFor;
-            made->target = targets();
-            must("in");
-            made->value = tuple_or_one();
-            ++loops_;
-            made->body = block();
-            --loops_;
+        for (const std::string_view keyword : {"while", "lambda", "import"})
+            if (is(keyword))
+                throw ScriptError(current().location,
+                                  "'" + std::string(keyword) + "' is not in this language");
+        if (current().kind == TokenKind::kIndent)
+            fail_expected("a statement at the indent of the line above");
+        if (!is("def") && !is("for") && !is("if")) return simple_statement(into);
+        auto node = std::make_unique<Statement>();
+        node->location = current().location;
+        if (accept("def")) {
+            function_definition(*node);
+        } else if (accept("for")) {
+            node->kind = StatementKind::kFor;
+            node->target = assignment_targets();
+            expect("in");
+            node->value = expression_list();
+            ++loop_depth_;
+            node->body = block();
+            --loop_depth_;
         } else {
-            must("if");
-            branch(*made);
+            expect("if");
+            if_statement(*node);
         }
-        into.push_back(std::move(made));
+        into.push_back(std::move(node));
     }
 
-    void branch(Statement& made) {
-        made.act = Act::kIf;
-        made.value = expression();
-        made.body = block();
+    void if_statement(Statement& node) {
+        node.kind = StatementKind::kIf;
+        node.value = expression();
+        node.body = block();
         if (is("elif")) {
-            const Deeper guard(*this);
+            const DepthGuard guard(*this);
             auto other = std::make_unique<Statement>();
-            other->place = here().place;
-            must("elif");
-            branch(*other);
-            made.otherwise.push_back(std::move(other));
-        } else if (take("else")) {
-            made.otherwise = block();
+            other->location = current().location;
+            expect("elif");
+            if_statement(*other);
+            node.else_block.push_back(std::move(other));
+        } else if (accept("else")) {
+            node.else_block = block();
         }
     }
 
-    void define(Statement& made) {
-        made.act = Act::kDef;
-        made.def = std::make_unique<Def>();
-        Def& def = *made.def;
-        def.name = name("the function's name");
-        must("(");
-        while (!take(")")) {
-            Parameter parameter{name("a parameter"), nullptr};
+    void function_definition(Statement& node) {
+        node.kind = StatementKind::kDef;
+        node.def = std::make_unique<Def>();
+        Def& def = *node.def;
+        def.name = expect_name("the function's name");
+        expect("(");
+        while (!accept(")")) {
+            Parameter parameter{expect_name("a parameter"), nullptr};
             if (std::ranges::count(def.parameters, parameter.name, &Parameter::name) > 0)
-                throw ScriptError(here().place, "two parameters are named '" + parameter.name + "'");
-            if (take("="))
-                parameter.otherwise = expression();
-            else if (!def.parameters.empty() && def.parameters.back().otherwise)
-                wanted("a default, as the parameter before has one");
+                throw ScriptError(current().location, "two parameters are named '" + parameter.name + "'");
+            if (accept("="))
+                parameter.default_value = expression();
+            else if (!def.parameters.empty() && def.parameters.back().default_value)
+                fail_expected("a default, as the parameter before has one");
             def.parameters.push_back(std::move(parameter));
-            if (!is(")")) must(",");
+            if (!is(")")) expect(",");
         }
-        const int loops = std::exchange(loops_, 0);
-        ++defs_;
+        const int outer_loop_depth = std::exchange(loop_depth_, 0);
+        ++function_depth_;
         def.body = block();
-        --defs_, loops_ = loops;
+        --function_depth_, loop_depth_ = outer_loop_depth;
     }
 
-    void simple(Block& into) {
-        auto made = std::make_unique<Statement>();
-        made->place = here().place;
-        if (take("pass")) {
-            made->act = Act::kPass;
+    void simple_statement(Block& into) {
+        auto node = std::make_unique<Statement>();
+        node->location = current().location;
+        if (accept("pass")) {
+            node->kind = StatementKind::kPass;
         } else if (is("break") || is("continue")) {
-            if (loops_ == 0) throw ScriptError(here().place, "expected a loop around '" + here().text + "'");
-            made->act = here().text == "break" ? Act::kBreak : Act::kContinue, ++at_;
-        } else if (take("return")) {
-            if (defs_ == 0) throw ScriptError(made->place, "expected a function around 'return'");
-            made->act = Act::kReturn;
-            if (here().word != Word::kNewLine && here().word != Word::kEnd) made->value = tuple_or_one();
-        } else if (take("load")) {
-            load(*made);
+            if (loop_depth_ == 0)
+                throw ScriptError(current().location, "expected a loop around '" + current().text + "'");
+            node->kind = current().text == "break" ? StatementKind::kBreak : StatementKind::kContinue,
+            ++position_;
+        } else if (accept("return")) {
+            if (function_depth_ == 0)
+                throw ScriptError(node->location, "expected a function around 'return'");
+            node->kind = StatementKind::kReturn;
+            if (current().kind != TokenKind::kNewLine && current().kind != TokenKind::kEnd)
+                node->value = expression_list();
+        } else if (accept("load")) {
+            load_statement(*node);
         } else {
-            made->value = tuple_or_one();
-            static constexpr std::array<std::string_view, 6> kAugment = {"+=", "-=", "*=", "/=", "//=", "%="};
-            if (take("=")) {
-                made->act = Act::kAssign, made->target = assignable(std::move(made->value));
-                made->value = tuple_or_one();
-                if (is("=")) wanted("one assignment a line");
-            } else if (here().word == Word::kSign &&
-                       std::ranges::find(kAugment, here().text) != kAugment.end()) {
-                made->act = Act::kAugment, made->text = here().text.substr(0, here().text.size() - 1), ++at_;
-                made->target = assignable(std::move(made->value));
-                if (made->target->form == Form::kTuple || made->target->form == Form::kList)
-                    throw ScriptError(made->place, "expected one name before an augmented assignment");
-                made->value = tuple_or_one();
+            node->value = expression_list();
+            static constexpr std::array<std::string_view, 6> kAugmentedOperators = {
+                "+=", "-=", "*=", "/=", "//=", "%="};
+            if (accept("=")) {
+                node->kind = StatementKind::kAssign, node->target = assignable(std::move(node->value));
+                node->value = expression_list();
+                if (is("=")) fail_expected("one assignment a line");
+            } else if (current().kind == TokenKind::kOperator &&
+                       std::ranges::find(kAugmentedOperators, current().text) != kAugmentedOperators.end()) {
+                node->kind = StatementKind::kAugmentedAssign,
+                node->text = current().text.substr(0, current().text.size() - 1), ++position_;
+                node->target = assignable(std::move(node->value));
+                if (node->target->kind == ExpressionKind::kTuple ||
+                    node->target->kind == ExpressionKind::kList)
+                    throw ScriptError(node->location, "expected one name before an augmented assignment");
+                node->value = expression_list();
             } else {
-                made->act = Act::kExpression;
+                node->kind = StatementKind::kExpression;
             }
         }
-        line_end();
-        into.push_back(std::move(made));
+        expect_line_end();
+        into.push_back(std::move(node));
     }
 
-    void load(Statement& made) {
-        made.act = Act::kLoad;
-        if (defs_ > 0 || loops_ > 0 || depth_ > 0)
-            throw ScriptError(made.place, "expected 'load' outside of blocks");
-        must("(");
-        if (here().word != Word::kText) wanted("the file's name, as a text");
-        made.text = words_[at_++].text;
-        while (take(",") && !is(")")) {
-            std::string mine;
-            if (here().word == Word::kName) mine = words_[at_++].text, must("=");
-            if (here().word != Word::kText) wanted("a name to load, as a text");
-            const std::string theirs = words_[at_++].text;
-            if (theirs.starts_with("_"))
-                throw ScriptError(made.place, "'" + theirs + "' is private to its file");
-            made.loads.emplace_back(mine.empty() ? theirs : mine, theirs);
+    void load_statement(Statement& node) {
+        node.kind = StatementKind::kLoad;
+        if (function_depth_ > 0 || loop_depth_ > 0 || depth_ > 0)
+            throw ScriptError(node.location, "expected 'load' outside of blocks");
+        expect("(");
+        if (current().kind != TokenKind::kString) fail_expected("the file's name, as a string");
+        node.text = tokens_[position_++].text;
+        while (accept(",") && !is(")")) {
+            std::string local_name;
+            if (current().kind == TokenKind::kName) local_name = tokens_[position_++].text, expect("=");
+            if (current().kind != TokenKind::kString) fail_expected("a name to load, as a string");
+            const std::string exported_name = tokens_[position_++].text;
+            if (exported_name.starts_with("_"))
+                throw ScriptError(node.location, "'" + exported_name + "' is private to its file");
+            node.loads.emplace_back(local_name.empty() ? exported_name : local_name, exported_name);
         }
-        must(")");
-        if (made.loads.empty()) throw ScriptError(made.place, "expected names to load");
+        expect(")");
+        if (node.loads.empty()) throw ScriptError(node.location, "expected names to load");
     }
 
     ExpressionPtr assignable(ExpressionPtr target) const {
-        const bool list = target->form == Form::kTuple || target->form == Form::kList;
-        if (!list && target->form != Form::kName && target->form != Form::kIndex)
-            throw ScriptError(target->place, "expected a name, an index or a list of them before '='");
+        const bool list = target->kind == ExpressionKind::kTuple || target->kind == ExpressionKind::kList;
+        if (!list && target->kind != ExpressionKind::kName && target->kind != ExpressionKind::kIndex)
+            throw ScriptError(target->location, "expected a name, an index or a list of them before '='");
         if (list)
-            for (ExpressionPtr& part : target->parts) part = assignable(std::move(part));
+            for (ExpressionPtr& part : target->operands) part = assignable(std::move(part));
         return target;
     }
 
-    static ExpressionPtr make(Form form, const Place& place) {
-        auto made = std::make_unique<Expression>();
-        made->form = form, made->place = place;
-        return made;
+    static ExpressionPtr make(ExpressionKind kind, const SourceLocation& location) {
+        auto node = std::make_unique<Expression>();
+        node->kind = kind, node->location = location;
+        return node;
     }
 
-    ExpressionPtr targets() {
+    ExpressionPtr assignment_targets() {
         ExpressionPtr first = unary();
         if (is(",")) {
-            ExpressionPtr tuple = make(Form::kTuple, first->place);
-            tuple->parts.push_back(std::move(first));
-            while (take(",") && !is("in")) tuple->parts.push_back(unary());
+            ExpressionPtr tuple = make(ExpressionKind::kTuple, first->location);
+            tuple->operands.push_back(std::move(first));
+            while (accept(",") && !is("in")) tuple->operands.push_back(unary());
             first = std::move(tuple);
         }
         return assignable(std::move(first));
     }
 
-    ExpressionPtr tuple_or_one() {
+    ExpressionPtr expression_list() {
         ExpressionPtr first = expression();
         if (!is(",")) return first;
-        ExpressionPtr tuple = make(Form::kTuple, first->place);
-        tuple->parts.push_back(std::move(first));
-        while (take(",") && here().word != Word::kNewLine && !is("=") && !is(")"))
-            tuple->parts.push_back(expression());
+        ExpressionPtr tuple = make(ExpressionKind::kTuple, first->location);
+        tuple->operands.push_back(std::move(first));
+        while (accept(",") && current().kind != TokenKind::kNewLine && !is("=") && !is(")"))
+            tuple->operands.push_back(expression());
         return tuple;
     }
 
     ExpressionPtr expression() {
-        const Deeper guard(*this);
-        ExpressionPtr value = either();
+        const DepthGuard guard(*this);
+        ExpressionPtr value = or_expression();
         if (!is("if")) return value;
-        ExpressionPtr choice = make(Form::kChoice, here().place);
-        must("if");
-        choice->parts.push_back(either());
-        must("else");
-        choice->parts.push_back(std::move(value));
-        choice->parts.push_back(expression());
+        ExpressionPtr choice = make(ExpressionKind::kConditional, current().location);
+        expect("if");
+        choice->operands.push_back(or_expression());
+        expect("else");
+        choice->operands.push_back(std::move(value));
+        choice->operands.push_back(expression());
         return choice;
     }
 
-    ExpressionPtr either() {
-        ExpressionPtr left = both();
-        while (is("or")) left = binary(Form::kOr, std::move(left), [this] { return both(); });
+    ExpressionPtr or_expression() {
+        ExpressionPtr left = and_expression();
+        while (is("or"))
+            left = binary(ExpressionKind::kOr, std::move(left), [this] { return and_expression(); });
         return left;
     }
-    ExpressionPtr both() {
-        ExpressionPtr left = negation();
-        while (is("and")) left = binary(Form::kAnd, std::move(left), [this] { return negation(); });
+    ExpressionPtr and_expression() {
+        ExpressionPtr left = not_expression();
+        while (is("and"))
+            left = binary(ExpressionKind::kAnd, std::move(left), [this] { return not_expression(); });
         return left;
     }
-    ExpressionPtr negation() {
-        const Deeper guard(*this);
+    ExpressionPtr not_expression() {
+        const DepthGuard guard(*this);
         if (!is("not")) return comparison();
-        ExpressionPtr made = make(Form::kUnary, here().place);
-        made->text = "not", ++at_;
-        made->parts.push_back(negation());
-        return made;
+        ExpressionPtr node = make(ExpressionKind::kUnary, current().location);
+        node->text = "not", ++position_;
+        node->operands.push_back(not_expression());
+        return node;
     }
     ExpressionPtr comparison() {
         ExpressionPtr left = sum();
         const auto compares = [this] {
-            static constexpr std::array<std::string_view, 7> kSigns = {"==", "!=", "<", ">",
-                                                                       "<=", ">=", "in"};
-            return std::ranges::any_of(kSigns, [this](auto sign) { return is(sign); }) ||
-                   (is("not") && words_[at_ + 1].text == "in");
+            static constexpr std::array<std::string_view, 7> kOperators = {"==", "!=", "<", ">",
+                                                                           "<=", ">=", "in"};
+            return std::ranges::any_of(kOperators, [this](auto op) { return is(op); }) ||
+                   (is("not") && tokens_[position_ + 1].text == "in");
         };
         if (!compares()) return left;
         const bool negated = is("not");
-        if (negated) ++at_;
-        left = binary(Form::kBinary, std::move(left), [this] { return sum(); });
+        if (negated) ++position_;
+        left = binary(ExpressionKind::kBinary, std::move(left), [this] { return sum(); });
         if (negated) left->text = "not in";
-        if (compares()) wanted("'and' between comparisons");
+        if (compares()) fail_expected("'and' between comparisons");
         return left;
     }
     ExpressionPtr sum() {
-        ExpressionPtr left = request_class();
+        ExpressionPtr left = product();
         while (is("+") || is("-") || is("|"))
-            left = binary(Form::kBinary, std::move(left), [this] { return request_class(); });
+            left = binary(ExpressionKind::kBinary, std::move(left), [this] { return product(); });
         return left;
     }
-    ExpressionPtr request_class() {
+    ExpressionPtr product() {
         ExpressionPtr left = unary();
         while (is("*") || is("/") || is("//") || is("%"))
-            left = binary(Form::kBinary, std::move(left), [this] { return unary(); });
+            left = binary(ExpressionKind::kBinary, std::move(left), [this] { return unary(); });
         return left;
     }
-    static void taller(Expression& made, const Expression& below) {
-        made.height = below.height + 1;
-        if (made.height > kMostHeight) throw ScriptError(made.place, "too long a chain of operators");
+    static void set_height(Expression& node, const Expression& operand) {
+        node.height = operand.height + 1;
+        if (node.height > kMaxHeight) throw ScriptError(node.location, "the chain of operators is too long");
     }
-    template <class Right> ExpressionPtr binary(Form form, ExpressionPtr left, Right right) {
-        ExpressionPtr made = make(form, here().place);
-        made->text = words_[at_++].text;
-        taller(*made, *left);
-        made->parts.push_back(std::move(left));
-        made->parts.push_back(right());
-        return made;
+    template <class Right> ExpressionPtr binary(ExpressionKind kind, ExpressionPtr left, Right right) {
+        ExpressionPtr node = make(kind, current().location);
+        node->text = tokens_[position_++].text;
+        set_height(*node, *left);
+        node->operands.push_back(std::move(left));
+        node->operands.push_back(right());
+        return node;
     }
     ExpressionPtr unary() {
-        const Deeper guard(*this);
-        if (!is("-") && !is("+")) return suffixed();
-        ExpressionPtr made = make(Form::kUnary, here().place);
-        made->text = words_[at_++].text;
-        made->parts.push_back(unary());
-        return made;
+        const DepthGuard guard(*this);
+        if (!is("-") && !is("+")) return postfix_expression();
+        ExpressionPtr node = make(ExpressionKind::kUnary, current().location);
+        node->text = tokens_[position_++].text;
+        node->operands.push_back(unary());
+        return node;
     }
 
-    ExpressionPtr suffixed() {
+    ExpressionPtr postfix_expression() {
         ExpressionPtr value = primary();
         for (;;) {
-            const Place place = here().place;
-            if (take(".")) {
-                ExpressionPtr made = make(Form::kAttribute, place);
-                made->text = name("a name after '.'");
-                taller(*made, *value);
-                made->parts.push_back(std::move(value));
-                value = std::move(made);
-            } else if (take("(")) {
-                value = call(std::move(value), place);
-            } else if (take("[")) {
-                value = index(std::move(value), place);
+            const SourceLocation location = current().location;
+            if (accept(".")) {
+                ExpressionPtr node = make(ExpressionKind::kAttribute, location);
+                node->text = expect_name("a name after '.'");
+                set_height(*node, *value);
+                node->operands.push_back(std::move(value));
+                value = std::move(node);
+            } else if (accept("(")) {
+                value = call(std::move(value), location);
+            } else if (accept("[")) {
+                value = index(std::move(value), location);
             } else {
                 return value;
             }
         }
     }
 
-    ExpressionPtr call(ExpressionPtr callee, const Place& place) {
-        ExpressionPtr made = make(Form::kCall, place);
-        taller(*made, *callee);
-        made->parts.push_back(std::move(callee));
-        while (!take(")")) {
-            std::string given;
-            if (here().word == Word::kName && words_[at_ + 1].word == Word::kSign &&
-                words_[at_ + 1].text == "=") {
-                given = here().text, at_ += 2;
-                if (std::ranges::count(made->names, given) > 0)
-                    throw ScriptError(here().place, "argument '" + given + "' stands twice");
-            } else if (!made->names.empty() && !made->names.back().empty()) {
-                wanted("a name for this argument, as the one before has one");
+    ExpressionPtr call(ExpressionPtr callee, const SourceLocation& location) {
+        ExpressionPtr node = make(ExpressionKind::kCall, location);
+        set_height(*node, *callee);
+        node->operands.push_back(std::move(callee));
+        while (!accept(")")) {
+            std::string argument_name;
+            if (current().kind == TokenKind::kName && tokens_[position_ + 1].kind == TokenKind::kOperator &&
+                tokens_[position_ + 1].text == "=") {
+                argument_name = current().text, position_ += 2;
+                if (std::ranges::count(node->argument_names, argument_name) > 0)
+                    throw ScriptError(current().location, "argument '" + argument_name + "' is repeated");
+            } else if (!node->argument_names.empty() && !node->argument_names.back().empty()) {
+                fail_expected("a name for this argument, as the one before has one");
             }
-            made->names.push_back(given);
-            made->parts.push_back(expression());
-            if (is("for")) wanted("brackets round a comprehension");
-            if (!is(")")) must(",");
+            node->argument_names.push_back(argument_name);
+            node->operands.push_back(expression());
+            if (is("for")) fail_expected("brackets round a comprehension");
+            if (!is(")")) expect(",");
         }
-        return made;
+        return node;
     }
 
-    ExpressionPtr index(ExpressionPtr value, const Place& place) {
-        ExpressionPtr made = make(Form::kIndex, place);
-        taller(*made, *value);
-        made->parts.push_back(std::move(value));
-        made->parts.push_back(is(":") ? nullptr : tuple_or_one());
+    ExpressionPtr index(ExpressionPtr value, const SourceLocation& location) {
+        ExpressionPtr node = make(ExpressionKind::kIndex, location);
+        set_height(*node, *value);
+        node->operands.push_back(std::move(value));
+        node->operands.push_back(is(":") ? nullptr : expression_list());
         if (is(":")) {
-            made->form = Form::kSlice;
-            for (int i = 0; i < 2 && take(":"); ++i)
-                made->parts.push_back(is(":") || is("]") ? nullptr : expression());
-            made->parts.resize(4);
+            node->kind = ExpressionKind::kSlice;
+            for (int i = 0; i < 2 && accept(":"); ++i)
+                node->operands.push_back(is(":") || is("]") ? nullptr : expression());
+            node->operands.resize(4);
         }
-        must("]");
-        return made;
+        expect("]");
+        return node;
     }
 
     std::vector<Clause> clauses(std::string_view end) {
-        std::vector<Clause> made;
+        std::vector<Clause> result;
         while (!is(end)) {
             Clause clause;
-            if (take("for")) {
-                clause.target = targets();
-                must("in");
-                clause.source = either();
-            } else if (take("if")) {
-                clause.is_if = true, clause.source = either();
+            if (accept("for")) {
+                clause.target = assignment_targets();
+                expect("in");
+                clause.source = or_expression();
+            } else if (accept("if")) {
+                clause.is_if = true, clause.source = or_expression();
             } else {
-                wanted("'for', 'if' or '" + std::string(end) + "'");
+                fail_expected("'for', 'if' or '" + std::string(end) + "'");
             }
-            made.push_back(std::move(clause));
+            result.push_back(std::move(clause));
         }
-        return made;
+        return result;
     }
 
     ExpressionPtr primary() {
-        const Token token = here();
-        if (token.word == Word::kName) {
-            ExpressionPtr made = make(Form::kName, token.place);
-            made->text = token.text, ++at_;
-            return made;
+        const Token token = current();
+        if (token.kind == TokenKind::kName) {
+            ExpressionPtr node = make(ExpressionKind::kName, token.location);
+            node->text = token.text, ++position_;
+            return node;
         }
-        if (token.word == Word::kText || token.word == Word::kInt || token.word == Word::kFloat ||
-            is("None") || is("True") || is("False")) {
-            ExpressionPtr made = constant(token);
-            ++at_;
-            if (token.word == Word::kText && here().word == Word::kText) wanted("'+' between texts");
-            return made;
+        if (token.kind == TokenKind::kString || token.kind == TokenKind::kInt ||
+            token.kind == TokenKind::kFloat || is("None") || is("True") || is("False")) {
+            ExpressionPtr node = constant(token);
+            ++position_;
+            if (token.kind == TokenKind::kString && current().kind == TokenKind::kString)
+                fail_expected("'+' between strings");
+            return node;
         }
-        if (take("(")) {
-            if (take(")")) return make(Form::kTuple, token.place);
-            ExpressionPtr value = tuple_or_one();
-            must(")");
+        if (accept("(")) {
+            if (accept(")")) return make(ExpressionKind::kTuple, token.location);
+            ExpressionPtr value = expression_list();
+            expect(")");
             return value;
         }
-        if (take("[")) {
-            ExpressionPtr made = make(Form::kList, token.place);
-            if (take("]")) return made;
-            made->parts.push_back(expression());
+        if (accept("[")) {
+            ExpressionPtr node = make(ExpressionKind::kList, token.location);
+            if (accept("]")) return node;
+            node->operands.push_back(expression());
             if (is("for")) {
-                made->form = Form::kComprehension, made->clauses = clauses("]");
-                must("]");
-                return made;
+                node->kind = ExpressionKind::kComprehension, node->clauses = clauses("]");
+                expect("]");
+                return node;
             }
-            while (!take("]")) {
-                must(",");
-                if (!is("]")) made->parts.push_back(expression());
+            while (!accept("]")) {
+                expect(",");
+                if (!is("]")) node->operands.push_back(expression());
             }
-            return made;
+            return node;
         }
-        if (take("{")) return dict(token.place);
-        wanted("a value");
+        if (accept("{")) return dict(token.location);
+        fail_expected("a value");
     }
 
-    ExpressionPtr dict(const Place& place) {
-        ExpressionPtr made = make(Form::kDict, place);
-        while (!take("}")) {
-            made->parts.push_back(expression());
-            must(":");
-            made->parts.push_back(expression());
-            if (made->parts.size() == 2 && is("for")) {
-                made->form = Form::kDictComprehension, made->clauses = clauses("}");
-                must("}");
-                return made;
+    ExpressionPtr dict(const SourceLocation& location) {
+        ExpressionPtr node = make(ExpressionKind::kDict, location);
+        while (!accept("}")) {
+            node->operands.push_back(expression());
+            expect(":");
+            node->operands.push_back(expression());
+            if (node->operands.size() == 2 && is("for")) {
+                node->kind = ExpressionKind::kDictComprehension, node->clauses = clauses("}");
+                expect("}");
+                return node;
             }
-            if (!is("}")) must(",");
+            if (!is("}")) expect(",");
         }
-        return made;
+        return node;
     }
 
     static ExpressionPtr constant(const Token& token) {
-        ExpressionPtr made = make(Form::kConstant, token.place);
-        if (token.word == Word::kText) {
-            made->constant = token.text;
-        } else if (token.word == Word::kFloat) {
+        ExpressionPtr node = make(ExpressionKind::kConstant, token.location);
+        if (token.kind == TokenKind::kString) {
+            node->constant = token.text;
+        } else if (token.kind == TokenKind::kFloat) {
             char* end = nullptr;
-            made->constant = std::strtod(token.text.c_str(), &end);
-            if (*end != '\0') throw ScriptError(token.place, "expected a number, got '" + token.text + "'");
-        } else if (token.word == Word::kInt) {
+            node->constant = std::strtod(token.text.c_str(), &end);
+            if (*end != '\0')
+                throw ScriptError(token.location, "expected a number, got '" + token.text + "'");
+        } else if (token.kind == TokenKind::kInt) {
             std::string_view digits = token.text;
             int base = 10;
             if (digits.size() > 2 && digits[0] == '0' && (digits[1] == 'x' || digits[1] == 'X')) base = 16;
@@ -468,24 +483,24 @@
             const auto [end, error] =
                 std::from_chars(digits.data(), digits.data() + digits.size(), whole, base);
             if (error != std::errc{} || end != digits.data() + digits.size())
-                throw ScriptError(token.place,
+                throw ScriptError(token.location,
                                   "expected a whole number of 64 bits, got '" + token.text + "'");
-            made->constant = whole;
+            node->constant = whole;
         } else if (token.text == "None") {
-            made->constant = None{};
+            node->constant = None{};
         } else {
-            made->constant = token.text == "True";
+            node->constant = token.text == "True";
         }
-        return made;
+        return node;
     }
 
-    std::vector<Token> words_;
-    std::size_t at_ = 0;
-    int depth_ = 0, loops_ = 0, defs_ = 0;
+    std::vector<Token> tokens_;
+    std::size_t position_ = 0;
+    int depth_ = 0, loop_depth_ = 0, function_depth_ = 0;
 };
 
 } // namespace
 
-Block read_script(const std::string& file, std::string_view text) { return Parser(file, text).script(); }
+Block parse_script(const std::string& file, std::string_view text) { return Parser(file, text).script(); }
 
 } // namespace ivyrill::script
--- a/src/script/syntax.hpp
+++ b/src/script/syntax.hpp
@@ -1,5 +1,5 @@
-// The script's words and its tree. Pure: text in, tree out, or a ScriptError that names the place and what
-// was expected there.
+// Tokens and syntax tree of the script. The lexer and the parser perform no I/O; they throw a ScriptError
+// with the location and what was expected there.
 #pragma once
 #include "script/value.hpp"
 
@@ -11,13 +11,13 @@
 
 namespace ivyrill::script {
 
-enum class Word { kName, kKeyword, kInt, kFloat, kText, kSign, kNewLine, kIndent, kDedent, kEnd };
+enum class TokenKind { kName, kKeyword, kInt, kFloat, kString, kOperator, kNewLine, kIndent, kDedent, kEnd };
 struct Token {
-    Word word = Word::kEnd;
-    std::string text; // of a text literal: its value
-    Place place;
+    TokenKind kind = TokenKind::kEnd;
+    std::string text; // of a string literal: its value
+    SourceLocation location;
 };
-std::vector<Token> read_words(const std::string& file, std::string_view text);
+std::vector<Token> tokenize(const std::string& file, std::string_view text);
 
 struct Expression;
 using ExpressionPtr = std::unique_ptr<Expression>;
@@ -25,7 +25,7 @@
     bool is_if = false;
     ExpressionPtr target, source;
 };
-enum class Form {
+enum class ExpressionKind {
     kName,
     kConstant,
     kList,
@@ -37,20 +37,21 @@
     kBinary,
     kAnd,
     kOr,
-    kChoice,
+    kConditional,
     kCall,
     kIndex,
     kSlice,
     kAttribute,
 };
 struct Expression {
-    Form form = Form::kConstant;
-    Place place;
-    int height = 1;   // of the tree below: it is walked by recursion
-    std::string text; // a name, a sign, or a text constant
+    ExpressionKind kind = ExpressionKind::kConstant;
+    SourceLocation location;
+    int height = 1;   // of the subtree; limited, since evaluation is recursive
+    std::string text; // a name or an operator
     std::variant<None, bool, std::int64_t, double, std::string> constant;
-    std::vector<ExpressionPtr> parts; // operands; null where a slice leaves one out
-    std::vector<std::string> names;   // of a call's arguments, beside parts[1...]; empty: by place
+    std::vector<ExpressionPtr> operands; // null for the omitted parts of a slice
+    std::vector<std::string>
+        argument_names; // of a call's arguments operands[1...]; empty for positional ones
     std::vector<Clause> clauses;
 };
 
@@ -58,23 +59,35 @@
 using Block = std::vector<std::unique_ptr<Statement>>;
 struct Parameter {
     std::string name;
-    ExpressionPtr otherwise; // null: must be given
+    ExpressionPtr default_value; // null: the parameter is required
 };
 struct Def {
     std::string name;
     std::vector<Parameter> parameters;
     Block body;
 };
-enum class Act { kExpression, kAssign, kAugment, kDef, kReturn, kIf, kFor, kBreak, kContinue, kPass, kLoad };
+enum class StatementKind {
+    kExpression,
+    kAssign,
+    kAugmentedAssign,
+    kDef,
+    kReturn,
+    kIf,
+    kFor,
+    kBreak,
+    kContinue,
+    kPass,
+    kLoad
+};
 struct Statement {
-    Act act = Act::kPass;
-    Place place;
-    std::string text;            // an augmenting sign, or the file to load from
-    ExpressionPtr target, value; // of a `for` the latter is what it goes over
-    Block body, otherwise;
+    StatementKind kind = StatementKind::kPass;
+    SourceLocation location;
+    std::string text;            // the operator of an augmented assignment, or the file to load
+    ExpressionPtr target, value; // in a `for`, `value` is the iterable
+    Block body, else_block;
     std::unique_ptr<Def> def;
-    std::vector<std::pair<std::string, std::string>> loads; // the name here, the name there
+    std::vector<std::pair<std::string, std::string>> loads; // the local name, the name in the loaded file
 };
-Block read_script(const std::string& file, std::string_view text);
+Block parse_script(const std::string& file, std::string_view text);
 
 } // namespace ivyrill::script
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -1,4 +1,4 @@
-// Tests of the operators' script and of the typed reading of what it gives.
+// Tests of the operators' script language and of the typed settings read from its result.
 #include "fake_host.hpp"
 #include "operator/operator_settings.hpp"
 #include "script/script.hpp"
@@ -9,9 +9,9 @@
 
 using nlohmann::ordered_json;
 
-struct Folder { // files by name; the first is the one to run
+struct Folder { // files by name; main.star is run
     std::map<std::string, std::string> files;
-    Outcome run(const Bounds& bounds = {}) const {
+    Outcome run(const Limits& limits = {}) const {
         return run_script(
             "main.star",
             [this](const std::string& name) {
@@ -19,27 +19,27 @@
                 if (found == files.end()) throw std::runtime_error(name + ": no such file");
                 return found->second;
             },
-            bounds);
+            limits);
     }
 };
 
 ordered_json result(const std::string& text) { return Folder{{{"main.star", text}}}.run().result; }
 
-std::string complaint(const std::string& text, const Bounds& bounds = {}) {
+std::string error_text(const std::string& text, const Limits& limits = {}) {
     try {
-        Folder{{{"main.star", text}}}.run(bounds);
+        Folder{{{"main.star", text}}}.run(limits);
     } catch (const ScriptError& error) { return error.what(); }
     return "none";
 }
 
-bool says(const std::string& text, const std::string& words) {
-    const std::string heard = complaint(text);
-    const bool so = heard.find(words) != std::string::npos;
-    if (!so) std::cerr << "expected '" << words << "', heard '" << heard << "'\n";
-    return so;
+bool fails_with(const std::string& text, const std::string& expected) {
+    const std::string message = error_text(text);
+    const bool found = message.find(expected) != std::string::npos;
+    if (!found) std::cerr << "expected '" << expected << "', got '" << message << "'\n";
+    return found;
 }
 
-void values_and_operators_are_starlarks() {
+void values_and_operators_follow_starlark() {
     assert(result("a = 7 // 2\nb = -7 // 2\nc = -7 % 3\nd = 7 / 2\ne = 2 * 3 + 4") ==
            ordered_json::parse(R"({"a":3,"b":-4,"c":2,"d":3.5,"e":10})"));
     assert(result("a = [1, 2] + [3]\nb = 'ab' * 2\nc = {'x': 1} | {'y': 2}\nd = (1,)\ne = not []") ==
@@ -50,8 +50,8 @@
     assert(result("a = 1.5e3\nb = r'\\d'\nc = '''two\nlines'''\nd = 'tab\\there'")["c"] == "two\nlines");
 }
 
-void functions_loops_and_comprehensions() {
-    const auto made = result(R"(
+void functions_loops_and_comprehensions_work() {
+    const auto evaluated = result(R"(
 def club(name, share = 10, tenant = None):
     """What a club is."""
     if share > 50:
@@ -75,48 +75,50 @@
 first, (second, third) = 1, (2, 3)
 names = sorted(["b", "A", "c"], key = lower_of if False else len)
 )");
-    assert(!made.contains("_private") && !made.contains("club"));
-    assert(made["clubs"][0]["tenant"] == "t-etna" && made["clubs"][1]["big"] == true);
-    assert(made["by_name"]["aretusa"] == 1 && made["total"] == 12 && made["third"] == 3);
-    assert(made["pairs"] == ordered_json::parse(R"(["x-2","x-3","y-2","y-3"])") &&
-           made["text"] == "etna has 3");
+    assert(!evaluated.contains("_private") && !evaluated.contains("club"));
+    assert(evaluated["clubs"][0]["tenant"] == "t-etna" && evaluated["clubs"][1]["big"] == true);
+    assert(evaluated["by_name"]["aretusa"] == 1 && evaluated["total"] == 12 && evaluated["third"] == 3);
+    assert(evaluated["pairs"] == ordered_json::parse(R"(["x-2","x-3","y-2","y-3"])") &&
+           evaluated["text"] == "etna has 3");
 }
 
-void errors_name_place_and_what_was_expected() {
-    assert(says("a = 1\nb = = 2", "main.star:2:5: expected a value, got '='"));
-    assert(says("a = [1,\n2", "main.star:1:5: expected the closing bracket of this one"));
-    assert(says("def f(x)\n    pass", "main.star:1:9: expected ':', got the end of the line"));
-    assert(says("club = 1\na = clib", "main.star:2:5: nothing is named 'clib', did you mean 'club'?"));
-    assert(says("a = 'x'.upcase()", "a string has no 'upcase'"));
-    assert(says("a = {'x': 1}['y']", "main.star:1:13: no key \"y\""));
-    assert(says("a = 1 + 'x'", "no '+' between int and string"));
-    assert(says("if True:\n\ta = 1", "main.star:2:1: expected blanks, not a tab"));
-    assert(says("a = 'open", "expected the closing quote"));
-    assert(says("while True:\n    pass", "'while' is not in this language"));
-    assert(says("return 1", "expected a function around 'return'"));
-    assert(says("def f(a):\n    return a\nb = f()", "f: expected a value for 'a'"));
-    assert(says("fail('no', 'such club')", "fail: no such club"));
-    assert(says("a = {'x': 1, 'x': 2}", "stands twice"));
-    assert(says("a = 9223372036854775807 + 1", "more than 64 bits"));
-    assert(says("a = -9223372036854775807 // 0", "division by zero"));
+void errors_name_the_location_and_what_was_expected() {
+    assert(fails_with("a = 1\nb = = 2", "main.star:2:5: expected a value, got '='"));
+    assert(fails_with("a = [1,\n2", "main.star:1:5: expected the closing bracket of this one"));
+    assert(fails_with("def f(x)\n    pass", "main.star:1:9: expected ':', got the end of the line"));
+    assert(fails_with("club = 1\na = clib", "main.star:2:5: undefined name 'clib', did you mean 'club'?"));
+    assert(fails_with("a = 'x'.upcase()", "a string has no 'upcase'"));
+    assert(fails_with("a = {'x': 1}['y']", "main.star:1:13: no key \"y\""));
+    assert(fails_with("a = 1 + 'x'", "no '+' between int and string"));
+    assert(fails_with("if True:\n\ta = 1", "main.star:2:1: expected blanks, not a tab"));
+    assert(fails_with("a = 'open", "expected the closing quote"));
+    assert(fails_with("while True:\n    pass", "'while' is not in this language"));
+    assert(fails_with("return 1", "expected a function around 'return'"));
+    assert(fails_with("def f(a):\n    return a\nb = f()", "f: expected a value for 'a'"));
+    assert(fails_with("fail('no', 'such club')", "fail: no such club"));
+    assert(fails_with("a = {'x': 1, 'x': 2}", "is repeated"));
+    assert(fails_with("a = 9223372036854775807 + 1", "more than 64 bits"));
+    assert(fails_with("a = -9223372036854775807 // 0", "division by zero"));
 }
 
-// Whatever is written, it ends: by steps, by memory, by depth.
-void nothing_runs_without_end() {
-    assert(says("def f(n):\n    return f(n)\na = f(1)", "'f' calls itself"));
-    assert(says("def f():\n    return g()\ndef g():\n    return f()\na = f()", "calls itself"));
-    assert(says("r = range(2000)\nfor x in r:\n    for y in r:\n        pass", "more than 1000000 steps"));
-    assert(says("a = 'x' * 100000000", "too large"));
-    assert(says("a = range(2000000)", "range: more than"));
-    assert(says("a = [[1] * 1000] * 1000\nb = [list(x) for x in a for y in a]", "bytes"));
-    assert(says("a = [1]\na.append(a)\nb = str(a)", "nested too deeply"));
-    assert(says("a = [1]\na.append(a)", "nested too deeply"));
-    assert(says("a = " + std::string(300, '(') + "1" + std::string(300, ')'), "nested too deeply"));
+// Every script terminates: steps, memory and nesting are limited.
+void every_script_terminates() {
+    assert(fails_with("def f(n):\n    return f(n)\na = f(1)", "'f' calls itself"));
+    assert(fails_with("def f():\n    return g()\ndef g():\n    return f()\na = f()", "calls itself"));
+    assert(
+        fails_with("r = range(2000)\nfor x in r:\n    for y in r:\n        pass", "more than 1000000 steps"));
+    assert(fails_with("a = 'x' * 100000000", "too large"));
+    assert(fails_with("a = range(2000000)", "range: more than"));
+    assert(fails_with("a = [[1] * 1000] * 1000\nb = [list(x) for x in a for y in a]", "bytes"));
+    assert(fails_with("a = [1]\na.append(a)\nb = str(a)", "nested too deeply"));
+    assert(fails_with("a = [1]\na.append(a)", "nested too deeply"));
+    assert(fails_with("a = " + std::string(300, '(') + "1" + std::string(300, ')'), "nested too deeply"));
     std::string chain = "a = 1";
     for (int i = 0; i < 5000; ++i) chain += "+1";
-    assert(says(chain, "too long a chain"));
-    assert(complaint("a = 1\nb = 2", {3, 1U << 20U, 4}).find("more than 3 steps") != std::string::npos);
-    assert(says("a = [1, 2]\nfor x in a:\n    a.append(x)", "changes while a loop goes over it"));
+    assert(fails_with(chain, "chain of operators is too long"));
+    assert(error_text("a = 1\nb = 2", {3, 1U << 20U, 4}).find("more than 3 steps") != std::string::npos);
+    assert(fails_with("a = [1, 2]\nfor x in a:\n    a.append(x)",
+                      "cannot change a value while a loop iterates over it"));
 }
 
 void files_are_loaded_from_the_same_folder_and_frozen() {
@@ -124,26 +126,26 @@
         {{"main.star", "load('clubs.star', 'CLUBS', mine = 'one')\nclubs = CLUBS\na = mine(2)"},
          {"clubs.star", "CLUBS = ['etna']\n_hidden = 1\ndef one(x):\n    return x + len(CLUBS)\n"}}};
     assert(folder.run().result == ordered_json::parse(R"({"clubs":["etna"],"a":3})"));
-    const auto complains = [&](const std::string& text, const std::string& words) {
+    const auto loading_fails_with = [&](const std::string& text, const std::string& expected) {
         folder.files["main.star"] = text;
         try {
             folder.run();
         } catch (const ScriptError& error) {
-            return std::string(error.what()).find(words) != std::string::npos;
+            return std::string(error.what()).find(expected) != std::string::npos;
         }
         return false;
     };
-    assert(complains("load('clubs.star', 'CLUBS')\nCLUBS.append(1)", "frozen"));
-    assert(complains("load('clubs.star', '_hidden')", "private"));
-    assert(complains("load('clubs.star', 'CLUB')", "did you mean 'CLUBS'?"));
-    assert(complains("load('../clubs.star', 'CLUBS')", "same folder"));
-    assert(complains("load('other.star', 'X')", "main.star:1:1: other.star: no such file"));
-    assert(complains("load('main.star', 'X')", "in a ring"));
+    assert(loading_fails_with("load('clubs.star', 'CLUBS')\nCLUBS.append(1)", "frozen"));
+    assert(loading_fails_with("load('clubs.star', '_hidden')", "private"));
+    assert(loading_fails_with("load('clubs.star', 'CLUB')", "did you mean 'CLUBS'?"));
+    assert(loading_fails_with("load('../clubs.star', 'CLUBS')", "same folder"));
+    assert(loading_fails_with("load('other.star', 'X')", "main.star:1:1: other.star: no such file"));
+    assert(loading_fails_with("load('main.star', 'X')", "in a cycle"));
     folder.files["clubs.star"] = "a = 1\nb = a +";
-    assert(complains("load('clubs.star', 'a')", "clubs.star:2:8: expected a value"));
+    assert(loading_fails_with("load('clubs.star', 'a')", "clubs.star:2:8: expected a value"));
 }
 
-void same_text_gives_the_same_result_every_time() {
+void evaluation_is_deterministic() {
     const std::string text =
         "a = {str(i): [i * 0.1, {'k%d' % i: i}] for i in range(50)}\nb = sorted(a.keys())\n";
     const Folder folder{{{"main.star", text}}};
@@ -152,7 +154,7 @@
            first.bytes == second.bytes);
 }
 
-// ---- the operator's file
+// ---- the operator's settings
 
 operators::OperatorSettings settings(const std::string& text) {
     return operators::read_operator_settings(result(text));
@@ -173,7 +175,7 @@
 }
 )";
 
-void operators_file_is_read_by_type() {
+void operator_settings_are_read_by_type() {
     const operators::OperatorSettings parsed = settings(kAccess + R"(
 listeners = [{"name": "members", "address": "127.0.0.1:8443", "certificate": "a.pem", "key": "a.key"}]
 tls = {"open_handshakes": 10}
@@ -236,13 +238,13 @@
 }
 
 const Test kTests[] = {
-    TEST(values_and_operators_are_starlarks),
-    TEST(functions_loops_and_comprehensions),
-    TEST(errors_name_place_and_what_was_expected),
-    TEST(nothing_runs_without_end),
+    TEST(values_and_operators_follow_starlark),
+    TEST(functions_loops_and_comprehensions_work),
+    TEST(errors_name_the_location_and_what_was_expected),
+    TEST(every_script_terminates),
     TEST(files_are_loaded_from_the_same_folder_and_frozen),
-    TEST(same_text_gives_the_same_result_every_time),
-    TEST(operators_file_is_read_by_type),
+    TEST(evaluation_is_deterministic),
+    TEST(operator_settings_are_read_by_type),
     TEST(unknown_field_is_rejected_with_the_nearest_name),
     TEST(maintenance_settings_are_read_and_contradictions_are_rejected),
 };
