--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -7,6 +7,7 @@
 
 #include <cmath>
 #include <cstdio>
+#include <cstdlib>
 #include <deque>
 
 namespace ivyrill::lab {
@@ -15,10 +16,16 @@
 
 constexpr Tenths kS = kTenthsPerSecond;
 
+// IVYRILL_RIG_PROGRAM replaces the built program, for runs with processes of different builds.
+std::string program_path() {
+    const char* replacement = std::getenv("IVYRILL_RIG_PROGRAM");
+    return replacement != nullptr ? replacement : IVYRILL_PROGRAM;
+}
+
 struct RunningFleet : Rig {
     static RigPlan plan(std::size_t voter_count, Tenths work) {
         RigPlan settings;
-        settings.program = IVYRILL_PROGRAM;
+        settings.program = program_path();
         settings.council = voter_count, settings.work = work;
         return settings;
     }
@@ -190,7 +197,7 @@
 // would make it fail, and some of the front nodes restart meanwhile.
 void cold_server_is_not_overloaded_by(int processes) {
     RigPlan plan;
-    plan.program = IVYRILL_PROGRAM;
+    plan.program = program_path();
     plan.fronts = processes, plan.servers = 3, plan.shards = 1, plan.zones = 1;
     plan.with_rota = plan.talks = false;
     plan.service = kS / 20, plan.warm_up_time = 4 * kS, plan.cold_capacity_ratio = 0.2,
