--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -256,7 +256,7 @@
         machine.facts.name = entry.id, machine.facts.zone = entry.zone;
         machine.facts.capacity = entry.weight > 0 ? entry.weight : 1;
         for (int shard = 0; shard < terms.shards; ++shard)
-            if (terms.opening.holds(CellNo{entry.cell}, ShardNo{shard}))
+            if (terms.scheduler.holds(CellNo{entry.cell}, ShardNo{shard}))
                 machine.facts.shards.push_back(shard);
         auto known = work.find(entry.kind);
         if (known == work.end()) known = work.find("");
@@ -264,7 +264,7 @@
         const Tenths started = entry.started_ms * (kTenthsPerSecond / 1000);
         machine.health = entry.listed == ListedState::kGone       ? maintenance::MachineHealth::kGone
                          : entry.listed == ListedState::kDraining ? maintenance::MachineHealth::kDraining
-                         : entry.started_ms > 0 && wall < started + terms.opening.warm_up_time
+                         : entry.started_ms > 0 && wall < started + terms.scheduler.warm_up_time
                              ? maintenance::MachineHealth::kCold
                              : maintenance::MachineHealth::kWarm;
         result[entry.id] = std::move(machine);
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -91,7 +91,7 @@
     : configuration_(std::move(configuration)), reload_(std::move(reload)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, configuration_.listen));
-    for (const RequestClassConfig& request_class : configuration_.terms.opening.request_classes)
+    for (const RequestClassConfig& request_class : configuration_.terms.scheduler.request_classes)
         stall_timeout_ = std::max(stall_timeout_, request_class.deadline);
     router_ = std::make_unique<routing::Router>(configuration_.terms, configuration_.known,
                                                 configuration_.discovery, descriptors(configuration_.sockets),
@@ -106,7 +106,7 @@
     if (settings.membership) {
         coordination_ =
             std::make_unique<CoordinationThread>(settings, operator_settings_->secret, configuration_.terms,
-                                                 configuration_.name, configuration_.terms.opening.seed);
+                                                 configuration_.name, configuration_.terms.scheduler.seed);
         member_count_source_.emplace(loop_, dup(coordination_->member_count_descriptor()));
         protocol::ServerList known = configuration_.known;
         known.full = true;
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -138,8 +138,8 @@
 FrontNodeConfig read_front_node_config(const PathValues& settings, std::uint64_t seed) {
     const SettingsReader reader(settings);
     FrontNodeConfig config;
-    config.opening = read_scheduler_config(settings, seed);
-    for (RequestClassConfig& request_class : config.opening.request_classes)
+    config.scheduler = read_scheduler_config(settings, seed);
+    for (RequestClassConfig& request_class : config.scheduler.request_classes)
         request_class.follow_up_parts = 0; // follow-up parts exist in the simulator only
     config.max_open = reader.whole("Limits.MaxOpen", 0);
     config.batch = reader.at_least_one("Specifics.Batch", 1);
@@ -148,7 +148,7 @@
     config.idle_timeout = reader.duration_rounded_down("Limits.ConnIdleUs");
     config.watch_timeout =
         reader.duration_rounded_down("Contract.AskWithinUs", 10 * kTenthsPerSecond * kMicrosPerTenth);
-    config.opening.list_mode = ListMode::kQueried; // over the network the server list is polled
+    config.scheduler.list_mode = ListMode::kQueried; // over the network the server list is polled
     config.request_classes = reader.names_of_rows("Grades");
     config.tenants = reader.names_of_rows("Tenants");
     config.zones = reader.names("Zones");
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -12,9 +12,9 @@
 
 using PathValues = std::map<std::string, std::string, std::less<>>;
 
-// The configuration of the network layer, and that of the scheduler in `opening`.
+// The configuration of the network layer, and that of the scheduler in `scheduler`.
 struct FrontNodeConfig {
-    SchedulerConfig opening;
+    SchedulerConfig scheduler;
     int max_open = 0;                 // concurrent searches and parts, 0: no limit
     int batch = 1;                    // parts per call
     int max_calls_per_connection = 1; // concurrent calls per connection
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -100,7 +100,7 @@
     return found == headers.end() ? std::string_view{} : std::string_view(found->second);
 }
 
-std::size_t HttpMessage::times(std::string_view name) const {
+std::size_t HttpMessage::header_count(std::string_view name) const {
     return std::ranges::count(headers, name, &std::pair<std::string, std::string>::first);
 }
 
@@ -209,8 +209,8 @@
         list_contains(connection, "close") || (is_http_1_0_ && !list_contains(connection, "keep-alive"));
     const std::string_view transfer_encoding = message_.header("transfer-encoding");
     const std::string_view content_length = message_.header("content-length");
-    const std::size_t transfer_encodings = message_.times("transfer-encoding");
-    const std::size_t content_lengths = message_.times("content-length");
+    const std::size_t transfer_encodings = message_.header_count("transfer-encoding");
+    const std::size_t content_lengths = message_.header_count("content-length");
     // Several framing headers, or an ambiguous one, allow request smuggling: parsers may disagree on where
     // the body ends.
     if (transfer_encodings + content_lengths > 1 ||
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -18,8 +18,8 @@
     std::string body;
     bool close = false; // the sender closes the connection after this message
 
-    std::string_view header(std::string_view name) const; // empty where absent
-    std::size_t times(std::string_view name) const;       // number of header lines with this name
+    std::string_view header(std::string_view name) const;  // empty where absent
+    std::size_t header_count(std::string_view name) const; // number of header lines with this name
 };
 
 class HttpParser {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -70,7 +70,7 @@
 }
 
 void read_credential(const HttpMessage& message, SearchRequest& search) {
-    const std::size_t times = message.times("authorization");
+    const std::size_t times = message.header_count("authorization");
     if (times == 0) return;
     constexpr std::string_view kScheme = "bearer ";
     const std::string_view value = message.header("authorization");
@@ -84,7 +84,7 @@
 
 SearchRequest read_search(const HttpMessage& message, std::string_view request_class) {
     for (const char* name : {"host", "x-request-id", "x-tenant-id", "x-timeout", "x-retried"})
-        if (message.times(name) > 1) throw ProtocolError(std::string(name) + ": more than once");
+        if (message.header_count(name) > 1) throw ProtocolError(std::string(name) + ": more than once");
     SearchRequest search;
     search.request_class = sanitize_name(request_class);
     search.id = message.header("x-request-id");
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -14,7 +14,7 @@
                  const model::TenantTable& tenants) {
     if (!tenants.requires_keys()) return {};
     const std::string_view key = request.header("api-key");
-    const bool has_one_key = request.times("api-key") == 1 && !key.empty();
+    const bool has_one_key = request.header_count("api-key") == 1 && !key.empty();
     const model::Tenant* tenant = has_one_key ? tenants.find(key) : nullptr;
     if (tenant != nullptr || route.is_public) return {Admission::kAdmitted, tenant};
     return {has_one_key ? Admission::kKeyUnknown : Admission::kKeyMissing, nullptr};
--- a/src/proxy/client_request.cpp
+++ b/src/proxy/client_request.cpp
@@ -111,7 +111,8 @@
         out.append("last-event-id: ").append(forwarding.last_event_id).append("\r\n");
     if (forwarding.sends_priority) out.append(fmt::format("priority: {}\r\n", forwarding.priority));
     const bool has_body =
-        !message.body.empty() || message.times("content-length") + message.times("transfer-encoding") > 0;
+        !message.body.empty() ||
+        message.header_count("content-length") + message.header_count("transfer-encoding") > 0;
     if (has_body) out.append(fmt::format("content-length: {}\r\n", message.body.size()));
     return out.append("\r\n").append(message.body);
 }
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -162,7 +162,7 @@
     answer_.body.clear();
     connection_->server_idle_timeout = server_idle_timeout(answer_.header("keep-alive"));
     if (answer_.status == 421) return CallResult::kMisdirected;
-    const bool says_not_run = answer_.times("not-run") > 0;
+    const bool says_not_run = answer_.header_count("not-run") > 0;
     if (says_not_run && answer_.status >= 400) return CallResult::kNotRun;
     const bool success = answer_.status >= 200 && answer_.status < 300;
     // A success without the attempt id, or with another one, is not the answer to this request.
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -16,8 +16,8 @@
 
 Router::Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
                std::size_t descriptors, Tenths now)
-    : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.opening)), descriptors_(descriptors),
-      now_(now), discovery_(std::move(discovery)) {
+    : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.scheduler)),
+      descriptors_(descriptors), now_(now), discovery_(std::move(discovery)) {
     apply_list(known, ListKind::kSaved);
 }
 
@@ -322,8 +322,8 @@
     ++counts_.attempts;
     const auto at_server = servers_.find(server);
     const bool allowed = at_server != servers_.end() && at_server->second.listed == ListedState::kLive &&
-                         terms_.opening.holds(at_server->second.cell, state.shard) && time_out > 0 &&
-                         key.second.value < static_cast<std::uint32_t>(terms_.opening.max_attempts);
+                         terms_.scheduler.holds(at_server->second.cell, state.shard) && time_out > 0 &&
+                         key.second.value < static_cast<std::uint32_t>(terms_.scheduler.max_attempts);
     if (!allowed) return end_attempt_later(key, Outcome::kNotSent);
     schedule(now_ + time_out, AttemptTimeout{key});
     if (send_within < time_out) schedule(now_ + send_within, AttemptTimeout{key});
@@ -402,7 +402,7 @@
         connection.bytes_queued += bytes.size(), connection.last_used = now_;
         effects_.push_back(WriteConnection{attempt.connection, std::move(bytes)});
         // An early disconnect or a complete answer withdraws attempts that were not overdue.
-        if (parts_.contains(key.first) || now_ >= attempt.created_at + terms_.opening.connect_timeout)
+        if (parts_.contains(key.first) || now_ >= attempt.created_at + terms_.scheduler.connect_timeout)
             suspect_connection(attempt.connection, attempt);
         arm_send_timeout(attempt.connection, connection);
     }
@@ -433,7 +433,7 @@
 
 // Delayed so that a replacement does not reach its server before the cancellation reaches this one.
 void Router::end_cancelled_attempt(const AttemptKey& key) {
-    schedule(now_ + terms_.opening.decision_interval, DeferredAttemptEnd{key, Outcome::kCancelled});
+    schedule(now_ + terms_.scheduler.decision_interval, DeferredAttemptEnd{key, Outcome::kCancelled});
 }
 
 void Router::on_timer(const AttemptTimeout& what) {
@@ -487,7 +487,7 @@
 
 // Closes before the index server does: a request written to a connection that it is closing is lost.
 Tenths Router::idle_limit() const {
-    return std::max(terms_.idle_timeout / 2, terms_.idle_timeout - 2 * terms_.opening.connect_timeout);
+    return std::max(terms_.idle_timeout / 2, terms_.idle_timeout - 2 * terms_.scheduler.connect_timeout);
 }
 
 std::optional<ConnectionId> Router::connection_for(ServerId server, const Call& call) {
@@ -562,7 +562,7 @@
     servers_.at(server).connections.insert(id);
     ++counts_.connections_opened;
     effects_.push_back(OpenConnection{id, servers_.at(server).address});
-    schedule(now_ + terms_.opening.connect_timeout, ConnectTimeout{id});
+    schedule(now_ + terms_.scheduler.connect_timeout, ConnectTimeout{id});
     return id;
 }
 
@@ -617,7 +617,7 @@
 // is closed; without its last byte it never ran.
 void Router::arm_send_timeout(ConnectionId id, const Connection& connection) {
     if (!connection.write_queue.empty())
-        schedule(now_ + std::max<Tenths>(1, terms_.opening.decision_interval), SendTimeout{id});
+        schedule(now_ + std::max<Tenths>(1, terms_.scheduler.decision_interval), SendTimeout{id});
 }
 
 void Router::on_timer(const SendTimeout& what) {
@@ -666,7 +666,7 @@
     effects_.push_back(CloseConnection{id});
     // Neither has run; only a failed connect says something about the server.
     const bool overdue =
-        now_ >= connection.last_used + terms_.opening.connect_timeout; // last_used: when it was opened
+        now_ >= connection.last_used + terms_.scheduler.connect_timeout; // last_used: when it was opened
     const Outcome unsent = connection.up ? Outcome::kNotSent
                            : overdue     ? Outcome::kConnectTimeout
                                          : Outcome::kConnectionRefused;
@@ -708,13 +708,13 @@
     const auto found = connections_.find(event.connection);
     if (found == connections_.end() || found->second.frame_started_at > 0) return;
     found->second.frame_started_at = now_;
-    schedule(now_ + terms_.opening.connect_timeout, FrameTimeout{event.connection});
+    schedule(now_ + terms_.scheduler.connect_timeout, FrameTimeout{event.connection});
 }
 
 void Router::on_timer(const FrameTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end() || found->second.frame_started_at == 0) return;
-    if (now_ >= found->second.frame_started_at + terms_.opening.connect_timeout)
+    if (now_ >= found->second.frame_started_at + terms_.scheduler.connect_timeout)
         apply(MalformedDataReceived{what.connection, {}});
 }
 
@@ -768,7 +768,7 @@
     if (!id) return schedule(now_ + 1, DeferredProbeEnd{server});
     Connection& connection = connections_.at(*id);
     connection.probes.push_back({next_probe_++, now_, false});
-    schedule(now_ + terms_.opening.connect_timeout, ProbeTimeout{*id, connection.probes.back().serial});
+    schedule(now_ + terms_.scheduler.connect_timeout, ProbeTimeout{*id, connection.probes.back().serial});
     connection.waiting.push_back({});
     write_calls(*id);
 }
@@ -877,7 +877,7 @@
 // two more calls.
 void Router::query_discovery() {
     discovery_call_ = DiscoveryCallId{next_call_++}, discovery_connected_ = false;
-    const Tenths wait = std::min(terms_.watch_timeout, terms_.opening.list_propagation) / 2;
+    const Tenths wait = std::min(terms_.watch_timeout, terms_.scheduler.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
     schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
     schedule(now_ + wait + wait / 5, DiscoveryTimeout{*discovery_call_});
--- a/tests/api_key_tests.cpp
+++ b/tests/api_key_tests.cpp
@@ -122,12 +122,12 @@
                           {"x-b", "2"}};
     const HttpMessage seen = sent(headers, "etna");
     BOOST_TEST(seen.header("tenant") == "etna");
-    BOOST_TEST(seen.times("tenant") == 1U);
-    BOOST_TEST(seen.times("api-key") == 0U);
-    BOOST_TEST(seen.times("x-a") == 0U);
+    BOOST_TEST(seen.header_count("tenant") == 1U);
+    BOOST_TEST(seen.header_count("api-key") == 0U);
+    BOOST_TEST(seen.header_count("x-a") == 0U);
     BOOST_TEST(seen.header("x-b") == "2");
     const HttpMessage anonymous = sent(headers, "");
-    BOOST_TEST(anonymous.times("tenant") + anonymous.times("api-key") == 0U);
+    BOOST_TEST(anonymous.header_count("tenant") + anonymous.header_count("api-key") == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(key_header_ignores_case_and_surrounding_white_space) {
@@ -162,8 +162,8 @@
     BOOST_REQUIRE(request.has_value());
     const HttpMessage seen = sent(request->headers, "etna");
     BOOST_TEST(seen.header("tenant") == "etna");
-    BOOST_TEST(seen.times("tenant") == 1U);
-    BOOST_TEST(seen.times("api-key") == 0U);
+    BOOST_TEST(seen.header_count("tenant") == 1U);
+    BOOST_TEST(seen.header_count("api-key") == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(tenant_priority_overrides_route_priority) {
--- a/tests/client_request_tests.cpp
+++ b/tests/client_request_tests.cpp
@@ -93,7 +93,7 @@
     for (const auto& header : own) {
         BOOST_TEST(std::ranges::count(read.headers, header) == 1, header.first);
     }
-    BOOST_TEST(read.times("x-trace") == 2U);
+    BOOST_TEST(read.header_count("x-trace") == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(hop_by_hop_headers_are_dropped) {
@@ -102,16 +102,16 @@
                                 {"trailer", "x-sum"},         {"upgrade", "h2c"},
                                 {"expect", "100-continue"}};
     const HttpMessage read = sent_with(of_connection);
-    for (const auto& [name, value] : of_connection) BOOST_TEST(read.times(name) == 0U, name);
-    BOOST_TEST(read.times("transfer-encoding") == 0U);
-    BOOST_TEST(read.times("content-length") == 1U);
+    for (const auto& [name, value] : of_connection) BOOST_TEST(read.header_count(name) == 0U, name);
+    BOOST_TEST(read.header_count("transfer-encoding") == 0U);
+    BOOST_TEST(read.header_count("content-length") == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(headers_listed_in_connection_are_dropped) {
     for (const char* listed : {"x-hop", "X-Hop", "close, x-hop", " x-hop ,close", "\tx-hop", ",,x-hop,"}) {
         const HttpMessage read = sent_with({{"connection", listed}, {"x-hop", "1"}, {"x-hopper", "2"}});
-        BOOST_TEST(read.times("x-hop") == 0U, listed);
-        BOOST_TEST(read.times("x-hopper") == 1U, listed);
+        BOOST_TEST(read.header_count("x-hop") == 0U, listed);
+        BOOST_TEST(read.header_count("x-hopper") == 1U, listed);
     }
 }
 
@@ -122,9 +122,10 @@
                          {"last-event-id", "12"}};
     const HttpMessage read = sent_with(forged);
     for (const char* name : {"serving-stage", "kv-from", "priority", "expect-version", "last-event-id"})
-        BOOST_TEST(read.times(name) == 0U, name);
-    BOOST_TEST((read.times("target-instance") == 1U && read.header("target-instance") == "i-7f3a91c2"));
-    BOOST_TEST((read.times("deadline-ms") == 1U && read.header("deadline-ms") == "1500"));
+        BOOST_TEST(read.header_count(name) == 0U, name);
+    BOOST_TEST(
+        (read.header_count("target-instance") == 1U && read.header("target-instance") == "i-7f3a91c2"));
+    BOOST_TEST((read.header_count("deadline-ms") == 1U && read.header("deadline-ms") == "1500"));
 }
 
 BOOST_AUTO_TEST_CASE(system_headers_are_sent_once) {
@@ -138,7 +139,7 @@
                       {"last-event-id", "9"},
                       {"priority", "2"}};
     for (const auto& [name, value] : set)
-        BOOST_TEST((read.times(name) == 1U && read.header(name) == value), name);
+        BOOST_TEST((read.header_count(name) == 1U && read.header(name) == value), name);
 }
 
 BOOST_AUTO_TEST_CASE(time_left_rounds_down_to_at_least_a_millisecond) {
@@ -159,11 +160,11 @@
     HttpMessage bare = message({}, "");
     bare.method = "GET";
     std::erase_if(bare.headers, [](const auto& header) { return header.first == "content-length"; });
-    BOOST_TEST(sent(read_client_request(bare, kReceived), forwarding()).times("content-length") == 0U);
+    BOOST_TEST(sent(read_client_request(bare, kReceived), forwarding()).header_count("content-length") == 0U);
     HttpMessage in_chunks = message({{"transfer-encoding", "chunked"}}, "abc");
     std::erase_if(in_chunks.headers, [](const auto& header) { return header.first == "content-length"; });
     const HttpMessage read = sent(read_client_request(in_chunks, kReceived), forwarding());
-    BOOST_TEST((read.header("content-length") == "3" && read.times("transfer-encoding") == 0U));
+    BOOST_TEST((read.header("content-length") == "3" && read.header_count("transfer-encoding") == 0U));
 }
 
 BOOST_AUTO_TEST_CASE(invalid_deadline_counts_as_none_and_a_huge_one_is_bounded) {
@@ -235,8 +236,8 @@
     for (const char* kept : {"attempt-id", "server-seal", "content-type", "versions"})
         BOOST_TEST(read.header(kept) == answer.header(kept), kept);
     for (const char* dropped : {"x-hop", "keep-alive", "connection"})
-        BOOST_TEST(read.times(dropped) == 0U, dropped);
-    BOOST_TEST((read.times("content-length") == 1U && read.body == "body"));
+        BOOST_TEST(read.header_count(dropped) == 0U, dropped);
+    BOOST_TEST((read.header_count("content-length") == 1U && read.body == "body"));
 }
 
 BOOST_AUTO_TEST_CASE(server_seal_is_kept_even_if_connection_lists_it) {
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -263,7 +263,7 @@
         "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABkAAQAAP__\r\n");
     client.say(bytes);
     const auto answer = client.answer();
-    assert(answer.status == 200 && answer.times("upgrade") == 0);
+    assert(answer.status == 200 && answer.header_count("upgrade") == 0);
     Client preface(hall.plain());
     preface.say("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
     assert(preface.answer().status == 400);
--- a/tests/lab/hall.cpp
+++ b/tests/lab/hall.cpp
@@ -62,7 +62,7 @@
     protocol::StartConfig orders;
     orders.name = "hall", orders.listen = "127.0.0.1:0", orders.discovery = fleet.discovery();
     orders.sockets = plan.sockets, orders.memory_mb = 192, orders.known = fleet.list();
-    SchedulerConfig& terms = orders.terms.opening;
+    SchedulerConfig& terms = orders.terms.scheduler;
     for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
         RequestClassConfig request_class;
         request_class.latency_target = kTenthsPerSecond, request_class.deadline = 2 * kTenthsPerSecond,
@@ -77,7 +77,8 @@
     terms.cells = plan.servers;
     orders.terms.request_classes = {"find", "annotate"}, orders.terms.tenants = {"etna", "conca"};
     orders.terms.zones = {"a"}, orders.terms.kinds = {"m"}, orders.terms.shards = plan.servers;
-    orders.terms.max_calls_per_connection = 100, orders.terms.opening.connect_timeout = kTenthsPerSecond / 4;
+    orders.terms.max_calls_per_connection = 100,
+    orders.terms.scheduler.connect_timeout = kTenthsPerSecond / 4;
     orders.terms.idle_timeout = 15 * kTenthsPerSecond, orders.terms.watch_timeout = 100 * kTenthsPerSecond;
 
     int ends[2];
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -276,7 +276,7 @@
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
-    const SchedulerConfig& terms = read.terms.opening;
+    const SchedulerConfig& terms = read.terms.scheduler;
     assert(terms.seed == 255 && simulated.seed == 255 && terms.front_nodes == 2 &&
            simulated.front_nodes == 2);
     assert(terms.request_classes.size() == 1 &&
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -13,13 +13,13 @@
 inline protocol::FrontNodeConfig
 node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
     protocol::FrontNodeConfig terms;
-    terms.opening = default_config();
-    terms.opening.hedging_enabled = false;
-    terms.opening.list_mode = ListMode::kQueried;
-    terms.opening.request_classes[0].idempotency = idempotency;
+    terms.scheduler = default_config();
+    terms.scheduler.hedging_enabled = false;
+    terms.scheduler.list_mode = ListMode::kQueried;
+    terms.scheduler.request_classes[0].idempotency = idempotency;
     terms.request_classes = {"find"}, terms.tenants = {"acme"}, terms.zones = {"a"}, terms.kinds = {"m"};
     terms.max_calls_per_connection = 100, terms.shards = 2;
-    terms.opening.connect_timeout = ms(250), terms.idle_timeout = ms(15'000),
+    terms.scheduler.connect_timeout = ms(250), terms.idle_timeout = ms(15'000),
     terms.watch_timeout = ms(10'000);
     return terms;
 }
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -135,7 +135,7 @@
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
         protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
-        terms.opening.may_cancel = false;
+        terms.scheduler.may_cancel = false;
         RouterFixture fixture(terms, 1);
         const ClientId client = fixture.search({0}, ends == kItsTime ? 400'000 : 2'000'000);
         const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
@@ -527,7 +527,7 @@
 // The client has disconnected and nothing may be cancelled: an unsent attempt is not sent later.
 void nothing_is_sent_for_a_disconnected_client() {
     protocol::FrontNodeConfig terms = node_terms();
-    terms.opening.may_cancel = false;
+    terms.scheduler.may_cancel = false;
     RouterFixture fixture(terms, 1);
     const ClientId client = fixture.search();
     fixture.handle(ClientDisconnected{client});
@@ -551,7 +551,7 @@
 void keyed_part_is_not_sent_after_its_dedup_window() {
     for (const bool in_time : {true, false}) {
         protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
-        terms.opening.request_classes[0].dedup_window = ms(300);
+        terms.scheduler.request_classes[0].dedup_window = ms(300);
         RouterFixture fixture(terms);
         fixture.search();
         const ConnectionId first = fixture.all<OpenConnection>()[0].connection;
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -126,15 +126,15 @@
                    const Start* start = nullptr, Tenths due = ms(1000), int max_calls_per_connection = 100) {
         protocol::StartConfig orders;
         orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
-        orders.terms.opening = default_config();
-        orders.terms.opening.list_mode = ListMode::kQueried;
-        orders.terms.opening.hedging_enabled = false;
-        orders.terms.opening.cells = 2;
-        orders.terms.opening.request_classes[0].idempotency = idempotency,
-        orders.terms.opening.request_classes[0].latency_target = due;
+        orders.terms.scheduler = default_config();
+        orders.terms.scheduler.list_mode = ListMode::kQueried;
+        orders.terms.scheduler.hedging_enabled = false;
+        orders.terms.scheduler.cells = 2;
+        orders.terms.scheduler.request_classes[0].idempotency = idempotency,
+        orders.terms.scheduler.request_classes[0].latency_target = due;
         orders.terms.request_classes = {"find"}, orders.terms.shards = 2;
         orders.terms.max_calls_per_connection = max_calls_per_connection;
-        orders.terms.opening.connect_timeout = ms(250);
+        orders.terms.scheduler.connect_timeout = ms(250);
         orders.terms.idle_timeout = ms(15'000), orders.terms.watch_timeout = ms(100'000);
         orders.known.version = 1;
         for (int i = 0; i < 2; ++i)
