--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -43,10 +43,10 @@
 }
 
 std::vector<MemberList::MemberInfo> MemberList::members() const {
-    std::vector<MemberInfo> all;
+    std::vector<MemberInfo> result;
     for (const auto& [name, member] : members_)
-        all.push_back({name, member.address, member.state, member.since});
-    return all;
+        result.push_back({name, member.address, member.state, member.since});
+    return result;
 }
 
 const std::string* MemberList::address_of(const std::string& name) const {
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -228,7 +228,7 @@
     result.handshakes.steps_per_second = tls.number("handshake_steps_a_second", 1, 100'000, 1000);
     result.handshakes.steps_per_turn =
         static_cast<std::size_t>(tls.integer("handshake_steps_a_turn", 1, 100, 4));
-    result.ticket_span = seconds(tls.integer("ticket_span_s", 1, 86'400, 3600));
+    result.ticket_lifetime = seconds(tls.integer("ticket_span_s", 1, 86'400, 3600));
     tls.reject_unknown();
     FieldReader http2 = top.object("http2").value_or(FieldReader(none, "http2"));
     limits::ConnectionLimits& terms = result.connections;
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -68,7 +68,7 @@
     std::vector<ListenerSettings> listeners;
     access::HandshakeLimits handshakes;
     limits::ConnectionLimits connections;
-    Tenths ticket_span = 0;
+    Tenths ticket_lifetime = 0;
     AuditSettings audit;
 };
 
--- a/src/program/credential_commands.cpp
+++ b/src/program/credential_commands.cpp
@@ -64,9 +64,9 @@
 void store_times(const Options& options, const Key& key) {
     const std::string secret = private_path(options, key.name);
     if (fs::exists(secret)) {
-        Key held = read_key({secret, read_file(secret)});
-        held.times = key.times;
-        write_file(secret, write_key(held, true), true);
+        Key stored = read_key({secret, read_file(secret)});
+        stored.times = key.times;
+        write_file(secret, write_key(stored, true), true);
     }
     write_file(public_path(options, key.name), write_key(key, false),
                key.signing.algorithm() == Algorithm::kHs256);
@@ -82,15 +82,15 @@
     fs::create_directories(secret);
     fs::permissions(secret, fs::perms::owner_all);
     const KeyRing ring = read_ring(options.folder);
-    Rotation made = rotate(ring, options.name, selected_algorithm(options), transport::Loop::wall(),
-                           options.lead_s * kTenthsPerSecond, options.overlap_s * kTenthsPerSecond);
-    if (first) made.changed_keys.clear();
+    Rotation rotation = rotate(ring, options.name, selected_algorithm(options), transport::Loop::wall(),
+                               options.lead_s * kTenthsPerSecond, options.overlap_s * kTenthsPerSecond);
+    if (first) rotation.changed_keys.clear();
     if (ring.keys().size() + 1 > 64)
         throw AccessError("the key folder has 64 keys already: remove those that are gone");
-    store_key(options, made.new_key);
-    for (const Key& key : made.changed_keys) store_times(options, key);
-    std::cout << made.new_key.name << ": active in " << options.lead_s << " s\n";
-    for (const Key& key : made.changed_keys)
+    store_key(options, rotation.new_key);
+    for (const Key& key : rotation.changed_keys) store_times(options, key);
+    std::cout << rotation.new_key.name << ": active in " << options.lead_s << " s\n";
+    for (const Key& key : rotation.changed_keys)
         std::cout << key.name << ": outgoing then, gone " << options.overlap_s << " s later\n";
     return 0;
 }
@@ -106,14 +106,14 @@
         store_times(options, key);
         std::cout << key.name << ": gone\n";
     }
-    Revocations held = read_revocations(options);
-    held.remove_expired(now, 3600 * kTenthsPerSecond, kMaxTokenLife);
+    Revocations revocations = read_revocations(options);
+    revocations.remove_expired(now, 3600 * kTenthsPerSecond, kMaxTokenLife);
     const bool member = !options.club.empty() || !options.member.empty();
     if (member && (options.club.empty() || options.member.empty()))
         throw AccessError("a member needs --club and --member");
     // Revokes tokens issued in the current second too: a new one must be signed in the next.
-    if (member) held.members[options.club + "/" + options.member] = now + kTenthsPerSecond;
-    if (!options.id.empty()) held.tokens[options.id] = now + options.ttl_s * kTenthsPerSecond;
+    if (member) revocations.members[options.club + "/" + options.member] = now + kTenthsPerSecond;
+    if (!options.id.empty()) revocations.tokens[options.id] = now + options.ttl_s * kTenthsPerSecond;
     if (!options.serial.empty()) {
         std::string serial = options.serial;
         std::erase(serial, ':');
@@ -122,10 +122,10 @@
         serial.erase(0, std::min(serial.find_first_not_of('0'), serial.size() - 1));
         if (serial.find_first_not_of("0123456789abcdef") != std::string::npos)
             throw AccessError("a serial number is hexadecimal");
-        held.certificates[serial] = now;
+        revocations.certificates[serial] = now;
     }
     if (member || !options.id.empty() || !options.serial.empty())
-        write_file(revocations_path(options), held.write(), false), std::cout << "revoked\n";
+        write_file(revocations_path(options), revocations.write(), false), std::cout << "revoked\n";
     else if (options.name.empty())
         throw AccessError("nothing to revoke: give --name, --club and --member, --id or --serial");
     return 0;
@@ -142,9 +142,9 @@
             std::cout << ", gone in " << (key.times.gone - now) / kTenthsPerSecond << " s";
         std::cout << (fs::exists(private_path(options, name)) ? "" : ", verifies only") << "\n";
     }
-    const Revocations held = read_revocations(options);
-    std::cout << "revoked: " << held.tokens.size() << " tokens, " << held.members.size() << " members, "
-              << held.certificates.size() << " certificates\n";
+    const Revocations revocations = read_revocations(options);
+    std::cout << "revoked: " << revocations.tokens.size() << " tokens, " << revocations.members.size()
+              << " members, " << revocations.certificates.size() << " certificates\n";
     return 0;
 }
 
@@ -194,13 +194,13 @@
     const auto options = std::make_shared<Options>();
     const auto command = [&run, options](CLI::App* group, const char* name, const char* description,
                                          int (*act)(const Options&)) {
-        auto* made = group->add_subcommand(name, description);
-        made->add_option("--dir", options->folder, "the key folder")->capture_default_str();
-        made->callback([&run, options, act] { run = [options, act] { return act(*options); }; });
-        return made;
+        auto* subcommand = group->add_subcommand(name, description);
+        subcommand->add_option("--dir", options->folder, "the key folder")->capture_default_str();
+        subcommand->callback([&run, options, act] { run = [options, act] { return act(*options); }; });
+        return subcommand;
     };
-    const auto algorithm = [options](CLI::App* made, const char* description) {
-        made->add_option("--alg", options->algorithm, description)
+    const auto algorithm = [options](CLI::App* subcommand, const char* description) {
+        subcommand->add_option("--alg", options->algorithm, description)
             ->check(CLI::IsMember({"EdDSA", "ES256", "HS256"}));
     };
     auto* keys = app.add_subcommand("keys", "create, rotate and revoke keys");
@@ -209,10 +209,11 @@
         command(keys, "new", "create a key", [](const Options& o) { return add_key(o, true); });
     auto* rotate_command = command(keys, "rotate", "create a key that replaces the active one",
                                    [](const Options& o) { return add_key(o, false); });
-    for (auto* made : {new_command, rotate_command}) {
-        made->add_option("--name", options->name, "the new key's name, never used before")->required();
-        algorithm(made, "EdDSA (as the active key where there is one), ES256 or HS256");
-        made->add_option("--active-in", options->lead_s,
+    for (auto* subcommand : {new_command, rotate_command}) {
+        subcommand->add_option("--name", options->name, "the new key's name, never used before")->required();
+        algorithm(subcommand, "EdDSA (as the active key where there is one), ES256 or HS256");
+        subcommand
+            ->add_option("--active-in", options->lead_s,
                          "seconds until it may sign; all front nodes must know it by then")
             ->check(CLI::Range(0, 30 * 86400));
     }
@@ -234,19 +235,21 @@
 
     auto* tokens = app.add_subcommand("token", "sign or inspect a token");
     tokens->require_subcommand(1);
-    auto* made = command(tokens, "sign", "sign a token with the active key", sign);
-    made->add_option("--name", options->name, "another key than the active one");
-    made->add_option("--club", options->club, "the member's club")->required();
-    made->add_option("--member", options->member, "the member")->required();
-    made->add_option("--rights", options->rights, "read, write")
+    auto* subcommand = command(tokens, "sign", "sign a token with the active key", sign);
+    subcommand->add_option("--name", options->name, "another key than the active one");
+    subcommand->add_option("--club", options->club, "the member's club")->required();
+    subcommand->add_option("--member", options->member, "the member")->required();
+    subcommand->add_option("--rights", options->rights, "read, write")
         ->delimiter(',')
         ->check(CLI::IsMember({"read", "write"}));
-    made->add_option("--own", options->own, "keys of the member's notes; KEY* for a prefix")->delimiter(',');
-    made->add_option("--ttl", options->ttl_s, "seconds until it expires")
+    subcommand->add_option("--own", options->own, "keys of the member's notes; KEY* for a prefix")
+        ->delimiter(',');
+    subcommand->add_option("--ttl", options->ttl_s, "seconds until it expires")
         ->check(CLI::Range(1, 366 * 86400))
         ->capture_default_str();
-    made->add_option("--issuer", options->issuer, "as in the operator's file")->capture_default_str();
-    made->add_option("--audience", options->audience, "as in the operator's file")->capture_default_str();
+    subcommand->add_option("--issuer", options->issuer, "as in the operator's file")->capture_default_str();
+    subcommand->add_option("--audience", options->audience, "as in the operator's file")
+        ->capture_default_str();
     auto* show_command = command(tokens, "show", "print a token's content and whether it is valid", show);
     show_command->add_option("token", options->token, "the token")->required();
 }
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -101,7 +101,7 @@
     operator_settings_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
     const operators::OperatorSettings& settings = operator_settings_->settings;
     check_names(settings, configuration_.terms.request_classes, configuration_.terms.tenants);
-    tickets_.emplace(loop_, settings.ticket_span);
+    tickets_.emplace(loop_, settings.ticket_lifetime);
     audit_.emplace(settings.audit);
     if (settings.membership) {
         coordination_ =
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -32,7 +32,7 @@
 // Random keys for TLS session tickets; access/ticket_keys.hpp describes their rotation.
 class TicketKeyStore : public transport::TicketStore {
   public:
-    TicketKeyStore(const transport::Loop& loop, Tenths span) : loop_(loop), keys_(span) {}
+    TicketKeyStore(const transport::Loop& loop, Tenths lifetime) : loop_(loop), keys_(lifetime) {}
     const transport::TicketSecret* encryption_key() override;
     const transport::TicketSecret* decryption_key(const unsigned char* name, bool& renew) override;
 
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -184,9 +184,10 @@
     for (const auto& [shard, count] : since_check_.shards)
         update_mean(own_shard_rates_[shard], static_cast<double>(count) / elapsed_s, kShardRateWeight);
     own_demand_.shards.clear();
-    double all = 0;
-    for (const auto& [shard, rate] : own_shard_rates_) all += rate;
-    for (const auto& [shard, rate] : own_shard_rates_) own_demand_.shards[shard] = all > 0 ? rate / all : 0;
+    double total = 0;
+    for (const auto& [shard, rate] : own_shard_rates_) total += rate;
+    for (const auto& [shard, rate] : own_shard_rates_)
+        own_demand_.shards[shard] = total > 0 ? rate / total : 0;
     for (const auto& [name, server] : servers_)
         if (server.live && !server.draining && !is_unavailable(monitor_.state(server.site)) &&
             !monitor_.is_silent(name, now_))
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -1,6 +1,6 @@
 // Failover between sites, as run by one front node; free of I/O. Inputs: the front node's traffic counts, the
 // server list, the reports of other front nodes, operators' overrides and the time. Outputs: reports to other
-// front nodes, policies for the decision module and log lines. It runs periodically beside the searches,
+// front nodes, policies for the search scheduler and log lines. It runs periodically beside the searches,
 // which never wait for it.
 //
 // Without peers it relies on its own traffic and on the last known number of front nodes. No input can add an
@@ -22,7 +22,7 @@
     std::string name;
     SiteName home_site;
     std::uint64_t seed = 0;
-    std::vector<std::string> request_classes, tenants, zones; // in the decision module's order
+    std::vector<std::string> request_classes, tenants, zones; // in the search scheduler's order
     std::map<std::string, RequestClassInfo> request_class_info;
     std::map<std::string, double> quotas;
     Tenths latency_target = 0; // the shortest of all request classes
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -1,4 +1,4 @@
-// The part of a failover plan that the decision module consults: which sites take part in replica selection,
+// The part of a failover plan that the search scheduler consults: which sites take part in replica selection,
 // which searches are rejected, which parts are left out. Set by `FailoverPolicyUpdate`
 // (search_scheduler.hpp); it does not expire, so the failover controller must withdraw it. Without one,
 // nothing is restricted.
--- a/src/recovery/load_assignment.cpp
+++ b/src/recovery/load_assignment.cpp
@@ -58,9 +58,9 @@
     std::vector<Graph::Node> servers;
     for (const AssignmentServer& server : input.servers) {
         servers.push_back(graph.addNode());
-        const std::int64_t all = units(server.capacity);
+        const std::int64_t total = units(server.capacity);
         for (int band = 0; band < kCapacityBands; ++band)
-            arc(servers.back(), sink, all * (band + 1) / kCapacityBands - all * band / kCapacityBands,
+            arc(servers.back(), sink, total * (band + 1) / kCapacityBands - total * band / kCapacityBands,
                 band * kBandCost);
     }
     struct Route {
@@ -141,14 +141,14 @@
 LoadAssignment assign_by_capacity(const AssignmentInput& input) {
     LoadAssignment result;
     for (const auto& [shard, rate] : input.shards) {
-        double all = 0;
+        double total = 0;
         for (const auto& server : input.servers)
-            if (std::ranges::find(server.shards, shard) != server.shards.end()) all += server.capacity;
-        result.served_share[shard] = all > 0 ? 1 : 0;
+            if (std::ranges::find(server.shards, shard) != server.shards.end()) total += server.capacity;
+        result.served_share[shard] = total > 0 ? 1 : 0;
         for (const auto& server : input.servers)
-            if (all > 0 && std::ranges::find(server.shards, shard) != server.shards.end())
-                result.load[server.name] += rate * server.capacity / all,
-                    result.by_site[{shard, server.site}] += server.capacity / all;
+            if (total > 0 && std::ranges::find(server.shards, shard) != server.shards.end())
+                result.load[server.name] += rate * server.capacity / total,
+                    result.by_site[{shard, server.site}] += server.capacity / total;
     }
     compute_utilization(input, result);
     return result;
@@ -191,12 +191,12 @@
             result.by_site[{key.first, server.site}] += flow / input.shards.at(key.first);
     }
     for (const auto& [shard, rate] : input.shards) {
-        double all = 0;
+        double total = 0;
         for (std::size_t i = 0; i < input.servers.size(); ++i) {
             const auto found = parts.find({shard, i});
-            if (found != parts.end()) all += found->second;
+            if (found != parts.end()) total += found->second;
         }
-        result.served_share[shard] = rate > 0 ? std::min(1.0, all / rate) : 1;
+        result.served_share[shard] = rate > 0 ? std::min(1.0, total / rate) : 1;
     }
     compute_utilization(input, result);
     return result;
--- a/src/recovery/load_shedding.cpp
+++ b/src/recovery/load_shedding.cpp
@@ -67,7 +67,7 @@
     }
     // Raises the admitted share to `up_to`, as far as the capacity of its shards allows. Where a search uses
     // few of many shards, the fullest shards don't limit most searches: they are skipped here, and the
-    // decision module rejects the searches that use them.
+    // search scheduler rejects the searches that use them.
     void admit(Candidate& candidate, double up_to) {
         if (candidate.impossible || candidate.admitted_share >= up_to) return;
         std::vector<std::pair<double, double>> ratios; // capacity / usage, and share of the shard
@@ -160,7 +160,7 @@
             result.admissions[candidate.key] = {
                 candidate.impossible ? 0 : std::clamp(candidate.admitted_share, 0.0, 1.0),
                 std::clamp(candidate.answer_weight, 0.0, 1.0), candidate.impossible};
-            result.most_utility += candidate.searches * candidate.utility;
+            result.max_utility += candidate.searches * candidate.utility;
             result.utility += candidate.impossible ? 0
                                                    : candidate.searches * candidate.utility *
                                                          candidate.admitted_share * candidate.answer_weight;
--- a/src/recovery/load_shedding.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -21,8 +21,8 @@
 
 struct SheddingPlan {
     std::map<TrafficClass, Admission> admissions;
-    std::map<int, double> served_share;   // share of each shard's demand that is admitted
-    double utility = 0, most_utility = 0; // per second; the latter if all were admitted
+    std::map<int, double> served_share;  // share of each shard's demand that is admitted
+    double utility = 0, max_utility = 0; // per second; the latter if all were admitted
 };
 
 SheddingPlan plan_shedding(const SheddingInput& input);
--- a/src/recovery/peer_reports.cpp
+++ b/src/recovery/peer_reports.cpp
@@ -9,7 +9,8 @@
     if (reports_.size() >= kMaxReports && !reports_.contains(report.from)) return;
     ReceivedReport& other = reports_[report.from];
     // Drops duplicates and reordered reports. After `kDemandLifetime` any serial is accepted.
-    if (other.received_at != 0 && report.serial <= other.report.serial && fresh(other, now, kDemandLifetime))
+    if (other.received_at != 0 && report.serial <= other.report.serial &&
+        is_fresh(other, now, kDemandLifetime))
         return;
     other = {std::move(report), now};
 }
@@ -22,19 +23,19 @@
         node_count_ =
             had_peers_ ? static_cast<int>(names.size()) + 1 : std::max(1, options_.configured_nodes);
     std::erase_if(reports_, [&](const auto& entry) {
-        return !fresh(entry.second, now, kDemandLifetime) || !names.contains(entry.first);
+        return !is_fresh(entry.second, now, kDemandLifetime) || !names.contains(entry.first);
     });
 }
 
 std::size_t PeerReports::fresh_reports(Tenths now) const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        reports_, [&](const auto& entry) { return fresh(entry.second, now, kObservationLifetime); }));
+        reports_, [&](const auto& entry) { return is_fresh(entry.second, now, kObservationLifetime); }));
 }
 
 std::map<SiteName, PeerObservations> PeerReports::observations(Tenths now) const {
     std::map<SiteName, PeerObservations> result;
     for (const auto& [name, other] : reports_) {
-        if (!fresh(other, now, kObservationLifetime)) continue;
+        if (!is_fresh(other, now, kObservationLifetime)) continue;
         for (const auto& row : other.report.rows) {
             // Ignores what front nodes say of their own site: they may be cut off together with it.
             if (other.report.home_site == row.site) continue;
@@ -50,7 +51,7 @@
 double PeerReports::answer_rate(Tenths now, double own) const {
     double sum = 0, count = 0;
     for (const auto& [name, other] : reports_)
-        if (fresh(other, now, kDemandLifetime)) sum += other.report.answer_rate, ++count;
+        if (is_fresh(other, now, kDemandLifetime)) sum += other.report.answer_rate, ++count;
     return own + (count > 0 ? sum / count : own) * (node_count_ - 1);
 }
 
@@ -62,37 +63,37 @@
     std::map<int, double> shards;
     double count = 0;
     const auto add = [](auto& into, auto& per_shard, const Demand& source, double scale) {
-        double parts = 0, all = 0;
+        double parts = 0, total = 0;
         for (const auto& [key, row] : source.rows) {
             into[key].searches += scale * row.searches, into[key].parts += scale * row.searches * row.parts;
             parts += row.searches * row.parts;
         }
-        for (const auto& [shard, share] : source.shards) all += share;
+        for (const auto& [shard, share] : source.shards) total += share;
         for (const auto& [shard, share] : source.shards)
-            per_shard[shard] += all > 0 ? scale * parts * share / all : 0;
+            per_shard[shard] += total > 0 ? scale * parts * share / total : 0;
     };
-    std::map<TrafficClass, Sum> theirs;
-    std::map<int, double> their_shards;
+    std::map<TrafficClass, Sum> peer_sums;
+    std::map<int, double> peer_shards;
     for (const auto& [name, other] : reports_) {
-        if (!fresh(other, now, kDemandLifetime)) continue;
-        add(theirs, their_shards, other.report.demand, 1);
+        if (!is_fresh(other, now, kDemandLifetime)) continue;
+        add(peer_sums, peer_shards, other.report.demand, 1);
         ++count;
     }
     add(sums, shards, own, 1);
     const double scale = node_count_ - 1;
     if (count > 0) {
-        for (const auto& [key, sum] : theirs)
+        for (const auto& [key, sum] : peer_sums)
             sums[key].searches += sum.searches / count * scale, sums[key].parts += sum.parts / count * scale;
-        for (const auto& [shard, rate] : their_shards) shards[shard] += rate / count * scale;
+        for (const auto& [shard, rate] : peer_shards) shards[shard] += rate / count * scale;
     } else {
         add(sums, shards, own, scale);
     }
     Demand result;
     for (const auto& [key, sum] : sums)
         if (sum.searches > 0) result.rows[key] = {sum.searches, sum.parts / sum.searches};
-    double all = 0;
-    for (const auto& [shard, rate] : shards) all += rate;
-    for (const auto& [shard, rate] : shards) result.shards[shard] = all > 0 ? rate / all : 0;
+    double total = 0;
+    for (const auto& [shard, rate] : shards) total += rate;
+    for (const auto& [shard, rate] : shards) result.shards[shard] = total > 0 ? rate / total : 0;
     return result;
 }
 
@@ -100,7 +101,7 @@
     std::map<SiteName, double> result;
     if (!options_.home_site.empty()) result[options_.home_site] += 1;
     for (const auto& [name, other] : reports_)
-        if (fresh(other, now, kDemandLifetime) && !other.report.home_site.empty())
+        if (is_fresh(other, now, kDemandLifetime) && !other.report.home_site.empty())
             result[other.report.home_site] += 1;
     double sum = 0;
     for (const auto& [site, count] : result) sum += count;
--- a/src/recovery/peer_reports.hpp
+++ b/src/recovery/peer_reports.hpp
@@ -42,7 +42,7 @@
     const std::map<std::string, ReceivedReport>& latest() const { return reports_; }
 
   private:
-    bool fresh(const ReceivedReport& received, Tenths now, int intervals) const {
+    bool is_fresh(const ReceivedReport& received, Tenths now, int intervals) const {
         return now <= received.received_at + intervals * options_.report_interval;
     }
 
--- a/src/recovery/plan.cpp
+++ b/src/recovery/plan.cpp
@@ -32,18 +32,18 @@
         served_shards.insert(server.shards.begin(), server.shards.end());
         result.capacity += assignment.servers.back().capacity;
     }
-    double all = 0, left = 0;
-    for (const auto& [shard, share] : input.demand.shards) all += share;
+    double total = 0, remaining_share = 0;
+    for (const auto& [shard, share] : input.demand.shards) total += share;
     for (const auto& [shard, share] : input.demand.shards) {
         if (served_shards.contains(shard))
-            assignment.shards[shard] = all > 0 ? result.demand * share / all : 0;
+            assignment.shards[shard] = total > 0 ? result.demand * share / total : 0;
         else
             result.lost_shards.insert(shard);
     }
     // Clients of an unavailable site go to the other sites.
     for (const auto& [site, share] : input.origins)
-        if (!without.contains(site)) assignment.origins[site] = share, left += share;
-    for (auto& [site, share] : assignment.origins) share /= std::max(left, 1e-9);
+        if (!without.contains(site)) assignment.origins[site] = share, remaining_share += share;
+    for (auto& [site, share] : assignment.origins) share /= std::max(remaining_share, 1e-9);
     result.assignment = assign_load(assignment);
     SheddingInput shedding{input.request_classes, input.quotas, input.demand, {}};
     for (const auto& [shard, rate] : assignment.shards)
--- a/src/recovery/traffic_counter.hpp
+++ b/src/recovery/traffic_counter.hpp
@@ -25,11 +25,12 @@
         row.rejected += end == SearchEnd::kRejected ? 1 : 0;
         row.failed += end == SearchEnd::kFailed ? 1 : 0;
     }
-    void count_attempt(const std::string& server, Outcome outcome, Tenths took, const LoadReport& report) {
+    void count_attempt(const std::string& server, Outcome outcome, Tenths response_time,
+                       const LoadReport& report) {
         ServerCounts& row = counts_.servers[server];
         switch (outcome) {
         case Outcome::kAnswered:
-            ++row.good, row.response_time += took;
+            ++row.good, row.response_time += response_time;
             [[fallthrough]];
         case Outcome::kError:
         case Outcome::kRejected:
@@ -42,7 +43,7 @@
             ++row.unanswered;
             break;
         case Outcome::kCancelled: // cancelled: counts only if the server had enough time to reply
-            row.unanswered += took >= silence_threshold_ ? 1 : 0;
+            row.unanswered += response_time >= silence_threshold_ ? 1 : 0;
             break;
         case Outcome::kNotSent:
             break;
@@ -50,7 +51,7 @@
         if (report.in_flight && report.queued && *report.queued > 0)
             row.max_busy = std::max(row.max_busy, *report.in_flight);
         if (outcome == Outcome::kAnswered && report.queued && *report.queued <= 0)
-            ++row.idle_answers, row.idle_response_time += took;
+            ++row.idle_answers, row.idle_response_time += response_time;
         ++counts_.attempts;
     }
     void count_probe(const std::string& server, bool passed) {
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -24,10 +24,10 @@
 
 ServerId Instance::server_of(std::string_view name) {
     if (const auto found = ids_.find(name); found != ids_.end()) return found->second;
-    const ServerId fresh{static_cast<std::uint32_t>(names_.size())};
-    ids_.emplace(name, fresh);
+    const ServerId id{static_cast<std::uint32_t>(names_.size())};
+    ids_.emplace(name, id);
     names_.emplace_back(name);
-    return fresh;
+    return id;
 }
 
 void Instance::apply(Tenths now, const Message& message) {
@@ -45,13 +45,13 @@
                                               message.number("SizeOrWeight", 0)});
     } else if (message.name() == "RETURNED") {
         const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
-        const Tenths took = tenths_rounded_down(message.integer("DelaySeenUs", 0));
+        const Tenths elapsed = tenths_rounded_down(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
         // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
-        if (outcome == Outcome::kConnectTimeout && took < connect_timeout_)
+        if (outcome == Outcome::kConnectTimeout && elapsed < connect_timeout_)
             outcome = Outcome::kConnectionRefused;
         scheduler_->handle(now, AttemptEnded{PartId{request_id(message)}, attempt,
-                                             server_of(message.text("Server")), outcome, took,
+                                             server_of(message.text("Server")), outcome, elapsed,
                                              read_report(message)});
     } else if (message.name() == "CHECKED") {
         scheduler_->handle(now, ProbeEnded{server_of(message.text("Server")), message.text("How") == "pass",
@@ -64,12 +64,12 @@
 }
 
 void Instance::apply_list(Tenths now, ListKind kind, const EndpointList& endpoints) {
-    ServerListUpdate news{kind, {}};
+    ServerListUpdate update{kind, {}};
     for (const ListedEndpoint& row : endpoints) {
-        news.entries.push_back(row.entry);
-        news.entries.back().server = server_of(row.server);
+        update.entries.push_back(row.entry);
+        update.entries.back().server = server_of(row.server);
     }
-    scheduler_->handle(now, news);
+    scheduler_->handle(now, update);
 }
 
 std::string Instance::decide(Tenths now) {
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,4 +1,4 @@
-// One simulated front node: encodes the decision module's actions as wire messages and maps server names to
+// One simulated front node: encodes the search scheduler's actions as wire messages and maps server names to
 // ids.
 #pragma once
 #include "search_scheduler.hpp"
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// The simulator's adapter: runs the decision module of several simulated front nodes in one process. Reads
+// The simulator's adapter: runs the search scheduler of several simulated front nodes in one process. Reads
 // batches of events from standard input, passes them to the instances and writes one reply per batch.
 // Malformed input ends the process with a message on standard error and a non-zero status.
 #include "simulator/instance.hpp"
--- a/tests/lab/site_world.cpp
+++ b/tests/lab/site_world.cpp
@@ -654,7 +654,7 @@
     }
     for (int shard = 0; shard < plan_.shards; ++shard) terms.demand.shards[shard] = 1.0 / plan_.shards;
     const recovery::Plan plan = recovery::plan_without(terms, {});
-    return plan.shedding.most_utility > 0 ? plan.shedding.utility / plan.shedding.most_utility : 0;
+    return plan.shedding.max_utility > 0 ? plan.shedding.utility / plan.shedding.max_utility : 0;
 }
 
 } // namespace ivyrill::lab
