--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -4,7 +4,7 @@
 // status is 1 where a promise broke.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
-#include "lab/hall.hpp"
+#include "lab/front_node_fixture.hpp"
 #include "script/script.hpp"
 #include "transport/loop.hpp"
 
@@ -65,7 +65,7 @@
 }
 
 // One client after another on one connection; its wrong credentials come as often as its good ones.
-void search_on(const Hall& hall, Signers& signers, Counts& counts, const access::Key& stranger,
+void search_on(const FrontNodeFixture& fixture, Signers& signers, Counts& counts, const access::Key& stranger,
                const access::Key& gone, int number, const std::atomic<bool>& stop) {
     std::mt19937_64 chance(static_cast<std::uint64_t>(number) + 1);
     std::optional<Client> client;
@@ -79,46 +79,46 @@
             old_key = signers.has_before && chance() % 3 == 0;
             key = old_key ? signers.before : signers.current;
         }
-        const std::string good = hall.token(member, key);
+        const std::string good = fixture.token(member, key);
         for (int i = 0; i < 40 && !stop; ++i) {
-            Ask ask;
-            ask.id = member + "-" + std::to_string(made++), ask.token = good;
-            ask.shard = static_cast<int>(chance() % 2);
+            SearchRequest request;
+            request.id = member + "-" + std::to_string(made++), request.token = good;
+            request.shard = static_cast<int>(chance() % 2);
             bool wanted = true;
             int kind = 0;
             if (chance() % 2 == 0) {
                 wanted = false, kind = 1 + static_cast<int>(chance() % 12);
                 const Tenths s = kTenthsPerSecond;
-                if (kind == 1) ask.token.clear();
-                if (kind == 2) ask.token = with_spoilt_signature(good);
-                if (kind == 3) ask.token = hall.token(member, stranger);
-                if (kind == 4) ask.token = hall.token(member, key, -60 * s);
-                if (kind == 5) ask.token = good.substr(0, good.size() / 2);
-                if (kind == 6) ask.tenant = "conca";
-                if (kind == 7) ask.request_class = "annotate", ask.key = "g2";
+                if (kind == 1) request.token.clear();
+                if (kind == 2) request.token = with_spoilt_signature(good);
+                if (kind == 3) request.token = fixture.token(member, stranger);
+                if (kind == 4) request.token = fixture.token(member, key, -60 * s);
+                if (kind == 5) request.token = good.substr(0, good.size() / 2);
+                if (kind == 6) request.tenant = "conca";
+                if (kind == 7) request.request_class = "annotate", request.key = "g2";
                 if (kind == 8)
-                    ask.request_class = "annotate", ask.key = "g1",
-                    ask.token = hall.token(member, key, 60 * s, {"g1"}, false);
-                if (kind == 9) ask.token = hall.token("taken-back", key);
-                if (kind == 10) ask.token = hall.token(member, gone);
+                    request.request_class = "annotate", request.key = "g1",
+                    request.token = fixture.token(member, key, 60 * s, {"g1"}, false);
+                if (kind == 9) request.token = fixture.token("taken-back", key);
+                if (kind == 10) request.token = fixture.token(member, gone);
                 if (kind == 11)
-                    ask.token =
+                    request.token =
                         bare_token({{"alg", "none"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}}, good, "x");
                 if (kind == 12)
-                    ask.token = bare_token({{"alg", "HS256"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}},
-                                           good, std::string(32, 'x'));
+                    request.token = bare_token({{"alg", "HS256"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}},
+                                               good, std::string(32, 'x'));
             } else if (chance() % 4 == 0) {
-                ask.request_class = "annotate", ask.key = "g1";
+                request.request_class = "annotate", request.key = "g1";
             }
             int status = 0;
             try {
                 if (!client) {
                     if (number % 2 == 0)
-                        client.emplace(hall.plain());
+                        client.emplace(fixture.plain_address());
                     else
-                        client.emplace(hall.sealed(), TlsWish{});
+                        client.emplace(fixture.tls_address(), TlsWish{});
                 }
-                client->say(search_bytes(ask));
+                client->say(search_bytes(request));
                 status = client->answer().status;
             } catch (const std::exception&) {
                 ++counts.errors;
@@ -128,7 +128,8 @@
             ++counts.searches, ++counts.bad_kinds[kind];
             const bool let_in = status == 200;
             if (wanted && !let_in) ++counts.wrongful_refusals;
-            if (!wanted && (let_in || hall.fleet.attempts(ask.id + "." + std::to_string(ask.shard)) > 0))
+            if (!wanted &&
+                (let_in || fixture.fleet.attempts(request.id + "." + std::to_string(request.shard)) > 0))
                 ++counts.wrongful_admissions;
         }
         if (chance() % 4 == 0) client.reset(); // new connections and handshakes meanwhile
@@ -141,13 +142,13 @@
 };
 
 // A connection is let in by certificate, left open, and its certificate revoked: how long until it ends.
-void revoke_one(Hall& hall, int number, Revocations& counted) {
-    const Issued issued = hall.issue("c" + std::to_string(number));
-    Client client(hall.certified(), TlsWish{issued.certificate, issued.key, false, {}});
+void revoke_one(FrontNodeFixture& fixture, int number, Revocations& counted) {
+    const Issued issued = fixture.issue("c" + std::to_string(number));
+    Client client(fixture.client_certificate_address(), TlsWish{issued.certificate, issued.key, false, {}});
     client.say(search_bytes({"cert-" + std::to_string(number)}));
     if (client.answer().status != 200) throw std::runtime_error("a good certificate was refused");
     const auto begun = Clock::now();
-    hall.revoke_serials({issued.serial});
+    fixture.revoke_serials({issued.serial});
     if (!client.ends()) throw std::runtime_error("a revoked connection spoke");
     ++counted.open_connections;
     counted.longest_ms = std::max(counted.longest_ms, micros(Clock::now() - begun) / 1000);
@@ -210,14 +211,14 @@
     return quantile(times, 0.5);
 }
 
-double time_handshakes(const Hall& hall, double seconds) {
+double time_handshakes(const FrontNodeFixture& fixture, double seconds) {
     std::atomic<std::uint64_t> made = 0;
     const auto end = Clock::now() + std::chrono::duration<double>(seconds);
     std::vector<std::thread> threads;
     for (int i = 0; i < 3; ++i)
         threads.emplace_back([&] {
             while (Clock::now() < end) {
-                Client client(hall.sealed(), TlsWish{});
+                Client client(fixture.tls_address(), TlsWish{});
                 client.say("GET /-/ready HTTP/1.1\r\n\r\n");
                 made += client.answer().status == 200 ? 1 : 0;
             }
@@ -228,13 +229,14 @@
 
 // CPU of the front node for so many searches on its plain port, by four clients; the same token each, as
 // members use one for long.
-double cpu_of_searches(const Hall& hall, bool with_token, const std::string& name, int searches) {
-    const std::string token = with_token ? hall.token("anna", hall.key()) : std::string();
-    const std::uint64_t before = hall.cpu_us();
+double cpu_of_searches(const FrontNodeFixture& fixture, bool with_token, const std::string& name,
+                       int searches) {
+    const std::string token = with_token ? fixture.token("anna", fixture.key()) : std::string();
+    const std::uint64_t before = fixture.cpu_us();
     std::vector<std::thread> threads;
     for (int i = 0; i < 4; ++i)
         threads.emplace_back([&, i] {
-            Client client(hall.plain());
+            Client client(fixture.plain_address());
             for (int n = 0; n < searches / 4; ++n) {
                 client.say(search_bytes(
                     {name + std::to_string(i) + "-" + std::to_string(n), "find", "", token, "", n % 2}));
@@ -242,7 +244,7 @@
             }
         });
     for (std::thread& thread : threads) thread.join();
-    return static_cast<double>(hall.cpu_us() - before) / searches;
+    return static_cast<double>(fixture.cpu_us() - before) / searches;
 }
 
 int measure() {
@@ -250,7 +252,7 @@
     const double script_us = time_script();
     double plain_us = 0, guarded_us = 0;
     {
-        Hall open({2, Idempotency::kIdempotent, false, {}, 512}),
+        FrontNodeFixture open({2, Idempotency::kIdempotent, false, {}, 512}),
             guarded({2, Idempotency::kIdempotent, true, {}, 512});
         for (int round = 0; round < 4; ++round) { // in turn, so that the machine's mood falls on both
             plain_us += cpu_of_searches(open, false, "p" + std::to_string(round), 3000) / 4;
@@ -258,10 +260,11 @@
         }
     }
     // The bound on handshakes is put out of the way: what is asked for is how many there could be.
-    Hall hall({2, Idempotency::kNonIdempotent, true,
-               "tls = {\"handshake_steps_a_second\": 100000, \"handshake_steps_a_turn\": 16}\n", 512});
-    const double handshakes = time_handshakes(hall, 2);
-    hall.revoke_member("taken-back", transport::Loop::wall() + 3600 * kTenthsPerSecond);
+    FrontNodeFixture fixture(
+        {2, Idempotency::kNonIdempotent, true,
+         "tls = {\"handshake_steps_a_second\": 100000, \"handshake_steps_a_turn\": 16}\n", 512});
+    const double handshakes = time_handshakes(fixture, 2);
+    fixture.revoke_member("taken-back", transport::Loop::wall() + 3600 * kTenthsPerSecond);
     const Tenths now = transport::Loop::wall() / kTenthsPerSecond * kTenthsPerSecond;
     access::Key gone{"long-gone",
                      access::SigningKey::generate(Algorithm::kEdDsa),
@@ -269,10 +272,10 @@
     access::Key stranger{"stranger",
                          access::SigningKey::generate(Algorithm::kEdDsa),
                          {0, 10'000, access::kNever, access::kNever}};
-    hall.write_key(gone);
-    if (!hall.await_audit("swapped", 2)) throw std::runtime_error("the revocation was not taken up");
+    fixture.write_key(gone);
+    if (!fixture.await_audit("swapped", 2)) throw std::runtime_error("the revocation was not taken up");
 
-    Signers signers{{}, hall.key(), hall.key(), false};
+    Signers signers{{}, fixture.key(), fixture.key(), false};
     Counts counts;
     Revocations revocations;
     std::atomic<bool> stop = false;
@@ -282,29 +285,30 @@
         ~Stopped() { stop = true; }
     } const stopped{stop};
     for (int i = 0; i < kSearchers; ++i)
-        searchers.emplace_back([&, i] { search_on(hall, signers, counts, stranger, gone, i, stop); });
+        searchers.emplace_back([&, i] { search_on(fixture, signers, counts, stranger, gone, i, stop); });
     int rotations = 0, refused_reloads = 0;
     const auto begun = Clock::now();
     std::uint64_t gone_asked = 0;
     const auto late = [&] { return Clock::now() > begun + std::chrono::seconds(30); };
     while ((rotations < kRotations || counts.searches < kLeastSearches) && !late()) {
         constexpr Algorithm kInTurn[] = {Algorithm::kEdDsa, Algorithm::kEs256, Algorithm::kHs256};
-        const access::Key before = hall.key();
-        const std::size_t swaps = hall.audited("swapped");
+        const access::Key before = fixture.key();
+        const std::size_t swaps = fixture.count_audit_lines("swapped");
         ++rotations;
-        hall.rotate("r" + std::to_string(rotations), kInTurn[rotations % 3], kOverlapS * kTenthsPerSecond);
-        if (!hall.await_audit("swapped", swaps + 1)) throw std::runtime_error("a rotation was not taken up");
+        fixture.rotate("r" + std::to_string(rotations), kInTurn[rotations % 3], kOverlapS * kTenthsPerSecond);
+        if (!fixture.await_audit("swapped", swaps + 1))
+            throw std::runtime_error("a rotation was not taken up");
         {
             const std::lock_guard lock(signers.mutex);
-            signers.before = before, signers.current = hall.key(), signers.has_before = true;
+            signers.before = before, signers.current = fixture.key(), signers.has_before = true;
         }
-        revoke_one(hall, rotations, revocations);
-        hall.renew_server();
+        revoke_one(fixture, rotations, revocations);
+        fixture.renew_server();
         if (rotations % 5 == 0) { // a reload that is no good, under way
-            const std::size_t kept = hall.audited("kept");
-            hall.write("keys/broken.jwk", "{");
-            if (!hall.await_audit("kept", kept + 1)) throw std::runtime_error("a broken key was taken up");
-            std::remove((hall.folder() + "/keys/broken.jwk").c_str());
+            const std::size_t kept = fixture.count_audit_lines("kept");
+            fixture.write("keys/broken.jwk", "{");
+            if (!fixture.await_audit("kept", kept + 1)) throw std::runtime_error("a broken key was taken up");
+            std::remove((fixture.folder() + "/keys/broken.jwk").c_str());
             ++refused_reloads;
         }
         std::this_thread::sleep_for(
@@ -316,12 +320,12 @@
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
         // What is signed with a key that is gone is refused, a moment after.
-        for (const access::Key& key : hall.keys()) {
+        for (const access::Key& key : fixture.keys()) {
             if (key.times.gone == access::kNever || transport::Loop::wall() < key.times.gone + 10) continue;
             ++gone_asked;
-            Client client(hall.plain());
+            Client client(fixture.plain_address());
             client.say(search_bytes(
-                {"gone-" + key.name + std::to_string(rotations), "find", "", hall.token("anna", key)}));
+                {"gone-" + key.name + std::to_string(rotations), "find", "", fixture.token("anna", key)}));
             if (client.answer().status != 401) ++counts.wrongful_admissions;
         }
     }
@@ -330,7 +334,7 @@
     const double seconds = micros(Clock::now() - begun) / 1e6;
     nlohmann::ordered_json kinds;
     for (int i = 0; i < 13; ++i) kinds.push_back(counts.bad_kinds[i].load());
-    const std::size_t twice = hall.fleet.max_attempts();
+    const std::size_t twice = fixture.fleet.max_attempts();
     nlohmann::ordered_json line = {
         {"searches", counts.searches.load()},
         {"rotations", rotations},
@@ -357,7 +361,7 @@
     const bool kept = counts.searches >= 20'000 && rotations >= 20 && counts.wrongful_refusals == 0 &&
                       counts.wrongful_admissions == 0 && counts.errors == 0 &&
                       revocations.open_connections >= 20 && revocations.longest_ms <= kMostRevocationMs &&
-                      gone_asked > 0 && hall.running() && twice == 1;
+                      gone_asked > 0 && fixture.running() && twice == 1;
     return kept ? 0 : 1;
 }
 
--- a/bench/h2.cpp
+++ b/bench/h2.cpp
@@ -1,8 +1,8 @@
 // `make measure NAME=h2`: one connection with many searches against many connections, drains under load, and
 // a good client beside each kind of bad one. What should have become of each search is known and counted. The
 // last line is one JSON object; the exit status is 1 where a promise broke.
+#include "lab/front_node_fixture.hpp"
 #include "lab/h2_client.hpp"
-#include "lab/hall.hpp"
 
 #include <algorithm>
 #include <atomic>
@@ -31,10 +31,10 @@
     std::atomic<std::uint64_t> searches = 0, doubled_answers = 0, lost = 0;
 };
 
-Ask ask_for(const std::string& id, std::size_t answer = 4) {
-    Ask ask{id};
-    ask.query = std::string(answer, 'x');
-    return ask;
+SearchRequest ask_for(const std::string& id, std::size_t answer = 4) {
+    SearchRequest request{id};
+    request.query = std::string(answer, 'x');
+    return request;
 }
 
 void count(const H2Answer& answer, Counts& counts) {
@@ -44,14 +44,15 @@
 }
 
 // So many searches with so many at once, on one connection.
-void search_h2(const Hall& hall, const std::string& name, int searches, int at_once, Counts& counts) {
-    H2Client client(hall.h2());
+void search_h2(const FrontNodeFixture& fixture, const std::string& name, int searches, int at_once,
+               Counts& counts) {
+    H2Client client(fixture.h2_address());
     std::vector<std::int32_t> open;
     for (int sent = 0, done = 0; done < searches;) {
         while (sent < searches && static_cast<int>(open.size()) < at_once) {
-            Ask ask = ask_for(name + std::to_string(sent++));
-            ask.shard = sent % 2;
-            open.push_back(client.ask(search_fields(ask), search_body(ask)));
+            SearchRequest request = ask_for(name + std::to_string(sent++));
+            request.shard = sent % 2;
+            open.push_back(client.request(search_fields(request), search_body(request)));
         }
         if (!client.step()) throw std::runtime_error("the connection ended");
         std::erase_if(open, [&](std::int32_t stream) {
@@ -62,28 +63,29 @@
     }
 }
 
-void search_h1(const Hall& hall, const std::string& name, int searches, int at_once, Counts& counts) {
+void search_h1(const FrontNodeFixture& fixture, const std::string& name, int searches, int at_once,
+               Counts& counts) {
     std::vector<std::jthread> threads;
     for (int i = 0; i < at_once; ++i)
         threads.emplace_back([&, i] {
-            Client client(hall.plain());
+            Client client(fixture.plain_address());
             for (int n = i; n < searches; n += at_once) {
-                Ask ask = ask_for(name + std::to_string(n));
-                ask.shard = n % 2;
-                client.say(search_bytes(ask));
+                SearchRequest request = ask_for(name + std::to_string(n));
+                request.shard = n % 2;
+                client.say(search_bytes(request));
                 client.answer();
                 ++counts.searches;
             }
         });
 }
 
-std::vector<double> victim(const Hall& hall, const std::string& name, Counts& counts) {
-    H2Client client(hall.h2());
+std::vector<double> victim(const FrontNodeFixture& fixture, const std::string& name, Counts& counts) {
+    H2Client client(fixture.h2_address());
     std::vector<double> times;
     for (int i = 0; i < kVictimSearches; ++i) {
-        const Ask ask = ask_for(name + std::to_string(i));
+        const SearchRequest request = ask_for(name + std::to_string(i));
         const auto begun = Clock::now();
-        const auto stream = client.ask(search_fields(ask), search_body(ask));
+        const auto stream = client.request(search_fields(request), search_body(request));
         count(client.await(stream), counts);
         times.push_back(millis(Clock::now() - begun));
     }
@@ -110,8 +112,8 @@
          false,
          [](H2Client& c, int i) {
              if (i < 60) {
-                 const Ask ask = ask_for(fresh_id(), 8000);
-                 c.ask(search_fields(ask), search_body(ask));
+                 const SearchRequest request = ask_for(fresh_id(), 8000);
+                 c.request(search_fields(request), search_body(request));
              }
              c.round_trip();
              std::this_thread::sleep_for(std::chrono::milliseconds(20)); // paces the attack
@@ -120,8 +122,8 @@
         {"one-byte-window",
          false,
          [](H2Client& c, int i) {
-             const Ask ask = ask_for(fresh_id(), 8000);
-             if (i == 0) c.ask(search_fields(ask), search_body(ask));
+             const SearchRequest request = ask_for(fresh_id(), 8000);
+             if (i == 0) c.request(search_fields(request), search_body(request));
              c.open_window(1, 1);
              c.step();
          },
@@ -129,8 +131,8 @@
         {"rapid-reset", true,
          [](H2Client& c, int i) {
              if (i % 50 == 0) c.round_trip(); // it hears when it is told to go
-             const Ask ask = ask_for(fresh_id());
-             c.reset(c.ask(search_fields(ask), search_body(ask)));
+             const SearchRequest request = ask_for(fresh_id());
+             c.reset(c.request(search_fields(request), search_body(request)));
          }},
         {"ping", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PING, 0, 0, eight)); }},
         {"settings", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_SETTINGS, 0, 0, {})); }},
@@ -144,19 +146,20 @@
          [](H2Client& c, int) {
              H2Client::Fields fields = search_fields(ask_for("x"));
              for (int i = 0; i < 10; ++i) fields.emplace_back("x-long", std::string(3000, 'a'));
-             c.await(c.ask(fields, {}));
+             c.await(c.request(fields, {}));
          }},
     };
 }
 
 // Again and again on a new connection, as whoever means it would.
-ordered_json attack_while(const Hall& hall, const Attack& attack, const std::function<void()>& work) {
+ordered_json attack_while(const FrontNodeFixture& fixture, const Attack& attack,
+                          const std::function<void()>& work) {
     std::atomic<bool> stop = false;
     std::uint64_t connections = 0, ended = 0, deeds = 0;
     std::jthread attacker([&] {
         while (!stop) {
             try {
-                H2Client client(Client(hall.h2(), 300), attack.plan);
+                H2Client client(Client(fixture.h2_address(), 300), attack.plan);
                 ++connections;
                 for (int i = 0; !stop && !client.ended; ++i) attack.act(client, i), ++deeds;
                 client.await_end(); // what it was told, if it never listened
@@ -183,11 +186,11 @@
     std::size_t twice = 0;
     bool attacks_kept = true;
     {
-        Hall hall({2, Idempotency::kIdempotent, true, {}, 512});
-        victim(hall, "warm", counts);
+        FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, {}, 512});
+        victim(fixture, "warm", counts);
         std::vector<double> calm;
         for (int round = 0; round < 2; ++round) { // the quieter of two is no yardstick: the middle of both
-            const auto times = victim(hall, "calm" + std::to_string(round), counts);
+            const auto times = victim(fixture, "calm" + std::to_string(round), counts);
             calm.push_back(times[times.size() * 99 / 100]);
         }
         const double calm_p99 = (calm[0] + calm[1]) / 2;
@@ -195,55 +198,56 @@
         for (const Attack& attack : attacks()) {
             progress(attack.name);
             std::vector<double> times;
-            ordered_json outcome =
-                attack_while(hall, attack, [&] { times = victim(hall, std::string(attack.name), counts); });
+            ordered_json outcome = attack_while(
+                fixture, attack, [&] { times = victim(fixture, std::string(attack.name), counts); });
             const double ratio = times[times.size() * 99 / 100] / calm_p99;
             outcome["victim_p50_ms"] = times[times.size() / 2], outcome["victim_p99_ratio"] = ratio;
             if (ratio > worst) worst = ratio, worst_name = attack.name;
             attacks_kept = attacks_kept && (!attack.ends || outcome["ended_by_us"] > 0);
             told[attack.name] = outcome;
         }
-        const std::uint64_t before = hall.memory_kb();
+        const std::uint64_t before = fixture.memory_kb();
         constexpr int kBlocked = 90;
-        H2Client blocked(hall.h2(), {false, 0});
+        H2Client blocked(fixture.h2_address(), {false, 0});
         for (int i = 0; i < kBlocked; ++i) {
-            const Ask ask = ask_for("held" + std::to_string(i), 8000);
-            const auto stream = blocked.ask(search_fields(ask), search_body(ask));
+            const SearchRequest request = ask_for("held" + std::to_string(i), 8000);
+            const auto stream = blocked.request(search_fields(request), search_body(request));
             while (blocked.answer(stream).status == 0 && blocked.step()) {}
         }
-        const std::uint64_t after = hall.memory_kb();
+        const std::uint64_t after = fixture.memory_kb();
         per_blocked = static_cast<double>(after > before ? after - before : 0) / kBlocked;
-        twice = hall.fleet.max_attempts();
+        twice = fixture.fleet.max_attempts();
     }
     progress("one connection against many");
     double h1_us = 0, h2_us = 0;
     {
-        Hall hall({2, Idempotency::kIdempotent, true, "access[\"plain_port\"] = \"open\"\n", 512});
+        FrontNodeFixture fixture(
+            {2, Idempotency::kIdempotent, true, "access[\"plain_port\"] = \"open\"\n", 512});
         for (int round = 0; round < 3; ++round) {
-            std::uint64_t at = hall.cpu_us();
-            search_h1(hall, "one" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
-            h1_us += static_cast<double>(hall.cpu_us() - at) / kRateSearches;
-            at = hall.cpu_us();
-            search_h2(hall, "two" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
-            h2_us += static_cast<double>(hall.cpu_us() - at) / kRateSearches;
+            std::uint64_t at = fixture.cpu_us();
+            search_h1(fixture, "one" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
+            h1_us += static_cast<double>(fixture.cpu_us() - at) / kRateSearches;
+            at = fixture.cpu_us();
+            search_h2(fixture, "two" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
+            h2_us += static_cast<double>(fixture.cpu_us() - at) / kRateSearches;
         }
-        twice = std::max(twice, hall.fleet.max_attempts());
+        twice = std::max(twice, fixture.fleet.max_attempts());
     }
     progress("drains");
     std::uint64_t drain_lost = 0;
     for (int drain = 0; drain < kDrains; ++drain) {
-        Hall hall({2, Idempotency::kNonIdempotent, true, {}, 512});
-        H2Client client(hall.h2());
-        hall.fleet.hold(true);
+        FrontNodeFixture fixture({2, Idempotency::kNonIdempotent, true, {}, 512});
+        H2Client client(fixture.h2_address());
+        fixture.fleet.hold(true);
         std::vector<std::int32_t> streams;
         for (int i = 0; i < kDrainStreams; ++i) {
-            Ask ask = ask_for("d" + std::to_string(i));
-            ask.request_class = "annotate";
-            streams.push_back(client.ask(search_fields(ask), search_body(ask)));
+            SearchRequest request = ask_for("d" + std::to_string(i));
+            request.request_class = "annotate";
+            streams.push_back(client.request(search_fields(request), search_body(request)));
         }
-        if (!hall.fleet.await_attempt("d0.0")) ++drain_lost; // others wait for an attempt of theirs
-        hall.signal(SIGTERM);
-        hall.fleet.hold(false);
+        if (!fixture.fleet.await_attempt("d0.0")) ++drain_lost; // others wait for an attempt of theirs
+        fixture.signal(SIGTERM);
+        fixture.fleet.hold(false);
         for (const std::int32_t stream : streams) {
             const H2Answer& answer = client.await(stream);
             count(answer, counts);
@@ -253,8 +257,8 @@
             drain_lost += told ? 0 : 1;
         }
         client.await_end();
-        drain_lost += hall.exit_status() == 0 ? 0 : 1;
-        twice = std::max(twice, hall.fleet.max_attempts());
+        drain_lost += fixture.exit_status() == 0 ? 0 : 1;
+        twice = std::max(twice, fixture.fleet.max_attempts());
     }
     const double h1 = 1e6 / h1_us, h2 = 1e6 / h2_us;
     line["searches"] = counts.searches.load();
--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -1,7 +1,7 @@
 // What the order of work promises, measured: real processes with faults between them, and the same state
 // machines in virtual time, side by side. The last line is one JSON object; the exit status is 1 where a
 // promise is broken. `--long` plays ten times as much.
-#include "lab/rig.hpp"
+#include "lab/process_harness.hpp"
 #include "maintenance/plan.hpp"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 
 constexpr Tenths kS = kTenthsPerSecond;
 
-double share_of(std::vector<Tenths> values, double share) {
+double percentile_ms(std::vector<Tenths> values, double share) {
     if (values.empty()) return 0;
     std::ranges::sort(values);
     return static_cast<double>(
@@ -32,59 +32,61 @@
 
 // ---- virtual time
 
-json play_schedules(std::uint64_t count, unsigned threads) {
+json run_fault_schedules(std::uint64_t count, unsigned threads) {
     std::atomic<std::uint64_t> next = 1;
     std::mutex mutex;
     json made{
         {"schedules", count}, {"schedule_violations", 0}, {"under_floor_ms", 0}, {"turns", 0}, {"faults", 0}};
     std::vector<Tenths> failovers;
-    std::vector<std::thread> players;
+    std::vector<std::thread> workers;
     for (unsigned i = 0; i < threads; ++i)
-        players.emplace_back([&] {
+        workers.emplace_back([&] {
             for (std::uint64_t seed; (seed = next++) <= count;) {
-                const ScheduleResult result = play(draw_schedule(seed));
+                const FaultScheduleResult result = run_fault_schedule(generate_fault_schedule(seed));
                 const std::lock_guard lock(mutex);
-                made["turns"] = made["turns"].get<std::uint64_t>() + result.counts.turns_done;
+                made["turns"] = made["turns"].get<std::uint64_t>() + result.counts.jobs_done;
                 made["faults"] = made["faults"].get<std::uint64_t>() + result.counts.faults;
-                made["under_floor_ms"] = made["under_floor_ms"].get<std::int64_t>() + result.under_floor / 10;
+                made["under_floor_ms"] =
+                    made["under_floor_ms"].get<std::int64_t>() + result.time_below_min_replicas / 10;
                 failovers.insert(failovers.end(), result.failovers.begin(), result.failovers.end());
-                if (result.broken.empty()) continue;
+                if (result.violations.empty()) continue;
                 made["schedule_violations"] = made["schedule_violations"].get<int>() + 1;
                 std::fprintf(stderr, "schedule %llu: %s\n", static_cast<unsigned long long>(seed),
-                             result.broken.front().c_str());
+                             result.violations.front().c_str());
                 if (made["schedule_violations"] == 1)
-                    for (const std::string& line : play(shrink(draw_schedule(seed))).story)
+                    for (const std::string& line :
+                         run_fault_schedule(minimize_fault_schedule(generate_fault_schedule(seed))).event_log)
                         std::fprintf(stderr, "  %s\n", line.c_str());
             }
         });
-    for (auto& player : players) player.join();
-    made["failover_ms_p99"] = share_of(failovers, 0.99);
+    for (auto& player : workers) player.join();
+    made["failover_ms_p99"] = percentile_ms(failovers, 0.99);
     return made;
 }
 
 // Evenings without a fault, small enough that the best order is known.
-json play_evenings(int count) {
+json run_fault_free_schedules(int count) {
     double ours = 0, first_come = 0;
     for (int i = 0; i < count; ++i) {
-        WorldPlan plan;
+        SimulatedMaintenancePlan plan;
         plan.seed = static_cast<std::uint64_t>(i) + 1;
         plan.servers = 9, plan.shards = 6, plan.replicas = 3, plan.zones = 3, plan.work = 60 * kS;
-        plan.spans.work = plan.spans.drain = plan.spans.warm_up = 200 * kS;
+        plan.timing.work = plan.timing.drain = plan.timing.warm_up = 200 * kS;
         plan.limits.fleet_share = 0.4, plan.heartbeat = kS / 2;
-        EveningWorld world(plan);
-        world.until([&] { return world.leader() >= 0 && !world.evening().fleet().empty(); }, 60 * kS);
+        SimulatedMaintenance world(plan);
+        world.until([&] { return world.leader() >= 0 && !world.schedule().fleet().empty(); }, 60 * kS);
         std::vector<std::string> ordered;
         for (int s = 0; s < 7; ++s) ordered.push_back("s" + std::to_string(s));
-        world.order(0, ordered, "one");
-        world.until([&] { return world.evening().job("s6") != nullptr; }, 20 * kS);
-        const maintenance::MaintenanceSchedule start = world.evening();
+        world.add_maintenance_jobs(0, ordered, "one");
+        world.until([&] { return world.schedule().job("s6") != nullptr; }, 20 * kS);
+        const maintenance::MaintenanceSchedule start = world.schedule();
         std::vector<maintenance::PlannedJob> tasks;
         for (const std::string& name : ordered)
             tasks.push_back({name, start.fleet().at(name).duration, false, 0});
         const maintenance::Constraints room(start.limits(), start.fleet(), start.voters());
         const auto best = maintenance::plan_exhaustive(room, tasks, {}, 7);
-        world.until([&] { return world.all_over(); }, 3000 * kS);
-        if (!best || best->duration == 0 || !world.all_over()) continue;
+        world.until([&] { return world.all_jobs_finished(); }, 3000 * kS);
+        if (!best || best->duration == 0 || !world.all_jobs_finished()) continue;
         const auto length = static_cast<double>(best->duration);
         ours = std::max(ours, static_cast<double>(world.ended - world.began) / length);
         first_come = std::max(
@@ -95,13 +97,13 @@
     return {{"evening_over_best", ours}, {"evening_first_come", first_come}};
 }
 
-WorldPlan members(int count) {
-    WorldPlan plan;
+SimulatedMaintenancePlan members(int count) {
+    SimulatedMaintenancePlan plan;
     plan.fronts = count, plan.candidates = 0, plan.servers = 0, plan.shards = 0;
     return plan;
 }
 
-double bytes_a_node(EveningWorld& world) {
+double bytes_per_node_second(SimulatedMaintenance& world) {
     world.pass(20 * kS); // until all know all
     const std::uint64_t before = world.counts().bytes;
     world.pass(10 * kS);
@@ -109,7 +111,7 @@
 }
 
 // A member that dies among 300: until the last of the others knows.
-double detect_ms(EveningWorld& world) {
+double detect_ms(SimulatedMaintenance& world) {
     std::vector<Tenths> took;
     for (const int dead : {40}) {
         const Tenths at = world.now();
@@ -118,11 +120,11 @@
         world.front(dead).failed = true;
         std::set<int> waiting;
         for (int i = 0; i < 300; ++i)
-            if (world.front(i).warden) waiting.insert(i);
+            if (world.front(i).node) waiting.insert(i);
         while (!waiting.empty() && world.now() < at + 60 * kS) {
             world.pass(kS / 5);
             std::erase_if(waiting, [&](int i) {
-                if (world.front(i).warden->member_list().state_of(name) != membership::MemberState::kFailed)
+                if (world.front(i).node->member_list().state_of(name) != membership::MemberState::kFailed)
                     return false;
                 took.push_back(world.now() - at);
                 return true;
@@ -130,13 +132,13 @@
         }
         for (std::size_t i = 0; i < waiting.size(); ++i) took.push_back(60 * kS);
     }
-    return share_of(took, 0.99);
+    return percentile_ms(took, 0.99);
 }
 
-double false_failures_an_hour() {
-    WorldPlan plan = members(20);
-    plan.loss = 0.05;
-    EveningWorld world(plan);
+double false_failures_per_hour() {
+    SimulatedMaintenancePlan plan = members(20);
+    plan.loss_ratio = 0.05;
+    SimulatedMaintenance world(plan);
     world.pass(30 * kS);
     std::uint64_t failed = 0;
     world.on_line = [&](int, const maintenance::LogLine& line) {
@@ -146,17 +148,17 @@
     return static_cast<double>(failed) * 6;
 }
 
-json virtual_part(bool longer, unsigned threads) {
+json measure_simulation(bool long_run, unsigned threads) {
     json more[3];
     std::thread parts[] = {
-        std::thread([&] { more[0] = play_evenings(longer ? 40 : 4); }), std::thread([&] {
-            EveningWorld ten(members(10)), many(members(300));
-            more[1]["bytes_per_node_s_10"] = bytes_a_node(ten);
-            more[1]["bytes_per_node_s_300"] = bytes_a_node(many);
+        std::thread([&] { more[0] = run_fault_free_schedules(long_run ? 40 : 4); }), std::thread([&] {
+            SimulatedMaintenance ten(members(10)), many(members(300));
+            more[1]["bytes_per_node_s_10"] = bytes_per_node_second(ten);
+            more[1]["bytes_per_node_s_300"] = bytes_per_node_second(many);
             more[1]["detect_ms_p99_300"] = detect_ms(many);
         }),
-        std::thread([&] { more[2]["false_suspicions_per_hour_5pct_loss"] = false_failures_an_hour(); })};
-    json made = play_schedules(longer ? 20'000 : 2'000, threads);
+        std::thread([&] { more[2]["false_suspicions_per_hour_5pct_loss"] = false_failures_per_hour(); })};
+    json made = run_fault_schedules(long_run ? 20'000 : 2'000, threads);
     for (auto& part : parts) part.join();
     for (const json& one : more) made.update(one);
     return made;
@@ -164,127 +166,129 @@
 
 // ---- processes
 
-double share_paid(const SearchCounts& counts) {
+double utility_ratio(const SearchCounts& counts) {
     return counts.most_utility > 0 ? counts.utility / counts.most_utility : 0;
 }
 
 struct Processes {
     json made;
-    std::vector<std::string> wrong;
+    std::vector<std::string> violations_found;
 };
 
-Processes evening_of_processes() {
-    RigPlan plan;
+Processes measure_processes() {
+    ProcessHarnessPlan plan;
     plan.program = IVYRILL_PROGRAM;
     plan.candidates = plan.fronts = 5;
-    Rig rig(plan);
+    ProcessHarness harness(plan);
     for (int i = 0; i < plan.fronts; ++i)
-        if (!rig.ready(i)) return {{}, {"a front node did not start"}};
-    rig.await([&] {
-        const json shown = rig.show(0);
+        if (!harness.ready(i)) return {{}, {"a front node did not start"}};
+    harness.await([&] {
+        const json shown = harness.show(0);
         return shown.is_object() && shown["leader"] != "" && shown["machines"] >= 17;
     });
-    rig.start_clients(4, 250);
-    rig.await([&] { return rig.counts().asked >= 500; });
-    const SearchCounts calm = rig.stop_clients();
+    harness.start_clients(4, 250);
+    harness.await([&] { return harness.counts().asked >= 500; });
+    const SearchCounts without_faults = harness.stop_clients();
 
-    rig.start_clients(4, 250);
-    std::vector<std::string> wrong;
-    const auto ordered = rig.work(1, {"add", "s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "n1", "n3"});
-    if (ordered.first != 0) wrong.push_back("the order was refused: " + ordered.second);
+    harness.start_clients(4, 250);
+    std::vector<std::string> violations_found;
+    const auto ordered =
+        harness.run_work_command(1, {"add", "s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "n1", "n3"});
+    if (ordered.first != 0) violations_found.push_back("the order was refused: " + ordered.second);
     const auto done = [&](std::size_t count) {
-        return rig.await([&] { return rig.turns_done() >= count; }, 15'000);
+        return harness.await([&] { return harness.jobs_done() >= count; }, 15'000);
     };
     done(2);
-    rig.lose(0.1, 0.05, 20 * kS / 1000);
-    const json shown = rig.show(0);
+    harness.set_packet_faults(0.1, 0.05, 20 * kS / 1000);
+    const json shown = harness.show(0);
     const int leader =
         shown.is_object() && shown["leader"] != "" ? shown["leader"].get<std::string>()[1] - '0' : 0;
-    rig.stall(leader, true); // for longer than a grant lasts
-    const Tenths stalled = rig.now();
-    rig.await([&] { return rig.now() > stalled + 2 * kS; });
-    rig.stall(leader, false);
+    harness.stall(leader, true); // for longer than a grant lasts
+    const Tenths stalled = harness.now();
+    harness.await([&] { return harness.now() > stalled + 2 * kS; });
+    harness.stall(leader, false);
     done(4);
-    rig.lose(0, 0, 0);
-    rig.cut({4});
-    const Tenths cut = rig.now();
-    rig.await([&] { return rig.now() > cut + kS; });
-    rig.heal();
-    const int killed = rig.running(2) ? 2 : 0;
-    rig.kill(killed);
-    rig.start(killed);
-    if (!rig.await([&] { return rig.evening_over(0); }, 25'000))
-        wrong.push_back("the evening of processes does not end");
-    const SearchCounts during = rig.stop_clients();
-    for (const std::string& what : rig.judge()) wrong.push_back(what);
+    harness.set_packet_faults(0, 0, 0);
+    harness.cut({4});
+    const Tenths cut = harness.now();
+    harness.await([&] { return harness.now() > cut + kS; });
+    harness.heal();
+    const int killed = harness.running(2) ? 2 : 0;
+    harness.kill(killed);
+    harness.start(killed);
+    if (!harness.await([&] { return harness.maintenance_finished(0); }, 25'000))
+        violations_found.push_back("the evening of processes does not end");
+    const SearchCounts during = harness.stop_clients();
+    for (const std::string& what : harness.check_history()) violations_found.push_back(what);
     json made{{"processes", plan.fronts},
-              {"searches", calm.asked + during.asked},
-              {"turns_done", rig.turns_done()},
-              {"faults_injected", rig.faults()},
-              {"lost_searches", calm.lost + during.lost},
-              {"payoff_during_work_over_calm", share_paid(during) / share_paid(calm)},
-              {"shard_under_floor_ms", rig.under_floor() / 10}};
+              {"searches", without_faults.asked + during.asked},
+              {"turns_done", harness.jobs_done()},
+              {"faults_injected", harness.faults()},
+              {"lost_searches", without_faults.lost + during.lost},
+              {"payoff_during_work_over_calm", utility_ratio(during) / utility_ratio(without_faults)},
+              {"shard_under_floor_ms", harness.time_below_min_replicas() / 10}};
     const auto count = [&](const char* words) {
         return std::ranges::count_if(
-            wrong, [&](const std::string& what) { return what.find(words) != std::string::npos; });
+            violations_found, [&](const std::string& what) { return what.find(words) != std::string::npos; });
     };
     made["doubled_launches"] = count("launched twice");
     made["two_holders"] = count("two holders");
     made["stale_acts_accepted"] = count("stale") + count("older number");
-    made["rules_broken"] = wrong.size();
-    return {made, wrong};
+    made["rules_broken"] = violations_found.size();
+    return {made, violations_found};
 }
 
 // The settings say 40 front nodes where there are 5: C3's n as it is seen against n as it is stated.
-double payoff_with(bool seen) {
-    RigPlan plan;
+double measure_utility(bool seen) {
+    ProcessHarnessPlan plan;
     plan.program = IVYRILL_PROGRAM;
-    plan.stated_nodes = 40, plan.with_rota = false, plan.talks = seen;
-    Rig rig(plan);
-    for (int i = 0; i < plan.fronts; ++i) rig.ready(i);
-    rig.start_clients(4, 250);
-    rig.await([&] { return rig.counts().asked >= 600; });
-    return share_paid(rig.stop_clients());
+    plan.stated_nodes = 40, plan.with_maintenance = false, plan.with_membership = seen;
+    ProcessHarness harness(plan);
+    for (int i = 0; i < plan.fronts; ++i) harness.ready(i);
+    harness.start_clients(4, 250);
+    harness.await([&] { return harness.counts().asked >= 600; });
+    return utility_ratio(harness.stop_clients());
 }
 
 } // namespace
 
 int main(int count, char** words) {
-    const bool longer = count > 1 && std::string(words[1]) == "--long";
+    const bool long_run = count > 1 && std::string(words[1]) == "--long";
     int ends[2];
     if (pipe(ends) != 0) return 2;
     const pid_t child = fork(); // what is virtual waits for the processes, not they for it
     if (child == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         setpriority(PRIO_PROCESS, 0, 10);
-        const std::string out = virtual_part(longer, 4).dump();
+        const std::string out = measure_simulation(long_run, 4).dump();
         if (write(ends[1], out.data(), out.size()) < 0) _exit(2);
         _exit(0);
     }
     close(ends[1]);
-    Processes processes = evening_of_processes();
-    for (int i = 1; longer && i < 5; ++i) {
-        Processes more = evening_of_processes();
+    Processes processes = measure_processes();
+    for (int i = 1; long_run && i < 5; ++i) {
+        Processes more = measure_processes();
         for (auto& [name, value] : more.made.items())
             if (name != "processes" && name != "payoff_during_work_over_calm")
                 processes.made[name] = processes.made[name].get<std::int64_t>() + value.get<std::int64_t>();
-        processes.wrong.insert(processes.wrong.end(), more.wrong.begin(), more.wrong.end());
+        processes.violations_found.insert(processes.violations_found.end(), more.violations_found.begin(),
+                                          more.violations_found.end());
     }
     json made = processes.made;
-    made["payoff_true_n_over_fixed_n"] = payoff_with(true) / payoff_with(false);
+    made["payoff_true_n_over_fixed_n"] = measure_utility(true) / measure_utility(false);
     std::string text;
     char bytes[4096];
     for (ssize_t got; (got = read(ends[0], bytes, sizeof bytes)) > 0;)
         text.append(bytes, static_cast<std::size_t>(got));
     waitpid(child, nullptr, 0);
     made.update(json::parse(text, nullptr, false));
-    for (const std::string& what : processes.wrong) std::cerr << "broken: " << what << "\n";
+    for (const std::string& what : processes.violations_found) std::cerr << "broken: " << what << "\n";
     const auto zero = [&](const char* name) { return made.contains(name) && made[name] == 0; };
-    const bool kept = zero("rules_broken") && zero("lost_searches") && zero("doubled_launches") &&
-                      zero("two_holders") && zero("stale_acts_accepted") && zero("shard_under_floor_ms") &&
-                      zero("schedule_violations") && zero("under_floor_ms") && made["schedules"] >= 2000 &&
-                      made["evening_over_best"] <= 1.25 && made["payoff_during_work_over_calm"] >= 0.98 &&
-                      made["bytes_per_node_s_300"] <= 1.5 * made["bytes_per_node_s_10"].get<double>();
+    const bool passed = zero("rules_broken") && zero("lost_searches") && zero("doubled_launches") &&
+                        zero("two_holders") && zero("stale_acts_accepted") && zero("shard_under_floor_ms") &&
+                        zero("schedule_violations") && zero("under_floor_ms") && made["schedules"] >= 2000 &&
+                        made["evening_over_best"] <= 1.25 && made["payoff_during_work_over_calm"] >= 0.98 &&
+                        made["bytes_per_node_s_300"] <= 1.5 * made["bytes_per_node_s_10"].get<double>();
     std::cout << made.dump() << "\n";
-    return kept ? 0 : 1;
+    return passed ? 0 : 1;
 }
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -1,7 +1,7 @@
 // Tests over loopback of who is calling: a front node with an operator's file in a process of its own,
 // tokens and certificates that change while it serves. Every wait ends with what it waits for or fails.
 #include "fake_host.hpp"
-#include "lab/hall.hpp"
+#include "lab/front_node_fixture.hpp"
 
 #include <csignal>
 
@@ -11,24 +11,24 @@
 
 using access::Algorithm;
 
-int status(Client& client, const Ask& ask) {
-    client.say(search_bytes(ask));
+int status(Client& client, const SearchRequest& request) {
+    client.say(search_bytes(request));
     return client.answer().status;
 }
 
-int once(const std::string& address, const Ask& ask) {
+int once(const std::string& address, const SearchRequest& request) {
     Client client(address);
-    return status(client, ask);
+    return status(client, request);
 }
 
 constexpr Tenths kHour = 3600 * kTenthsPerSecond;
 
 void token_opens_the_plain_port_and_the_sealed_one() {
-    Hall hall({});
-    const std::string token = hall.token("anna", hall.key());
-    Client plain(hall.plain()), sealed(hall.sealed(), TlsWish{}),
-        old(hall.sealed(), TlsWish{{}, {}, true, {}});
-    for (Client* client : {&plain, &sealed, &old}) {
+    FrontNodeFixture fixture({});
+    const std::string token = fixture.token("anna", fixture.key());
+    Client plain(fixture.plain_address()), tls_client(fixture.tls_address(), TlsWish{}),
+        old(fixture.tls_address(), TlsWish{{}, {}, true, {}});
+    for (Client* client : {&plain, &tls_client, &old}) {
         static int number = 0;
         const std::string id = "q" + std::to_string(++number);
         client->say(search_bytes({id}));
@@ -40,170 +40,172 @@
         assert(status(*client, {id + "e", "find", "", token, "conca"}) == 403);
         assert(status(*client, {id + "f", "find", "", token + "x"}) == 401);
     }
-    assert(hall.fleet.attempts() == 6 && hall.fleet.attempts("q1.0") == 0 &&
-           hall.fleet.attempts("q1d.0") == 0);
-    assert(hall.await_audit("\"reason\":\"not-owner\"", 3) &&
-           hall.await_audit("\"reason\":\"wrong-club\"", 3));
-    assert(hall.audited(token.substr(0, 30)) == 0); // nothing secret
+    assert(fixture.fleet.attempts() == 6 && fixture.fleet.attempts("q1.0") == 0 &&
+           fixture.fleet.attempts("q1d.0") == 0);
+    assert(fixture.await_audit("\"reason\":\"not-owner\"", 3) &&
+           fixture.await_audit("\"reason\":\"wrong-club\"", 3));
+    assert(fixture.count_audit_lines(token.substr(0, 30)) == 0); // nothing secret
 }
 
 void certificate_names_its_bearer() {
-    Hall hall({});
-    const Issued anna = hall.issue("anna");
-    Client client(hall.certified(), TlsWish{anna.certificate, anna.key, false, {}});
+    FrontNodeFixture fixture({});
+    const Issued anna = fixture.issue("anna");
+    Client client(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
     assert(status(client, {"a1"}) == 200 && status(client, {"a2", "annotate", "g7"}) == 200);
     assert(status(client, {"a3", "annotate", "g1"}) == 403);
-    Client none(hall.certified(), TlsWish{}); // optional there: a token does
+    Client none(fixture.client_certificate_address(), TlsWish{}); // optional there: a token does
     assert(status(none, {"b1"}) == 401 &&
-           status(none, {"b2", "find", "", hall.token("anna", hall.key())}) == 200);
+           status(none, {"b2", "find", "", fixture.token("anna", fixture.key())}) == 200);
     const Authority strange("root", 0, 4'000'000'000 * kTenthsPerSecond);
     const Issued stranger = strange.issue(
         {"x", {"spiffe://trinacria.example/etna/anna"}, {}, 0, 4'000'000'000 * kTenthsPerSecond, false});
-    Client other(hall.certified(), TlsWish{stranger.certificate, stranger.key, false, {}});
-    assert(status(other, {"c1"}) == 401 && hall.fleet.attempts("c1.0") == 0);
+    Client other(fixture.client_certificate_address(),
+                 TlsWish{stranger.certificate, stranger.key, false, {}});
+    assert(status(other, {"c1"}) == 401 && fixture.fleet.attempts("c1.0") == 0);
 }
 
 void keys_change_and_tokens_of_both_count() {
-    Hall hall({});
-    Client client(hall.plain());
-    const access::Key first = hall.key();
-    const std::string old = hall.token("anna", first);
+    FrontNodeFixture fixture({});
+    Client client(fixture.plain_address());
+    const access::Key first = fixture.key();
+    const std::string old = fixture.token("anna", first);
     assert(status(client, {"a1", "find", "", old}) == 200);
-    hall.rotate("k1", Algorithm::kEs256, kHour);
-    assert(hall.await_audit("swapped", 2)); // the fresh key, then the times of the first
+    fixture.rotate("k1", Algorithm::kEs256, kHour);
+    assert(fixture.await_audit("swapped", 2)); // the fresh key, then the times of the first
     assert(status(client, {"a2", "find", "", old}) == 200);
-    assert(status(client, {"a3", "find", "", hall.token("anna", hall.key())}) == 200);
+    assert(status(client, {"a3", "find", "", fixture.token("anna", fixture.key())}) == 200);
     access::Key gone = first;
     gone.times.outgoing = gone.times.gone = transport::Loop::wall() / kTenthsPerSecond * kTenthsPerSecond;
-    const std::size_t swaps = hall.audited("swapped");
-    hall.write_key(gone);
-    assert(hall.await_audit("swapped", swaps + 1));
+    const std::size_t swaps = fixture.count_audit_lines("swapped");
+    fixture.write_key(gone);
+    assert(fixture.await_audit("swapped", swaps + 1));
     assert(status(client, {"a4", "find", "", old}) == 401);
-    assert(status(client, {"a5", "find", "", hall.token("anna", hall.key())}) == 200);
+    assert(status(client, {"a5", "find", "", fixture.token("anna", fixture.key())}) == 200);
 }
 
 void reload_that_is_not_sound_keeps_everything() {
-    Hall hall({});
-    Client client(hall.plain());
-    const std::string token = hall.token("anna", hall.key());
-    hall.write("keys/k9.jwk", "{\"kid\": \"k9\"");
-    assert(hall.await_audit("\"what\":\"kept\""));
+    FrontNodeFixture fixture({});
+    Client client(fixture.plain_address());
+    const std::string token = fixture.token("anna", fixture.key());
+    fixture.write("keys/k9.jwk", "{\"kid\": \"k9\"");
+    assert(fixture.await_audit("\"what\":\"kept\""));
     assert(status(client, {"a1", "find", "", token}) == 200);
-    std::size_t kept = hall.audited("kept");
-    hall.signal(SIGHUP), hall.signal(SIGHUP); // two at once
-    assert(hall.await_audit("kept", ++kept) && status(client, {"a2", "find", "", token}) == 200);
-    kept = hall.audited("kept");
-    hall.write("server.key", hall.issue("x").key); // it does not fit the certificate
-    assert(hall.await_audit("kept", kept + 1));
-    Client sealed(hall.sealed(), TlsWish{});
-    assert(sealed.peer_serial() == hall.server_serial() && hall.running());
-    assert(status(sealed, {"a3", "find", "", token}) == 200);
+    std::size_t kept = fixture.count_audit_lines("kept");
+    fixture.signal(SIGHUP), fixture.signal(SIGHUP); // two at once
+    assert(fixture.await_audit("kept", ++kept) && status(client, {"a2", "find", "", token}) == 200);
+    kept = fixture.count_audit_lines("kept");
+    fixture.write("server.key", fixture.issue("x").key); // it does not fit the certificate
+    assert(fixture.await_audit("kept", kept + 1));
+    Client tls_client(fixture.tls_address(), TlsWish{});
+    assert(tls_client.peer_serial() == fixture.server_serial() && fixture.running());
+    assert(status(tls_client, {"a3", "find", "", token}) == 200);
 }
 
 void own_certificate_changes_and_closes_nothing() {
-    Hall hall({});
-    Client before(hall.sealed(), TlsWish{});
-    const std::string first = hall.server_serial(), token = hall.token("anna", hall.key());
-    hall.renew_server();
-    assert(hall.server_serial() != first && hall.await_audit("swapped"));
+    FrontNodeFixture fixture({});
+    Client before(fixture.tls_address(), TlsWish{});
+    const std::string first = fixture.server_serial(), token = fixture.token("anna", fixture.key());
+    fixture.renew_server();
+    assert(fixture.server_serial() != first && fixture.await_audit("swapped"));
     std::string serial = first;
     while (serial == first)
-        serial = Client(hall.sealed(), TlsWish{}).peer_serial(); // until both files are in
-    assert(serial == hall.server_serial() && before.peer_serial() == first);
+        serial = Client(fixture.tls_address(), TlsWish{}).peer_serial(); // until both files are in
+    assert(serial == fixture.server_serial() && before.peer_serial() == first);
     assert(status(before, {"a1", "find", "", token}) == 200);
 }
 
 void revoked_certificate_ends_its_idle_connection() {
-    Hall hall({});
-    const Issued anna = hall.issue("anna"), bruno = hall.issue("bruno");
-    Client first(hall.certified(), TlsWish{anna.certificate, anna.key, false, {}});
-    Client second(hall.certified(), TlsWish{bruno.certificate, bruno.key, false, {}});
+    FrontNodeFixture fixture({});
+    const Issued anna = fixture.issue("anna"), bruno = fixture.issue("bruno");
+    Client first(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    Client second(fixture.client_certificate_address(), TlsWish{bruno.certificate, bruno.key, false, {}});
     assert(status(first, {"a1"}) == 200 && status(second, {"b1"}) == 200);
-    hall.revoke_serials({anna.serial});
+    fixture.revoke_serials({anna.serial});
     assert(first.ends()); // idle and open: it need not ask anything
     assert(status(second, {"b2"}) == 200);
-    Client again(hall.certified(), TlsWish{anna.certificate, anna.key, false, {}});
-    assert(status(again, {"a2"}) == 401 && hall.await_audit("distrusted"));
+    Client again(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    assert(status(again, {"a2"}) == 401 && fixture.await_audit("distrusted"));
 }
 
 // With a search out, during a drain: its one answer comes, then the connection ends.
 void revoked_with_a_search_out_gets_its_answer_and_the_end() {
-    Hall hall({});
-    const Issued anna = hall.issue("anna");
-    Client client(hall.certified(), TlsWish{anna.certificate, anna.key, false, {}});
-    hall.fleet.hold(true);
+    FrontNodeFixture fixture({});
+    const Issued anna = fixture.issue("anna");
+    Client client(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    fixture.fleet.hold(true);
     client.say(search_bytes({"a1"}));
-    assert(hall.fleet.await_attempt("a1.0"));
-    hall.signal(SIGTERM);
-    hall.revoke_serials({anna.serial});
-    assert(hall.await_audit("\"what\":\"barred\""));
-    hall.fleet.hold(false);
+    assert(fixture.fleet.await_attempt("a1.0"));
+    fixture.signal(SIGTERM);
+    fixture.revoke_serials({anna.serial});
+    assert(fixture.await_audit("\"what\":\"barred\""));
+    fixture.fleet.hold(false);
     assert(client.answer().status == 200 && client.ends());
-    assert(hall.fleet.attempts("a1.0") == 1 && hall.exit_status() == 0);
+    assert(fixture.fleet.attempts("a1.0") == 1 && fixture.exit_status() == 0);
 }
 
 void order_to_stop_behind_a_reload_is_kept() {
-    Hall hall({2, Idempotency::kNonIdempotent, true, {}, 512});
-    Client client(hall.plain());
-    hall.fleet.hold(true);
-    client.say(search_bytes({"a1", "annotate", "g1", hall.token("anna", hall.key())}));
-    assert(hall.fleet.await_attempt("a1.0"));
-    hall.write("keys/k9.jwk", "{");
-    hall.signal(SIGHUP), hall.signal(SIGTERM);
-    hall.fleet.hold(false);
+    FrontNodeFixture fixture({2, Idempotency::kNonIdempotent, true, {}, 512});
+    Client client(fixture.plain_address());
+    fixture.fleet.hold(true);
+    client.say(search_bytes({"a1", "annotate", "g1", fixture.token("anna", fixture.key())}));
+    assert(fixture.fleet.await_attempt("a1.0"));
+    fixture.write("keys/k9.jwk", "{");
+    fixture.signal(SIGHUP), fixture.signal(SIGTERM);
+    fixture.fleet.hold(false);
     const auto answer = client.answer();
-    assert(answer.status == 200 && hall.exit_status() == 0);
+    assert(answer.status == 200 && fixture.exit_status() == 0);
 }
 
 // Half handshakes, and clients that read nothing during theirs, hold up nobody on the plain port.
 void half_handshakes_delay_nobody() {
-    Hall hall({2, Idempotency::kIdempotent, true, "tls = {\"open_handshakes\": 16}\n", 512});
+    FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, "tls = {\"open_handshakes\": 16}\n", 512});
     std::vector<Client> half;
     const std::string hello("\x16\x03\x01\x02\x00\x01", 6); // of a ClientHello that never ends
     for (int i = 0; i < 100; ++i) {
-        half.emplace_back(hall.sealed());
+        half.emplace_back(fixture.tls_address());
         half.back().say(hello);
     }
-    const std::string token = hall.token("anna", hall.key());
-    Client plain(hall.plain());
+    const std::string token = fixture.token("anna", fixture.key());
+    Client plain(fixture.plain_address());
     assert(status(plain, {"a1", "find", "", token}) == 200);
-    Client sealed(hall.sealed(), TlsWish{});
-    assert(status(sealed, {"a2", "find", "", token}) == 200);
+    Client tls_client(fixture.tls_address(), TlsWish{});
+    assert(status(tls_client, {"a2", "find", "", token}) == 200);
     for (Client& client : half) assert(client.ends()); // crowded out, or at the end of their time
-    Client noise(hall.sealed());
+    Client noise(fixture.tls_address());
     noise.say("GET /-/ready HTTP/1.1\r\n\r\n"); // no TLS at all: an alert, then the end
     while (!noise.hear().empty()) {}
     assert(status(plain, {"a3", "find", "", token}) == 200);
 }
 
 void nobody_renegotiates_and_protocols_are_agreed() {
-    Hall hall({});
-    Client old(hall.sealed(), TlsWish{{}, {}, true, std::string("\x02h2\x08http/1.1")});
+    FrontNodeFixture fixture({});
+    Client old(fixture.tls_address(), TlsWish{{}, {}, true, std::string("\x02h2\x08http/1.1")});
     assert(old.protocol() == "http/1.1" && !old.renegotiate());
     bool refused = false;
     try {
-        Client other(hall.sealed(), TlsWish{{}, {}, false, std::string("\x02h2")});
+        Client other(fixture.tls_address(), TlsWish{{}, {}, false, std::string("\x02h2")});
     } catch (const std::runtime_error&) { refused = true; }
     assert(refused);
-    Client client(hall.sealed(), TlsWish{});
-    assert(status(client, {"a1", "find", "", hall.token("anna", hall.key())}) == 200);
+    Client client(fixture.tls_address(), TlsWish{});
+    assert(status(client, {"a1", "find", "", fixture.token("anna", fixture.key())}) == 200);
 }
 
 // Refusals, which any stranger can cause by the thousand, crowd no change out of the audit log.
 void flood_of_refusals_hides_no_change() {
-    Hall hall({});
-    Client client(hall.plain());
+    FrontNodeFixture fixture({});
+    Client client(fixture.plain_address());
     for (int i = 0; i < 1000; ++i) client.say(search_bytes({"a" + std::to_string(i)})), client.answer();
-    hall.rotate("k1", Algorithm::kEdDsa, kHour);
+    fixture.rotate("k1", Algorithm::kEdDsa, kHour);
     for (int i = 0; i < 1000; ++i) client.say(search_bytes({"b" + std::to_string(i)})), client.answer();
-    assert(hall.await_audit("swapped", 2));
-    hall.write("keys/k9.jwk", "{");
-    assert(hall.await_audit("kept"));
+    assert(fixture.await_audit("swapped", 2));
+    fixture.write("keys/k9.jwk", "{");
+    assert(fixture.await_audit("kept"));
 }
 
 void without_an_operators_file_nobody_is_asked() {
-    Hall hall({2, Idempotency::kIdempotent, false, {}, 512});
-    assert(once(hall.plain(), {"a1"}) == 200 && once(hall.plain(), {"a2", "find", "", "nonsense"}) == 200);
+    FrontNodeFixture fixture({2, Idempotency::kIdempotent, false, {}, 512});
+    assert(once(fixture.plain_address(), {"a1"}) == 200 &&
+           once(fixture.plain_address(), {"a2", "find", "", "nonsense"}) == 200);
 }
 
 const Test kTests[] = {
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -1,8 +1,8 @@
 // Tests of HTTP/2 over loopback: a front node in a process of its own, clients that behave and clients that
 // do not. Every wait ends with what it waits for or fails.
 #include "fake_host.hpp"
+#include "lab/front_node_fixture.hpp"
 #include "lab/h2_client.hpp"
-#include "lab/hall.hpp"
 #include "limits/connection_budget.hpp"
 
 #include <csignal>
@@ -13,17 +13,19 @@
 
 namespace {
 
-Ask ask_for(const std::string& id, std::size_t answer_size = 4) {
-    Ask ask{id};
-    ask.query = std::string(answer_size, 'x');
-    return ask;
+SearchRequest ask_for(const std::string& id, std::size_t answer_size = 4) {
+    SearchRequest request{id};
+    request.query = std::string(answer_size, 'x');
+    return request;
 }
 
-std::int32_t send(H2Client& client, const Ask& ask) {
-    return client.ask(search_fields(ask), search_body(ask));
+std::int32_t send(H2Client& client, const SearchRequest& request) {
+    return client.request(search_fields(request), search_body(request));
 }
 
-int status(H2Client& client, const Ask& ask) { return client.await(send(client, ask)).status; }
+int status(H2Client& client, const SearchRequest& request) {
+    return client.await(send(client, request)).status;
+}
 
 void go_on(H2Client& client) { // something more is to come
     const bool open = client.step();
@@ -31,21 +33,21 @@
     assert(open);
 }
 
-bool served(const Hall& hall, const std::string& id) { // by another client
-    H2Client other(hall.h2());
+bool served(const FrontNodeFixture& fixture, const std::string& id) { // by another client
+    H2Client other(fixture.h2_address());
     const H2Answer& answer = other.await(send(other, ask_for(id)));
-    return answer.status == 200 && answer.ended && hall.fleet.attempts(id + ".0") == 1;
+    return answer.status == 200 && answer.ended && fixture.fleet.attempts(id + ".0") == 1;
 }
 
 void many_searches_on_one_connection() {
-    Hall hall({});
-    H2Client client(hall.h2());
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address());
     for (int round = 0; round < 6; ++round) { // ten at once: an untaught module lets no more in
         std::vector<std::int32_t> streams;
         for (int i = 0; i < 10; ++i) {
-            Ask ask = ask_for("q" + std::to_string(round) + "-" + std::to_string(i));
-            ask.shard = i % 2;
-            streams.push_back(send(client, ask));
+            SearchRequest request = ask_for("q" + std::to_string(round) + "-" + std::to_string(i));
+            request.shard = i % 2;
+            streams.push_back(send(client, request));
         }
         for (const std::int32_t stream : streams) {
             const H2Answer& answer = client.await(stream);
@@ -53,23 +55,23 @@
             assert(answer.fields.at("content-length") == std::to_string(answer.body.size()));
         }
     }
-    assert(hall.fleet.max_attempts() == 1 && hall.fleet.attempts() == 60);
+    assert(fixture.fleet.max_attempts() == 1 && fixture.fleet.attempts() == 60);
 }
 
 void access_applies_to_each_stream() {
-    Hall hall({});
-    H2Client client(hall.guarded_h2());
-    Ask good = ask_for("a"), none = ask_for("b"), bad = ask_for("c");
-    good.token = hall.token("anna", hall.key()), bad.token = "x.y.z";
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.access_controlled_h2_address());
+    SearchRequest good = ask_for("a"), none = ask_for("b"), bad = ask_for("c");
+    good.token = fixture.token("anna", fixture.key()), bad.token = "x.y.z";
     const auto one = send(client, good), two = send(client, none), three = send(client, bad);
     assert(client.await(one).status == 200 && client.await(two).status == 401 &&
            client.await(three).status == 401);
     assert(client.answer(two).fields.at("www-authenticate") == "Bearer realm=\"ivyrill\"");
-    const Issued issued = hall.issue("anna");
+    const Issued issued = fixture.issue("anna");
     TlsWish wish{issued.certificate, issued.key, false, std::string("\x02h2")};
-    Client sealed(hall.certified(), wish);
-    assert(sealed.protocol() == "h2");
-    H2Client certified(std::move(sealed), H2Client::Plan{});
+    Client tls_client(fixture.client_certificate_address(), wish);
+    assert(tls_client.protocol() == "h2");
+    H2Client certified(std::move(tls_client), H2Client::Plan{});
     assert(status(certified, ask_for("d")) == 200 && status(certified, ask_for("e")) == 200);
 }
 
@@ -77,58 +79,59 @@
 // other streams go on. What was non-idempotent is not sent again either.
 void stream_that_is_reset_is_attempted_once_and_not_answered() {
     for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
-        Hall hall({2, idempotency, true, {}, 512});
-        H2Client client(hall.h2());
+        FrontNodeFixture fixture({2, idempotency, true, {}, 512});
+        H2Client client(fixture.h2_address());
         const auto write = [&](const std::string& id) {
-            Ask ask = ask_for(id);
-            ask.request_class = "annotate";
-            return send(client, ask);
+            SearchRequest request = ask_for(id);
+            request.request_class = "annotate";
+            return send(client, request);
         };
-        hall.fleet.hold(true);
+        fixture.fleet.hold(true);
         const auto early = write("early");
         client.reset(early); // in the same breath
         const auto out = write("out"), kept = write("kept");
-        assert(hall.fleet.await_attempt("out.0") && hall.fleet.await_attempt("kept.0"));
+        assert(fixture.fleet.await_attempt("out.0") && fixture.fleet.await_attempt("kept.0"));
         client.reset(out);
         client.raw(
             raw_frame(NGHTTP2_RST_STREAM, 0, static_cast<std::uint32_t>(out), std::string("\0\0\0\x08", 4)));
         client.round_trip();
-        hall.fleet.hold(false);
+        fixture.fleet.hold(false);
         assert(client.await(kept).status == 200);
         client.round_trip();
         assert(client.answer(out).answers == 0 && client.answer(early).answers == 0);
-        assert(hall.fleet.attempts("out.0") == 1 && hall.fleet.attempts("early.0") <= 1 && !client.ended);
-        assert(served(hall, "after"));
+        assert(fixture.fleet.attempts("out.0") == 1 && fixture.fleet.attempts("early.0") <= 1 &&
+               !client.ended);
+        assert(served(fixture, "after"));
     }
 }
 
 void stream_reset_with_its_answer_half_written() {
-    Hall hall({});
-    H2Client client(hall.h2(), {false, 100});
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address(), {false, 100});
     const auto half = send(client, ask_for("half", 20'000));
     while (client.answer(half).body.size() < 100) go_on(client);
     client.reset(half);
     assert(client.await(send(client, ask_for("small", 2))).ended);
-    assert(client.answer(half).body.size() == 100 && hall.fleet.attempts("half.0") == 1);
+    assert(client.answer(half).body.size() == 100 && fixture.fleet.attempts("half.0") == 1);
 }
 
 void drain_answers_all_that_were_open_and_those_that_cross() {
-    Hall hall({});
-    H2Client client(hall.h2());
-    hall.fleet.hold(true);
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address());
+    fixture.fleet.hold(true);
     client.holds_pongs = true; // all answers come before the last notice
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 98; ++i) streams.push_back(send(client, ask_for("q" + std::to_string(i))));
-    assert(hall.fleet.await_attempt("q0.0")); // others wait for an attempt
-    Client plain(hall.plain());
-    hall.signal(SIGTERM);
+    assert(fixture.fleet.await_attempt("q0.0")); // others wait for an attempt
+    Client plain(fixture.plain_address());
+    fixture.signal(SIGTERM);
     for (int code = 200; code == 200;) { // until it has heard
         plain.say("GET /-/ready HTTP/1.1\r\n\r\n");
         code = plain.answer().status;
     }
     for (int i = 98; i < 100; ++i)
         streams.push_back(send(client, ask_for("q" + std::to_string(i)))); // unheard yet
-    hall.fleet.hold(false);
+    fixture.fleet.hold(false);
     int delivered = 0;
     for (const std::int32_t stream : streams) {
         const H2Answer& answer = client.await(stream);
@@ -142,26 +145,26 @@
     assert(client.goaways == 2 && client.goaway_code == NGHTTP2_NO_ERROR &&
            client.goaway_last == streams.back());
     assert(client.leaving == "GPG"); // else its answer to the PING tells nothing of the notice
-    assert(hall.exit_status() == 0 && hall.fleet.max_attempts() == 1);
+    assert(fixture.exit_status() == 0 && fixture.fleet.max_attempts() == 1);
 }
 
 // It goes on asking after both notices: what it asks then is not taken, and nobody waits for it.
 void client_that_ignores_the_notices_holds_up_no_stop() {
-    Hall hall({});
-    H2Client client(hall.h2());
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address());
     assert(status(client, ask_for("a")) == 200);
-    hall.signal(SIGTERM);
+    fixture.signal(SIGTERM);
     while (client.goaways < 2 && client.step()) {}
     // An index of the static table each, for as much as a search needs; it need not be a good one.
     client.raw(raw_frame(NGHTTP2_HEADERS, 5, 101, "\x83\x86\x84"));
     client.await_end();
-    assert(hall.exit_status() == 0 && hall.fleet.attempts() == 1);
+    assert(fixture.exit_status() == 0 && fixture.fleet.attempts() == 1);
 }
 
 // A window that never opens: its answers wait, bounded, and delay nobody else's.
 void closed_window_delays_nobody_and_is_bounded() {
-    Hall hall({2, Idempotency::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
-    H2Client blocked(hall.h2(), {false, 0});
+    FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
+    H2Client blocked(fixture.h2_address(), {false, 0});
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 40; ++i) {
         streams.push_back(send(blocked, ask_for("b" + std::to_string(i), 50'000)));
@@ -175,7 +178,7 @@
         assert(blocked.answer(stream).body.empty());
     }
     assert(waiting == 5 && refused == 35); // 300,000 bytes, of which a request may need 65,536
-    assert(served(hall, "other"));
+    assert(served(fixture, "other"));
     blocked.open_window(streams[0], 1); // by one byte
     while (blocked.answer(streams[0]).body.empty()) go_on(blocked);
     assert(blocked.answer(streams[0]).body.size() == 1);
@@ -188,17 +191,17 @@
     while (all() < 65'535) go_on(blocked);
     blocked.open_window(streams[1], 0x7FFFFFFF); // past what a window can be (RFC 9113, 6.9.1)
     assert(blocked.await(streams[1]).error == NGHTTP2_FLOW_CONTROL_ERROR);
-    assert(served(hall, "another"));
+    assert(served(fixture, "another"));
 }
 
 // Its time runs out while its client lets nothing through: it hears that, and no more than that.
 void expiry_behind_a_closed_window_is_heard_as_far_as_it_goes() {
-    Hall hall({});
-    H2Client client(hall.h2(), {false, 0});
-    hall.fleet.hold(true);
-    Ask ask = ask_for("late");
-    ask.left_ms = 300;
-    const auto stream = send(client, ask);
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address(), {false, 0});
+    fixture.fleet.hold(true);
+    SearchRequest request = ask_for("late");
+    request.left_ms = 300;
+    const auto stream = send(client, request);
     while (client.answer(stream).status == 0) go_on(client);
     assert(client.answer(stream).status >= 500 && client.answer(stream).body.empty() &&
            !client.answer(stream).ended);
@@ -207,49 +210,50 @@
 }
 
 void connection_that_breaks_takes_its_streams_along() {
-    Hall hall({});
-    hall.fleet.hold(true);
+    FrontNodeFixture fixture({});
+    fixture.fleet.hold(true);
     {
-        H2Client client(hall.h2(), {false, 10});
+        H2Client client(fixture.h2_address(), {false, 10});
         send(client, ask_for("out"));
-        client.ask(search_fields(ask_for("half")), {}, false); // its body does not come
-        assert(hall.fleet.await_attempt("out.0"));
-        hall.fleet.hold(false);
+        client.request(search_fields(ask_for("half")), {}, false); // its body does not come
+        assert(fixture.fleet.await_attempt("out.0"));
+        fixture.fleet.hold(false);
         const auto answered = send(client, ask_for("answered", 5000));
         while (client.answer(answered).body.size() < 10) go_on(client);
-        hall.fleet.hold(true);
+        fixture.fleet.hold(true);
         send(client, ask_for("again"));
-        assert(hall.fleet.await_attempt("again.0"));
+        assert(fixture.fleet.await_attempt("again.0"));
     }
-    hall.fleet.hold(false);
-    assert(served(hall, "other") && hall.fleet.max_attempts() == 1 && hall.fleet.attempts("half.0") == 0);
+    fixture.fleet.hold(false);
+    assert(served(fixture, "other") && fixture.fleet.max_attempts() == 1 &&
+           fixture.fleet.attempts("half.0") == 0);
 }
 
 void caller_revoked_with_ten_streams_open() {
-    Hall hall({});
-    H2Client client(hall.guarded_h2());
-    hall.fleet.hold(true);
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.access_controlled_h2_address());
+    fixture.fleet.hold(true);
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 10; ++i) {
-        Ask ask = ask_for("q" + std::to_string(i));
-        ask.token = hall.token("anna", hall.key()), ask.shard = i % 2;
-        streams.push_back(send(client, ask));
+        SearchRequest request = ask_for("q" + std::to_string(i));
+        request.token = fixture.token("anna", fixture.key()), request.shard = i % 2;
+        streams.push_back(send(client, request));
     }
     for (int i = 0; i < 10; ++i) // all are out: one that came later would be refused, not barred
-        assert(hall.fleet.await_attempt("q" + std::to_string(i) + "." + std::to_string(i % 2)));
-    hall.revoke_member("anna", transport::Loop::wall() + 10 * kTenthsPerSecond);
-    assert(hall.await_audit("\"what\":\"barred\"", 10));
-    hall.fleet.hold(false);
+        assert(fixture.fleet.await_attempt("q" + std::to_string(i) + "." + std::to_string(i % 2)));
+    fixture.revoke_member("anna", transport::Loop::wall() + 10 * kTenthsPerSecond);
+    assert(fixture.await_audit("\"what\":\"barred\"", 10));
+    fixture.fleet.hold(false);
     for (const std::int32_t stream : streams) {
         const H2Answer& answer = client.await(stream);
         assert(answer.answers == 1 && (answer.status == 200 || answer.status == 401));
     }
-    assert(client.answer(streams[0]).status == 200 && hall.fleet.max_attempts() == 1);
+    assert(client.answer(streams[0]).status == 200 && fixture.fleet.max_attempts() == 1);
 }
 
 void upgrade_on_the_plain_port_stays_http_1() {
-    Hall hall({2, Idempotency::kIdempotent, false, {}, 512});
-    Client client(hall.plain());
+    FrontNodeFixture fixture({2, Idempotency::kIdempotent, false, {}, 512});
+    Client client(fixture.plain_address());
     std::string bytes = search_bytes({"a1"});
     bytes.insert(
         bytes.find("\r\n") + 2,
@@ -257,20 +261,20 @@
     client.say(bytes);
     const auto answer = client.answer();
     assert(answer.status == 200 && answer.times("upgrade") == 0);
-    Client preface(hall.plain());
+    Client preface(fixture.plain_address());
     preface.say("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
     assert(preface.answer().status == 400);
 }
 
 // As strictly as on HTTP/1.1, by the same reading where the protocol leaves it to us.
 void requests_are_read_strictly() {
-    Hall hall({});
-    H2Client client(hall.h2());
-    const Ask good = ask_for("x");
+    FrontNodeFixture fixture({});
+    H2Client client(fixture.h2_address());
+    const SearchRequest good = ask_for("x");
     const auto with = [&](const std::string& name, const std::string& value) {
         H2Client::Fields fields = search_fields(good);
         fields.emplace_back(name, value);
-        const H2Answer& answer = client.await(client.ask(fields, search_body(good)));
+        const H2Answer& answer = client.await(client.request(fields, search_body(good)));
         return std::pair{answer.status, answer.error};
     };
     assert(with("host", "other").first == 400 && with("x-request-id", "y").first == 400);
@@ -279,24 +283,24 @@
     assert(with("content-length", "3").second == NGHTTP2_PROTOCOL_ERROR);
     assert(with(":late", "x").second == NGHTTP2_PROTOCOL_ERROR);
     assert(with("x-many", std::string(20'000, 'a')).first == 431);
-    Ask unknown = good;
+    SearchRequest unknown = good;
     unknown.request_class = "nothing";
     assert(status(client, unknown) == 404);
     H2Client::Fields get = {
         {":method", "GET"}, {":scheme", "http"}, {":path", "/-/ready"}, {":authority", "a"}};
-    assert(client.await(client.ask(get, {})).status == 200);
+    assert(client.await(client.request(get, {})).status == 200);
     get[2].second = "/find";
-    assert(client.await(client.ask(get, {})).status == 405);
-    assert(client.await(client.ask(search_fields(good), std::string(70'000, 'x'))).status == 413);
-    assert(hall.fleet.attempts() == 0 && status(client, good) == 200 && !client.ended);
+    assert(client.await(client.request(get, {})).status == 405);
+    assert(client.await(client.request(search_fields(good), std::string(70'000, 'x'))).status == 413);
+    assert(fixture.fleet.attempts() == 0 && status(client, good) == 200 && !client.ended);
 }
 
 // Each flood ends its own connection, in words that say so, and nobody else's.
 void floods_end_their_own_connection() {
-    Hall hall({});
+    FrontNodeFixture fixture({});
     const std::string eight(8, 'p'), settings, priority("\0\0\0\0\0", 5);
     const auto flood = [&](const char* name, const std::function<void(H2Client&, int)>& act) {
-        H2Client client(Client(hall.h2(), 2000), H2Client::Plan{});
+        H2Client client(Client(fixture.h2_address(), 2000), H2Client::Plan{});
         int sent = 0;
         try {
             for (; sent < 20'000; ++sent) act(client, sent);
@@ -304,7 +308,7 @@
         client.await_end();
         const bool ended = client.ended && (client.goaways == 0 || client.goaway_code != NGHTTP2_NO_ERROR);
         if (!ended) std::cerr << name << " went on\n";
-        return ended && served(hall, std::string("after-") + name);
+        return ended && served(fixture, std::string("after-") + name);
     };
     assert(flood("ping", [&](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PING, 0, 0, eight)); }));
     assert(flood("settings", [&](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_SETTINGS, 0, 0, settings)); }));
@@ -316,7 +320,7 @@
     }));
     assert(flood("empty", [&](H2Client& c, int i) {
         static std::int32_t stream = 0;
-        if (i == 0) stream = c.ask(search_fields(ask_for("e")), {}, false);
+        if (i == 0) stream = c.request(search_fields(ask_for("e")), {}, false);
         c.raw(raw_frame(NGHTTP2_DATA, 0, static_cast<std::uint32_t>(stream), {}));
     }));
     assert(flood("after-end", [&](H2Client& c, int i) {
@@ -325,9 +329,9 @@
         c.raw(raw_frame(NGHTTP2_DATA, 0, static_cast<std::uint32_t>(stream), "late"));
     }));
     assert(flood("bad", [&](H2Client& c, int) {
-        c.await(c.ask({{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}}, {}));
+        c.await(c.request({{":method", "GET"}, {":scheme", "http"}, {":path", "/x"}}, {}));
     }));
-    assert(hall.fleet.max_attempts() == 1 && hall.running());
+    assert(fixture.fleet.max_attempts() == 1 && fixture.running());
 }
 
 void share_of_a_connection_shrinks_beside_others() {
--- a/tests/lab/hall.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -1,4 +1,4 @@
-#include "lab/hall.hpp"
+#include "lab/front_node_fixture.hpp"
 
 #include "lab/h2_client.hpp"
 
@@ -47,11 +47,11 @@
 
 } // namespace
 
-Hall::Hall(const Plan& plan)
+FrontNodeFixture::FrontNodeFixture(const Plan& plan)
     : fleet(plan.servers), root("root", wall() - kDay, wall() + kDay), crl_made_(wall() - kDay / 2) {
-    std::string form = (std::filesystem::temp_directory_path() / "ivyrill-hall-XXXXXX").string();
-    if (mkdtemp(form.data()) == nullptr) throw std::runtime_error("no folder");
-    folder_ = form;
+    std::string folder_template = (std::filesystem::temp_directory_path() / "ivyrill-hall-XXXXXX").string();
+    if (mkdtemp(folder_template.data()) == nullptr) throw std::runtime_error("no folder");
+    folder_ = folder_template;
     std::filesystem::create_directory(folder_ + "/keys");
     write("ca.pem", root.certificate());
     revoke_serials({});
@@ -59,10 +59,11 @@
     rotate("k0", access::Algorithm::kEdDsa, kDay);
     write("ivyrill.star", "_FOLDER = \"" + folder_ + "\"\n" + kOperatorFile + plan.more);
 
-    protocol::StartConfig orders;
-    orders.name = "hall", orders.listen = "127.0.0.1:0", orders.discovery = fleet.discovery();
-    orders.sockets = plan.sockets, orders.memory_mb = 192, orders.known = fleet.list();
-    SchedulerConfig& terms = orders.terms.opening;
+    protocol::StartConfig start_config;
+    start_config.name = "hall", start_config.listen = "127.0.0.1:0",
+    start_config.discovery = fleet.discovery();
+    start_config.sockets = plan.sockets, start_config.memory_mb = 192, start_config.known = fleet.list();
+    SchedulerConfig& terms = start_config.terms.opening;
     for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
         RequestClassConfig request_class;
         request_class.latency_target = kTenthsPerSecond, request_class.deadline = 2 * kTenthsPerSecond,
@@ -75,126 +76,130 @@
     terms.overload_window = kTenthsPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
     terms.may_cancel = terms.may_probe = true, terms.list_mode = ListMode::kQueried;
     terms.cells = plan.servers;
-    orders.terms.request_classes = {"find", "annotate"}, orders.terms.tenants = {"etna", "conca"};
-    orders.terms.zones = {"a"}, orders.terms.kinds = {"m"}, orders.terms.shards = plan.servers;
-    orders.terms.max_calls_per_connection = 100, orders.terms.opening.connect_timeout = kTenthsPerSecond / 4;
-    orders.terms.idle_timeout = 15 * kTenthsPerSecond, orders.terms.watch_timeout = 100 * kTenthsPerSecond;
-
-    int ends[2];
-    if (pipe(ends) != 0) throw std::runtime_error("no pipe");
+    start_config.terms.request_classes = {"find", "annotate"}, start_config.terms.tenants = {"etna", "conca"};
+    start_config.terms.zones = {"a"}, start_config.terms.kinds = {"m"},
+    start_config.terms.shards = plan.servers;
+    start_config.terms.max_calls_per_connection = 100,
+    start_config.terms.opening.connect_timeout = kTenthsPerSecond / 4;
+    start_config.terms.idle_timeout = 15 * kTenthsPerSecond,
+    start_config.terms.watch_timeout = 100 * kTenthsPerSecond;
+
+    int pipe_ends[2];
+    if (pipe(pipe_ends) != 0) throw std::runtime_error("no pipe");
     node_ = fork();
     if (node_ == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL); // who fails leaves nobody behind
-        close(ends[0]);
+        close(pipe_ends[0]);
         int status = 2;
         try {
             program::open_log("hall", "err");
-            program::Node own(
-                orders, [orders] { return orders; }, plan.guarded ? folder_ + "/ivyrill.star" : "");
-            int ports[5] = {own.port()};
-            for (std::size_t i = 1; plan.guarded && i < 5; ++i) ports[i] = own.port(i);
-            if (::write(ends[1], ports, sizeof ports) == sizeof ports) status = own.run();
+            program::Node node(
+                start_config, [start_config] { return start_config; },
+                plan.access_controlled ? folder_ + "/ivyrill.star" : "");
+            int ports[5] = {node.port()};
+            for (std::size_t i = 1; plan.access_controlled && i < 5; ++i) ports[i] = node.port(i);
+            if (::write(pipe_ends[1], ports, sizeof ports) == sizeof ports) status = node.run();
         } catch (const std::exception& error) { program::log().error("{}", error.what()); }
         _exit(status);
     }
-    close(ends[1]);
+    close(pipe_ends[1]);
     int ports[5] = {};
-    const bool told = read(ends[0], ports, sizeof ports) == sizeof ports;
-    close(ends[0]);
-    if (!told) throw std::runtime_error("the front node did not start");
+    const bool started = read(pipe_ends[0], ports, sizeof ports) == sizeof ports;
+    close(pipe_ends[0]);
+    if (!started) throw std::runtime_error("the front node did not start");
     for (const int port : ports) addresses_.push_back("127.0.0.1:" + std::to_string(port));
     fleet.start(); // a thread comes only after the fork
 }
 
-Hall::~Hall() {
+FrontNodeFixture::~FrontNodeFixture() {
     if (node_ > 0) kill(node_, SIGKILL), waitpid(node_, nullptr, 0);
     std::error_code error;
     std::filesystem::remove_all(folder_, error);
 }
 
-void Hall::write(const std::string& name, const std::string& text) const {
+void FrontNodeFixture::write(const std::string& name, const std::string& text) const {
     program::write_file(folder_ + "/" + name, text, false);
 }
 
-void Hall::write_key(const access::Key& key) const {
+void FrontNodeFixture::write_key(const access::Key& key) const {
     write("keys/" + key.name + ".jwk", access::write_key(key, false));
 }
 
-void Hall::rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap) {
+void FrontNodeFixture::rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap) {
     const Tenths now = wall() / kTenthsPerSecond * kTenthsPerSecond;
-    access::Key fresh{
+    access::Key new_key{
         name, access::SigningKey::generate(algorithm), {now, now, access::kNever, access::kNever}};
-    write_key(fresh); // known before the old one goes out
+    write_key(new_key); // known before the old one goes out
     for (access::Key& key : keys_) {
         if (key.times.outgoing != access::kNever) continue;
         key.times.outgoing = now;
         key.times.gone = (now + overlap + kTenthsPerSecond - 1) / kTenthsPerSecond * kTenthsPerSecond;
         write_key(key);
     }
-    keys_.push_back(std::move(fresh));
+    keys_.push_back(std::move(new_key));
 }
 
-std::string Hall::token(const std::string& member, const access::Key& key, Tenths lives,
-                        std::vector<std::string> own, bool write) const {
+std::string FrontNodeFixture::token(const std::string& member, const access::Key& key, Tenths lifetime,
+                                    std::vector<std::string> node, bool write) const {
     access::Claims claims;
     claims.issuer = "trinacria", claims.audience = {"archive"};
-    claims.issued = wall(), claims.expires = wall() + lives;
-    claims.caller = {"circolo-etna", member, {true, write}, std::move(own)};
+    claims.issued = wall(), claims.expires = wall() + lifetime;
+    claims.caller = {"circolo-etna", member, {true, write}, std::move(node)};
     return access::sign_token(claims, key);
 }
 
-Issued Hall::issue(const std::string& member, Tenths lives) const {
+Issued FrontNodeFixture::issue(const std::string& member, Tenths lifetime) const {
     return root.issue({member,
                        {"spiffe://trinacria.example/etna/" + member},
                        {},
                        wall() - kDay / 2,
-                       wall() + lives,
+                       wall() + lifetime,
                        false});
 }
 
-void Hall::renew_server() {
+void FrontNodeFixture::renew_server() {
     server_ = root.issue({"front", {}, {"front.example.org"}, wall() - kDay / 2, wall() + kDay, false});
     // Key and certificate must fit; while only one is new the program keeps what it has.
     write("server.key", server_.key);
     write("server.pem", server_.certificate);
 }
 
-void Hall::revoke_serials(std::vector<std::string> serials) {
+void FrontNodeFixture::revoke_serials(std::vector<std::string> serials) {
     revoked_.insert(revoked_.end(), serials.begin(), serials.end());
     crl_made_ += kTenthsPerSecond; // each is newer than the one before
     write("ca.crl", root.crl(revoked_, crl_made_, wall() + kDay));
 }
 
-void Hall::revoke_member(const std::string& member, Tenths since) {
-    taken_back_.members["circolo-etna/" + member] = since;
-    write("keys/revocations.json", taken_back_.write());
+void FrontNodeFixture::revoke_member(const std::string& member, Tenths since) {
+    revocations_.members["circolo-etna/" + member] = since;
+    write("keys/revocations.json", revocations_.write());
 }
 
-void Hall::signal(int number) const { kill(node_, number); }
+void FrontNodeFixture::signal(int number) const { kill(node_, number); }
 
-bool Hall::running() const { return waitpid(node_, nullptr, WNOHANG) == 0; }
+bool FrontNodeFixture::running() const { return waitpid(node_, nullptr, WNOHANG) == 0; }
 
-int Hall::exit_status() {
+int FrontNodeFixture::exit_status() {
     int status = 0;
     waitpid(node_, &status, 0);
     node_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-std::size_t Hall::audited(const std::string& words) const {
+std::size_t FrontNodeFixture::count_audit_lines(const std::string& text) const {
     std::ifstream file(folder_ + "/audit.log");
     std::size_t lines = 0;
-    for (std::string line; std::getline(file, line);) lines += line.find(words) != std::string::npos ? 1 : 0;
+    for (std::string line; std::getline(file, line);) lines += line.find(text) != std::string::npos ? 1 : 0;
     return lines;
 }
 
-bool Hall::await_audit(const std::string& words, std::size_t lines, int patience_ms) const {
+bool FrontNodeFixture::await_audit(const std::string& text, std::size_t lines, int timeout_ms) const {
     transport::Loop loop;
     transport::Source changes(loop, inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
     inotify_add_watch(changes.descriptor(), (folder_ + "/audit.log").c_str(), IN_MODIFY);
-    const Tenths end = loop.now() + patience_ms * (kTenthsPerSecond / 1000);
+    const Tenths end = loop.now() + timeout_ms * (kTenthsPerSecond / 1000);
     for (char bytes[4096];
-         audited(words) < lines;) { // looked at first, then each time that a line is written
+         count_audit_lines(text) < lines;) { // looked at first, then each time that a line is written
         if (loop.now() >= end) return false;
         loop.wait(end);
         while (read(changes.descriptor(), bytes, sizeof bytes) > 0) {}
@@ -202,7 +207,7 @@
     return true;
 }
 
-std::uint64_t Hall::cpu_us() const {
+std::uint64_t FrontNodeFixture::cpu_us() const {
     std::ifstream file("/proc/" + std::to_string(node_) + "/stat");
     std::string word;
     std::uint64_t ticks = 0;
@@ -211,20 +216,20 @@
     return ticks * 1'000'000 / static_cast<std::uint64_t>(sysconf(_SC_CLK_TCK));
 }
 
-std::uint64_t Hall::memory_kb() const {
+std::uint64_t FrontNodeFixture::memory_kb() const {
     std::ifstream file("/proc/" + std::to_string(node_) + "/statm");
     std::uint64_t all = 0, resident = 0;
     file >> all >> resident;
     return resident * static_cast<std::uint64_t>(sysconf(_SC_PAGESIZE)) / 1024;
 }
 
-std::string search_bytes(const Ask& ask) {
-    const std::string body = search_body(ask);
-    std::string out =
-        "POST /" + ask.request_class + (ask.key.empty() ? "" : "?k=" + ask.key) + " HTTP/1.1\r\nHost: a\r\n";
-    out += "X-Request-ID: " + ask.id + "\r\nX-Timeout: " + std::to_string(ask.left_ms) + "m\r\n";
-    if (!ask.token.empty()) out += "Authorization: Bearer " + ask.token + "\r\n";
-    if (!ask.tenant.empty()) out += "X-Tenant-Id: " + ask.tenant + "\r\n";
+std::string search_bytes(const SearchRequest& request) {
+    const std::string body = search_body(request);
+    std::string out = "POST /" + request.request_class + (request.key.empty() ? "" : "?k=" + request.key) +
+                      " HTTP/1.1\r\nHost: a\r\n";
+    out += "X-Request-ID: " + request.id + "\r\nX-Timeout: " + std::to_string(request.left_ms) + "m\r\n";
+    if (!request.token.empty()) out += "Authorization: Bearer " + request.token + "\r\n";
+    if (!request.tenant.empty()) out += "X-Tenant-Id: " + request.tenant + "\r\n";
     return out + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
--- a/tests/lab/hall.hpp
+++ b/tests/lab/front_node_fixture.hpp
@@ -14,36 +14,38 @@
 
 namespace ivyrill::lab {
 
-class Hall {
+class FrontNodeFixture {
   public:
     struct Plan {
         int servers = 2;
         Idempotency idempotency = Idempotency::kIdempotent; // of `annotate`; `find` may run again
-        bool guarded = true;                                // false: no operator's file
+        bool access_controlled = true;                      // false: no operator's file
         std::string more;                                   // lines put behind the operator's file
         std::int64_t sockets = 512;
     };
-    explicit Hall(const Plan& plan);
-    ~Hall();
-    Hall(const Hall&) = delete;
-    Hall& operator=(const Hall&) = delete;
+    explicit FrontNodeFixture(const Plan& plan);
+    ~FrontNodeFixture();
+    FrontNodeFixture(const FrontNodeFixture&) = delete;
+    FrontNodeFixture& operator=(const FrontNodeFixture&) = delete;
 
     // The listeners: the platform's plain one, TLS for tokens, TLS where a certificate may be shown.
-    const std::string& plain() const { return addresses_.at(0); }
-    const std::string& sealed() const { return addresses_.at(1); }
-    const std::string& certified() const { return addresses_.at(2); }
-    const std::string& h2() const { return addresses_.at(3); } // cleartext, prior knowledge, nobody is asked
-    const std::string& guarded_h2() const { return addresses_.at(4); }
+    const std::string& plain_address() const { return addresses_.at(0); }
+    const std::string& tls_address() const { return addresses_.at(1); }
+    const std::string& client_certificate_address() const { return addresses_.at(2); }
+    const std::string& h2_address() const {
+        return addresses_.at(3);
+    } // cleartext, prior knowledge, nobody is asked
+    const std::string& access_controlled_h2_address() const { return addresses_.at(4); }
 
     std::string token(const std::string& member, const access::Key& key,
-                      Tenths lives = 600 * kTenthsPerSecond, std::vector<std::string> own = {"g1"},
+                      Tenths lifetime = 600 * kTenthsPerSecond, std::vector<std::string> node = {"g1"},
                       bool write = true) const;
     const access::Key& key() const { return keys_.back(); } // the newest
     const std::vector<access::Key>& keys() const { return keys_; }
     // Makes a key, active at once, and lets those before it go out, gone after `overlap`.
     void rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap);
     void write_key(const access::Key& key) const;
-    Issued issue(const std::string& member, Tenths lives = 3600 * kTenthsPerSecond) const;
+    Issued issue(const std::string& member, Tenths lifetime = 3600 * kTenthsPerSecond) const;
     void renew_server(); // a fresh certificate of ours
     std::string server_serial() const { return server_.serial; }
     void revoke_serials(std::vector<std::string> serials); // by CRL
@@ -55,8 +57,8 @@
     bool running() const;
     int exit_status(); // waits for the end
     // Waits until the audit log holds so many lines with these words; false where it does not come to that.
-    bool await_audit(const std::string& words, std::size_t lines = 1, int patience_ms = 20'000) const;
-    std::size_t audited(const std::string& words) const;
+    bool await_audit(const std::string& text, std::size_t lines = 1, int timeout_ms = 20'000) const;
+    std::size_t count_audit_lines(const std::string& text) const;
     std::uint64_t cpu_us() const;    // that the front node has used
     std::uint64_t memory_kb() const; // that it holds
 
@@ -68,18 +70,18 @@
     std::vector<std::string> addresses_;
     std::vector<access::Key> keys_;
     std::vector<std::string> revoked_;
-    access::Revocations taken_back_;
+    access::Revocations revocations_;
     Issued server_;
     Tenths crl_made_;
     pid_t node_ = -1;
 };
 
-struct Ask { // of one search, of one part
+struct SearchRequest { // of one search, of one part
     std::string id, request_class = "find", key = {}, token = {}, tenant = {};
     int shard = 0;
     int left_ms = 2000;
     std::string query = "text";
 };
-std::string search_bytes(const Ask& ask);
+std::string search_bytes(const SearchRequest& request);
 
 } // namespace ivyrill::lab
--- a/tests/lab/h2_client.cpp
+++ b/tests/lab/h2_client.cpp
@@ -1,6 +1,6 @@
 #include "lab/h2_client.hpp"
 
-#include "lab/hall.hpp"
+#include "lab/front_node_fixture.hpp"
 
 #include <nghttp2/nghttp2.h>
 
@@ -74,7 +74,7 @@
     flush();
 }
 
-std::int32_t H2Client::ask(const Fields& fields, const std::string& body, bool end) {
+std::int32_t H2Client::request(const Fields& fields, const std::string& body, bool end) {
     std::vector<nghttp2_nv> pairs;
     for (const auto& [name, value] : fields)
         pairs.push_back({reinterpret_cast<std::uint8_t*>(const_cast<char*>(name.data())),
@@ -197,20 +197,21 @@
     return out.append(payload);
 }
 
-std::string search_body(const Ask& ask) {
-    return R"({"targets":[{"partition":)" + std::to_string(ask.shard) + R"(,"share":1}],"query":")" +
-           ask.query + R"("})";
+std::string search_body(const SearchRequest& request) {
+    return R"({"targets":[{"partition":)" + std::to_string(request.shard) + R"(,"share":1}],"query":")" +
+           request.query + R"("})";
 }
 
-H2Client::Fields search_fields(const Ask& ask) {
-    H2Client::Fields fields = {{":method", "POST"},
-                               {":scheme", "http"},
-                               {":path", "/" + ask.request_class + (ask.key.empty() ? "" : "?k=" + ask.key)},
-                               {":authority", "a"},
-                               {"x-request-id", ask.id},
-                               {"x-timeout", std::to_string(ask.left_ms) + "m"}};
-    if (!ask.token.empty()) fields.emplace_back("authorization", "Bearer " + ask.token);
-    if (!ask.tenant.empty()) fields.emplace_back("x-tenant-id", ask.tenant);
+H2Client::Fields search_fields(const SearchRequest& request) {
+    H2Client::Fields fields = {
+        {":method", "POST"},
+        {":scheme", "http"},
+        {":path", "/" + request.request_class + (request.key.empty() ? "" : "?k=" + request.key)},
+        {":authority", "a"},
+        {"x-request-id", request.id},
+        {"x-timeout", std::to_string(request.left_ms) + "m"}};
+    if (!request.token.empty()) fields.emplace_back("authorization", "Bearer " + request.token);
+    if (!request.tenant.empty()) fields.emplace_back("x-tenant-id", request.tenant);
     return fields;
 }
 
--- a/tests/lab/h2_client.hpp
+++ b/tests/lab/h2_client.hpp
@@ -37,7 +37,7 @@
     H2Client& operator=(const H2Client&) = delete;
 
     using Fields = std::vector<std::pair<std::string, std::string>>;
-    std::int32_t ask(const Fields& fields, const std::string& body, bool end = true); // the stream
+    std::int32_t request(const Fields& fields, const std::string& body, bool end = true); // the stream
     void reset(std::int32_t stream, std::uint32_t code = 8);
     void open_window(std::int32_t stream, std::int32_t by);
     void set_window(std::uint32_t first); // SETTINGS_INITIAL_WINDOW_SIZE
@@ -76,8 +76,8 @@
 };
 
 std::string raw_frame(std::uint8_t type, std::uint8_t flags, std::uint32_t stream, std::string_view payload);
-struct Ask;
-H2Client::Fields search_fields(const Ask& ask);
-std::string search_body(const Ask& ask);
+struct SearchRequest;
+H2Client::Fields search_fields(const SearchRequest& request);
+std::string search_body(const SearchRequest& request);
 
 } // namespace ivyrill::lab
--- a/tests/lab/rig.cpp
+++ b/tests/lab/process_harness.cpp
@@ -1,4 +1,4 @@
-#include "lab/rig.hpp"
+#include "lab/process_harness.hpp"
 
 #include "lab/client.hpp"
 #include "lab/server_wire.hpp"
@@ -29,16 +29,16 @@
 
 namespace fs = std::filesystem;
 
-constexpr int kDiscovery = -1, kKeeper = -2;
+constexpr int kDiscovery = -1, kMachineController = -2;
 constexpr Tenths kMs = kTenthsPerSecond / 1000;
 constexpr Tenths kGrace = 300 * kMs; // of rule 3 as the rig judges it: the settings' and the way there
-constexpr int kExpiryMs = 1500, kDueMs = 500;
+constexpr int kDeadlineMs = 1500, kLatencyTargetMs = 500;
 constexpr std::array<const char*, 3> kRequestClasses{"find", "note",
                                                      "mark"}; // idempotent, non-idempotent, numbered
 
 // An address of this rig's own, so that no connection's own end, anywhere on the machine, comes to bear a
 // port that a front node or a server will want again once it has been away.
-std::string own_host() {
+std::string loopback_host() {
     const auto own = static_cast<unsigned>(getpid());
     return "127." + std::to_string(64 + (own >> 16U & 63U)) + "." + std::to_string(own >> 8U & 255U) + "." +
            std::to_string(own & 255U);
@@ -48,58 +48,59 @@
 
 std::string name_of(int front) { return "n" + std::to_string(front); }
 
-bool is_down(HallMachine::Is is) {
-    return is != HallMachine::Is::kServing && is != HallMachine::Is::kDraining &&
-           is != HallMachine::Is::kDrained;
+bool is_down(SimulatedMachine::State state) {
+    return state != SimulatedMachine::State::kServing && state != SimulatedMachine::State::kDraining &&
+           state != SimulatedMachine::State::kDrained;
 }
 
 } // namespace
 
-Rig::Peer::Peer(transport::Loop& loop, int descriptor, int own_front, int own_target)
+ProcessHarness::Peer::Peer(transport::Loop& loop, int descriptor, int own_front, int own_target)
     : front(own_front), target(own_target),
       stream(loop, descriptor, Stream::Start::kConnected, 64 * 1024, 4 * 1024 * 1024) {}
 
-Rig::Rig(const RigPlan& plan) : plan_(plan) {
+ProcessHarness::ProcessHarness(const ProcessHarnessPlan& plan) : plan_(plan) {
     std::string form = (fs::temp_directory_path() / "ivyrill-rig-XXXXXX").string();
     if (mkdtemp(form.data()) == nullptr) throw std::runtime_error("no folder");
-    folder_ = form, host_ = own_host();
+    folder_ = form, host_ = loopback_host();
     const int cells = std::max(1, plan.servers / plan.replicas);
     for (int i = 0; i < plan.servers; ++i) {
-        HallMachine made;
+        SimulatedMachine made;
         made.facts.name = "s" + std::to_string(i);
         made.facts.zone = std::string(1, static_cast<char>('a' + i / cells % plan.zones));
         for (int shard = 0; shard < plan.shards; ++shard)
             if (shard % cells == i % cells) made.facts.shards.push_back(shard);
-        made.works_for = plan.work, made.drains_for = 100 * kMs, made.starts_for = 50 * kMs;
-        made.warms_for = 300 * kMs;
+        made.work_duration = plan.work, made.drain_duration = 100 * kMs, made.start_duration = 50 * kMs;
+        made.warm_up_duration = 300 * kMs;
         machines_[made.facts.name] = made;
-        seen_[made.facts.name] = made.is, changed_[made.facts.name] = 1, born_[made.facts.name] = 0;
+        last_states_[made.facts.name] = made.state, changed_versions_[made.facts.name] = 1,
+        started_at_[made.facts.name] = 0;
     }
     fronts_.resize(static_cast<std::size_t>(plan.fronts));
     for (int i = 0; i < plan.fronts; ++i) {
         Front& front = fronts_[i];
         front.listen = front.bound = host_ + ":" + std::to_string(kFirstPort + i);
         front.relay = std::make_unique<transport::Source>(loop_, transport::bind_datagrams(host_ + ":0"));
-        front.told = host_ + ":" + std::to_string(transport::port_of(front.relay->descriptor()));
-        HallMachine made;
+        front.advertised = host_ + ":" + std::to_string(transport::port_of(front.relay->descriptor()));
+        SimulatedMachine made;
         made.facts.name = name_of(i), made.facts.front_node = true;
-        made.works_for = plan.work, made.starts_for = 0, made.never_drains = true;
+        made.work_duration = plan.work, made.start_duration = 0, made.never_drains = true;
         machines_[name_of(i)] = made;
-        for (int target = kKeeper; target < plan.servers; ++target)
+        for (int target = kMachineController; target < plan.servers; ++target)
             listeners_.push_back({i, target, host_ + ":0", {}, {}});
     }
-    for (int target = kKeeper; target < plan.servers; ++target) open_listeners(target, true);
+    for (int target = kMachineController; target < plan.servers; ++target) open_listeners(target, true);
     for (int i = 0; i < plan.fronts; ++i) {
         fs::create_directory(file(name_of(i)));
         write_files(i);
     }
-    began_ = passed_at_ = loop_.now();
+    began_ = machines_updated_at_ = loop_.now();
     for (int i = 0; i < plan.fronts; ++i) spawn(i, true); // before any thread of ours
     thread_ = std::thread([this] { run(); });
 }
 
-Rig::~Rig() {
-    stop_clients_ = true;
+ProcessHarness::~ProcessHarness() {
+    clients_stopped_ = true;
     for (auto& client : clients_)
         if (client.joinable()) client.join();
     stop_ = true;
@@ -110,7 +111,7 @@
     fs::remove_all(folder_, error);
 }
 
-void Rig::write_files(int i) const {
+void ProcessHarness::write_files(int i) const {
     const std::string at = file(name_of(i));
     const int cells = std::max(1, plan_.servers / plan_.replicas);
     const auto listener = [&](int target) {
@@ -118,18 +119,18 @@
             if (listener.front == i && listener.target == target) return listener.address;
         return std::string();
     };
-    nlohmann::json grades = nlohmann::json::array();
+    nlohmann::json request_classes = nlohmann::json::array();
     const char* kinds[] = {"read_like", "non_idempotent", "idempotency_key"};
     for (std::size_t p = 0; p < kRequestClasses.size(); ++p)
-        grades.push_back({{"Name", kRequestClasses[p]},
-                          {"AimUs", kDueMs * 1000},
-                          {"DeadlineUs", kExpiryMs * 1000},
-                          {"WindowUs", 800'000},
-                          {"Idempotency", kinds[p]},
-                          {"Worth", 1.0},
-                          {"LateShare", 0.1}});
+        request_classes.push_back({{"Name", kRequestClasses[p]},
+                                   {"AimUs", kLatencyTargetMs * 1000},
+                                   {"DeadlineUs", kDeadlineMs * 1000},
+                                   {"WindowUs", 800'000},
+                                   {"Idempotency", kinds[p]},
+                                   {"Worth", 1.0},
+                                   {"LateShare", 0.1}});
     nlohmann::json settings{
-        {"Grades", grades},
+        {"Grades", request_classes},
         {"PeersTotal", plan_.stated_nodes > 0 ? plan_.stated_nodes : plan_.fronts},
         {"Limits",
          {{"ConnIdleUs", 15'000'000},
@@ -166,32 +167,32 @@
                         true);
     std::string peers, candidates;
     for (int other = 0; other < plan_.fronts; ++other) {
-        if (other < 2) peers += "\"" + fronts_[other].told + "\", ";
+        if (other < 2) peers += "\"" + fronts_[other].advertised + "\", ";
         if (other < plan_.candidates)
-            candidates += "\"" + name_of(other) + "\": \"" + fronts_[other].told + "\", ";
+            candidates += "\"" + name_of(other) + "\": \"" + fronts_[other].advertised + "\", ";
     }
-    std::string words = "members = {\"address\": \"" + fronts_[i].told + "\", \"bind\": \"" +
+    std::string words = "members = {\"address\": \"" + fronts_[i].advertised + "\", \"bind\": \"" +
                         fronts_[i].bound + "\", \"peers\": [" + peers +
                         "], \"secret\": \"secret\", \"probe_ms\": 200}\n";
-    if (plan_.with_rota)
+    if (plan_.with_maintenance)
         words += "rota = {\"candidates\": {" + candidates +
-                 "}, \"council\": " + std::to_string(plan_.council) +
+                 "}, \"council\": " + std::to_string(plan_.voter_count) +
                  ", \"ledger\": \"rota/ledger.db\", \"witness\": \"rota/witness\", \"heartbeat_ms\": 50, "
                  "\"replace_after_s\": 5,\n  \"keeper\": {\"address\": \"" +
-                 listener(kKeeper) +
+                 listener(kMachineController) +
                  "\"},\n"
                  "  \"limits\": {\"replicas_stay\": 2, \"zone_share\": 0.5, \"fleet_share\": 0.34, "
                  "\"front_share\": 0.25},\n"
                  "  \"spans\": {\"grant_ms\": 1500, \"act_ms\": 400, \"drain_ms\": 4000, \"work_ms\": 6000, "
                  "\"back_ms\": 5000, \"warm_ms\": 5000, \"settle_ms\": 300, \"strain\": 0.3},\n"
                  "  \"work_ms\": {\"other\": 1000, \"front\": 1500}}\n";
-    if (!plan_.talks) words = "audit = {\"lines_a_second\": 20}\n";
+    if (!plan_.with_membership) words = "audit = {\"lines_a_second\": 20}\n";
     program::write_file(at + "/ivyrill.star", words + plan_.more, false);
 }
 
 // ---- processes
 
-void Rig::spawn(int i, bool rebooted) {
+void ProcessHarness::spawn(int i, bool rebooted) {
     Front& front = fronts_[i];
     const std::string at = file(name_of(i));
     if (rebooted) fs::remove(at + "/rota/witness");
@@ -211,7 +212,7 @@
     front.process = made;
 }
 
-void Rig::start(int i) {
+void ProcessHarness::start(int i) {
     {
         const std::lock_guard lock(mutex_);
         fronts_[i].wanted = true;
@@ -220,7 +221,7 @@
     if (!ready(i)) throw std::runtime_error(name_of(i) + " did not start");
 }
 
-bool Rig::ready(int i, int patience_ms) const {
+bool ProcessHarness::ready(int i, int timeout_ms) const {
     return await(
         [&] {
             try {
@@ -229,10 +230,10 @@
                 return client.answer().status == 200;
             } catch (const std::exception&) { return false; }
         },
-        patience_ms);
+        timeout_ms);
 }
 
-void Rig::kill(int i) {
+void ProcessHarness::kill(int i) {
     const std::lock_guard lock(mutex_);
     Front& front = fronts_[i];
     front.wanted = front.ending = false, ++faults_, ++front.epoch;
@@ -240,38 +241,38 @@
     ::kill(front.process, SIGKILL);
     waitpid(front.process, nullptr, 0);
     front.process = -1, front.stalled = false;
-    note({RigEvent::What::kFault, loop_.now(), i, name_of(i), "killed", 0});
+    record({ProcessHarnessEvent::What::kFault, loop_.now(), i, name_of(i), "killed", 0});
 }
 
-void Rig::stall(int i, bool on) {
+void ProcessHarness::stall(int i, bool on) {
     const std::lock_guard lock(mutex_);
     Front& front = fronts_[i];
     if (front.process <= 0) return;
     faults_ += on ? 1 : 0;
     ::kill(front.process, on ? SIGSTOP : SIGCONT);
     front.stalled = on, ++front.epoch;
-    note({RigEvent::What::kFault, loop_.now(), i, name_of(i), on ? "stalled" : "goes on", 0});
+    record({ProcessHarnessEvent::What::kFault, loop_.now(), i, name_of(i), on ? "stalled" : "goes on", 0});
 }
 
-void Rig::lose_disk(int i) { fs::remove_all(file(name_of(i) + "/rota")), ++faults_; }
-void Rig::keep_copy(int i) {
+void ProcessHarness::lose_disk(int i) { fs::remove_all(file(name_of(i) + "/rota")), ++faults_; }
+void ProcessHarness::save_disk_copy(int i) {
     fs::remove_all(file(name_of(i) + "/copy"));
     fs::copy(file(name_of(i) + "/rota"), file(name_of(i) + "/copy"), fs::copy_options::recursive);
 }
-void Rig::put_back_copy(int i) {
+void ProcessHarness::restore_disk_copy(int i) {
     lose_disk(i);
     fs::copy(file(name_of(i) + "/copy"), file(name_of(i) + "/rota"), fs::copy_options::recursive);
     fs::remove(file(name_of(i) + "/rota/witness"));
 }
 
-bool Rig::running(int i) const {
+bool ProcessHarness::running(int i) const {
     const std::lock_guard lock(mutex_);
     return fronts_[i].process > 0;
 }
 
 // ---- links
 
-void Rig::cut(const std::set<int>& one_side, bool both_ways) {
+void ProcessHarness::cut(const std::set<int>& one_side, bool both_ways) {
     const std::lock_guard lock(mutex_);
     ++faults_;
     for (int a = 0; a < plan_.fronts; ++a)
@@ -282,44 +283,44 @@
             }
 }
 
-void Rig::cut_from_world(int i, bool on) {
+void ProcessHarness::cut_services(int i, bool on) {
     const std::lock_guard lock(mutex_);
     faults_ += on ? 1 : 0;
     if (on)
-        cut_from_world_.insert(i);
+        services_cut_.insert(i);
     else
-        cut_from_world_.erase(i), thaw_ = true;
+        services_cut_.erase(i), links_restored_ = true;
 }
 
-void Rig::lose(double share, double doubled, Tenths most_delay) {
+void ProcessHarness::set_packet_faults(double share, double duplicate_ratio, Tenths max_delay) {
     const std::lock_guard lock(mutex_);
     faults_ += share > 0 ? 1 : 0;
-    loss_ = share, doubled_ = doubled, most_delay_ = most_delay;
+    loss_ratio_ = share, duplicate_ratio_ = duplicate_ratio, max_delay_ = max_delay;
 }
 
-void Rig::heal() {
+void ProcessHarness::heal() {
     const std::lock_guard lock(mutex_);
-    cuts_.clear(), cut_from_world_.clear();
-    thaw_ = true;
-    loss_ = doubled_ = 0, most_delay_ = 0;
+    cuts_.clear(), services_cut_.clear();
+    links_restored_ = true;
+    loss_ratio_ = duplicate_ratio_ = 0, max_delay_ = 0;
 }
 
-bool Rig::cut_now(int from, int to) const { return cuts_.contains({from, to}); }
+bool ProcessHarness::is_cut(int from, int to) const { return cuts_.contains({from, to}); }
 
-Task Rig::relay(int to) {
+Task ProcessHarness::relay(int to) {
     transport::Slot& next = fronts_[to].relay->readable;
     for (;;) {
-        while (auto came = transport::receive_datagram(fronts_[to].relay->descriptor())) {
+        while (auto received = transport::receive_datagram(fronts_[to].relay->descriptor())) {
             const std::lock_guard lock(mutex_);
             int from = -1;
             for (std::size_t i = 0; i < fronts_.size(); ++i)
-                if (fronts_[i].bound == came->from) from = static_cast<int>(i);
-            if (from >= 0 && (cut_now(from, to) || chance_.unit() < loss_)) continue;
-            const int copies = from >= 0 && chance_.unit() < doubled_ ? 2 : 1;
+                if (fronts_[i].bound == received->from) from = static_cast<int>(i);
+            if (from >= 0 && (is_cut(from, to) || random_.unit() < loss_ratio_)) continue;
+            const int copies = from >= 0 && random_.unit() < duplicate_ratio_ ? 2 : 1;
             for (int c = 0; c < copies; ++c)
-                later_.push(
-                    {loop_.now() + static_cast<Tenths>(chance_.unit() * static_cast<double>(most_delay_)),
-                     ++order_, to, came->bytes});
+                delayed_datagrams_.push(
+                    {loop_.now() + static_cast<Tenths>(random_.unit() * static_cast<double>(max_delay_)),
+                     ++next_sequence_, to, received->bytes});
         }
         co_await next;
     }
@@ -327,28 +328,29 @@
 
 // ---- the loop
 
-void Rig::run() {
+void ProcessHarness::run() {
     for (std::size_t i = 0; i < fronts_.size(); ++i)
         fronts_[i].relaying = relay(static_cast<int>(i)), fronts_[i].relaying.start();
     while (!stop_) {
         Tenths until = loop_.now() + 5 * kMs;
         {
             const std::lock_guard lock(mutex_);
-            while (!later_.empty() && later_.top().at <= loop_.now()) {
-                const Later& one = later_.top();
+            while (!delayed_datagrams_.empty() && delayed_datagrams_.top().at <= loop_.now()) {
+                const DelayedDatagram& one = delayed_datagrams_.top();
                 transport::send_datagram(fronts_[one.to].relay->descriptor(), fronts_[one.to].bound,
                                          one.bytes);
-                later_.pop();
+                delayed_datagrams_.pop();
             }
-            if (!later_.empty()) until = std::min(until, later_.top().at);
-            if (std::exchange(thaw_, false))
+            if (!delayed_datagrams_.empty()) until = std::min(until, delayed_datagrams_.top().at);
+            if (std::exchange(links_restored_, false))
                 for (auto& peer : peers_) peer->stream.changed.wake();
-            pass_machines();
+            update_machines();
             answer_watches();
             for (auto& peer : peers_)
-                for (; !peer->owed.empty() && peer->owed.front().first <= loop_.now(); peer->owed.pop_front())
-                    peer->stream.send(peer->owed.front().second);
-            std::erase_if(peers_, [](auto& peer) { return peer->over; });
+                for (; !peer->delayed_answers.empty() && peer->delayed_answers.front().first <= loop_.now();
+                     peer->delayed_answers.pop_front())
+                    peer->stream.send(peer->delayed_answers.front().second);
+            std::erase_if(peers_, [](auto& peer) { return peer->closed; });
         }
         loop_.wait(until);
     }
@@ -357,7 +359,7 @@
     for (Front& front : fronts_) front.relaying = {};
 }
 
-void Rig::open_listeners(int target, bool on) {
+void ProcessHarness::open_listeners(int target, bool on) {
     for (Listener& listener : listeners_) {
         if (listener.target != target) continue;
         if (!on) {
@@ -371,10 +373,10 @@
         listener.task.start();
     }
     if (!on)
-        for (auto& peer : peers_) peer->over = peer->over || peer->target == target;
+        for (auto& peer : peers_) peer->closed = peer->closed || peer->target == target;
 }
 
-Task Rig::accept(Listener& listener) {
+Task ProcessHarness::accept(Listener& listener) {
     for (;;) {
         for (int descriptor; (descriptor = transport::accept_from(listener.source->descriptor())) >= 0;) {
             auto peer = std::make_unique<Peer>(loop_, descriptor, listener.front, listener.target);
@@ -387,7 +389,7 @@
     }
 }
 
-Task Rig::serve(Peer& peer) {
+Task ProcessHarness::serve(Peer& peer) {
     Stream& stream = peer.stream;
     struct Line {
         std::string& into;
@@ -398,16 +400,16 @@
             bool silent = false;
             {
                 const std::lock_guard lock(mutex_);
-                silent = cut_from_world_.contains(peer.front);
+                silent = services_cut_.contains(peer.front);
             }
             if (silent) {                // it lies where it is until the link is whole again
                 co_await stream.changed; // woken when it is
                 continue;
             }
-            if (peer.target == kKeeper) {
+            if (peer.target == kMachineController) {
                 Line line{peer.line};
                 stream.feed(line);
-                if (peer.line.find('\n') != std::string::npos) take_line(peer);
+                if (peer.line.find('\n') != std::string::npos) answer_machine_command(peer);
             } else if (peer.target == kDiscovery) {
                 stream.feed(peer.requests);
                 if (!peer.requests.complete()) continue;
@@ -425,147 +427,151 @@
                 }
             } else {
                 stream.feed(peer.frames);
-                if (peer.frames.complete()) take(peer, peer.frames.take());
+                if (peer.frames.complete()) answer_frame(peer, peer.frames.take());
             }
         }
         if (!stream.ended()) co_await stream.changed;
     }
-    peer.over = true;
+    peer.closed = true;
 }
 
-void Rig::take(Peer& peer, const protocol::Frame& came) {
-    if (came.type == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
-    if (came.type == 'H') peer.stream.send(frame('H', "done"));
-    if (came.type != 'S') return;
+void ProcessHarness::answer_frame(Peer& peer, const protocol::Frame& received) {
+    if (received.type == 'M') peer.stream.send(frame('M', "inflight=0,queue=0"));
+    if (received.type == 'H') peer.stream.send(frame('H', "done"));
+    if (received.type != 'S') return;
     const std::lock_guard lock(mutex_);
     const std::string name = "s" + std::to_string(peer.target);
-    for (const auto& [id, query] : parts_of(came.payload)) {
-        note({RigEvent::What::kAttempt, loop_.now(), peer.front, id, name, 0});
+    for (const auto& [id, query] : parts_of(received.payload)) {
+        record({ProcessHarnessEvent::What::kAttempt, loop_.now(), peer.front, id, name, 0});
         const std::string answer = frame('R', id + " done 1 inflight=0,queue=0\n" + query);
         if (plan_.service == 0)
             peer.stream.send(answer);
         else
-            peer.owed.emplace_back(loop_.now() + plan_.service, answer);
+            peer.delayed_answers.emplace_back(loop_.now() + plan_.service, answer);
     }
 }
 
 // ACT MACHINE NUMBER SERIAL
-void Rig::take_line(Peer& peer) {
+void ProcessHarness::answer_machine_command(Peer& peer) {
     const auto words = protocol::split(std::string_view(peer.line).substr(0, peer.line.find('\n')), ' ');
-    if (words.size() != 4) return void(peer.over = true);
+    if (words.size() != 4) return void(peer.closed = true);
     const std::string name(words[1]);
     const maintenance::FencingToken fence{
         static_cast<std::uint64_t>(protocol::to_integer(words[2], "fence"))};
     const std::lock_guard lock(mutex_);
     const auto found = machines_.find(name);
-    if (found == machines_.end()) return void(peer.over = true);
-    HallMachine& machine = found->second;
-    const maintenance::MachineAction act = words[0] == "drain"  ? maintenance::MachineAction::kDrain
-                                           : words[0] == "out"  ? maintenance::MachineAction::kTakeOut
-                                           : words[0] == "back" ? maintenance::MachineAction::kBringBack
-                                                                : maintenance::MachineAction::kQueryState;
-    const maintenance::FencingToken before = machine.highest;
-    const HallMachine::Is was = machine.is;
-    const MachineStatus kept = machine.act(loop_.now(), act, fence);
-    note({kept == MachineStatus::kRefused ? RigEvent::What::kRefusedAct : RigEvent::What::kAct, loop_.now(),
-          peer.front, name, std::string(words[0]), fence.value});
-    if (fence < before && machine.is != was) broken_.push_back("a stale act was accepted at " + name);
-    if (machine.facts.front_node && was == HallMachine::Is::kServing &&
-        machine.is == HallMachine::Is::kDraining) {
+    if (found == machines_.end()) return void(peer.closed = true);
+    SimulatedMachine& machine = found->second;
+    const maintenance::MachineAction action = words[0] == "drain"  ? maintenance::MachineAction::kDrain
+                                              : words[0] == "out"  ? maintenance::MachineAction::kTakeOut
+                                              : words[0] == "back" ? maintenance::MachineAction::kBringBack
+                                                                   : maintenance::MachineAction::kQueryState;
+    const maintenance::FencingToken before = machine.highest_fence;
+    const SimulatedMachine::State was = machine.state;
+    const MachineStatus status = machine.execute(loop_.now(), action, fence);
+    record({status == MachineStatus::kRefused ? ProcessHarnessEvent::What::kRefusedCommand
+                                              : ProcessHarnessEvent::What::kCommand,
+            loop_.now(), peer.front, name, std::string(words[0]), fence.value});
+    if (fence < before && machine.state != was) violations_.push_back("a stale act was accepted at " + name);
+    if (machine.facts.front_node && was == SimulatedMachine::State::kServing &&
+        machine.state == SimulatedMachine::State::kDraining) {
         const int own = std::stoi(name.substr(1));
         if (fronts_[own].process > 0) ::kill(fronts_[own].process, SIGTERM);
         fronts_[own].wanted = false, fronts_[own].ending = true, ++fronts_[own].epoch;
     }
-    peer.stream.send(std::string(words[3]) + " " + name + " " + maintenance::to_string(kept) + "\n");
+    peer.stream.send(std::string(words[3]) + " " + name + " " + maintenance::to_string(status) + "\n");
     peer.stream.finish();
     peer.line.clear();
 }
 
 // What becomes of machines by themselves: servers stop and come back, front nodes end and are started.
-void Rig::pass_machines() {
+void ProcessHarness::update_machines() {
     const Tenths now = loop_.now();
-    std::map<int, int> sound;
+    std::map<int, int> replicas_in_service;
     for (auto& [name, machine] : machines_) {
         machine.pass(now);
         if (machine.facts.front_node) {
             const int own = std::stoi(name.substr(1));
             Front& front = fronts_[own];
             if (front.process > 0 && waitpid(front.process, nullptr, WNOHANG) != 0) front.process = -1;
-            if (machine.is == HallMachine::Is::kDraining && front.process < 0)
-                machine.is = HallMachine::Is::kDrained, machine.since = now;
+            if (machine.state == SimulatedMachine::State::kDraining && front.process < 0)
+                machine.state = SimulatedMachine::State::kDrained, machine.since = now;
             // One that is put back while it still ends is started once it has ended.
-            if (machine.is == HallMachine::Is::kServing && front.ending && front.process < 0)
+            if (machine.state == SimulatedMachine::State::kServing && front.ending && front.process < 0)
                 front.wanted = true, front.ending = false, spawn(own, true);
-        } else if (machine.is != seen_[name]) {
-            changed_[name] = ++version_;
-            const bool was_down = is_down(seen_[name]), down = is_down(machine.is);
+        } else if (machine.state != last_states_[name]) {
+            changed_versions_[name] = ++version_;
+            const bool was_down = is_down(last_states_[name]), down = is_down(machine.state);
             const int number = std::stoi(name.substr(1));
             if (down && !was_down) open_listeners(number, false);
-            if (!down && was_down) open_listeners(number, true), born_[name] = transport::Loop::wall();
+            if (!down && was_down) open_listeners(number, true), started_at_[name] = transport::Loop::wall();
         }
-        if (machine.is != seen_[name])
-            note({is_down(machine.is) ? RigEvent::What::kOut : RigEvent::What::kBack, now, -1, name,
-                  std::to_string(static_cast<int>(machine.is)), 0});
-        seen_[name] = machine.is;
-        const bool planned = machine.is == HallMachine::Is::kWorking ||
-                             machine.is == HallMachine::Is::kWorked ||
-                             machine.is == HallMachine::Is::kStarting;
-        for (const int shard : machine.facts.shards) sound[shard] += planned ? 0 : 1;
+        if (machine.state != last_states_[name])
+            record({is_down(machine.state) ? ProcessHarnessEvent::What::kMachineDown
+                                           : ProcessHarnessEvent::What::kMachineUp,
+                    now, -1, name, std::to_string(static_cast<int>(machine.state)), 0});
+        last_states_[name] = machine.state;
+        const bool planned = machine.state == SimulatedMachine::State::kWorking ||
+                             machine.state == SimulatedMachine::State::kWorked ||
+                             machine.state == SimulatedMachine::State::kStarting;
+        for (const int shard : machine.facts.shards) replicas_in_service[shard] += planned ? 0 : 1;
     }
-    for (const auto& [shard, count] : sound)
+    for (const auto& [shard, count] : replicas_in_service)
         if (count < 2) {
-            under_floor_ += now - passed_at_;
-            broken_.push_back("shard " + std::to_string(shard) + " is under its number by plan");
+            time_below_min_replicas_ += now - machines_updated_at_;
+            violations_.push_back("shard " + std::to_string(shard) + " is under its number by plan");
             break;
         }
-    passed_at_ = now;
+    machines_updated_at_ = now;
 }
 
-std::string Rig::list_for(int i, std::int64_t after) const {
+std::string ProcessHarness::list_for(int i, std::int64_t after) const {
     nlohmann::json rows = nlohmann::json::array();
     const int cells = std::max(1, plan_.servers / plan_.replicas);
     for (const Listener& listener : listeners_) {
         if (listener.front != i || listener.target < 0) continue;
         const std::string name = "s" + std::to_string(listener.target);
-        if (changed_.at(name) <= after) continue;
-        const HallMachine& machine = machines_.at(name);
-        const HallMachine::Is is = seen_.at(name);
-        const char* state = is == HallMachine::Is::kServing ? "SERVING"
-                            : is_down(is)                   ? "DELETED"
-                                                            : "DRAINING";
-        if (after < 0 && is_down(is)) continue;
+        if (changed_versions_.at(name) <= after) continue;
+        const SimulatedMachine& machine = machines_.at(name);
+        const SimulatedMachine::State seen = last_states_.at(name);
+        const char* listed_state = seen == SimulatedMachine::State::kServing ? "SERVING"
+                                   : is_down(seen)                           ? "DELETED"
+                                                                             : "DRAINING";
+        if (after < 0 && is_down(seen)) continue;
         rows.push_back({{"id", name},
                         {"addr", listener.address},
                         {"zone", machine.facts.zone},
                         {"kind", "m"},
                         {"cell", listener.target % cells},
-                        {"state", state},
+                        {"state", listed_state},
                         {"weight", 1.0},
-                        {"started_ms", born_.at(name) / 10}});
+                        {"started_ms", started_at_.at(name) / 10}});
     }
     return nlohmann::json{{"version", version_}, {"full", after < 0}, {"servers", rows}}.dump();
 }
 
-void Rig::answer_watches() {
+void ProcessHarness::answer_watches() {
     for (auto& peer : peers_) {
         if (peer->target != kDiscovery || peer->watch_after < 0 || peer->stream.ended()) continue;
-        if (cut_from_world_.contains(peer->front)) continue;
+        if (services_cut_.contains(peer->front)) continue;
         if (peer->watch_after >= version_ && loop_.now() < peer->watch_until) continue;
         peer->stream.send(protocol::http_response(200, "", list_for(peer->front, peer->watch_after), false));
         peer->watch_after = -1;
-        note({RigEvent::What::kListTold, loop_.now(), peer->front, std::to_string(version_), "", 0});
+        record({ProcessHarnessEvent::What::kListSent, loop_.now(), peer->front, std::to_string(version_), "",
+                0});
     }
 }
 
-void Rig::note(RigEvent event) { history_.push_back(std::move(event)); }
+void ProcessHarness::record(ProcessHarnessEvent event) { history_.push_back(std::move(event)); }
 
-void Rig::with_machine(const std::string& name, const std::function<void(HallMachine&)>& change) {
+void ProcessHarness::with_machine(const std::string& name,
+                                  const std::function<void(SimulatedMachine&)>& change) {
     const std::lock_guard lock(mutex_);
     change(machines_.at(name));
 }
 
-bool Rig::await(const std::function<bool()>& holds, int patience_ms) const {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(patience_ms);
+bool ProcessHarness::await(const std::function<bool()>& holds, int timeout_ms) const {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(timeout_ms);
     while (!holds()) {
         if (std::chrono::steady_clock::now() >= end) return false;
         poll(nullptr, 0, 10); // until it is looked at again: what is awaited is another process
@@ -575,8 +581,8 @@
 
 // ---- operators
 
-std::pair<int, std::string> Rig::work(int i, const std::vector<std::string>& words,
-                                      const std::string& request) const {
+std::pair<int, std::string> ProcessHarness::run_work_command(int i, const std::vector<std::string>& words,
+                                                             const std::string& request) const {
     std::vector<std::string> all{plan_.program, "work"};
     all.insert(all.end(), words.begin(), words.end());
     if (words.front() != "chart") {
@@ -609,12 +615,12 @@
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
 }
 
-nlohmann::json Rig::show(int i) const {
-    const auto [status, text] = work(i, {"show", "--json"});
+nlohmann::json ProcessHarness::show(int i) const {
+    const auto [status, text] = run_work_command(i, {"show", "--json"});
     return status == 0 ? nlohmann::json::parse(text, nullptr, false) : nlohmann::json();
 }
 
-bool Rig::evening_over(int i) const {
+bool ProcessHarness::maintenance_finished(int i) const {
     const nlohmann::json seen = show(i);
     if (!seen.is_object() || seen["turns"].empty()) return false;
     return std::ranges::all_of(seen["turns"], [](const nlohmann::json& turn) {
@@ -624,36 +630,37 @@
 
 // ---- clients
 
-void Rig::start_clients(int threads, int a_second) {
-    stop_clients_ = false;
+void ProcessHarness::start_clients(int threads, int per_second) {
+    clients_stopped_ = false;
     {
         const std::lock_guard lock(mutex_);
         ++run_;
         counts_ = {};
     }
     for (int i = 0; i < threads; ++i)
-        clients_.emplace_back([this, i, threads, a_second] { client(i, std::max(1, a_second / threads)); });
+        clients_.emplace_back(
+            [this, i, threads, per_second] { client(i, std::max(1, per_second / threads)); });
 }
 
-SearchCounts Rig::stop_clients() {
-    stop_clients_ = true;
+SearchCounts ProcessHarness::stop_clients() {
+    clients_stopped_ = true;
     for (auto& client : clients_) client.join();
     clients_.clear();
     return counts();
 }
 
-SearchCounts Rig::counts() const {
+SearchCounts ProcessHarness::counts() const {
     const std::lock_guard lock(mutex_);
     return counts_;
 }
 
 // One client keeps a connection to each front node; it takes those that serve in turn, and every request
 // class.
-void Rig::client(int number, int a_second) {
-    std::vector<std::unique_ptr<Client>> kept(fronts_.size());
-    const auto gap = std::chrono::microseconds(1'000'000 / a_second);
+void ProcessHarness::client(int number, int per_second) {
+    std::vector<std::unique_ptr<Client>> connections(fronts_.size());
+    const auto gap = std::chrono::microseconds(1'000'000 / per_second);
     auto at = std::chrono::steady_clock::now();
-    for (std::uint64_t nth = 0; !stop_clients_; ++nth) {
+    for (std::uint64_t nth = 0; !clients_stopped_; ++nth) {
         at += gap;
         const auto left =
             std::chrono::duration_cast<std::chrono::milliseconds>(at - std::chrono::steady_clock::now());
@@ -663,9 +670,10 @@
         {
             const std::lock_guard lock(mutex_);
             const Front& front = fronts_[which];
-            const auto is = machines_.at(name_of(static_cast<int>(which))).is;
-            if (front.process <= 0 || front.stalled || !front.wanted || is != HallMachine::Is::kServing) {
-                kept[which].reset();
+            const auto state = machines_.at(name_of(static_cast<int>(which))).state;
+            if (front.process <= 0 || front.stalled || !front.wanted ||
+                state != SimulatedMachine::State::kServing) {
+                connections[which].reset();
                 continue;
             }
             epoch = front.epoch;
@@ -679,7 +687,7 @@
         const std::string body = nlohmann::json{{"targets", targets}, {"query", "q" + id}}.dump();
         const std::string bytes =
             std::string("POST /") + kRequestClasses[request_class] + (request_class == 2 ? "?k=" + id : "") +
-            " HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id + "\r\nX-Timeout: " + std::to_string(kExpiryMs) +
+            " HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id + "\r\nX-Timeout: " + std::to_string(kDeadlineMs) +
             "m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         const auto begun = std::chrono::steady_clock::now();
         int status = 0;
@@ -693,15 +701,15 @@
             }
             try {
                 ended = false;
-                if (!kept[which])
-                    kept[which] = std::make_unique<Client>(fronts_[which].listen, kExpiryMs + 500);
+                if (!connections[which])
+                    connections[which] = std::make_unique<Client>(fronts_[which].listen, kDeadlineMs + 500);
                 ended = true; // unless an answer comes: it was taken, or closed between two requests
-                kept[which]->say(bytes);
-                const protocol::HttpMessage answer = kept[which]->answer();
+                connections[which]->say(bytes);
+                const protocol::HttpMessage answer = connections[which]->answer();
                 status = answer.status;
-                if (answer.close) kept[which].reset();
+                if (answer.close) connections[which].reset();
             } catch (const std::exception&) {
-                kept[which].reset(); // it goes once more, on a new connection
+                connections[which].reset(); // it goes once more, on a new connection
             }
         }
         const auto took =
@@ -714,34 +722,34 @@
         if (status == 200) ++counts_.delivered;
         if (status == 503) ++counts_.rejected;
         if (status == 502) ++counts_.failed;
-        if (status == 0) ++counts_.broken;
+        if (status == 0) ++counts_.incomplete;
         if (status == 0 && there && ended)
             ++counts_.lost, std::fprintf(stderr, "lost %s at n%zu after %lld ms\n", id.c_str(), which,
                                          static_cast<long long>(took.count()));
-        if (status != 0 && took.count() > kExpiryMs + 50 && there)
+        if (status != 0 && took.count() > kDeadlineMs + 50 && there)
             ++counts_.lost, std::fprintf(stderr, "late %s at n%zu after %lld ms\n", id.c_str(), which,
                                          static_cast<long long>(took.count()));
-        if (status == 200) counts_.utility += took.count() <= kDueMs ? 1 : 0.1;
+        if (status == 200) counts_.utility += took.count() <= kLatencyTargetMs ? 1 : 0.1;
     }
 }
 
 // ---- judgement
 
-std::vector<RigEvent> Rig::history() const {
+std::vector<ProcessHarnessEvent> ProcessHarness::history() const {
     const std::lock_guard lock(mutex_);
     return history_;
 }
 
-std::uint64_t Rig::doubled_attempts() const {
+std::uint64_t ProcessHarness::duplicate_attempts() const {
     const std::lock_guard lock(mutex_);
     std::map<std::string, int> attempts;
-    std::uint64_t doubled = 0;
-    for (const RigEvent& event : history_)
-        if (event.what == RigEvent::What::kAttempt && ++attempts[event.name] == 2) ++doubled;
-    return doubled;
+    std::uint64_t duplicates = 0;
+    for (const ProcessHarnessEvent& event : history_)
+        if (event.what == ProcessHarnessEvent::What::kAttempt && ++attempts[event.name] == 2) ++duplicates;
+    return duplicates;
 }
 
-std::size_t Rig::turns_done() const {
+std::size_t ProcessHarness::jobs_done() const {
     std::set<std::pair<std::string, std::string>> done;
     for (int i = 0; i < plan_.fronts; ++i) {
         std::istringstream lines(log_of(i));
@@ -756,49 +764,53 @@
     return done.size();
 }
 
-std::string Rig::log_of(int i) const {
+std::string ProcessHarness::log_of(int i) const {
     std::ifstream log(file(name_of(i) + "/log"));
     std::ostringstream text;
     text << log.rdbuf();
     return text.str();
 }
 
-std::vector<std::string> Rig::judge() const {
-    std::vector<std::string> wrong;
+std::vector<std::string> ProcessHarness::check_history() const {
+    std::vector<std::string> violations_found;
     {
         const std::lock_guard lock(mutex_);
-        wrong = broken_;
-        if (counts_.lost > 0) wrong.push_back(std::to_string(counts_.lost) + " searches were lost");
+        violations_found = violations_;
+        if (counts_.lost > 0)
+            violations_found.push_back(std::to_string(counts_.lost) + " searches were lost");
         // Rule 2: what may run once ran once; the second request class's searches are every third of each
         // client's.
         std::map<std::string, int> attempts;
         std::map<std::string, std::uint64_t> fences;
         // Rule 3: nothing new once the news that it drains is a grace old at that front node.
-        std::map<std::pair<int, std::string>, Tenths> told;
+        std::map<std::pair<int, std::string>, Tenths> drain_sent_at;
         std::set<std::string> draining;
-        for (const RigEvent& event : history_) {
-            if (event.what == RigEvent::What::kAttempt) {
+        for (const ProcessHarnessEvent& event : history_) {
+            if (event.what == ProcessHarnessEvent::What::kAttempt) {
                 const std::size_t x = event.name.find('x'), dot = event.name.find('.');
                 const bool once =
                     x != std::string::npos && std::stoull(event.name.substr(x + 1, dot - x - 1)) % 3 == 1;
-                if (++attempts[event.name] == 2 && once) wrong.push_back("launched twice: " + event.name);
-                const auto since = told.find({event.front, event.detail});
-                if (since != told.end() && event.at > since->second + kGrace)
-                    wrong.push_back("launched at " + event.detail + " by " + name_of(event.front) +
-                                    " after it was told that it drains");
-            } else if (event.what == RigEvent::What::kAct) {
-                std::uint64_t& highest = fences[event.name];
-                if (event.fence < highest) wrong.push_back("an older number was taken at " + event.name);
-                highest = std::max(highest, event.fence);
-            } else if (event.what == RigEvent::What::kBack) {
-                if (event.detail == std::to_string(static_cast<int>(HallMachine::Is::kDraining)))
+                if (++attempts[event.name] == 2 && once)
+                    violations_found.push_back("launched twice: " + event.name);
+                const auto since = drain_sent_at.find({event.front, event.detail});
+                if (since != drain_sent_at.end() && event.at > since->second + kGrace)
+                    violations_found.push_back("launched at " + event.detail + " by " + name_of(event.front) +
+                                               " after it was told that it drains");
+            } else if (event.what == ProcessHarnessEvent::What::kCommand) {
+                std::uint64_t& highest_fence = fences[event.name];
+                if (event.fence < highest_fence)
+                    violations_found.push_back("an older number was taken at " + event.name);
+                highest_fence = std::max(highest_fence, event.fence);
+            } else if (event.what == ProcessHarnessEvent::What::kMachineUp) {
+                if (event.detail == std::to_string(static_cast<int>(SimulatedMachine::State::kDraining)))
                     draining.insert(event.name);
-                if (event.detail == std::to_string(static_cast<int>(HallMachine::Is::kServing))) {
+                if (event.detail == std::to_string(static_cast<int>(SimulatedMachine::State::kServing))) {
                     draining.erase(event.name);
-                    std::erase_if(told, [&](auto& held) { return held.first.second == event.name; });
+                    std::erase_if(drain_sent_at, [&](auto& held) { return held.first.second == event.name; });
                 }
-            } else if (event.what == RigEvent::What::kListTold) {
-                for (const std::string& name : draining) told.try_emplace({event.front, name}, event.at);
+            } else if (event.what == ProcessHarnessEvent::What::kListSent) {
+                for (const std::string& name : draining)
+                    drain_sent_at.try_emplace({event.front, name}, event.at);
             }
         }
     }
@@ -819,10 +831,10 @@
             if (holder == "-" || holder.empty()) continue;
             const auto [place, fresh] = holders.emplace(key, holder);
             if (!fresh && place->second != holder)
-                wrong.push_back("two holders of " + key + ": " + place->second + " and " + holder);
+                violations_found.push_back("two holders of " + key + ": " + place->second + " and " + holder);
         }
     }
-    return wrong;
+    return violations_found;
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/rig.hpp
+++ b/tests/lab/process_harness.hpp
@@ -4,7 +4,7 @@
 // killed and started with their disk or without. What servers, keepers and clients saw goes into one history,
 // by one clock, and is judged afterwards.
 #pragma once
-#include "lab/evening_world.hpp"
+#include "lab/simulated_maintenance.hpp"
 #include "protocol/frames.hpp"
 #include "protocol/http.hpp"
 #include "transport/stream.hpp"
@@ -19,13 +19,13 @@
 
 namespace ivyrill::lab {
 
-struct RigPlan {
+struct ProcessHarnessPlan {
     std::string program; // the path of `ivyrill`
     int fronts = 5, candidates = 5, servers = 12, shards = 6, zones = 3, replicas = 3;
-    std::size_t council = 3;
+    std::size_t voter_count = 3;
     Tenths work = kTenthsPerSecond / 2;
-    std::string more;                    // lines behind the operator's file
-    bool with_rota = true, talks = true; // the latter: they are members
+    std::string more;                                     // lines behind the operator's file
+    bool with_maintenance = true, with_membership = true; // the latter: they are members
     int stated_nodes = 0; // what the settings say of the front nodes' number; 0: as many as there are
     // What a part takes at a server, however many are there, and what the settings say of a cold one.
     Tenths service = 0, warm_up_time = 3 * kTenthsPerSecond / 10;
@@ -33,8 +33,8 @@
 };
 
 // What was seen; `at` by the rig's own clock.
-struct RigEvent {
-    enum class What { kAttempt, kAct, kRefusedAct, kListTold, kOut, kBack, kFault } what;
+struct ProcessHarnessEvent {
+    enum class What { kAttempt, kCommand, kRefusedCommand, kListSent, kMachineDown, kMachineUp, kFault } what;
     Tenths at = 0;
     int front = -1;
     std::string name, detail; // a part's id or a machine; a request class, an act or a state
@@ -43,57 +43,57 @@
 
 struct SearchCounts {
     std::uint64_t asked = 0, delivered = 0, rejected = 0, failed = 0,
-                  broken = 0; // the last: no whole answer
-    std::uint64_t lost = 0;   // not answered in time by one that was there all along
+                  incomplete = 0; // the last: no whole answer
+    std::uint64_t lost = 0;       // not answered in time by one that was there all along
     double utility = 0, most_utility = 0;
 };
 
-class Rig {
+class ProcessHarness {
   public:
-    explicit Rig(const RigPlan& plan);
-    ~Rig();
-    Rig(const Rig&) = delete;
-    Rig& operator=(const Rig&) = delete;
+    explicit ProcessHarness(const ProcessHarnessPlan& plan);
+    ~ProcessHarness();
+    ProcessHarness(const ProcessHarness&) = delete;
+    ProcessHarness& operator=(const ProcessHarness&) = delete;
 
     // Processes. Each waits until it has come to that, with a bound.
     void start(int front);
-    bool ready(int front, int patience_ms = 10'000) const; // it serves
-    void kill(int front);                                  // SIGKILL
-    void stall(int front, bool on);                        // SIGSTOP, SIGCONT
+    bool ready(int front, int timeout_ms = 10'000) const; // it serves
+    void kill(int front);                                 // SIGKILL
+    void stall(int front, bool on);                       // SIGSTOP, SIGCONT
     void lose_disk(int front);
-    void keep_copy(int front);
-    void put_back_copy(int front);
+    void save_disk_copy(int front);
+    void restore_disk_copy(int front);
     bool running(int front) const;
 
     // Links, by front node; -1 stands for all index servers, discovery and keepers.
     void cut(const std::set<int>& one_side, bool both_ways = true);
-    void cut_from_world(int front, bool on); // its index servers, discovery and keeper fall silent
-    void lose(double share, double doubled, Tenths most_delay);
+    void cut_services(int front, bool on); // its index servers, discovery and keeper fall silent
+    void set_packet_faults(double share, double duplicate_ratio, Tenths max_delay);
     void heal();
 
-    void with_machine(const std::string& name, const std::function<void(HallMachine&)>& change);
-    bool await(const std::function<bool()>& holds, int patience_ms = 20'000) const;
+    void with_machine(const std::string& name, const std::function<void(SimulatedMachine&)>& change);
+    bool await(const std::function<bool()>& holds, int timeout_ms = 20'000) const;
 
     // Operators: the program's own command line against a running front node.
-    std::pair<int, std::string> work(int front, const std::vector<std::string>& words,
-                                     const std::string& request = {}) const;
+    std::pair<int, std::string> run_work_command(int front, const std::vector<std::string>& words,
+                                                 const std::string& request = {}) const;
     nlohmann::json show(int front) const; // null where it does not answer
-    bool evening_over(int front) const;
+    bool maintenance_finished(int front) const;
 
     // Clients, until `stop_clients`.
-    void start_clients(int threads, int a_second);
+    void start_clients(int threads, int per_second);
     SearchCounts stop_clients();
     SearchCounts counts() const;
 
-    std::vector<RigEvent> history() const;
-    std::vector<std::string> judge() const; // broken promises, in words
-    std::size_t turns_done() const;
-    std::uint64_t doubled_attempts() const;
+    std::vector<ProcessHarnessEvent> history() const;
+    std::vector<std::string> check_history() const; // broken promises, in words
+    std::size_t jobs_done() const;
+    std::uint64_t duplicate_attempts() const;
     std::string log_of(int front) const;
     std::string folder() const { return folder_; }
     Tenths now() const { return loop_.now(); }
     int faults() const { return faults_; }
-    Tenths under_floor() const { return under_floor_; }
+    Tenths time_below_min_replicas() const { return time_below_min_replicas_; }
 
   private:
     struct Peer {
@@ -105,8 +105,8 @@
         std::string line;
         std::int64_t watch_after = -1;
         Tenths watch_until = 0;
-        std::deque<std::pair<Tenths, std::string>> owed; // answers, when they are due
-        bool over = false;
+        std::deque<std::pair<Tenths, std::string>> delayed_answers; // answers, when they are due
+        bool closed = false;
         transport::Task task;
     };
     struct Listener {
@@ -116,63 +116,66 @@
         transport::Task task;
     };
     struct Front {
-        std::string listen, told, bound; // the members' address as others know it, and as it is
+        std::string listen, advertised, bound; // the members' address as others know it, and as it is
         std::unique_ptr<transport::Source> relay;
         transport::Task relaying;
         pid_t process = -1;
         bool stalled = false, wanted = true, ending = false; // the last: told to, by its keeper
         std::uint64_t epoch = 0;                             // raised whenever something befalls it
     };
-    struct Later {
+    struct DelayedDatagram {
         Tenths at;
-        std::uint64_t order;
+        std::uint64_t sequence;
         int to;
         std::string bytes;
-        bool operator>(const Later& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
+        bool operator>(const DelayedDatagram& o) const {
+            return std::pair(at, sequence) > std::pair(o.at, o.sequence);
+        }
     };
     void run();
     transport::Task accept(Listener& listener);
     transport::Task serve(Peer& peer);
     transport::Task relay(int front);
-    void take(Peer& peer, const protocol::Frame& frame);
-    void take_line(Peer& peer);
+    void answer_frame(Peer& peer, const protocol::Frame& frame);
+    void answer_machine_command(Peer& peer);
     void answer_watches();
     std::string list_for(int front, std::int64_t after) const;
     void open_listeners(int target, bool on);
-    void pass_machines();
-    void client(int number, int a_second);
+    void update_machines();
+    void client(int number, int per_second);
     void write_files(int front) const;
     void spawn(int front, bool rebooted);
-    bool cut_now(int from, int to) const;
-    void note(RigEvent event);
+    bool is_cut(int from, int to) const;
+    void record(ProcessHarnessEvent event);
     std::string file(const std::string& name) const { return folder_ + "/" + name; }
 
-    RigPlan plan_;
+    ProcessHarnessPlan plan_;
     std::string folder_, host_;
     mutable std::mutex mutex_; // for all that follows but the loop's own
     transport::Loop loop_;
     std::list<Listener> listeners_;
     std::vector<std::unique_ptr<Peer>> peers_;
     std::vector<Front> fronts_;
-    std::map<std::string, HallMachine> machines_;
-    std::map<std::string, HallMachine::Is> seen_;
-    std::map<std::string, std::int64_t> changed_; // the version in which a server's entry changed last
-    std::map<std::string, Tenths> born_;
+    std::map<std::string, SimulatedMachine> machines_;
+    std::map<std::string, SimulatedMachine::State> last_states_;
+    std::map<std::string, std::int64_t>
+        changed_versions_; // the version in which a server's entry changed last
+    std::map<std::string, Tenths> started_at_;
     std::int64_t version_ = 1;
     std::set<std::pair<int, int>> cuts_;
-    std::set<int> cut_from_world_;
-    bool thaw_ = false; // links are whole again
-    double loss_ = 0, doubled_ = 0;
-    Tenths most_delay_ = 0;
-    std::priority_queue<Later, std::vector<Later>, std::greater<>> later_;
-    std::uint64_t order_ = 0;
-    Pcg chance_{11};
-    std::vector<RigEvent> history_;
-    std::vector<std::string> broken_;
+    std::set<int> services_cut_;
+    bool links_restored_ = false; // links are whole again
+    double loss_ratio_ = 0, duplicate_ratio_ = 0;
+    Tenths max_delay_ = 0;
+    std::priority_queue<DelayedDatagram, std::vector<DelayedDatagram>, std::greater<>> delayed_datagrams_;
+    std::uint64_t next_sequence_ = 0;
+    Pcg random_{11};
+    std::vector<ProcessHarnessEvent> history_;
+    std::vector<std::string> violations_;
     SearchCounts counts_;
-    Tenths under_floor_ = 0, passed_at_ = 0;
+    Tenths time_below_min_replicas_ = 0, machines_updated_at_ = 0;
     std::atomic<int> faults_ = 0;
-    std::atomic<bool> stop_ = false, stop_clients_ = false;
+    std::atomic<bool> stop_ = false, clients_stopped_ = false;
     std::thread thread_;
     std::vector<std::thread> clients_;
     Tenths began_ = 0;
