--- a/tests/lab/site_world.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -1,4 +1,4 @@
-#include "lab/site_world.hpp"
+#include "lab/simulated_sites.hpp"
 
 #include "limits/slow_start.hpp"
 
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kTurn = 5 * kMs, kConnect = 250 * kMs, kDown = 2 * kTenthsPerSecond;
+constexpr Tenths kDecisionInterval = 5 * kMs, kConnectTimeout = 250 * kMs,
+                 kRestartDelay = 2 * kTenthsPerSecond;
 
-std::vector<SiteRequestClass> usual_request_classes() {
+std::vector<SiteRequestClass> default_request_classes() {
     const auto terms = [](Idempotency idempotency, double utility, double floor) {
         RequestClassConfig made;
         made.latency_target = 500 * kMs, made.deadline = 1500 * kMs, made.idempotency = idempotency;
@@ -27,58 +28,58 @@
 
 } // namespace
 
-struct SiteWorld::Server {
+struct SimulatedSites::Server {
     struct Job {
         int front;
-        std::uint64_t life;
+        std::uint64_t incarnation;
         PartId part;
         AttemptNo number;
     };
     int site = 0, cell = 0, busy = 0;
     bool alive = true;
-    std::uint64_t life = 1;
-    Tenths born = 0; // 0: long ago
+    std::uint64_t incarnation = 1;
+    Tenths started_at = 0; // 0: long ago
     std::deque<Job> queue;
     std::deque<Tenths> arrivals;
-    double share(Tenths now, const SiteWorldPlan& plan) const {
-        if (born == 0) return 1;
-        return limits::SlowStart{plan.warm_up_time, plan.cold_capacity_ratio, 0, 1}.share(now - born);
+    double share(Tenths now, const SimulatedSitesPlan& plan) const {
+        if (started_at == 0) return 1;
+        return limits::SlowStart{plan.warm_up_time, plan.cold_capacity_ratio, 0, 1}.share(now - started_at);
     }
 };
 
-struct SiteWorld::Front : SchedulerHost {
-    struct Out {
+struct SimulatedSites::Front : SchedulerHost {
+    struct AttemptState {
         ServerId server;
         Tenths sent = 0;
         bool over = false;
     };
-    struct Held {
+    struct PartState {
         SearchId search;
         int shard = 0;
         double weight = 0;
-        bool in = false, once = false;
-        std::vector<Out> outs;
+        bool answered = false, once = false;
+        std::vector<AttemptState> attempt_states;
     };
-    struct Open {
+    struct OpenSearch {
         std::size_t request_class = 0, tenant = 0;
-        Tenths begun = 0;
+        Tenths started = 0;
         std::vector<PartId> parts;
     };
-    SiteWorld* world = nullptr;
+    SimulatedSites* world = nullptr;
     int number = 0, site = 0;
     bool alive = true;
-    std::uint64_t life = 1;
+    std::uint64_t incarnation = 1;
     Tenths stalled_until = 0, wake_at = 0;
     std::unique_ptr<SearchScheduler> scheduler;
-    std::unique_ptr<recovery::FailoverController> pilot;
-    recovery::TrafficCounter book;
+    std::unique_ptr<recovery::FailoverController> controller;
+    recovery::TrafficCounter traffic;
     std::uint32_t next_id = 1;
     std::uint64_t next_job = 1;
-    std::map<SearchId, Open> searches;
-    std::map<PartId, Held> parts;
-    std::deque<std::function<void()>> slept; // what came while it was stalled
+    std::map<SearchId, OpenSearch> searches;
+    std::map<PartId, PartState> parts;
+    std::deque<std::function<void()>> deferred; // what came while it was stalled
 
-    recovery::TrafficClass key(const Open& open) const {
+    recovery::TrafficClass key(const OpenSearch& open) const {
         return {world->plan_.request_classes[open.request_class].name,
                 world->plan_.tenants[open.tenant].first};
     }
@@ -86,39 +87,43 @@
         world->attempt(*this, part, server, time_out);
     }
     void cancel_attempt(PartId part, AttemptNo number_of) override {
-        const std::uint64_t own = life;
-        const auto held = parts.find(part);
-        if (held == parts.end()) return;
-        const int at_server = static_cast<int>(held->second.outs[number_of.value].server.value);
+        const std::uint64_t own = incarnation;
+        const auto part_state = parts.find(part);
+        if (part_state == parts.end()) return;
+        const int at_server =
+            static_cast<int>(part_state->second.attempt_states[number_of.value].server.value);
         world->at(world->now_ + world->delay(), [w = world, at_server, n = number, own, part, number_of] {
             std::erase_if(w->servers_[at_server]->queue, [&](const Server::Job& job) {
-                return job.front == n && job.life == own && job.part == part && job.number == number_of;
+                return job.front == n && job.incarnation == own && job.part == part &&
+                       job.number == number_of;
             });
         });
-        world->at(world->now_ + kTurn, [w = world, n = number, own, part, number_of] {
-            w->returned(n, own, part, number_of, Outcome::kCancelled, false, {});
+        world->at(world->now_ + kDecisionInterval, [w = world, n = number, own, part, number_of] {
+            w->complete_attempt(n, own, part, number_of, Outcome::kCancelled, false, {});
         });
     }
     void end(SearchId id, recovery::TrafficCounter::SearchEnd how) {
         const auto found = searches.find(id);
-        if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
-        book.count_end(key(found->second), how);
+        if (found == searches.end()) return void(world->violations_.push_back("a second final answer"));
+        traffic.count_end(key(found->second), how);
         for (const PartId part : found->second.parts) {
-            auto& held = parts.at(part);
-            if (std::ranges::all_of(held.outs, &Out::over)) parts.erase(part);
+            auto& part_state = parts.at(part);
+            if (std::ranges::all_of(part_state.attempt_states, &AttemptState::over)) parts.erase(part);
         }
         searches.erase(found);
     }
     void answer(SearchId id, bool whole) override {
         const auto found = searches.find(id);
-        if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
-        const Open open = found->second;
+        if (found == searches.end()) return void(world->violations_.push_back("a second final answer"));
+        const OpenSearch open = found->second;
         const SiteRequestClass& request_class = world->plan_.request_classes[open.request_class];
         double weight = 0;
-        for (const PartId part : open.parts) weight += parts.at(part).in ? parts.at(part).weight : 0;
-        if (weight + 1e-6 < request_class.terms.floor) world->broken_.push_back("an answer under its floor");
-        if (whole && weight + 1e-6 < request_class.terms.need) world->broken_.push_back("whole and is not");
-        const bool in_time = world->now_ <= open.begun + request_class.terms.latency_target;
+        for (const PartId part : open.parts) weight += parts.at(part).answered ? parts.at(part).weight : 0;
+        if (weight + 1e-6 < request_class.terms.floor)
+            world->violations_.push_back("an answer under its floor");
+        if (whole && weight + 1e-6 < request_class.terms.need)
+            world->violations_.push_back("whole and is not");
+        const bool in_time = world->now_ <= open.started + request_class.terms.latency_target;
         const double paid = request_class.terms.utility *
                             (in_time ? 1 : request_class.terms.late_utility_ratio) * std::min(1.0, weight);
         SiteTotals& totals = world->totals_;
@@ -131,11 +136,11 @@
     }
     void reject(SearchId id, Tenths retry_after) override {
         const auto found = searches.find(id);
-        if (found == searches.end()) return void(world->broken_.push_back("a second final answer"));
-        const Open open = found->second;
+        if (found == searches.end()) return void(world->violations_.push_back("a second final answer"));
+        const OpenSearch open = found->second;
         ++world->totals_.rejected;
         end(id, recovery::TrafficCounter::SearchEnd::kRejected);
-        if (world->plan_.repeats > 0 && world->chance_.unit() < world->plan_.repeats)
+        if (world->plan_.retry_ratio > 0 && world->random_.unit() < world->plan_.retry_ratio)
             world->at(world->now_ + std::max<Tenths>(retry_after, 10 * kMs), [w = world, n = number, open] {
                 int there = n; // whoever serves
                 for (std::size_t i = 0; i < w->fronts() && !w->fronts_[there]->alive; ++i)
@@ -151,33 +156,33 @@
         const int target = static_cast<int>(server.value);
         const bool good = world->servers_[target]->alive && world->linked(site, world->site_of(target)) &&
                           world->linked(world->site_of(target), site);
-        const Tenths took = good ? world->delay() + world->delay() : kConnect;
-        world->at(world->now_ + took, [w = world, n = number, own = life, server, good, took] {
+        const Tenths took = good ? world->delay() + world->delay() : kConnectTimeout;
+        world->at(world->now_ + took, [w = world, n = number, own = incarnation, server, good, took] {
             Front& front = *w->fronts_[n];
-            if (!front.alive || front.life != own) return;
-            front.book.count_probe("s" + std::to_string(server.value), good);
+            if (!front.alive || front.incarnation != own) return;
+            front.traffic.count_probe("s" + std::to_string(server.value), good);
             front.scheduler->handle(w->now_, ProbeEnded{server, good, took, {}});
-            w->turn(front);
+            w->run_scheduler(front);
         });
     }
     void close_idle_connections(ServerId) override {}
     void schedule_wakeup(Tenths in) override {
         wake_at = world->now_ + std::max<Tenths>(1, in);
-        world->at(wake_at, [w = world, n = number, own = life, when = wake_at] {
+        world->at(wake_at, [w = world, n = number, own = incarnation, when = wake_at] {
             Front& front = *w->fronts_[n];
-            if (front.alive && front.life == own && front.wake_at == when) w->turn(front);
+            if (front.alive && front.incarnation == own && front.wake_at == when) w->run_scheduler(front);
         });
     }
     void subscribe() override {}
 };
 
-SiteWorld::~SiteWorld() = default;
+SimulatedSites::~SimulatedSites() = default;
 
-int SiteWorld::site_of(int server) const { return server * plan_.sites / plan_.servers; }
-int SiteWorld::home_of(int front) const { return front % plan_.sites; }
+int SimulatedSites::site_of(int server) const { return server * plan_.sites / plan_.servers; }
+int SimulatedSites::home_site_of(int front) const { return front % plan_.sites; }
 
-SiteWorld::SiteWorld(SiteWorldPlan plan) : plan_(std::move(plan)), chance_(plan_.seed) {
-    if (plan_.request_classes.empty()) plan_.request_classes = usual_request_classes();
+SimulatedSites::SimulatedSites(SimulatedSitesPlan plan) : plan_(std::move(plan)), random_(plan_.seed) {
+    if (plan_.request_classes.empty()) plan_.request_classes = default_request_classes();
     if (plan_.tenants.empty()) plan_.tenants = {{"etna", 0.7}, {"ortigia", 0.3}};
     for (int i = 0; i < plan_.servers; ++i) {
         auto server = std::make_unique<Server>();
@@ -192,32 +197,32 @@
     rate_ = plan_.load * capacity / (parts / weight);
     for (int i = 0; i < plan_.fronts; ++i) {
         fronts_.push_back(std::make_unique<Front>());
-        fronts_[i]->world = this, fronts_[i]->number = i, fronts_[i]->site = home_of(i);
+        fronts_[i]->world = this, fronts_[i]->number = i, fronts_[i]->site = home_site_of(i);
     }
     for (int i = 0; i < plan_.fronts; ++i) start_front_now(i);
-    tell_members();
+    update_members();
     for (int i = 0; i < plan_.fronts; ++i) arrive(i);
 }
 
-double SiteWorld::power(int number) const {
+double SimulatedSites::power(int number) const {
     const Server& server = *servers_[number];
     if (!server.alive) return 0;
     return server.share(now_, plan_) * plan_.cores * static_cast<double>(kTenthsPerSecond) /
            static_cast<double>(plan_.service);
 }
 
-bool SiteWorld::serves(int server) const { return servers_[server]->alive; }
+bool SimulatedSites::serves(int server) const { return servers_[server]->alive; }
 
-void SiteWorld::at(Tenths when, std::function<void()> what) {
-    events_.push({std::max(when, now_), ++order_, std::move(what)});
+void SimulatedSites::at(Tenths when, std::function<void()> what) {
+    events_.push({std::max(when, now_), ++next_sequence_, std::move(what)});
 }
 
-Tenths SiteWorld::delay() {
-    return plan_.least_delay +
-           static_cast<Tenths>(chance_.unit() * static_cast<double>(plan_.most_delay - plan_.least_delay));
+Tenths SimulatedSites::delay() {
+    return plan_.min_delay +
+           static_cast<Tenths>(random_.unit() * static_cast<double>(plan_.max_delay - plan_.min_delay));
 }
 
-void SiteWorld::pass(Tenths span) {
+void SimulatedSites::pass(Tenths span) {
     for (const Tenths end = now_ + span; !events_.empty() && events_.top().at <= end;) {
         now_ = events_.top().at;
         const auto what = std::move(const_cast<Event&>(events_.top()).what);
@@ -230,44 +235,44 @@
     }
 }
 
-bool SiteWorld::until(const std::function<bool()>& holds, Tenths bound) {
+bool SimulatedSites::until(const std::function<bool()>& holds, Tenths bound) {
     for (const Tenths end = now_ + bound; now_ < end && !holds();) pass(20 * kMs);
     return holds();
 }
 
 // ---- front nodes
 
-ServerListUpdate SiteWorld::news_for(bool whole) const {
-    ServerListUpdate news{whole ? ListKind::kSaved : ListKind::kChanges, {}};
+ServerListUpdate SimulatedSites::list_update(bool whole) const {
+    ServerListUpdate update{whole ? ListKind::kSaved : ListKind::kChanges, {}};
     for (int i = 0; i < plan_.servers; ++i) {
         const Server& server = *servers_[i];
-        news.entries.push_back({ServerId{static_cast<std::uint32_t>(i)}, ZoneNo{server.site}, KindNo{0},
-                                CellNo{server.cell}, server.alive ? ListedState::kLive : ListedState::kGone,
-                                1, server.born});
+        update.entries.push_back({ServerId{static_cast<std::uint32_t>(i)}, ZoneNo{server.site}, KindNo{0},
+                                  CellNo{server.cell}, server.alive ? ListedState::kLive : ListedState::kGone,
+                                  1, server.started_at});
     }
-    return news;
+    return update;
 }
 
-void SiteWorld::start_front_now(int number) {
+void SimulatedSites::start_front_now(int number) {
     Front& front = *fronts_[number];
-    front.alive = true, ++front.life, front.stalled_until = 0;
-    front.searches.clear(), front.parts.clear(), front.slept.clear();
+    front.alive = true, ++front.incarnation, front.stalled_until = 0;
+    front.searches.clear(), front.parts.clear(), front.deferred.clear();
     SchedulerConfig terms;
-    terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(number) + 7 * front.life;
+    terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(number) + 7 * front.incarnation;
     for (const auto& request_class : plan_.request_classes)
         terms.request_classes.push_back(request_class.terms);
     const int nodes = plan_.stated_nodes > 0 ? plan_.stated_nodes : plan_.fronts;
     for (const auto& [name, share] : plan_.tenants) terms.tenants.push_back({rate_ * share * 2});
-    terms.front_nodes = nodes, terms.decision_interval = kTurn;
+    terms.front_nodes = nodes, terms.decision_interval = kDecisionInterval;
     terms.warm_up_time = plan_.warm_up_time, terms.cold_capacity_ratio = plan_.cold_capacity_ratio;
     terms.overload_window = plan_.overload_window, terms.overload_factor = plan_.overload_factor;
     terms.max_retry_after = 2 * kTenthsPerSecond, terms.max_attempts = 3;
     terms.may_cancel = terms.may_send_retry_after = true, terms.may_probe = plan_.may_probe;
     terms.cells = plan_.servers / plan_.replicas, terms.span = 1;
     front.scheduler = make_search_scheduler(terms);
-    front.book = recovery::TrafficCounter(plan_.request_classes[0].terms.latency_target);
-    front.pilot.reset();
-    if (plan_.with_plan) {
+    front.traffic = recovery::TrafficCounter(plan_.request_classes[0].terms.latency_target);
+    front.controller.reset();
+    if (plan_.with_failover) {
         recovery::FailoverOptions own;
         own.name = "n" + std::to_string(number), own.home_site = site_name(front.site), own.seed = terms.seed;
         Tenths due = plan_.request_classes[0].terms.latency_target;
@@ -289,90 +294,97 @@
         own.cold_capacity_ratio = plan_.cold_capacity_ratio;
         own.max_retry_after = terms.max_retry_after, own.configured_nodes = nodes, own.shards = plan_.shards;
         own.configured_capacity = plan_.stated_capacity;
-        front.pilot = std::make_unique<recovery::FailoverController>(own, now_);
-        const std::uint64_t life = front.life;
-        at(now_ + static_cast<Tenths>(chance_.unit() * static_cast<double>(due) / 8), [this, number, life] {
-            if (fronts_[number]->life == life) step_pilot(*fronts_[number]);
-        });
+        front.controller = std::make_unique<recovery::FailoverController>(own, now_);
+        const std::uint64_t incarnation = front.incarnation;
+        at(now_ + static_cast<Tenths>(random_.unit() * static_cast<double>(due) / 8),
+           [this, number, incarnation] {
+               if (fronts_[number]->incarnation == incarnation) step_controller(*fronts_[number]);
+           });
     }
-    tell_list(front, news_for(true), list_now());
+    update_server_list(front, list_update(true), list_now());
 }
 
-void SiteWorld::turn(Front& front) {
+void SimulatedSites::run_scheduler(Front& front) {
     if (!front.alive) return;
     if (now_ < front.stalled_until) return;
     front.scheduler->decide(now_, front);
 }
 
-void SiteWorld::step_pilot(Front& front) {
+void SimulatedSites::step_controller(Front& front) {
     const int number = front.number;
-    const std::uint64_t life = front.life;
+    const std::uint64_t incarnation = front.incarnation;
     if (!front.alive) return;
     if (now_ >= front.stalled_until) {
-        for (const auto& [id, held] : front.parts)
-            for (const auto& out : held.outs)
-                if (!out.over) front.book.note_outstanding("s" + std::to_string(out.server.value), out.sent);
-        front.pilot->add_counts(now_, front.book.take());
-        front.pilot->step(now_, now_);
-        for (auto& effect : front.pilot->take_effects()) {
-            if (const auto* word = std::get_if<recovery::OutgoingReport>(&effect)) {
-                const int to = std::stoi(word->to.substr(1));
-                if (!plan_.talks || chance_.unit() < plan_.word_loss ||
-                    !linked(front.site, fronts_[to]->site) || deaf_.contains(to))
+        for (const auto& [id, part_state] : front.parts)
+            for (const auto& out : part_state.attempt_states)
+                if (!out.over)
+                    front.traffic.note_outstanding("s" + std::to_string(out.server.value), out.sent);
+        front.controller->add_counts(now_, front.traffic.take());
+        front.controller->step(now_, now_);
+        for (auto& effect : front.controller->take_effects()) {
+            if (const auto* report = std::get_if<recovery::OutgoingReport>(&effect)) {
+                const int to = std::stoi(report->to.substr(1));
+                if (!plan_.exchange_reports || random_.unit() < plan_.report_loss_ratio ||
+                    !linked(front.site, fronts_[to]->site) || reports_blocked_.contains(to))
                     continue;
-                at(now_ + delay(), [this, to, bytes = word->bytes] {
+                at(now_ + delay(), [this, to, bytes = report->bytes] {
                     Front& other = *fronts_[to];
                     if (!other.alive) return;
                     if (now_ < other.stalled_until) return; // its socket is full soon enough
-                    other.pilot->receive_report(now_, bytes);
+                    other.controller->receive_report(now_, bytes);
                 });
-            } else if (const auto* relief = std::get_if<FailoverPolicyUpdate>(&effect)) {
-                front.scheduler->handle(now_, *relief);
-                turn(front);
+            } else if (const auto* policy_update = std::get_if<FailoverPolicyUpdate>(&effect)) {
+                front.scheduler->handle(now_, *policy_update);
+                run_scheduler(front);
             } else if (on_line) {
                 on_line(number, std::get<recovery::SiteLogLine>(effect));
             }
         }
     }
-    at(std::max(front.pilot->next_step(), now_ + 1), [this, number, life] {
-        if (fronts_[number]->alive && fronts_[number]->life == life) step_pilot(*fronts_[number]);
+    at(std::max(front.controller->next_step(), now_ + 1), [this, number, incarnation] {
+        if (fronts_[number]->alive && fronts_[number]->incarnation == incarnation)
+            step_controller(*fronts_[number]);
     });
 }
 
-const recovery::FailoverController* SiteWorld::pilot(int front) const { return fronts_[front]->pilot.get(); }
+const recovery::FailoverController* SimulatedSites::controller(int front) const {
+    return fronts_[front]->controller.get();
+}
 
-recovery::SiteState SiteWorld::state(int front, int site) const {
-    return fronts_[front]->pilot->monitor().state(site_name(site));
+recovery::SiteState SimulatedSites::state(int front, int site) const {
+    return fronts_[front]->controller->monitor().state(site_name(site));
 }
 
-std::size_t SiteWorld::seen_in(int site, recovery::SiteState wanted) const {
+std::size_t SimulatedSites::count_front_nodes_seeing(int site, recovery::SiteState wanted) const {
     return static_cast<std::size_t>(std::ranges::count_if(fronts_, [&](const auto& front) {
-        return front->alive && front->pilot && front->pilot->monitor().state(site_name(site)) == wanted;
+        return front->alive && front->controller &&
+               front->controller->monitor().state(site_name(site)) == wanted;
     }));
 }
 
-void SiteWorld::order(int front, recovery::SiteOverride order) {
-    fronts_[front]->pilot->apply_override(std::move(order));
+void SimulatedSites::apply_override(int front, recovery::SiteOverride site_override) {
+    fronts_[front]->controller->apply_override(std::move(site_override));
 }
 
 // ---- clients
 
-void SiteWorld::arrive(int number) {
+void SimulatedSites::arrive(int number) {
     // Whoever cannot reach one front node goes to another: those that live share all that comes.
     const auto alive = std::ranges::count_if(fronts_, [](const auto& front) { return front->alive; });
-    const double mine =
-        fronts_[number]->alive ? rate_ * surge_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive)) : 0;
-    const double gap = mine > 0 ? -std::log(1 - chance_.unit()) / mine : 0.1;
+    const double mine = fronts_[number]->alive
+                            ? rate_ * load_factor_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive))
+                            : 0;
+    const double gap = mine > 0 ? -std::log(1 - random_.unit()) / mine : 0.1;
     at(now_ + static_cast<Tenths>(gap * static_cast<double>(kTenthsPerSecond)) + 1, [this, number, mine] {
         if (mine > 0 && fronts_[number]->alive) {
-            double drawn = chance_.unit(), all = 0;
+            double drawn = random_.unit(), all = 0;
             for (const auto& request_class : plan_.request_classes) all += request_class.rate;
             std::size_t request_class = 0, tenant = 0;
             for (drawn *= all; request_class + 1 < plan_.request_classes.size() &&
                                drawn >= plan_.request_classes[request_class].rate;
                  ++request_class)
                 drawn -= plan_.request_classes[request_class].rate;
-            for (drawn = chance_.unit();
+            for (drawn = random_.unit();
                  tenant + 1 < plan_.tenants.size() && drawn >= plan_.tenants[tenant].second; ++tenant)
                 drawn -= plan_.tenants[tenant].second;
             search(number, request_class, tenant, false);
@@ -381,7 +393,7 @@
     });
 }
 
-void SiteWorld::search(int number, std::size_t class_no, std::size_t tenant, bool again) {
+void SimulatedSites::search(int number, std::size_t class_no, std::size_t tenant, bool again) {
     Front& front = *fronts_[number];
     const SiteRequestClass& request_class = plan_.request_classes[class_no];
     if (!again) {
@@ -391,14 +403,14 @@
     }
     const SearchId id{front.next_id++};
     const JobNo job{front.next_job++};
-    Front::Open& open = front.searches[id];
-    open.request_class = class_no, open.tenant = tenant, open.begun = now_;
+    Front::OpenSearch& open = front.searches[id];
+    open.request_class = class_no, open.tenant = tenant, open.started = now_;
     const auto key = front.key(open);
-    front.book.count_search(key);
+    front.traffic.count_search(key);
     std::vector<int> shards(static_cast<std::size_t>(plan_.shards));
     for (int i = 0; i < plan_.shards; ++i) shards[i] = i;
     for (int i = 0; i < request_class.parts && i < plan_.shards; ++i)
-        std::swap(shards[i], shards[i + static_cast<int>(chance_.unit() * (plan_.shards - i))]);
+        std::swap(shards[i], shards[i + static_cast<int>(random_.unit() * (plan_.shards - i))]);
     const int count = std::min(request_class.parts, plan_.shards);
     front.scheduler->handle(now_, SearchAccepted{id, job, RequestClassNo{static_cast<std::int32_t>(class_no)},
                                                  TenantNo{static_cast<std::int32_t>(tenant)},
@@ -409,193 +421,202 @@
         front.parts[part] = {
             id, shards[i], 1.0 / count, false, request_class.terms.idempotency == Idempotency::kNonIdempotent,
             {}};
-        front.book.count_part(key, shards[i]);
+        front.traffic.count_part(key, shards[i]);
         front.scheduler->handle(now_, PartAdded{part, job, ShardNo{shards[i]}, 1.0 / count});
     }
-    at(now_ + request_class.terms.deadline, [this, number, life = front.life, id] {
-        Front& late = *fronts_[number];
-        if (!late.alive || late.life != life || !late.searches.contains(id)) return;
-        if (now_ < late.stalled_until + kConnect) return; // it could not; its clients went elsewhere
+    at(now_ + request_class.terms.deadline, [this, number, incarnation = front.incarnation, id] {
+        Front& front_node = *fronts_[number];
+        if (!front_node.alive || front_node.incarnation != incarnation || !front_node.searches.contains(id))
+            return;
+        if (now_ < front_node.stalled_until + kConnectTimeout)
+            return; // it could not; its clients went elsewhere
         ++lost_;
-        late.scheduler->handle(now_, SearchAbandoned{id});
-        late.fail(id);
+        front_node.scheduler->handle(now_, SearchAbandoned{id});
+        front_node.fail(id);
     });
-    turn(front);
+    run_scheduler(front);
 }
 
 // ---- attempts
 
-void SiteWorld::attempt(Front& front, PartId part, ServerId server, Tenths time_out) {
-    auto& held = front.parts.at(part);
-    const AttemptNo number{static_cast<std::uint32_t>(held.outs.size())};
-    held.outs.push_back({server, now_, false});
+void SimulatedSites::attempt(Front& front, PartId part, ServerId server, Tenths time_out) {
+    auto& part_state = front.parts.at(part);
+    const AttemptNo number{static_cast<std::uint32_t>(part_state.attempt_states.size())};
+    part_state.attempt_states.push_back({server, now_, false});
     ++totals_.attempts;
     const int target = static_cast<int>(server.value), from = front.number;
-    const std::uint64_t life = front.life;
-    at(now_ + time_out, [this, from, life, part, number] {
-        returned(from, life, part, number, Outcome::kTimedOut, false, {});
+    const std::uint64_t incarnation = front.incarnation;
+    at(now_ + time_out, [this, from, incarnation, part, number] {
+        complete_attempt(from, incarnation, part, number, Outcome::kTimedOut, false, {});
     });
     if (!linked(front.site, site_of(target))) return;
-    const bool once = held.once;
-    at(now_ + delay(),
-       [this, target, from, life, part, number, once] { reach(target, from, life, part, number, once); });
+    const bool once = part_state.once;
+    at(now_ + delay(), [this, target, from, incarnation, part, number, once] {
+        deliver_attempt(target, from, incarnation, part, number, once);
+    });
 }
 
-void SiteWorld::reach(int target, int from, std::uint64_t life, PartId part, AttemptNo number, bool once) {
+void SimulatedSites::deliver_attempt(int target, int from, std::uint64_t incarnation, PartId part,
+                                     AttemptNo number, bool once) {
     Server& server = *servers_[target];
     if (!server.alive) {
         if (linked(server.site, fronts_[from]->site))
-            at(now_ + delay(), [this, from, life, part, number] {
-                returned(from, life, part, number, Outcome::kConnectTimeout, false, {});
+            at(now_ + delay(), [this, from, incarnation, part, number] {
+                complete_attempt(from, incarnation, part, number, Outcome::kConnectTimeout, false, {});
             });
         return;
     }
     ++arrived_;
-    if (once && !ran_.insert({from, life, part}).second) ++doubled_; // it may have run before
-    server.queue.push_back({from, life, part, number});
-    if (server.born > 0 && now_ < server.born + plan_.warm_up_time) {
+    if (once && !ran_.insert({from, incarnation, part}).second)
+        ++duplicate_attempts_; // it may have run before
+    server.queue.push_back({from, incarnation, part, number});
+    if (server.started_at > 0 && now_ < server.started_at + plan_.warm_up_time) {
         server.arrivals.push_back(now_);
         while (server.arrivals.front() <= now_ - plan_.overload_window) server.arrivals.pop_front();
         const double full =
             plan_.cores * static_cast<double>(plan_.overload_window) / static_cast<double>(plan_.service);
         const double allowed = plan_.overload_factor * full * server.share(now_, plan_);
         const double most = allowed + 3 * std::sqrt(allowed) + 3;
-        cold_used_ = std::max(cold_used_, static_cast<double>(server.arrivals.size()) / most);
-        if (static_cast<double>(server.arrivals.size()) > most) return fall(target);
+        cold_limit_used_ = std::max(cold_limit_used_, static_cast<double>(server.arrivals.size()) / most);
+        if (static_cast<double>(server.arrivals.size()) > most) return fail_from_overload(target);
     }
-    begin_work(target);
+    start_parts(target);
 }
 
-void SiteWorld::begin_work(int target) {
+void SimulatedSites::start_parts(int target) {
     Server& server = *servers_[target];
     while (server.busy < plan_.cores && !server.queue.empty()) {
         const Server::Job job = server.queue.front();
         server.queue.pop_front();
         ++server.busy;
         const double mean = static_cast<double>(plan_.service) / server.share(now_, plan_);
-        const auto took = static_cast<Tenths>(-std::log(1 - chance_.unit()) * mean) + 1;
-        at(now_ + took, [this, target, job, life = server.life] {
+        const auto took = static_cast<Tenths>(-std::log(1 - random_.unit()) * mean) + 1;
+        at(now_ + took, [this, target, job, incarnation = server.incarnation] {
             Server& done = *servers_[target];
-            if (!done.alive || done.life != life) return;
+            if (!done.alive || done.incarnation != incarnation) return;
             --done.busy;
-            begin_work(target);
+            start_parts(target);
             const LoadReport report{static_cast<double>(done.busy), static_cast<double>(done.queue.size())};
             if (linked(done.site, fronts_[job.front]->site))
                 at(now_ + delay(), [this, job, report] {
-                    returned(job.front, job.life, job.part, job.number, Outcome::kAnswered, true, report);
+                    complete_attempt(job.front, job.incarnation, job.part, job.number, Outcome::kAnswered,
+                                     true, report);
                 });
         });
     }
 }
 
-void SiteWorld::returned(int from, std::uint64_t life, PartId part, AttemptNo number, Outcome outcome, bool,
-                         LoadReport report) {
+void SimulatedSites::complete_attempt(int from, std::uint64_t incarnation, PartId part, AttemptNo number,
+                                      Outcome outcome, bool, LoadReport report) {
     Front& front = *fronts_[from];
-    if (!front.alive || front.life != life) return;
+    if (!front.alive || front.incarnation != incarnation) return;
     if (now_ < front.stalled_until) {
-        at(front.stalled_until, [this, from, life, part, number, outcome, report] {
-            returned(from, life, part, number, outcome, true, report);
+        at(front.stalled_until, [this, from, incarnation, part, number, outcome, report] {
+            complete_attempt(from, incarnation, part, number, outcome, true, report);
         });
         return;
     }
     const auto found = front.parts.find(part);
     if (found == front.parts.end()) return;
-    Front::Held& held = found->second;
-    Front::Out& out = held.outs[number.value];
+    Front::PartState& part_state = found->second;
+    Front::AttemptState& out = part_state.attempt_states[number.value];
     if (std::exchange(out.over, true)) return;
     const Tenths took = now_ - out.sent;
-    if (outcome == Outcome::kAnswered) held.in = true;
+    if (outcome == Outcome::kAnswered) part_state.answered = true;
     const ServerId server = out.server;
-    front.book.count_attempt("s" + std::to_string(server.value), outcome, took, report);
-    const SearchId search = held.search;
-    if (!front.searches.contains(search) && std::ranges::all_of(held.outs, &Front::Out::over))
+    front.traffic.count_attempt("s" + std::to_string(server.value), outcome, took, report);
+    const SearchId search = part_state.search;
+    if (!front.searches.contains(search) &&
+        std::ranges::all_of(part_state.attempt_states, &Front::AttemptState::over))
         front.parts.erase(found);
     front.scheduler->handle(now_, AttemptEnded{part, number, server, outcome, took, report});
-    turn(front);
+    run_scheduler(front);
 }
 
 // ---- faults
 
-void SiteWorld::kill_server(int number) {
+void SimulatedSites::kill_server(int number) {
     Server& server = *servers_[number];
     if (!server.alive) return;
-    server.alive = false, ++server.life, server.busy = 0;
+    server.alive = false, ++server.incarnation, server.busy = 0;
     // Connections break: what was there returns as that.
     for (const Server::Job& job : std::exchange(server.queue, {}))
         at(now_ + delay(), [this, job] {
-            returned(job.front, job.life, job.part, job.number, Outcome::kConnectionLost, false, {});
+            complete_attempt(job.front, job.incarnation, job.part, job.number, Outcome::kConnectionLost,
+                             false, {});
         });
-    at(now_ + plan_.list_lag, [this] { tell_lists(); });
+    at(now_ + plan_.list_lag, [this] { update_server_lists(); });
 }
 
-void SiteWorld::start_server(int number) {
+void SimulatedSites::start_server(int number) {
     Server& server = *servers_[number];
     if (server.alive) return;
-    server.alive = true, ++server.life, server.born = now_, server.busy = 0;
+    server.alive = true, ++server.incarnation, server.started_at = now_, server.busy = 0;
     server.arrivals.clear();
-    at(now_ + plan_.list_lag, [this] { tell_lists(); });
+    at(now_ + plan_.list_lag, [this] { update_server_lists(); });
 }
 
-void SiteWorld::fall(int number) {
-    ++falls_;
+void SimulatedSites::fail_from_overload(int number) {
+    ++overload_failures_;
     kill_server(number);
-    at(now_ + kDown, [this, number] { start_server(number); });
+    at(now_ + kRestartDelay, [this, number] { start_server(number); });
 }
 
-void SiteWorld::kill_site(int site, bool fronts_too) {
+void SimulatedSites::kill_site(int site, bool fronts_too) {
     for (int i = 0; i < plan_.servers; ++i)
         if (site_of(i) == site) kill_server(i);
     for (auto& front : fronts_)
         if (fronts_too && front->site == site) {
-            front->alive = false, ++front->life;
+            front->alive = false, ++front->incarnation;
             // What its clients had asked for is theirs to ask again; nobody here answers for it.
             front->searches.clear(), front->parts.clear();
         }
-    at(now_ + plan_.member_lag, [this] { tell_members(); });
+    at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SiteWorld::return_site(int site) {
+void SimulatedSites::return_site(int site) {
     for (int i = 0; i < plan_.servers; ++i)
         if (site_of(i) == site) start_server(i);
     for (auto& front : fronts_)
         if (front->site == site && !front->alive) start_front_now(front->number);
-    at(now_ + plan_.member_lag, [this] { tell_members(); });
+    at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SiteWorld::cut_site(int site, bool both_ways) {
+void SimulatedSites::cut_site(int site, bool both_ways) {
     for (int other = 0; other < plan_.sites; ++other)
         if (other != site) {
             cuts_.insert({site, other});
             if (both_ways) cuts_.insert({other, site});
         }
-    at(now_ + plan_.member_lag, [this] { tell_members(); });
+    at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SiteWorld::cut_between(int a, int b) {
+void SimulatedSites::cut_between(int a, int b) {
     cuts_.insert({a, b}), cuts_.insert({b, a});
-    at(now_ + plan_.member_lag, [this] { tell_members(); });
+    at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SiteWorld::heal() {
-    cuts_.clear(), deaf_.clear();
-    at(now_ + plan_.member_lag, [this] { tell_members(); });
+void SimulatedSites::heal() {
+    cuts_.clear(), reports_blocked_.clear();
+    at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SiteWorld::stall_front(int number, Tenths span) {
+void SimulatedSites::stall_front(int number, Tenths span) {
     Front& front = *fronts_[number];
     front.stalled_until = now_ + span;
-    at(front.stalled_until + 1, [this, number] { turn(*fronts_[number]); });
+    at(front.stalled_until + 1, [this, number] { run_scheduler(*fronts_[number]); });
 }
 
-void SiteWorld::start_front(int number) { start_front_now(number); }
-void SiteWorld::deafen(const std::set<int>& fronts) { deaf_ = fronts; }
+void SimulatedSites::start_front(int number) { start_front_now(number); }
+void SimulatedSites::block_reports(const std::set<int>& fronts) { reports_blocked_ = fronts; }
 
-std::map<std::string, recovery::ListedServer> SiteWorld::list_now() const {
+std::map<std::string, recovery::ListedServer> SimulatedSites::list_now() const {
     std::map<std::string, recovery::ListedServer> servers;
     const int cells = plan_.servers / plan_.replicas;
     for (int i = 0; i < plan_.servers; ++i) {
         recovery::ListedServer seen;
-        seen.site = site_name(site_of(i)), seen.live = servers_[i]->alive, seen.started = servers_[i]->born;
+        seen.site = site_name(site_of(i)), seen.live = servers_[i]->alive,
+        seen.started = servers_[i]->started_at;
         for (int shard = 0; shard < plan_.shards; ++shard)
             if (shard % cells == servers_[i]->cell) seen.shards.push_back(shard);
         servers["s" + std::to_string(i)] = std::move(seen);
@@ -603,36 +624,36 @@
     return servers;
 }
 
-void SiteWorld::tell_list(Front& front, const ServerListUpdate& news,
-                          const std::map<std::string, recovery::ListedServer>& servers) {
+void SimulatedSites::update_server_list(Front& front, const ServerListUpdate& update,
+                                        const std::map<std::string, recovery::ListedServer>& servers) {
     if (!front.alive || !front.scheduler) return;
-    front.scheduler->handle(now_, news);
-    if (front.pilot) front.pilot->update_servers(now_, servers);
-    turn(front);
+    front.scheduler->handle(now_, update);
+    if (front.controller) front.controller->update_servers(now_, servers);
+    run_scheduler(front);
 }
 
 // All that changes in one instant is told at once.
-void SiteWorld::tell_lists() {
-    if (told_at_ == now_) return;
-    told_at_ = now_;
+void SimulatedSites::update_server_lists() {
+    if (lists_updated_at_ == now_) return;
+    lists_updated_at_ = now_;
     const auto servers = list_now();
-    const ServerListUpdate news = news_for(false);
-    for (auto& front : fronts_) tell_list(*front, news, servers);
+    const ServerListUpdate update = list_update(false);
+    for (auto& front : fronts_) update_server_list(*front, update, servers);
 }
 
-void SiteWorld::tell_members() {
+void SimulatedSites::update_members() {
     for (auto& front : fronts_) {
-        if (!front->alive || !front->pilot || !plan_.talks) continue;
+        if (!front->alive || !front->controller || !plan_.exchange_reports) continue;
         std::set<std::string> others;
         for (const auto& other : fronts_)
             if (other->alive && other != front && linked(front->site, other->site) &&
                 linked(other->site, front->site))
                 others.insert("n" + std::to_string(other->number));
-        front->pilot->set_peers(now_, others);
+        front->controller->set_peers(now_, others);
     }
 }
 
-double SiteWorld::best_share() const {
+double SimulatedSites::best_share() const {
     recovery::PlanInput terms;
     terms.unit_capacity =
         plan_.cores * static_cast<double>(kTenthsPerSecond) / static_cast<double>(plan_.service);
@@ -649,7 +670,7 @@
             request_class.terms.latency_target, false};
         for (const auto& [tenant, share] : plan_.tenants)
             terms.demand.rows[{request_class.name, tenant}] = {
-                rate_ * surge_ * request_class.rate / all * share,
+                rate_ * load_factor_ * request_class.rate / all * share,
                 static_cast<double>(std::min(request_class.parts, plan_.shards))};
     }
     for (int shard = 0; shard < plan_.shards; ++shard) terms.demand.shards[shard] = 1.0 / plan_.shards;
--- a/tests/lab/site_world.hpp
+++ b/tests/lab/simulated_sites.hpp
@@ -24,7 +24,7 @@
     RequestClassConfig terms;
 };
 
-struct SiteWorldPlan {
+struct SimulatedSitesPlan {
     std::uint64_t seed = 1;
     int fronts = 6, servers = 12, sites = 3, shards = 8, replicas = 3;
     std::vector<SiteRequestClass> request_classes;       // empty: three of their kinds
@@ -35,10 +35,10 @@
     double cold_capacity_ratio = 0.3, overload_factor = 2;
     Tenths warm_up_time = 5 * kTenthsPerSecond, overload_window = kTenthsPerSecond;
     Tenths list_lag = kTenthsPerSecond / 5, member_lag = kTenthsPerSecond;
-    Tenths least_delay = 5, most_delay = 20; // of a datagram or a frame, one way
-    double word_loss = 0;
-    double repeats = 0; // share of those rejected that come again when they were told to
-    bool with_plan = true, talks = true;
+    Tenths min_delay = 5, max_delay = 20; // of a datagram or a frame, one way
+    double report_loss_ratio = 0;
+    double retry_ratio = 0; // share of those rejected that come again when they were told to
+    bool with_failover = true, exchange_reports = true;
     bool may_probe = true;
     int stated_nodes = 0;       // 0: as many as there are
     double stated_capacity = 0; // by the operator
@@ -51,12 +51,12 @@
     std::map<std::string, std::pair<double, double>> tenants;
 };
 
-class SiteWorld {
+class SimulatedSites {
   public:
-    explicit SiteWorld(SiteWorldPlan plan);
-    ~SiteWorld();
-    SiteWorld(const SiteWorld&) = delete;
-    SiteWorld& operator=(const SiteWorld&) = delete;
+    explicit SimulatedSites(SimulatedSitesPlan plan);
+    ~SimulatedSites();
+    SimulatedSites(const SimulatedSites&) = delete;
+    SimulatedSites& operator=(const SimulatedSites&) = delete;
 
     void pass(Tenths span);
     bool until(const std::function<bool()>& holds, Tenths bound);
@@ -70,32 +70,33 @@
     void kill_server(int server);
     void start_server(int server);
     void stall_front(int front, Tenths span);
-    void start_front(int front);              // with the list as it knows it
-    void deafen(const std::set<int>& fronts); // they hear no word of any other
+    void start_front(int front);                     // with the list as it knows it
+    void block_reports(const std::set<int>& fronts); // they hear no word of any other
     void lag_lists(Tenths lag) { plan_.list_lag = lag; }
-    void surge(double factor) { surge_ = factor; }
-    void order(int front, recovery::SiteOverride order);
+    void set_load_factor(double factor) { load_factor_ = factor; }
+    void apply_override(int front, recovery::SiteOverride site_override);
 
     // What is
     Tenths now() const { return now_; }
-    const recovery::FailoverController* pilot(int front) const;
+    const recovery::FailoverController* controller(int front) const;
     recovery::SiteState state(int front, int site) const;
-    std::size_t seen_in(int site, recovery::SiteState state) const; // front nodes that see it so
+    std::size_t count_front_nodes_seeing(int site,
+                                         recovery::SiteState state) const; // front nodes that see it so
     static std::string site_name(int site) { return std::string(1, static_cast<char>('a' + site)); }
     SiteTotals take_totals() { return std::exchange(totals_, {}); }
     const SiteTotals& totals() const { return totals_; }
     // What perfect knowledge would earn of the present demand with what is there now: share of all utility.
     double best_share() const;
     std::uint64_t arrived() const { return arrived_; } // attempts at servers
-    double cold_limit_used() const { return cold_used_; }
-    std::uint64_t falls() const { return falls_; }
+    double cold_limit_used() const { return cold_limit_used_; }
+    std::uint64_t overload_failures() const { return overload_failures_; }
     std::uint64_t lost() const { return lost_; }
-    std::uint64_t doubled() const { return doubled_; } // of what may run once
-    const std::vector<std::string>& broken() const { return broken_; }
+    std::uint64_t duplicate_attempts() const { return duplicate_attempts_; } // of what may run once
+    const std::vector<std::string>& violations() const { return violations_; }
     std::function<void(int, const recovery::SiteLogLine&)> on_line;
     std::size_t fronts() const { return static_cast<std::size_t>(plan_.fronts); }
     bool serves(int server) const;
-    const SiteWorldPlan& plan() const { return plan_; }
+    const SimulatedSitesPlan& plan() const { return plan_; }
     double power(int server) const; // now, parts a second
 
   private:
@@ -103,48 +104,49 @@
     struct Server;
     struct Event {
         Tenths at;
-        std::uint64_t order;
+        std::uint64_t sequence;
         std::function<void()> what;
-        bool operator>(const Event& o) const { return std::pair(at, order) > std::pair(o.at, o.order); }
+        bool operator>(const Event& o) const { return std::pair(at, sequence) > std::pair(o.at, o.sequence); }
     };
     void at(Tenths when, std::function<void()> what);
     Tenths delay();
     bool linked(int from_site, int to_site) const { return !cuts_.contains({from_site, to_site}); }
     void arrive(int front);
     void search(int front, std::size_t request_class, std::size_t tenant, bool again);
-    void turn(Front& front);
-    void step_pilot(Front& front);
+    void run_scheduler(Front& front);
+    void step_controller(Front& front);
     void attempt(Front& front, PartId part, ServerId server, Tenths time_out);
-    void reach(int server, int front, std::uint64_t life, PartId part, AttemptNo number, bool once);
-    void begin_work(int server);
-    void returned(int front, std::uint64_t life, PartId part, AttemptNo number, Outcome outcome,
-                  bool from_server, LoadReport report);
-    void fall(int server);
+    void deliver_attempt(int server, int front, std::uint64_t incarnation, PartId part, AttemptNo number,
+                         bool once);
+    void start_parts(int server);
+    void complete_attempt(int front, std::uint64_t incarnation, PartId part, AttemptNo number,
+                          Outcome outcome, bool from_server, LoadReport report);
+    void fail_from_overload(int server);
     std::map<std::string, recovery::ListedServer> list_now() const;
-    void tell_list(Front& front, const ServerListUpdate& news,
-                   const std::map<std::string, recovery::ListedServer>& servers);
-    void tell_lists();
-    void tell_members();
-    ServerListUpdate news_for(bool whole) const;
+    void update_server_list(Front& front, const ServerListUpdate& update,
+                            const std::map<std::string, recovery::ListedServer>& servers);
+    void update_server_lists();
+    void update_members();
+    ServerListUpdate list_update(bool whole) const;
     int site_of(int server) const;
-    int home_of(int front) const;
+    int home_site_of(int front) const;
     void start_front_now(int front);
 
-    SiteWorldPlan plan_;
-    Pcg chance_;
+    SimulatedSitesPlan plan_;
+    Pcg random_;
     Tenths now_ = 1000 * kTenthsPerSecond;
-    std::uint64_t order_ = 0;
+    std::uint64_t next_sequence_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
     std::vector<std::unique_ptr<Front>> fronts_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::set<std::pair<int, int>> cuts_;
-    std::set<int> deaf_;
+    std::set<int> reports_blocked_;
     SiteTotals totals_;
-    Tenths told_at_ = 0;
-    double surge_ = 1, rate_ = 0, cold_used_ = 0;
-    std::uint64_t falls_ = 0, lost_ = 0, doubled_ = 0, arrived_ = 0;
+    Tenths lists_updated_at_ = 0;
+    double load_factor_ = 1, rate_ = 0, cold_limit_used_ = 0;
+    std::uint64_t overload_failures_ = 0, lost_ = 0, duplicate_attempts_ = 0, arrived_ = 0;
     std::set<std::tuple<int, std::uint64_t, PartId>> ran_; // parts that may run once
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
 };
 
 } // namespace ivyrill::lab
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -1,7 +1,7 @@
 // Tests of the maintenance schedule: units, and whole groups of front nodes and machines in simulated time
 // with faults injected between them. Usage: `maintenance_tests NAME`.
 #include "fake_host.hpp"
-#include "lab/evening_world.hpp"
+#include "lab/simulated_maintenance.hpp"
 #include "maintenance/chart.hpp"
 #include "maintenance/codec.hpp"
 #include "raft_storage/sqlite_raft_store.hpp"
@@ -17,41 +17,41 @@
 
 namespace {
 
-using lab::EveningWorld;
-using lab::HallMachine;
-using lab::Planted;
-using lab::WorldPlan;
+using lab::FaultInjection;
+using lab::SimulatedMachine;
+using lab::SimulatedMaintenance;
+using lab::SimulatedMaintenancePlan;
 
 constexpr Tenths kS = kTenthsPerSecond;
 
-WorldPlan five_voters() {
-    WorldPlan plan;
-    plan.council = 5;
+SimulatedMaintenancePlan five_voters() {
+    SimulatedMaintenancePlan plan;
+    plan.voter_count = 5;
     return plan;
 }
 
 // A simulation whose consensus group has a leader and knows the fleet.
-struct ReadyWorld : EveningWorld {
-    explicit ReadyWorld(const WorldPlan& plan = {}, Planted planted = {})
-        : EveningWorld(plan, std::move(planted)) {
-        assert(until([&] { return leader() >= 0 && !evening().fleet().empty(); }, 30 * kS));
+struct ReadyWorld : SimulatedMaintenance {
+    explicit ReadyWorld(const SimulatedMaintenancePlan& plan = {}, FaultInjection fault_injection = {})
+        : SimulatedMaintenance(plan, std::move(fault_injection)) {
+        assert(until([&] { return leader() >= 0 && !schedule().fleet().empty(); }, 30 * kS));
     }
     void add_jobs(const std::vector<std::string>& machines, int node = 0) {
-        order(node, machines, "order" + std::to_string(machines.size()) + machines[0]);
-        assert(until([&] { return evening().job(machines.back()) != nullptr; }, 20 * kS));
+        add_maintenance_jobs(node, machines, "order" + std::to_string(machines.size()) + machines[0]);
+        assert(until([&] { return schedule().job(machines.back()) != nullptr; }, 20 * kS));
     }
-    JobState state(const std::string& machine) const { return evening().job(machine)->state; }
+    JobState state(const std::string& machine) const { return schedule().job(machine)->state; }
     bool reaches(const std::string& machine, JobState expected, Tenths bound = 60 * kS) {
         return until([&] { return state(machine) == expected; }, bound);
     }
     bool all_jobs_end(Tenths bound = 300 * kS) {
-        return until([&] { return all_over(); }, bound);
+        return until([&] { return all_jobs_finished(); }, bound);
     }
     int number(const std::string& name) const { return std::stoi(name.substr(1)); }
-    const std::string& holder(const std::string& machine) const { return evening().job(machine)->holder; }
+    const std::string& holder(const std::string& machine) const { return schedule().job(machine)->holder; }
     bool rules_hold() const {
-        for (const std::string& violation : broken()) std::printf("%s\n", violation.c_str());
-        return broken().empty();
+        for (const std::string& violation : violations()) std::printf("%s\n", violation.c_str());
+        return violations().empty();
     }
 };
 
@@ -182,40 +182,40 @@
 void all_jobs_finish_without_faults() {
     ReadyWorld world;
     world.add_jobs({"s0", "s1", "s2", "s3", "s4", "n0", "n3"});
-    assert(world.all_jobs_end() && world.counts().turns_done == 7 && world.rules_hold() &&
-           world.under_floor() == 0);
+    assert(world.all_jobs_end() && world.counts().jobs_done == 7 && world.rules_hold() &&
+           world.time_below_min_replicas() == 0);
     assert(world.machines_out().empty());
 }
 
 void stalled_holder_loses_its_lease_to_another_node() {
     ReadyWorld world(five_voters());
-    world.machine("s0").works_for = 20 * kS;
+    world.machine("s0").work_duration = 20 * kS;
     world.add_jobs({"s0"});
     assert(world.reaches("s0", JobState::kOut));
     const std::string first = world.holder("s0");
-    const FencingToken fence = world.evening().job("s0")->fence;
+    const FencingToken fence = world.schedule().job("s0")->fence;
     world.stall(world.number(first), 15 * kS);
-    assert(world.until([&] { return world.evening().job("s0")->fence > fence; }, 14 * kS));
+    assert(world.until([&] { return world.schedule().job("s0")->fence > fence; }, 14 * kS));
     assert(world.holder("s0") != first);
-    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done == 1);
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().jobs_done == 1);
 }
 
 void isolated_leader_grants_nothing() {
     ReadyWorld world(five_voters());
     const int old = world.leader();
     world.cut({old});
-    world.order(old, {"s1"}, "cut off");
+    world.add_maintenance_jobs(old, {"s1"}, "cut off");
     world.pass(2 * kS);
     assert(world.until([&] { return world.leader() >= 0 && world.leader() != old; }, 30 * kS));
     const int fresh = world.leader();
     world.add_jobs({"s0"}, fresh);
     assert(world.reaches("s0", JobState::kDone));
-    assert(world.front(old).warden->schedule().job("s0") == nullptr);
+    assert(world.front(old).node->schedule().job("s0") == nullptr);
     world.pass(12 * kS);
-    assert(world.answers.contains("cut off") &&
-           !world.answers["cut off"].first); // and its operator gets an error
+    assert(world.operator_replies.contains("cut off") &&
+           !world.operator_replies["cut off"].first); // and its operator gets an error
     world.heal();
-    assert(world.until([&] { return world.front(old).warden->schedule().job("s0") != nullptr; }, 20 * kS));
+    assert(world.until([&] { return world.front(old).node->schedule().job("s0") != nullptr; }, 20 * kS));
     assert(world.rules_hold());
 }
 
@@ -224,15 +224,15 @@
     world.cut({0, 1});
     assert(world.until([&] { return world.leader() >= 2; }, 30 * kS));
     world.add_jobs({"s0", "s1", "s2"}, 3);
-    assert(world.until([&] { return world.all_over(); }, 200 * kS) && world.rules_hold());
+    assert(world.until([&] { return world.all_jobs_finished(); }, 200 * kS) && world.rules_hold());
 }
 
 void no_machine_goes_out_without_a_majority() {
     ReadyWorld world(five_voters());
     world.cut({0, 1}), world.cut({1, 2}), world.cut({3});
-    world.order(0, {"s0"}, "a"), world.order(4, {"s1"}, "b");
+    world.add_maintenance_jobs(0, {"s0"}, "a"), world.add_maintenance_jobs(4, {"s1"}, "b");
     world.pass(60 * kS);
-    assert(world.machines_out().empty() && world.counts().turns_done == 0);
+    assert(world.machines_out().empty() && world.counts().jobs_done == 0);
     world.heal();
     world.add_jobs({"s3"}, 2);
     assert(world.all_jobs_end() && world.rules_hold());
@@ -259,27 +259,28 @@
 
 void jobs_finish_after_a_restart_of_all_nodes() {
     ReadyWorld world;
-    world.machine("s0").works_for = 10 * kS;
+    world.machine("s0").work_duration = 10 * kS;
     world.add_jobs({"s0", "s1", "s2"});
     assert(world.reaches("s0", JobState::kOut));
     for (int i = 0; i < 5; ++i) world.kill(i), world.front(i).failed = true;
     world.pass(kS);
     for (int i = 0; i < 5; ++i) world.front(i).failed = false, world.start(i);
-    assert(world.until([&] { return world.evening().job("s0") != nullptr; }, 60 * kS));
-    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done >= 3);
+    assert(world.until([&] { return world.schedule().job("s0") != nullptr; }, 60 * kS));
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().jobs_done >= 3);
 }
 
 void hold_survives_a_restart_of_all_nodes() {
     ReadyWorld world;
-    world.machine("s0").never_back = true;
+    world.machine("s0").never_returns = true;
     world.add_jobs({"s0", "s1", "s2"});
-    assert(world.until([&] { return world.evening().held(); }, 120 * kS)); // the machine does not come back
+    assert(world.until([&] { return world.schedule().held(); }, 120 * kS)); // the machine does not come back
     for (int i = 0; i < 5; ++i) world.kill(i), world.front(i).failed = true;
     for (int i = 0; i < 5; ++i) world.front(i).failed = false, world.start(i);
-    assert(world.until([&] { return world.leader() >= 0 && world.evening().job("s0") != nullptr; }, 60 * kS));
-    assert(world.evening().held() && world.evening().hold_reason().find("s0") != std::string::npos);
-    world.machine("s0").never_back = false;
-    world.ask(1, {{"request", "on"}, {"verb", "resume"}});
+    assert(
+        world.until([&] { return world.leader() >= 0 && world.schedule().job("s0") != nullptr; }, 60 * kS));
+    assert(world.schedule().held() && world.schedule().hold_reason().find("s0") != std::string::npos);
+    world.machine("s0").never_returns = false;
+    world.send_operator_request(1, {{"request", "on"}, {"verb", "resume"}});
     assert(world.all_jobs_end() && world.rules_hold());
 }
 
@@ -288,15 +289,15 @@
     world.add_jobs({"s0", "s1"});
     assert(world.all_jobs_end());
     world.kill(0);
-    world.start(0, EveningWorld::Disk::kLost);
+    world.start(0, SimulatedMaintenance::Disk::kLost);
     const auto votes_again = [&] {
         const int leader_index = world.leader();
-        return leader_index >= 0 && world.front(0).warden->consensus() != nullptr &&
-               world.front(0).warden->consensus()->incarnation().identity != 0 &&
-               world.front(leader_index).warden->consensus()->voters().contains("n0") &&
+        return leader_index >= 0 && world.front(0).node->consensus() != nullptr &&
+               world.front(0).node->consensus()->incarnation().identity != 0 &&
+               world.front(leader_index).node->consensus()->voters().contains("n0") &&
                world.front(leader_index)
-                   .warden->consensus()
-                   ->votes_as("n0", world.front(0).warden->consensus()->incarnation());
+                   .node->consensus()
+                   ->votes_as("n0", world.front(0).node->consensus()->incarnation());
     };
     assert(world.until(votes_again, 120 * kS));
     world.add_jobs({"s2", "s3"}, 0);
@@ -305,101 +306,106 @@
 
 void node_with_a_restored_disk_is_detected() {
     ReadyWorld world;
-    world.keep_copy(0);
+    world.save_disk_copy(0);
     world.add_jobs({"s0", "s1"}); // its peers know more than its copy holds
     assert(world.all_jobs_end());
     world.kill(0);
-    world.start(0, EveningWorld::Disk::kOld);
-    assert(world.until([&] { return world.front(0).warden->consensus()->incarnation().identity != 0; },
-                       60 * kS));
+    world.start(0, SimulatedMaintenance::Disk::kOld);
+    assert(
+        world.until([&] { return world.front(0).node->consensus()->incarnation().identity != 0; }, 60 * kS));
     world.add_jobs({"s2"}, 1);
     assert(world.all_jobs_end() && world.rules_hold());
 }
 
 void node_with_a_full_disk_does_not_participate() {
     ReadyWorld world;
-    world.front(0).ledger->disk_full = true;
+    world.front(0).store->disk_full = true;
     world.add_jobs({"s0", "s1"}, 1);
     assert(world.all_jobs_end());
-    const ConsensusNode& node = *world.front(0).warden->consensus();
+    const ConsensusNode& node = *world.front(0).node->consensus();
     assert(node.phase() == ConsensusPhase::kUnavailable ||
-           node.schedule().applied_commands() < world.evening().applied_commands());
-    world.front(0).ledger->disk_full = false;
+           node.schedule().applied_commands() < world.schedule().applied_commands());
+    world.front(0).store->disk_full = false;
     assert(world.until(
-        [&] { return node.schedule().applied_commands() == world.evening().applied_commands(); }, 60 * kS));
+        [&] { return node.schedule().applied_commands() == world.schedule().applied_commands(); }, 60 * kS));
     assert(world.rules_hold());
 }
 
 void node_without_a_store_receives_the_schedule() {
-    WorldPlan plan;
+    SimulatedMaintenancePlan plan;
     plan.candidates = 3;
     ReadyWorld world(plan);
     world.add_jobs({"s0"}, 4); // not a voter, but it accepts requests
     assert(world.all_jobs_end());
-    assert(world.front(4).warden->consensus() == nullptr);
+    assert(world.front(4).node->consensus() == nullptr);
     assert(world.until(
         [&] {
-            return world.front(4).warden->schedule().job("s0") != nullptr &&
-                   world.front(4).warden->schedule().job("s0")->state == JobState::kDone;
+            return world.front(4).node->schedule().job("s0") != nullptr &&
+                   world.front(4).node->schedule().job("s0")->state == JobState::kDone;
         },
         20 * kS));
-    const auto reply = world.front(4).warden->answer_query({{"verb", "show"}});
+    const auto reply = world.front(4).node->answer_query({{"verb", "show"}});
     assert(reply["turns"].size() == 1 && reply["age_ms"].get<std::int64_t>() < 10'000);
 }
 
 void job_is_recalled_when_another_replica_fails() {
     ReadyWorld world;
-    world.machine("s0").works_for = 25 * kS;
+    world.machine("s0").work_duration = 25 * kS;
     world.add_jobs({"s0", "s1", "s2", "s3"});
-    assert(world.until([&] { return world.evening().job("s0")->state == JobState::kOut; }, 120 * kS));
+    assert(world.until([&] { return world.schedule().job("s0")->state == JobState::kOut; }, 120 * kS));
     std::string other; // holds the same shards as s0
     for (const auto& [name, machine] : world.machines())
         if (name != "s0" && machine.facts.shards == world.machine("s0").facts.shards) other = name;
     world.kill_machine(other);
-    assert(world.until([&] { return world.evening().job("s0")->recalled; }, 30 * kS));
-    const std::size_t done = world.counts().turns_done;
+    assert(world.until([&] { return world.schedule().job("s0")->recalled; }, 30 * kS));
+    const std::size_t done = world.counts().jobs_done;
     assert(world.reaches("s0", JobState::kProposed, 120 * kS)); // rolled back, to be retried later
-    assert(world.machine("s0").serves() && world.counts().turns_done <= done + 3);
+    assert(world.machine("s0").serves() && world.counts().jobs_done <= done + 3);
     world.revive_machine(other);
-    world.machine("s0").works_for = 2 * kS;
+    world.machine("s0").work_duration = 2 * kS;
     assert(world.all_jobs_end() && world.rules_hold());
 }
 
 void job_is_withdrawn_while_draining() {
     ReadyWorld world;
-    world.machine("s0").drains_for = 15 * kS;
+    world.machine("s0").drain_duration = 15 * kS;
     world.add_jobs({"s0", "s1"});
     assert(world.reaches("s0", JobState::kDraining));
-    world.ask(2, {{"request", "w"}, {"verb", "withdraw"}, {"machine", "s0"}});
-    assert(world.reaches("s0", JobState::kGivenUp) && world.machine("s0").is == HallMachine::Is::kServing);
-    assert(world.all_jobs_end() && world.rules_hold() && world.counts().turns_done == 1);
+    world.send_operator_request(2, {{"request", "w"}, {"verb", "withdraw"}, {"machine", "s0"}});
+    assert(world.reaches("s0", JobState::kGivenUp) &&
+           world.machine("s0").state == SimulatedMachine::State::kServing);
+    assert(world.all_jobs_end() && world.rules_hold() && world.counts().jobs_done == 1);
 }
 
 void requests_on_both_sides_of_a_partition() {
     ReadyWorld world(five_voters());
     world.cut({0, 1});
     world.pass(10 * kS);
-    world.order(0, {"s0", "s1"}, "minority"), world.order(3, {"s1", "s2"}, "majority");
+    world.add_maintenance_jobs(0, {"s0", "s1"}, "minority"),
+        world.add_maintenance_jobs(3, {"s1", "s2"}, "majority");
     assert(world.until(
-        [&] { return world.answers.contains("minority") && world.answers.contains("majority"); }, 40 * kS));
-    assert(!world.answers["minority"].first && world.answers["majority"].first);
+        [&] {
+            return world.operator_replies.contains("minority") && world.operator_replies.contains("majority");
+        },
+        40 * kS));
+    assert(!world.operator_replies["minority"].first && world.operator_replies["majority"].first);
     world.heal();
-    assert(world.all_jobs_end() && world.rules_hold() && world.evening().job("s0") == nullptr);
+    assert(world.all_jobs_end() && world.rules_hold() && world.schedule().job("s0") == nullptr);
 }
 
 void controllers_answer_twice_late_or_never() {
     for (int how = 0; how < 3; ++how) {
         ReadyWorld world;
-        world.answers_as = [how](const std::string& machine) -> std::vector<Tenths> {
+        world.reply_delays = [how](const std::string& machine) -> std::vector<Tenths> {
             if (how == 0) return {10, 10, 300};
             if (how == 1) return {kS * 9 / 10}; // the timeout of an action is one second
             return machine == "s0" ? std::vector<Tenths>{} : std::vector<Tenths>{10};
         };
         world.add_jobs({"s0", "s1"});
         if (how == 2) {
-            assert(world.until([&] { return world.evening().held(); }, 100 * kS)); // waits for the operator
-            world.answers_as = {};
-            world.ask(0, {{"request", "on"}, {"verb", "resume"}});
+            assert(world.until([&] { return world.schedule().held(); }, 100 * kS)); // waits for the operator
+            world.reply_delays = {};
+            world.send_operator_request(0, {{"request", "on"}, {"verb", "resume"}});
         }
         assert(world.all_jobs_end() && world.rules_hold());
     }
@@ -449,23 +455,23 @@
     ReadyWorld world;
     world.machine("s0").never_drains = true;
     world.add_jobs({"s0", "s1"});
-    assert(world.until([&] { return world.evening().job("s0")->setbacks > 0; }, 100 * kS));
-    assert(world.machine("s0").is == HallMachine::Is::kServing);
+    assert(world.until([&] { return world.schedule().job("s0")->setbacks > 0; }, 100 * kS));
+    assert(world.machine("s0").state == SimulatedMachine::State::kServing);
     assert(world.all_jobs_end(600 * kS) && world.rules_hold());
     assert(world.state("s0") == JobState::kGivenUp && world.state("s1") == JobState::kDone);
 }
 
 void machine_that_comes_back_broken_holds_the_schedule() {
     ReadyWorld world;
-    world.machine("s0").back_broken = true;
+    world.machine("s0").returns_broken = true;
     world.add_jobs({"s0", "s3", "s4", "s5"});
-    assert(world.until([&] { return world.evening().held(); }, 100 * kS));
-    assert(world.evening().hold_reason().find("broken") != std::string::npos);
-    const std::size_t done = world.counts().turns_done;
+    assert(world.until([&] { return world.schedule().held(); }, 100 * kS));
+    assert(world.schedule().hold_reason().find("broken") != std::string::npos);
+    const std::size_t done = world.counts().jobs_done;
     world.pass(20 * kS);
-    assert(world.counts().turns_done <= done + 1); // machines that are out come back, no further one goes out
+    assert(world.counts().jobs_done <= done + 1); // machines that are out come back, no further one goes out
     world.revive_machine("s0");
-    world.ask(0, {{"request", "on"}, {"verb", "resume"}});
+    world.send_operator_request(0, {{"request", "on"}, {"verb", "resume"}});
     assert(world.all_jobs_end() && world.rules_hold());
 }
 
@@ -485,7 +491,7 @@
     const auto replaced = [&] {
         const int leader_index = world.leader();
         if (leader_index < 0) return false;
-        const auto voters = world.front(leader_index).warden->consensus()->voters();
+        const auto voters = world.front(leader_index).node->consensus()->voters();
         return !voters.contains("n1") && voters.size() == 3;
     };
     assert(world.until(replaced, 120 * kS));
@@ -495,13 +501,13 @@
 
 // A fifth process has the name of the first one and a store of its own.
 void two_nodes_with_one_name_do_no_harm() {
-    Planted planted;
-    planted.terms = [](int front, MaintenanceNodeSettings& settings) {
+    FaultInjection fault_injection;
+    fault_injection.terms = [](int front, MaintenanceNodeSettings& settings) {
         settings.name = front == 4 ? "n0" : settings.name;
     };
-    WorldPlan plan;
+    SimulatedMaintenancePlan plan;
     plan.candidates = 4;
-    ReadyWorld world(plan, planted);
+    ReadyWorld world(plan, fault_injection);
     world.add_jobs({"s0", "s1", "s2"}, 1);
     assert(world.all_jobs_end() && world.rules_hold());
 }
@@ -512,28 +518,28 @@
     assert(world.until([&] { return world.count(JobState::kDone) > 0; }, 100 * kS));
     for (const auto& [name, machine] : world.machines())
         if (machine.facts.zone == "b") world.kill_machine(name);
-    world.order(0, {"s0"}, "again");
+    world.add_maintenance_jobs(0, {"s0"}, "again");
     world.pass(20 * kS);
     assert(world.leader() >= 0);
-    const auto reply_json = world.front(world.leader()).warden->answer_query({{"verb", "show"}});
+    const auto reply_json = world.front(world.leader()).node->answer_query({{"verb", "show"}});
     assert(reply_json.value("waits_for", "").find("zone b is lost") != std::string::npos);
     assert(world.rules_hold());
 }
 
 void hold_lasts_until_resume() {
     ReadyWorld world;
-    world.ask(0, {{"request", "h"}, {"verb", "hold"}, {"why", "the final is on"}});
-    assert(world.until([&] { return world.evening().held(); }, 20 * kS));
+    world.send_operator_request(0, {{"request", "h"}, {"verb", "hold"}, {"why", "the final is on"}});
+    assert(world.until([&] { return world.schedule().held(); }, 20 * kS));
     world.add_jobs({"s0"});
     world.pass(20 * kS);
     assert(world.state("s0") == JobState::kProposed && world.machines_out().empty());
-    world.ask(1, {{"request", "r"}, {"verb", "resume"}});
+    world.send_operator_request(1, {{"request", "r"}, {"verb", "resume"}});
     assert(world.all_jobs_end() && world.rules_hold());
 }
 
 void clock_error_within_the_assumption_does_no_harm() {
-    WorldPlan plan = five_voters();
-    plan.clock_error = 0.02, plan.loss = 0.05, plan.doubled = 0.1;
+    SimulatedMaintenancePlan plan = five_voters();
+    plan.clock_error = 0.02, plan.loss_ratio = 0.05, plan.duplicate_ratio = 0.1;
     ReadyWorld world(plan);
     world.add_jobs({"s0", "s1", "s2", "s3", "s4"});
     for (int i = 0; i < 5; ++i) {
@@ -544,37 +550,43 @@
 }
 
 void jobs_finish_with_100_front_nodes() {
-    WorldPlan plan;
-    plan.fronts = 100, plan.candidates = 7, plan.council = 5, plan.servers = 60, plan.shards = 20,
+    SimulatedMaintenancePlan plan;
+    plan.fronts = 100, plan.candidates = 7, plan.voter_count = 5, plan.servers = 60, plan.shards = 20,
     plan.zones = 4;
     plan.heartbeat = kS;
     plan.limits.fleet_share = 0.1;
-    EveningWorld world(plan);
-    assert(world.until([&] { return world.leader() >= 0 && world.evening().fleet().size() > 100; }, 60 * kS));
-    world.order(80, {"s0", "s1", "s2", "s3", "n50"}, "one");
-    assert(world.until([&] { return world.all_over(); }, 120 * kS) && world.broken().empty());
+    SimulatedMaintenance world(plan);
+    assert(
+        world.until([&] { return world.leader() >= 0 && world.schedule().fleet().size() > 100; }, 60 * kS));
+    world.add_maintenance_jobs(80, {"s0", "s1", "s2", "s3", "n50"}, "one");
+    assert(world.until([&] { return world.all_jobs_finished(); }, 120 * kS) && world.violations().empty());
 }
 
 // ---- fault schedules that have failed before
 
 void follower_acknowledges_only_matching_entries() { // see ConsensusNode::Raft::limit_acknowledged
-    assert(lab::play(lab::draw_schedule(920)).broken.empty());
+    assert(lab::run_fault_schedule(lab::generate_fault_schedule(920)).violations.empty());
+}
+void old_store_is_not_marked_verified() {
+    assert(lab::run_fault_schedule(lab::generate_fault_schedule(624)).violations.empty());
 }
-void old_store_is_not_marked_verified() { assert(lab::play(lab::draw_schedule(624)).broken.empty()); }
 void leadership_transfer_to_a_silent_node_ends() {
-    assert(lab::play(lab::draw_schedule(537)).broken.empty());
+    assert(lab::run_fault_schedule(lab::generate_fault_schedule(537)).violations.empty());
+}
+void new_leader_does_not_shrink_the_fleet() {
+    assert(lab::run_fault_schedule(lab::generate_fault_schedule(990)).violations.empty());
 }
-void new_leader_does_not_shrink_the_fleet() { assert(lab::play(lab::draw_schedule(990)).broken.empty()); }
 void random_fault_schedules() {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
-        assert(lab::play(lab::draw_schedule(seed)).broken.empty());
+        assert(lab::run_fault_schedule(lab::generate_fault_schedule(seed)).violations.empty());
 }
 
 // ---- planted faults, which the checker must find
 
-bool fault_is_found(const Planted& planted, std::uint64_t from = 1, std::uint64_t max_seeds = 400) {
+bool fault_is_found(const FaultInjection& fault_injection, std::uint64_t from = 1,
+                    std::uint64_t max_seeds = 400) {
     for (std::uint64_t seed = from; seed < from + max_seeds; ++seed)
-        if (!lab::play(lab::draw_schedule(seed), planted).broken.empty())
+        if (!lab::run_fault_schedule(lab::generate_fault_schedule(seed), fault_injection).violations.empty())
             return std::printf("found by schedule %llu\n", static_cast<unsigned long long>(seed)), true;
     return false;
 }
@@ -597,19 +609,19 @@
     }
     bool is_verified() const override { return always_verified || InMemoryRaftStore::is_verified(); }
 };
-template <class Set> Planted with_store_fault(Set set) {
-    Planted planted;
-    planted.ledger = [set] {
+template <class Set> FaultInjection with_store_fault(Set set) {
+    FaultInjection fault_injection;
+    fault_injection.store = [set] {
         auto store = std::make_shared<FaultyStore>();
         set(*store);
         return store;
     };
-    return planted;
+    return fault_injection;
 }
-template <class Set> Planted with_settings(Set set) {
-    Planted planted;
-    planted.terms = [set](int front, MaintenanceNodeSettings& settings) { set(front, settings); };
-    return planted;
+template <class Set> FaultInjection with_settings(Set set) {
+    FaultInjection fault_injection;
+    fault_injection.terms = [set](int front, MaintenanceNodeSettings& settings) { set(front, settings); };
+    return fault_injection;
 }
 
 void planted_term_is_not_stored() {
@@ -749,25 +761,26 @@
                           19));
 }
 void planted_controllers_accept_old_tokens() {
-    Planted planted;
-    planted.careless_keepers = true;
+    FaultInjection fault_injection;
+    fault_injection.machines_ignore_fencing = true;
     bool old_token_accepted = false; // a delayed action arrives after one of a later holder
-    HallMachine machine;
+    SimulatedMachine machine;
     machine.checks_fence = false;
-    machine.act(1, MachineAction::kDrain, {7});
-    old_token_accepted = machine.act(2, MachineAction::kBringBack, {3}) != MachineStatus::kRefused;
-    HallMachine careful;
-    careful.act(1, MachineAction::kDrain, {7});
-    assert(old_token_accepted && careful.act(2, MachineAction::kBringBack, {3}) == MachineStatus::kRefused &&
-           careful.is != HallMachine::Is::kServing);
+    machine.execute(1, MachineAction::kDrain, {7});
+    old_token_accepted = machine.execute(2, MachineAction::kBringBack, {3}) != MachineStatus::kRefused;
+    SimulatedMachine careful;
+    careful.execute(1, MachineAction::kDrain, {7});
+    assert(old_token_accepted &&
+           careful.execute(2, MachineAction::kBringBack, {3}) == MachineStatus::kRefused &&
+           careful.state != SimulatedMachine::State::kServing);
 }
 void planted_node_without_limits() { // one node is configured without limits
-    Planted planted = with_settings([](int front, MaintenanceNodeSettings& settings) {
+    FaultInjection fault_injection = with_settings([](int front, MaintenanceNodeSettings& settings) {
         if (front == 0)
             settings.limits.min_replicas = 0, settings.limits.shard_share = 1,
             settings.limits.fleet_share = 1, settings.limits.zone_share = 1;
     });
-    assert(fault_is_found(planted));
+    assert(fault_is_found(fault_injection));
 }
 
 // ---- fragments
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -3,7 +3,7 @@
 // and placement rules, one lease holder for each job, increasing fencing tokens, and enough replicas of each
 // shard.
 #include "fake_host.hpp"
-#include "lab/rig.hpp"
+#include "lab/process_harness.hpp"
 
 #include <cmath>
 #include <cstdio>
@@ -22,14 +22,15 @@
     return replacement != nullptr ? replacement : IVYRILL_PROGRAM;
 }
 
-struct RunningFleet : Rig {
-    static RigPlan plan(std::size_t voter_count, Tenths work) {
-        RigPlan settings;
+struct RunningFleet : ProcessHarness {
+    static ProcessHarnessPlan plan(std::size_t voter_count, Tenths work) {
+        ProcessHarnessPlan settings;
         settings.program = program_path();
-        settings.council = voter_count, settings.work = work;
+        settings.voter_count = voter_count, settings.work = work;
         return settings;
     }
-    explicit RunningFleet(std::size_t voter_count = 3, Tenths work = kS / 2) : Rig(plan(voter_count, work)) {
+    explicit RunningFleet(std::size_t voter_count = 3, Tenths work = kS / 2)
+        : ProcessHarness(plan(voter_count, work)) {
         for (int i = 0; i < 5; ++i) assert(ready(i));
         assert(await([this] {
             const auto reply = show(0);
@@ -53,32 +54,33 @@
         assert(await([&] { return now() >= end; }));
     }
     void expect_finish_without_violations(int node, bool most_searches_delivered = true) {
-        assert(await([&] { return evening_over(node); }, 40'000));
+        assert(await([&] { return maintenance_finished(node); }, 40'000));
         const SearchCounts searches = stop_clients();
         assert(searches.asked > 100 &&
                (!most_searches_delivered || searches.delivered > searches.asked * 8 / 10));
-        const auto violations = judge();
+        const auto violations = check_history();
         for (const std::string& violation : violations) std::printf("%s\n", violation.c_str());
-        assert(violations.empty() && under_floor() == 0);
+        assert(violations.empty() && time_below_min_replicas() == 0);
     }
 };
 
 void an_evening_of_processes() {
     RunningFleet fleet;
-    assert(fleet.work(1, {"add", "s0", "s1", "s2", "s3", "n1", "n4"}).first == 0);
-    const auto [status, plan] = fleet.work(2, {"plan"});
+    assert(fleet.run_work_command(1, {"add", "s0", "s1", "s2", "s3", "n1", "n4"}).first == 0);
+    const auto [status, plan] = fleet.run_work_command(2, {"plan"});
     assert(status == 0 && plan.find("first come, first served") != std::string::npos);
     fleet.expect_finish_without_violations(0);
-    assert(fleet.turns_done() == 6);
-    const auto [chart_status, chart] = fleet.work(0, {"chart", fleet.folder() + "/n0/log"});
+    assert(fleet.jobs_done() == 6);
+    const auto [chart_status, chart] = fleet.run_work_command(0, {"chart", fleet.folder() + "/n0/log"});
     assert(chart_status == 0 && chart.find("<svg") != std::string::npos &&
            chart.find(">s3<") != std::string::npos);
-    assert(fleet.work(0, {"explain", "s0"}).second.find("reason against maintenance") != std::string::npos);
+    assert(fleet.run_work_command(0, {"explain", "s0"}).second.find("reason against maintenance") !=
+           std::string::npos);
 }
 
 void stalled_holder_loses_its_lease() {
     RunningFleet fleet(5, 4 * kS);
-    assert(fleet.work(0, {"add", "s0"}).first == 0);
+    assert(fleet.run_work_command(0, {"add", "s0"}).first == 0);
     assert(fleet.await([&] { return fleet.job_field(0, "s0", "state") == "out"; }));
     const std::string first_holder = fleet.job_field(0, "s0", "holder");
     const int holder = first_holder[1] - '0', other = (holder + 1) % 5;
@@ -93,8 +95,8 @@
 
 void killed_leader_restarts() {
     RunningFleet fleet;
-    assert(fleet.work(0, {"add", "s0", "s1", "s2", "s5"}).first == 0);
-    assert(fleet.await([&] { return fleet.turns_done() >= 1; }));
+    assert(fleet.run_work_command(0, {"add", "s0", "s1", "s2", "s5"}).first == 0);
+    assert(fleet.await([&] { return fleet.jobs_done() >= 1; }));
     const int leader = std::max(0, fleet.leader());
     fleet.kill(leader);
     const int other = (leader + 1) % 5;
@@ -105,7 +107,7 @@
 
 void all_nodes_restart_during_a_job() {
     RunningFleet fleet(3, 3 * kS);
-    assert(fleet.work(0, {"add", "s0", "s1", "s4"}).first == 0);
+    assert(fleet.run_work_command(0, {"add", "s0", "s1", "s4"}).first == 0);
     assert(fleet.await([&] { return fleet.job_field(0, "s0", "state") == "out"; }));
     fleet.stop_clients();
     for (int i = 0; i < 5; ++i) fleet.kill(i);
@@ -117,8 +119,8 @@
 
 void links_drop_double_and_are_cut() {
     RunningFleet fleet(5);
-    fleet.lose(0.2, 0.1, kS / 50);
-    assert(fleet.work(0, {"add", "s0", "s1", "s2", "s3", "n3"}).first == 0);
+    fleet.set_packet_faults(0.2, 0.1, kS / 50);
+    assert(fleet.run_work_command(0, {"add", "s0", "s1", "s2", "s3", "n3"}).first == 0);
     fleet.pass(kS);
     fleet.cut({1}, false);
     fleet.pass(2 * kS);
@@ -130,19 +132,19 @@
 
 void drain_is_learnt_late_by_half_of_the_front_nodes() {
     RunningFleet fleet(3, 3 * kS);
-    fleet.cut_from_world(1, true), fleet.cut_from_world(3, true); // they reach neither discovery nor servers
-    assert(fleet.work(0, {"add", "s0", "s1"}).first == 0);
+    fleet.cut_services(1, true), fleet.cut_services(3, true); // they reach neither discovery nor servers
+    assert(fleet.run_work_command(0, {"add", "s0", "s1"}).first == 0);
     assert(fleet.await([&] { return fleet.job_field(0, "s0", "state") == "out"; }, 30'000));
-    fleet.cut_from_world(1, false), fleet.cut_from_world(3, false);
+    fleet.cut_services(1, false), fleet.cut_services(3, false);
     // Not all of their searches could be answered; none was attempted twice.
     fleet.expect_finish_without_violations(0, false);
 }
 
 void one_node_loses_its_disk_and_one_restores_an_old_one() {
     RunningFleet fleet;
-    fleet.keep_copy(2);
-    assert(fleet.work(0, {"add", "s0", "s1", "s2"}).first == 0);
-    assert(fleet.await([&] { return fleet.turns_done() >= 3; }));
+    fleet.save_disk_copy(2);
+    assert(fleet.run_work_command(0, {"add", "s0", "s1", "s2"}).first == 0);
+    assert(fleet.await([&] { return fleet.jobs_done() >= 3; }));
     fleet.kill(1);
     fleet.lose_disk(1);
     fleet.start(1);
@@ -157,9 +159,9 @@
     }));
     assert(fleet.await([&] { return voters_complete("n"); }));
     fleet.kill(2);
-    fleet.put_back_copy(2);
+    fleet.restore_disk_copy(2);
     fleet.start(2);
-    assert(fleet.work(0, {"add", "s3", "s4"}).first == 0);
+    assert(fleet.run_work_command(0, {"add", "s3", "s4"}).first == 0);
     fleet.expect_finish_without_violations(0);
 }
 
@@ -168,52 +170,52 @@
     std::FILE* secret = std::fopen((fleet.folder() + "/other").c_str(), "w");
     std::fputs("another secret of thirty-two bytes and more than that", secret);
     std::fclose(secret);
-    const auto [status, text] = fleet.work(0, {"hold", "--secret", fleet.folder() + "/other"});
+    const auto [status, text] = fleet.run_work_command(0, {"hold", "--secret", fleet.folder() + "/other"});
     assert(status != 0);
-    assert(fleet.work(0, {"hold", "--why", "the final"}, "h1").first == 0);
-    assert(fleet.work(1, {"add", "nobody"}).first != 0);
-    assert(fleet.work(1, {"add", "s0"}).first == 0);
-    assert(fleet.work(2, {"show"}).second.find("held: the final") != std::string::npos);
-    assert(fleet.work(0, {"resume"}).first == 0);
+    assert(fleet.run_work_command(0, {"hold", "--why", "the final"}, "h1").first == 0);
+    assert(fleet.run_work_command(1, {"add", "nobody"}).first != 0);
+    assert(fleet.run_work_command(1, {"add", "s0"}).first == 0);
+    assert(fleet.run_work_command(2, {"show"}).second.find("held: the final") != std::string::npos);
+    assert(fleet.run_work_command(0, {"resume"}).first == 0);
     fleet.expect_finish_without_violations(0);
 }
 
 void machine_that_does_not_come_back_holds_the_schedule() {
     RunningFleet fleet;
-    fleet.with_machine("s0", [](HallMachine& machine) { machine.never_back = true; });
-    assert(fleet.work(0, {"add", "s0", "s3", "s4", "s5"}).first == 0);
+    fleet.with_machine("s0", [](SimulatedMachine& machine) { machine.never_returns = true; });
+    assert(fleet.run_work_command(0, {"add", "s0", "s3", "s4", "s5"}).first == 0);
     assert(fleet.await(
         [&] {
             const auto reply = fleet.show(1);
             return reply.is_object() && reply["held"] == true;
         },
         30'000));
-    fleet.with_machine("s0", [](HallMachine& machine) { machine.never_back = false; });
-    assert(fleet.work(0, {"resume"}).first == 0);
+    fleet.with_machine("s0", [](SimulatedMachine& machine) { machine.never_returns = false; });
+    assert(fleet.run_work_command(0, {"resume"}).first == 0);
     fleet.expect_finish_without_violations(0);
 }
 
 // Rule 4 for the sum of what independent processes send: a server starts cold under a load whose even share
 // would make it fail, and some of the front nodes restart meanwhile.
 void cold_server_is_not_overloaded_by(int processes) {
-    RigPlan plan;
+    ProcessHarnessPlan plan;
     plan.program = program_path();
     plan.fronts = processes, plan.servers = 3, plan.shards = 1, plan.zones = 1;
-    plan.with_rota = plan.talks = false;
+    plan.with_maintenance = plan.with_membership = false;
     plan.service = kS / 20, plan.warm_up_time = 4 * kS, plan.cold_capacity_ratio = 0.2,
     plan.overload_factor = 2;
-    Rig fleet(plan);
+    ProcessHarness fleet(plan);
     for (int i = 0; i < processes; ++i) assert(fleet.ready(i));
     fleet.start_clients(20, 300);
     assert(fleet.await(
         [&] { return fleet.counts().asked > 900; })); // each has learnt the service time of a part
-    fleet.with_machine("s0", [&](HallMachine& machine) {
-        machine.is = HallMachine::Is::kStarting, machine.since = fleet.now();
+    fleet.with_machine("s0", [&](SimulatedMachine& machine) {
+        machine.state = SimulatedMachine::State::kStarting, machine.since = fleet.now();
     });
     Tenths start = 0;
     assert(fleet.await([&] {
-        for (const RigEvent& event : fleet.history())
-            if (event.what == RigEvent::What::kBack && event.name == "s0") start = event.at;
+        for (const ProcessHarnessEvent& event : fleet.history())
+            if (event.what == ProcessHarnessEvent::What::kMachineUp && event.name == "s0") start = event.at;
         return start > 0;
     }));
     for (int i = 0; i < processes / 10; ++i) fleet.kill(i), fleet.start(i);
@@ -221,8 +223,9 @@
     fleet.stop_clients();
     std::deque<Tenths> recent_sends;
     std::size_t all = 0;
-    for (const RigEvent& event : fleet.history()) {
-        if (event.what != RigEvent::What::kAttempt || event.detail != "s0" || event.at < start) continue;
+    for (const ProcessHarnessEvent& event : fleet.history()) {
+        if (event.what != ProcessHarnessEvent::What::kAttempt || event.detail != "s0" || event.at < start)
+            continue;
         if (event.at >= start + plan.warm_up_time) break;
         recent_sends.push_back(event.at), ++all;
         while (recent_sends.front() <= event.at - kS) recent_sends.pop_front();
