--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -88,7 +88,7 @@
             int kind = 0;
             if (chance() % 2 == 0) {
                 wanted = false, kind = 1 + static_cast<int>(chance() % 12);
-                const Tenths s = kTenthsPerSecond;
+                const Ticks s = kTicksPerSecond;
                 if (kind == 1) request.token.clear();
                 if (kind == 2) request.token = with_spoilt_signature(good);
                 if (kind == 3) request.token = fixture.token(member, stranger);
@@ -156,11 +156,11 @@
 
 // Time of one decision, with the proof made and with the proof remembered.
 std::pair<std::vector<double>, std::vector<double>> time_verification() {
-    const Tenths now = transport::Loop::wall();
+    const Ticks now = transport::Loop::wall();
     access::AccessOptions terms;
     terms.issuer = "trinacria", terms.audience = "archive", terms.max_token_bytes = 4096,
     terms.max_cached_tokens = 8192;
-    terms.skew = kTenthsPerSecond, terms.clubs = {{"circolo-etna", "etna"}},
+    terms.skew = kTicksPerSecond, terms.clubs = {{"circolo-etna", "etna"}},
     terms.request_classes = {{"find", access::Right::kRead}};
     access::AccessFiles files;
     std::vector<access::Key> keys;
@@ -176,7 +176,7 @@
     for (int i = 0; i < 3000; ++i) {
         access::Claims claims;
         claims.issuer = "trinacria", claims.audience = {"archive"}, claims.issued = now;
-        claims.expires = now + 600 * kTenthsPerSecond;
+        claims.expires = now + 600 * kTicksPerSecond;
         claims.caller = {"circolo-etna", "m" + std::to_string(i), {true, true}, {"g1"}};
         tokens.push_back(access::sign_token(claims, keys[static_cast<std::size_t>(i) % keys.size()]));
     }
@@ -264,8 +264,8 @@
         {2, Idempotency::kNonIdempotent, true,
          "tls = {\"handshake_steps_a_second\": 100000, \"handshake_steps_a_turn\": 16}\n", 512});
     const double handshakes = time_handshakes(fixture, 2);
-    fixture.revoke_member("taken-back", transport::Loop::wall() + 3600 * kTenthsPerSecond);
-    const Tenths now = transport::Loop::wall() / kTenthsPerSecond * kTenthsPerSecond;
+    fixture.revoke_member("taken-back", transport::Loop::wall() + 3600 * kTicksPerSecond);
+    const Ticks now = transport::Loop::wall() / kTicksPerSecond * kTicksPerSecond;
     access::Key gone{"long-gone",
                      access::SigningKey::generate(Algorithm::kEdDsa),
                      {0, 10'000, now - 10'000, now - 10'000}};
@@ -295,7 +295,7 @@
         const access::Key before = fixture.key();
         const std::size_t swaps = fixture.count_audit_lines("swapped");
         ++rotations;
-        fixture.rotate("r" + std::to_string(rotations), kInTurn[rotations % 3], kOverlapS * kTenthsPerSecond);
+        fixture.rotate("r" + std::to_string(rotations), kInTurn[rotations % 3], kOverlapS * kTicksPerSecond);
         if (!fixture.await_audit("swapped", swaps + 1))
             throw std::runtime_error("a rotation was not taken up");
         {
--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -20,9 +20,9 @@
 using namespace ivyrill::lab;
 using nlohmann::json;
 
-constexpr Tenths kS = kTenthsPerSecond;
+constexpr Ticks kS = kTicksPerSecond;
 
-double percentile_ms(std::vector<Tenths> values, double share) {
+double percentile_ms(std::vector<Ticks> values, double share) {
     if (values.empty()) return 0;
     std::ranges::sort(values);
     return static_cast<double>(
@@ -37,7 +37,7 @@
     std::mutex mutex;
     json made{
         {"schedules", count}, {"schedule_violations", 0}, {"under_floor_ms", 0}, {"turns", 0}, {"faults", 0}};
-    std::vector<Tenths> failovers;
+    std::vector<Ticks> failovers;
     std::vector<std::thread> workers;
     for (unsigned i = 0; i < threads; ++i)
         workers.emplace_back([&] {
@@ -112,9 +112,9 @@
 
 // A member that dies among 300: until the last of the others knows.
 double detect_ms(SimulatedMaintenance& world) {
-    std::vector<Tenths> took;
+    std::vector<Ticks> took;
     for (const int dead : {40}) {
-        const Tenths at = world.now();
+        const Ticks at = world.now();
         const std::string name = "n" + std::to_string(dead);
         world.kill(dead);
         world.front(dead).failed = true;
@@ -204,13 +204,13 @@
     const int leader =
         shown.is_object() && shown["leader"] != "" ? shown["leader"].get<std::string>()[1] - '0' : 0;
     harness.stall(leader, true); // for longer than a grant lasts
-    const Tenths stalled = harness.now();
+    const Ticks stalled = harness.now();
     harness.await([&] { return harness.now() > stalled + 2 * kS; });
     harness.stall(leader, false);
     done(4);
     harness.set_packet_faults(0, 0, 0);
     harness.cut({4});
-    const Tenths cut = harness.now();
+    const Ticks cut = harness.now();
     harness.await([&] { return harness.now() > cut + kS; });
     harness.heal();
     const int killed = harness.running(2) ? 2 : 0;
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -14,7 +14,7 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr Tenths kTenthsPerMs = kTenthsPerSecond / 1000;
+constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
 constexpr std::size_t kMostTold = 20; // broken promises of one seed
 
 struct Arguments {
@@ -42,7 +42,7 @@
               << result.refused << " refused, " << result.cut << " cut; " << result.steps << " steps, "
               << result.starts << " starts, " << result.acknowledged << " configurations; at most "
               << result.most_resident_kib << " KiB, " << result.most_descriptors << " descriptors; held up "
-              << result.held_up / kTenthsPerMs << " ms; " << result.wrong.size() << " broken promises"
+              << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " broken promises"
               << std::endl;
     if (result.story.empty()) return;
     for (const std::string& line : result.story) std::cerr << "  " << line << "\n";
@@ -59,8 +59,8 @@
     declare(app, arguments);
     CLI11_PARSE(app, count, words);
     SoakOptions& options = arguments.options;
-    options.size.span = static_cast<Tenths>(arguments.seconds * kTenthsPerSecond);
-    options.size.gap = static_cast<Tenths>(arguments.gap_ms * kTenthsPerMs);
+    options.size.span = static_cast<Ticks>(arguments.seconds * kTicksPerSecond);
+    options.size.gap = static_cast<Ticks>(arguments.gap_ms * kTicksPerMs);
     options.programs = {IVYRILL_FLEET, IVYRILL_MODEL_SERVER, IVYRILL_FLEET_SETTINGS};
     options.sanitized = IVYRILL_SANITIZED;
     const std::size_t colon = arguments.seeds.find(':');
--- a/examples/model_server.cpp
+++ b/examples/model_server.cpp
@@ -14,7 +14,7 @@
 
 using namespace ivyrill;
 
-constexpr std::int64_t kTenthsPerMs = kTenthsPerSecond / 1000;
+constexpr std::int64_t kTicksPerMs = kTicksPerSecond / 1000;
 
 struct Arguments {
     lab::ModelServerPlan plan;
@@ -119,9 +119,9 @@
     declare(app, arguments);
     CLI11_PARSE(app, count, words);
     arguments.plan.stage = *lab::stage_from_name(arguments.stage);
-    arguments.plan.token_step = arguments.token_ms * kTenthsPerMs;
-    arguments.heartbeats.interval = arguments.beat_ms * kTenthsPerMs;
-    arguments.heartbeats.drain = arguments.drain_ms * kTenthsPerMs;
+    arguments.plan.token_step = arguments.token_ms * kTicksPerMs;
+    arguments.heartbeats.interval = arguments.beat_ms * kTicksPerMs;
+    arguments.heartbeats.drain = arguments.drain_ms * kTicksPerMs;
     try {
         serve(arguments);
         return 0;
--- a/fuzz/members.cpp
+++ b/fuzz/members.cpp
@@ -23,7 +23,7 @@
     MemberListOptions options;
     options.name = "n1", options.address = "10.0.0.1:7", options.max_members = 8;
     MemberList member_list(options, 1);
-    for (Tenths now = 2; now < 5 * kTenthsPerSecond; now += kTenthsPerSecond / 2)
+    for (Ticks now = 2; now < 5 * kTicksPerSecond; now += kTicksPerSecond / 2)
         for (const auto& effects : {member_list.receive(now, *datagram), member_list.step(now)})
             for (const Effect& effect : effects)
                 if (const auto* send = std::get_if<SendDatagram>(&effect);
--- a/fuzz/parcels.cpp
+++ b/fuzz/parcels.cpp
@@ -24,13 +24,13 @@
     settings.candidates = {{"n0", settings.address}},
     settings.voter_count = 1; // a single voter leads at once
     MaintenanceNode node(settings, &store, 1, 1);
-    for (Tenths now = 1; now < 5 * kTenthsPerSecond; now += kTenthsPerSecond / 4) node.step(now, now);
+    for (Ticks now = 1; now < 5 * kTicksPerSecond; now += kTicksPerSecond / 4) node.step(now, now);
     FragmentTransport other("x", "10.0.0.9:1", datagram_codec, 1);
     other.send(1, settings.address, static_cast<MessageKind>(data[0] % 8), bytes);
     for (const OutboundDatagram& datagram : other.take_datagrams())
-        node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", datagram.bytes);
-    node.receive(5 * kTenthsPerSecond, "10.0.0.9:1", datagram_codec.sign(bytes));
-    for (Tenths now = 5 * kTenthsPerSecond; now < 6 * kTenthsPerSecond; now += kTenthsPerSecond / 10)
+        node.receive(5 * kTicksPerSecond, "10.0.0.9:1", datagram.bytes);
+    node.receive(5 * kTicksPerSecond, "10.0.0.9:1", datagram_codec.sign(bytes));
+    for (Ticks now = 5 * kTicksPerSecond; now < 6 * kTicksPerSecond; now += kTicksPerSecond / 10)
         node.step(now, now);
     for (const MaintenanceEffect& effect : node.take_effects())
         if (const auto* sent = std::get_if<SendDatagram>(&effect);
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -10,10 +10,10 @@
 using namespace ivyrill;
 using namespace ivyrill::access;
 
-constexpr Tenths kNow = 1'800'000'000 * kTenthsPerSecond;
+constexpr Ticks kNow = 1'800'000'000 * kTicksPerSecond;
 
 struct Fixture {
-    Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kNever, kNever}};
+    Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTicksPerSecond, kNever, kNever}};
     Authorizer authorizer{policy()};
     std::shared_ptr<const Policy> policy() const {
         AccessOptions terms;
--- a/src/access/authorizer.cpp
+++ b/src/access/authorizer.cpp
@@ -5,7 +5,7 @@
 namespace ivyrill::access {
 
 std::shared_ptr<const Policy> read_policy(AccessOptions options, const AccessFiles& files,
-                                          const Policy* previous, Tenths now) {
+                                          const Policy* previous, Ticks now) {
     auto result = std::make_shared<Policy>();
     result->ring = KeyRing::read(files.keys, previous != nullptr ? &previous->ring : nullptr);
     if (result->ring.keys().empty() && files.authorities.empty())
@@ -29,7 +29,7 @@
 Authorizer::Authorizer(std::shared_ptr<const Policy> policy)
     : policy_(std::move(policy)), cache_(policy_->options.max_cached_tokens) {}
 
-Decision Authorizer::admit(const Credential& credential, const AccessRequest& request, Tenths now) {
+Decision Authorizer::admit(const Credential& credential, const AccessRequest& request, Ticks now) {
     Decision result = authenticate(credential, now);
     result.proof.request = request;
     if (result.reason == Reason::kAdmitted) result.reason = check_rights(result.caller, request);
@@ -42,7 +42,7 @@
 
 // A token takes precedence over a client certificate: the caller asks to act as the token's subject, and a
 // valid certificate does not make an invalid token acceptable.
-Decision Authorizer::authenticate(const Credential& credential, Tenths now) {
+Decision Authorizer::authenticate(const Credential& credential, Ticks now) {
     Decision result;
     if (credential.malformed) return result.reason = Reason::kMalformed, result;
     if (credential.token.empty()) {
@@ -81,7 +81,7 @@
     return result;
 }
 
-Reason Authorizer::check_claims(const Claims& claims, const std::string& key_fingerprint, Tenths now,
+Reason Authorizer::check_claims(const Claims& claims, const std::string& key_fingerprint, Ticks now,
                                 bool check_times) const {
     const AccessOptions& options = policy_->options;
     const Key* key = policy_->ring.find(claims.key);
@@ -99,12 +99,12 @@
 
 // Whether the member's tokens issued at that time are revoked. Members that changed clubs or lost a device
 // get a new token.
-bool Authorizer::revoked(const Caller& caller, Tenths issued) const {
+bool Authorizer::revoked(const Caller& caller, Ticks issued) const {
     const auto found = policy_->revoked.members.find(caller.club + "/" + caller.member);
     return found != policy_->revoked.members.end() && issued < found->second;
 }
 
-MappedCaller Authorizer::check_chain(const Chain& chain, Tenths now) const {
+MappedCaller Authorizer::check_chain(const Chain& chain, Ticks now) const {
     if (!policy_->authorities) return {Reason::kUnknownKey, {}};
     const Reason reason = policy_->authorities->verify(chain, now);
     if (reason != Reason::kAdmitted) return {reason, {}};
@@ -115,7 +115,7 @@
     } catch (const AccessError&) { return {Reason::kMalformed, {}}; }
 }
 
-const MappedCaller& Authorizer::cached_chain_check(const std::shared_ptr<const Chain>& chain, Tenths now) {
+const MappedCaller& Authorizer::cached_chain_check(const std::shared_ptr<const Chain>& chain, Ticks now) {
     CachedChain& cached = chains_[chain.get()];
     const bool valid =
         cached.generation == policy_->generation && now >= cached.valid_from && now < cached.valid_until;
@@ -145,7 +145,7 @@
     return Reason::kAdmitted;
 }
 
-Reason Authorizer::recheck(const Proof& proof, Tenths now) const {
+Reason Authorizer::recheck(const Proof& proof, Ticks now) const {
     if (proof.claims) {
         const Reason reason = check_claims(*proof.claims, proof.key_fingerprint, now, false);
         return reason == Reason::kAdmitted ? check_rights(proof.claims->caller, proof.request) : reason;
@@ -155,7 +155,7 @@
     return mapped.reason == Reason::kAdmitted ? check_rights(mapped.caller, proof.request) : mapped.reason;
 }
 
-Reason Authorizer::recheck(const Chain& chain, Tenths now) const { return check_chain(chain, now).reason; }
+Reason Authorizer::recheck(const Chain& chain, Ticks now) const { return check_chain(chain, now).reason; }
 
 void Authorizer::replace_policy(std::shared_ptr<const Policy> next) {
     const bool resized = next->options.max_cached_tokens != policy_->options.max_cached_tokens;
@@ -165,8 +165,8 @@
     cache_.erase_if([this](const Claims& claims) { return policy_->ring.find(claims.key) == nullptr; });
 }
 
-Tenths Authorizer::next_change(Tenths after) const {
-    const Tenths keys = policy_->ring.next_change(after, policy_->options.skew);
+Ticks Authorizer::next_change(Ticks after) const {
+    const Ticks keys = policy_->ring.next_change(after, policy_->options.skew);
     return policy_->authorities ? std::min(keys, policy_->authorities->next_change(after)) : keys;
 }
 
--- a/src/access/authorizer.hpp
+++ b/src/access/authorizer.hpp
@@ -21,10 +21,10 @@
 // The access section of the operator's configuration.
 struct AccessOptions {
     std::string issuer, audience;
-    Tenths skew = 0;                    // tolerated difference between the signers' clocks and ours
-    Tenths settle = 0;                  // how long a clock jump must persist before it is accepted
-    Tenths crl_grace = 0;               // how long a CRL is accepted past its nextUpdate time
-    Tenths max_token_lifetime = kNever; // from `iat` to `exp`; bounds how long revocations are kept
+    Ticks skew = 0;                    // tolerated difference between the signers' clocks and ours
+    Ticks settle = 0;                  // how long a clock jump must persist before it is accepted
+    Ticks crl_grace = 0;               // how long a CRL is accepted past its nextUpdate time
+    Ticks max_token_lifetime = kNever; // from `iat` to `exp`; bounds how long revocations are kept
     std::size_t max_token_bytes = 0;
     std::size_t max_cached_tokens = 0;
     std::map<std::string, std::string, std::less<>> clubs;     // to the tenant that it is accounted to
@@ -49,7 +49,7 @@
 // Reads and checks all files together. Throws AccessError on any problem; the previous policy then stays in
 // force.
 std::shared_ptr<const Policy> read_policy(AccessOptions options, const AccessFiles& files,
-                                          const Policy* previous, Tenths now);
+                                          const Policy* previous, Ticks now);
 
 struct Credential {
     std::string token;                  // from `Authorization: Bearer`; empty if absent
@@ -88,37 +88,37 @@
   public:
     explicit Authorizer(std::shared_ptr<const Policy> policy);
 
-    Decision admit(const Credential& credential, const AccessRequest& request, Tenths now);
+    Decision admit(const Credential& credential, const AccessRequest& request, Ticks now);
     // Whether a search admitted by this proof would still be admitted. The token's own expiry is ignored,
     // since a search that was admitted in time is not ended by it. Keys, revocations, clubs and rights are
     // checked.
-    Reason recheck(const Proof& proof, Tenths now) const;
+    Reason recheck(const Proof& proof, Ticks now) const;
     // Whether this chain is still valid.
-    Reason recheck(const Chain& chain, Tenths now) const;
+    Reason recheck(const Chain& chain, Ticks now) const;
     void replace_policy(std::shared_ptr<const Policy> next);
     // The next time after `after` at which a key becomes active or expires, or a CRL expires; kNever if there
     // is none.
-    Tenths next_change(Tenths after) const;
+    Ticks next_change(Ticks after) const;
 
     const Policy& policy() const { return *policy_; }
     const AuthorizerCounts& counts() const { return counts_; }
     std::size_t cached_tokens() const { return cache_.size(); }
 
   private:
-    Decision authenticate(const Credential& credential, Tenths now);
-    Reason check_claims(const Claims& claims, const std::string& key_fingerprint, Tenths now,
+    Decision authenticate(const Credential& credential, Ticks now);
+    Reason check_claims(const Claims& claims, const std::string& key_fingerprint, Ticks now,
                         bool check_times) const;
-    MappedCaller check_chain(const Chain& chain, Tenths now) const;
-    const MappedCaller& cached_chain_check(const std::shared_ptr<const Chain>& chain, Tenths now);
+    MappedCaller check_chain(const Chain& chain, Ticks now) const;
+    const MappedCaller& cached_chain_check(const std::shared_ptr<const Chain>& chain, Ticks now);
     Reason check_rights(const Caller& caller, const AccessRequest& request) const;
-    bool revoked(const Caller& caller, Tenths issued) const;
+    bool revoked(const Caller& caller, Ticks issued) const;
 
     // All searches on a connection share one chain: its check result is reused until the policy changes, a
     // CRL expires or the leaf certificate expires.
     struct CachedChain {
         std::weak_ptr<const Chain> chain;
         std::uint64_t generation = 0;
-        Tenths valid_from = 0, valid_until = 0;
+        Ticks valid_from = 0, valid_until = 0;
         MappedCaller mapped;
     };
 
--- a/src/access/certificate.cpp
+++ b/src/access/certificate.cpp
@@ -42,10 +42,10 @@
     return whole ? std::move(result) : Certificate();
 }
 
-Tenths time_of(const ASN1_TIME* time) {
+Ticks time_of(const ASN1_TIME* time) {
     std::tm parts{};
     if (time == nullptr || ASN1_TIME_to_tm(time, &parts) != 1) return 0;
-    return static_cast<Tenths>(timegm(&parts)) * kTenthsPerSecond;
+    return static_cast<Ticks>(timegm(&parts)) * kTicksPerSecond;
 }
 
 // Empty if the text is too long or has characters that are not allowed in a name.
@@ -110,19 +110,19 @@
 
 struct Authorities::State {
     struct CrlInfo {
-        Tenths last_update = 0, next_update = 0;
+        Ticks last_update = 0, next_update = 0;
         std::map<std::string, bool> serials; // of revoked certificates
     };
     std::vector<Certificate> certificates;
     std::vector<Crl> crls;
     std::map<std::string, CrlInfo> crl_info; // by issuer
     Store store;
-    Tenths grace = 0;
+    Ticks grace = 0;
 };
 
 std::shared_ptr<const Authorities> Authorities::read(const std::vector<NamedText>& certificates,
-                                                     const std::vector<NamedText>& crls, Tenths now,
-                                                     Tenths grace, const Authorities* previous) {
+                                                     const std::vector<NamedText>& crls, Ticks now,
+                                                     Ticks grace, const Authorities* previous) {
     auto state = std::make_shared<State>();
     state->store.reset(X509_STORE_new());
     state->grace = grace;
@@ -181,7 +181,7 @@
     return result;
 }
 
-Reason Authorities::verify(const Chain& chain, Tenths now) const {
+Reason Authorities::verify(const Chain& chain, Ticks now) const {
     if (chain.certificates.empty()) return Reason::kNoCredential;
     if (chain.certificates.size() > kMaxChainCertificates) return Reason::kMalformed;
     std::vector<Certificate> shown;
@@ -195,7 +195,7 @@
     if (X509_STORE_CTX_init(context.get(), state_->store.get(), shown.front().get(), others.get()) != 1)
         return Reason::kMalformed;
     X509_VERIFY_PARAM* rules = X509_STORE_CTX_get0_param(context.get());
-    X509_VERIFY_PARAM_set_time(rules, static_cast<std::time_t>(now / kTenthsPerSecond));
+    X509_VERIFY_PARAM_set_time(rules, static_cast<std::time_t>(now / kTicksPerSecond));
     X509_VERIFY_PARAM_set_purpose(rules, X509_PURPOSE_SSL_CLIENT);
     X509_VERIFY_PARAM_set_depth(rules, static_cast<int>(kMaxChainCertificates));
     X509_VERIFY_PARAM_set_flags(rules, X509_V_FLAG_X509_STRICT);
@@ -221,8 +221,8 @@
     return Reason::kAdmitted;
 }
 
-Tenths Authorities::next_change(Tenths after) const {
-    Tenths next = kNever;
+Ticks Authorities::next_change(Ticks after) const {
+    Ticks next = kNever;
     for (const auto& [name, info] : state_->crl_info)
         if (info.next_update + state_->grace > after) next = std::min(next, info.next_update + state_->grace);
     return next;
--- a/src/access/certificate.hpp
+++ b/src/access/certificate.hpp
@@ -29,7 +29,7 @@
 struct LeafNames {
     std::vector<std::string> uris, dns;
     std::string serial; // lower-case hexadecimal without leading zeros
-    Tenths not_after = 0;
+    Ticks not_after = 0;
 };
 LeafNames read_leaf(const Chain& chain); // throws AccessError
 
@@ -47,13 +47,13 @@
     // authorities, a CRL has been out of date for longer than `grace`, or a CRL is older than the one it
     // would replace.
     static std::shared_ptr<const Authorities> read(const std::vector<NamedText>& certificates,
-                                                   const std::vector<NamedText>& crls, Tenths now,
-                                                   Tenths grace, const Authorities* previous);
+                                                   const std::vector<NamedText>& crls, Ticks now, Ticks grace,
+                                                   const Authorities* previous);
     // Returns kAdmitted if the chain leads to an authority and none of its certificates is revoked.
-    Reason verify(const Chain& chain, Tenths now) const;
+    Reason verify(const Chain& chain, Ticks now) const;
     // The next time after `after` at which a CRL and its grace period expire. From then on, every certificate
     // of its authority is rejected.
-    Tenths next_change(Tenths after) const;
+    Ticks next_change(Ticks after) const;
     std::size_t certificates() const;
     std::size_t crls() const;
 
--- a/src/access/encoding.cpp
+++ b/src/access/encoding.cpp
@@ -78,7 +78,7 @@
         return {};
     const auto seconds = value.get<std::int64_t>();
     if (seconds < 0 || seconds > kMaxSeconds) return {};
-    return seconds * kTenthsPerSecond;
+    return seconds * kTicksPerSecond;
 }
 
 } // namespace ivyrill::access
--- a/src/access/handshake_limiter.hpp
+++ b/src/access/handshake_limiter.hpp
@@ -23,7 +23,7 @@
 // Names are serial numbers; the lowest is the oldest.
 template <class Name> class HandshakeLimiter {
   public:
-    HandshakeLimiter(HandshakeLimits limits, Tenths now)
+    HandshakeLimiter(HandshakeLimits limits, Ticks now)
         : limits_(limits), tokens_(burst()), refilled_at_(now) {}
 
     // Adds a connection that starts a handshake; returns the connection evicted for it, if any.
@@ -43,9 +43,9 @@
         if (waiting_names_.empty()) queue_.clear();
     }
     // The connections that may take a step in this turn, longest-waiting first.
-    std::vector<Name> grant(Tenths now) {
+    std::vector<Name> grant(Ticks now) {
         tokens_ = std::min(burst(), tokens_ + limits_.steps_per_second *
-                                                  static_cast<double>(now - refilled_at_) / kTenthsPerSecond);
+                                                  static_cast<double>(now - refilled_at_) / kTicksPerSecond);
         refilled_at_ = now;
         std::vector<Name> granted;
         while (!queue_.empty() && granted.size() < limits_.steps_per_turn && tokens_ >= 1) {
@@ -58,11 +58,11 @@
         return granted;
     }
     // When the next waiting connection may take a step; nullopt if none waits.
-    std::optional<Tenths> next_step_time(Tenths now) const {
+    std::optional<Ticks> next_step_time(Ticks now) const {
         if (waiting_names_.empty()) return {};
         if (tokens_ >= 1) return now + 1;
-        const double span = (1 - tokens_) * kTenthsPerSecond / limits_.steps_per_second;
-        return now + std::max<Tenths>(1, static_cast<Tenths>(span) + 1);
+        const double span = (1 - tokens_) * kTicksPerSecond / limits_.steps_per_second;
+        return now + std::max<Ticks>(1, static_cast<Ticks>(span) + 1);
     }
     std::size_t open() const { return open_.size(); }
     bool open(Name name) const { return open_.contains(name); }
@@ -73,7 +73,7 @@
 
     HandshakeLimits limits_;
     double tokens_;
-    Tenths refilled_at_;
+    Ticks refilled_at_;
     std::set<Name> open_, waiting_names_;
     std::deque<Name> queue_;
     std::uint64_t evicted_ = 0;
--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxKeys = 64, kMaxKeyFileBytes = 16 * 1024, kMaxRevocationEntries = 100'000;
 constexpr std::size_t kMaxRevocationFileBytes = 16 * 1024 * 1024;
 
-Tenths time_of(const nlohmann::json& json, const char* name, std::optional<Tenths> otherwise) {
+Ticks time_of(const nlohmann::json& json, const char* name, std::optional<Ticks> otherwise) {
     const auto found = json.find(name);
     if (found == json.end() && otherwise) return *otherwise;
     const auto read = found == json.end() ? std::nullopt : read_seconds(*found);
@@ -21,7 +21,7 @@
 }
 
 void read_times(const nlohmann::json& json, const char* name,
-                std::map<std::string, Tenths, std::less<>>& into) {
+                std::map<std::string, Ticks, std::less<>>& into) {
     const auto found = json.find(name);
     if (found == json.end()) return;
     if (!found->is_object()) throw AccessError(std::string(name) + ": expected an object");
@@ -49,13 +49,13 @@
     return "unknown";
 }
 
-KeyState KeyTimes::at(Tenths now) const {
+KeyState KeyTimes::at(Ticks now) const {
     if (now >= gone) return KeyState::kGone;
     if (now >= outgoing) return KeyState::kOutgoing;
     return now >= active ? KeyState::kActive : KeyState::kAnnounced;
 }
 
-bool Key::verifies(Tenths now, Tenths skew) const { return now < times.gone && now + skew >= times.active; }
+bool Key::verifies(Ticks now, Ticks skew) const { return now < times.gone && now + skew >= times.active; }
 
 bool is_valid_name(std::string_view name) {
     return !name.empty() && name.size() <= 64 && name != "." && name != ".." &&
@@ -92,10 +92,10 @@
 std::string write_key(const Key& key, bool with_private) {
     nlohmann::json json = key.signing.to_jwk(with_private);
     json["kid"] = key.name;
-    json["announced"] = key.times.announced / kTenthsPerSecond;
-    json["active"] = key.times.active / kTenthsPerSecond;
-    if (key.times.outgoing != kNever) json["outgoing"] = key.times.outgoing / kTenthsPerSecond;
-    if (key.times.gone != kNever) json["gone"] = key.times.gone / kTenthsPerSecond;
+    json["announced"] = key.times.announced / kTicksPerSecond;
+    json["active"] = key.times.active / kTicksPerSecond;
+    if (key.times.outgoing != kNever) json["outgoing"] = key.times.outgoing / kTicksPerSecond;
+    if (key.times.gone != kNever) json["gone"] = key.times.gone / kTicksPerSecond;
     return json.dump(2) + "\n";
 }
 
@@ -129,7 +129,7 @@
     return found == keys_.end() ? nullptr : &found->second;
 }
 
-const Key* KeyRing::signer(Tenths now) const {
+const Key* KeyRing::signer(Ticks now) const {
     const Key* best = nullptr;
     for (const auto& [name, key] : keys_)
         if (key.times.at(now) == KeyState::kActive &&
@@ -138,11 +138,10 @@
     return best;
 }
 
-Tenths KeyRing::next_change(Tenths after, Tenths skew) const {
-    Tenths next = kNever;
+Ticks KeyRing::next_change(Ticks after, Ticks skew) const {
+    Ticks next = kNever;
     for (const auto& [name, key] : keys_)
-        for (const Tenths at :
-             {key.times.active - skew, key.times.active, key.times.outgoing, key.times.gone})
+        for (const Ticks at : {key.times.active - skew, key.times.active, key.times.outgoing, key.times.gone})
             if (at > after) next = std::min(next, at);
     return next;
 }
@@ -169,18 +168,18 @@
                            {"certificates", nlohmann::json::object()}};
     for (const auto& [name, entries] : {std::pair{"tokens", &tokens}, std::pair{"members", &members},
                                         std::pair{"certificates", &certificates}})
-        for (const auto& [key, time] : *entries) json[name][key] = time / kTenthsPerSecond;
+        for (const auto& [key, time] : *entries) json[name][key] = time / kTicksPerSecond;
     return json.dump(2) + "\n";
 }
 
-void Revocations::remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime) {
+void Revocations::remove_expired(Ticks now, Ticks skew, Ticks max_token_lifetime) {
     if (max_token_lifetime != kNever)
         std::erase_if(members, [&](auto& entry) { return entry.second + max_token_lifetime + skew < now; });
     std::erase_if(tokens, [&](auto& entry) { return entry.second + skew < now; });
 }
 
-Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Tenths now,
-                Tenths lead, Tenths overlap) {
+Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Ticks now,
+                Ticks lead, Ticks overlap) {
     if (!is_valid_name(name)) throw AccessError("a key's name has 1 to 64 letters, digits, '-', '_' or '.'");
     if (ring.find(name) != nullptr) throw AccessError("a key named '" + name + "' already exists");
     const Key* signer = ring.signer(now);
@@ -188,11 +187,11 @@
                              : signer != nullptr ? signer->signing.algorithm()
                                                  : Algorithm::kEdDsa;
     // Files hold whole seconds: activation is rounded up, so that no key is active before it was announced.
-    const auto round_up_to_second = [](Tenths at) {
-        return (at + kTenthsPerSecond - 1) / kTenthsPerSecond * kTenthsPerSecond;
+    const auto round_up_to_second = [](Ticks at) {
+        return (at + kTicksPerSecond - 1) / kTicksPerSecond * kTicksPerSecond;
     };
-    const Tenths announced = now / kTenthsPerSecond * kTenthsPerSecond;
-    const Tenths active = lead == 0 ? announced : round_up_to_second(now + lead);
+    const Ticks announced = now / kTicksPerSecond * kTicksPerSecond;
+    const Ticks active = lead == 0 ? announced : round_up_to_second(now + lead);
     Rotation result{{std::move(name), SigningKey::generate(wanted), {announced, active, kNever, kNever}}, {}};
     for (const auto& [other, key] : ring.keys()) {
         const KeyState state = key.times.at(now);
--- a/src/access/keys.hpp
+++ b/src/access/keys.hpp
@@ -24,8 +24,8 @@
 std::string_view name_of(KeyState state);
 
 struct KeyTimes {
-    Tenths announced = 0, active = 0, outgoing = kNever, gone = kNever;
-    KeyState at(Tenths now) const;
+    Ticks announced = 0, active = 0, outgoing = kNever, gone = kNever;
+    KeyState at(Ticks now) const;
     friend bool operator==(const KeyTimes&, const KeyTimes&) = default;
 };
 
@@ -35,7 +35,7 @@
     KeyTimes times;
     // Whether the key verifies signatures now. Signers' clocks may be ahead by `skew` when the key becomes
     // active; `gone` takes effect exactly at its time.
-    bool verifies(Tenths now, Tenths skew) const;
+    bool verifies(Ticks now, Ticks skew) const;
 };
 
 class KeyRing {
@@ -47,8 +47,8 @@
     const Key* find(std::string_view name) const;
     const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
     // The most recently activated active key: the one that a signer uses.
-    const Key* signer(Tenths now) const;
-    Tenths next_change(Tenths after, Tenths skew) const; // kNever if no change is pending
+    const Key* signer(Ticks now) const;
+    Ticks next_change(Ticks after, Ticks skew) const; // kNever if no change is pending
 
   private:
     std::map<std::string, Key, std::less<>> keys_;
@@ -65,12 +65,12 @@
 // kept (their expiry); members as club/member with the time before which their tokens are rejected;
 // certificates by serial number in hexadecimal.
 struct Revocations {
-    std::map<std::string, Tenths, std::less<>> tokens, members;
-    std::map<std::string, Tenths, std::less<>> certificates; // with the time of revocation
-    static Revocations read(const NamedText& file);          // throws AccessError
+    std::map<std::string, Ticks, std::less<>> tokens, members;
+    std::map<std::string, Ticks, std::less<>> certificates; // with the time of revocation
+    static Revocations read(const NamedText& file);         // throws AccessError
     std::string write() const;
     // Removes entries of expired tokens, and of members whose earlier tokens have all expired.
-    void remove_expired(Tenths now, Tenths skew, Tenths max_token_lifetime);
+    void remove_expired(Ticks now, Ticks skew, Ticks max_token_lifetime);
 };
 
 // The result of a key rotation: a new key of the same algorithm, announced now and active after `lead`. The
@@ -79,7 +79,7 @@
     Key new_key;
     std::vector<Key> changed_keys;
 };
-Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Tenths now,
-                Tenths lead, Tenths overlap);
+Rotation rotate(const KeyRing& ring, std::string name, std::optional<Algorithm> algorithm, Ticks now,
+                Ticks lead, Ticks overlap);
 
 } // namespace ivyrill::access
--- a/src/access/ticket_keys.hpp
+++ b/src/access/ticket_keys.hpp
@@ -18,11 +18,11 @@
         std::array<unsigned char, 32> cipher_key{}, mac_key{};
     };
     enum class Use { kNone, kDecrypt, kDecryptAndRenew };
-    explicit TicketKeys(Tenths span) : span_(span) {}
+    explicit TicketKeys(Ticks span) : span_(span) {}
 
     // Whether a new key is due. The caller supplies the 80 random bytes of a new key.
-    bool wants_key(Tenths now) const { return !current_.has_value() || now >= created_at_ + span_; }
-    void add(const Key& new_key, Tenths now) {
+    bool wants_key(Ticks now) const { return !current_.has_value() || now >= created_at_ + span_; }
+    void add(const Key& new_key, Ticks now) {
         if (current_) previous_ = current_;
         current_ = new_key, created_at_ = now;
     }
@@ -37,7 +37,7 @@
     }
 
   private:
-    Tenths span_, created_at_ = 0;
+    Ticks span_, created_at_ = 0;
     std::optional<Key> current_, previous_;
 };
 
--- a/src/access/token.cpp
+++ b/src/access/token.cpp
@@ -19,7 +19,7 @@
     return true;
 }
 
-bool read_time(const json& object, const char* name, Tenths& into) {
+bool read_time(const json& object, const char* name, Ticks& into) {
     const auto found = object.find(name);
     if (found == object.end()) return true;
     const auto read = read_seconds(*found);
@@ -118,10 +118,10 @@
     json payload = {{"iss", claims.issuer},
                     {"sub", caller.member},
                     {"club", caller.club},
-                    {"exp", claims.expires / kTenthsPerSecond},
-                    {"iat", claims.issued / kTenthsPerSecond}};
+                    {"exp", claims.expires / kTicksPerSecond},
+                    {"iat", claims.issued / kTicksPerSecond}};
     payload["aud"] = claims.audience.size() == 1 ? json(claims.audience[0]) : json(claims.audience);
-    if (claims.not_before > 0) payload["nbf"] = claims.not_before / kTenthsPerSecond;
+    if (claims.not_before > 0) payload["nbf"] = claims.not_before / kTicksPerSecond;
     if (!claims.id.empty()) payload["jti"] = claims.id;
     std::string scope = caller.rights.read ? "read" : "";
     if (caller.rights.write_own) scope += scope.empty() ? "write" : " write";
--- a/src/access/token.hpp
+++ b/src/access/token.hpp
@@ -21,7 +21,7 @@
     std::string key; // the `kid` that signed it
     std::string issuer, id;
     std::vector<std::string> audience;
-    Tenths expires = 0, not_before = 0, issued = 0;
+    Ticks expires = 0, not_before = 0, issued = 0;
     Caller caller;
 };
 
--- a/src/access/trusted_clock.hpp
+++ b/src/access/trusted_clock.hpp
@@ -11,11 +11,11 @@
 
 class TrustedClock {
   public:
-    TrustedClock(Tenths skew, Tenths settle) : skew_(skew), settle_(settle) {}
+    TrustedClock(Ticks skew, Ticks settle) : skew_(skew), settle_(settle) {}
     // Returns the trusted time. `steady` must never go back; `wall` is the system clock's time at that
     // moment.
-    Tenths observe(Tenths steady, Tenths wall) {
-        const Tenths offset = wall - steady;
+    Ticks observe(Ticks steady, Ticks wall) {
+        const Ticks offset = wall - steady;
         if (std::abs(offset - offset_) <= skew_ || !initialized_) {
             offset_ = offset, initialized_ = true, candidate_since_ = 0;
         } else if (candidate_since_ == 0 || std::abs(offset - candidate_) > skew_) {
@@ -25,11 +25,11 @@
         }
         return steady + offset_;
     }
-    Tenths at(Tenths steady) const { return steady + offset_; }
+    Ticks at(Ticks steady) const { return steady + offset_; }
     std::uint64_t jumps() const { return jumps_; }
 
   private:
-    Tenths skew_, settle_, offset_ = 0, candidate_ = 0, candidate_since_ = 0;
+    Ticks skew_, settle_, offset_ = 0, candidate_ = 0, candidate_since_ = 0;
     std::uint64_t jumps_ = 0;
     bool initialized_ = false;
 };
--- a/src/access/types.hpp
+++ b/src/access/types.hpp
@@ -13,7 +13,7 @@
 
 namespace ivyrill::access {
 
-inline constexpr Tenths kNever = std::numeric_limits<Tenths>::max(); // no such time
+inline constexpr Ticks kNever = std::numeric_limits<Ticks>::max(); // no such time
 
 enum class Right { kRead, kWriteOwn };
 struct Rights {
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Tenths kPollInterval = 5000;  // reports are some hundred ms old when received, and each has a cost
-constexpr Tenths kFlushInterval = 1000; // loads read within it are sent together
-constexpr Tenths kShutdownDelay = 100;
-constexpr Tenths kTimeInterval = kTenthsPerSecond; // between updates of the fleet's time to the proxy
+constexpr Ticks kPollInterval = 5000;  // reports are some hundred ms old when received, and each has a cost
+constexpr Ticks kFlushInterval = 1000; // loads read within it are sent together
+constexpr Ticks kShutdownDelay = 100;
+constexpr Ticks kTimeInterval = kTicksPerSecond; // between updates of the fleet's time to the proxy
 
 std::uint64_t draw() {
     std::random_device device;
--- a/src/agent/report_poller.cpp
+++ b/src/agent/report_poller.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Tenths kReportTimeout = 5000;
+constexpr Ticks kReportTimeout = 5000;
 constexpr std::uint64_t kInvalidReportLogRate = 1000; // one in so many is logged
 constexpr std::size_t kMaxRequestBytes = 4096;
 constexpr std::int64_t kMaxWaiting = 10'000;                 // requests; servers queue only a few
@@ -80,12 +80,12 @@
     }
 }
 
-Tenths ReportPoller::interval() const {
+Ticks ReportPoller::interval() const {
     const std::size_t servers = std::max(servers_, options_.servers);
-    return options_.interval * static_cast<Tenths>(servers) / static_cast<Tenths>(options_.servers);
+    return options_.interval * static_cast<Ticks>(servers) / static_cast<Ticks>(options_.servers);
 }
 
-transport::Async<transport::Done> ReportPoller::sleep(PolledServer& server, Tenths deadline) {
+transport::Async<transport::Done> ReportPoller::sleep(PolledServer& server, Ticks deadline) {
     const transport::WakeAt timer(reactor_, deadline, server.wake);
     while (reactor_.now() < deadline) co_await server.wake;
     co_return transport::Done{};
@@ -94,9 +94,9 @@
 transport::Task ReportPoller::poll_repeatedly(PolledServer& server) {
     // Polls of many servers are spread over the interval by a hash of the server's id.
     const auto interval = static_cast<std::uint64_t>(this->interval());
-    co_await sleep(server, reactor_.now() + static_cast<Tenths>(hash_text(server.instance) % interval));
+    co_await sleep(server, reactor_.now() + static_cast<Ticks>(hash_text(server.instance) % interval));
     for (;;) {
-        const Tenths began = reactor_.now();
+        const Ticks began = reactor_.now();
         if (!co_await poll_once(server)) server.connection.reset();
         co_await sleep(server, began + this->interval());
     }
@@ -110,7 +110,7 @@
     http::ClientConnection& connection = *server.connection;
     connection.stream().also_wake(&server.wake);
     connection.stream().send(protocol::http_request("GET", "/report", server.address));
-    const Tenths deadline = reactor_.now() + kReportTimeout;
+    const Ticks deadline = reactor_.now() + kReportTimeout;
     const transport::WakeAt timer(reactor_, deadline, server.wake);
     while (!connection.parser().complete()) {
         connection.read();
--- a/src/agent/report_poller.hpp
+++ b/src/agent/report_poller.hpp
@@ -23,8 +23,8 @@
 class ReportPoller {
   public:
     struct Options {
-        std::string self;    // name of this node
-        Tenths interval = 0; // between two reports of one server, in a fleet of up to `servers`
+        std::string self;   // name of this node
+        Ticks interval = 0; // between two reports of one server, in a fleet of up to `servers`
         // In a larger fleet the interval grows in proportion, because every load goes to all nodes.
         std::size_t servers = 150;
     };
@@ -32,7 +32,7 @@
     // Sets the current servers and nodes.
     void assign(const std::map<std::string, model::Instance>& instances,
                 const std::vector<model::EdgeNode>& nodes);
-    Tenths interval() const; // for the current fleet size
+    Ticks interval() const; // for the current fleet size
     std::size_t polled_servers() const { return polled_.size(); }
     std::uint64_t invalid_reports() const { return invalid_reports_; } // reports that were dropped
 
@@ -50,7 +50,7 @@
     };
     transport::Task poll_repeatedly(PolledServer& server);
     transport::Async<bool> poll_once(PolledServer& server);
-    transport::Async<transport::Done> sleep(PolledServer& server, Tenths deadline);
+    transport::Async<transport::Done> sleep(PolledServer& server, Ticks deadline);
 
     transport::Reactor& reactor_;
     Options options_;
--- a/src/agent/usage_relay.hpp
+++ b/src/agent/usage_relay.hpp
@@ -16,14 +16,14 @@
     explicit UsageRelay(std::int64_t window_ms) : aggregator_({window_ms, kKeptMs}) {}
 
     // Returns whether the time was unknown before.
-    bool update_fleet_time(const clock::FleetTime& time, Tenths now) {
+    bool update_fleet_time(const clock::FleetTime& time, Ticks now) {
         const bool is_first = !clock_.at(now);
         clock_.update(time, now);
         return is_first;
     }
-    std::optional<clock::FleetTime> time(Tenths now) const { return clock_.at(now); }
+    std::optional<clock::FleetTime> time(Ticks now) const { return clock_.at(now); }
 
-    void add_counts(const std::vector<model::ProcessUsage>& usage, Tenths now) {
+    void add_counts(const std::vector<model::ProcessUsage>& usage, Ticks now) {
         if (const auto time = clock_.at(now)) aggregator_.advance(time->unix_ms, now);
         for (const model::ProcessUsage& process_usage : usage) aggregator_.merge(process_usage, now);
     }
--- a/src/clock/fleet_clock.hpp
+++ b/src/clock/fleet_clock.hpp
@@ -19,71 +19,71 @@
     std::int64_t error_ms = 0; // bound on the distance from the true time
 };
 
-inline constexpr std::int64_t kTenthsPerMs = kTenthsPerSecond / 1000;
+inline constexpr std::int64_t kTicksPerMs = kTicksPerSecond / 1000;
 
 // Upper bound of plausible wall clock times; others are ignored.
 inline constexpr std::int64_t kLastUnixMs = 253'402'300'800'000; // the year 10000
 constexpr bool is_plausible(std::int64_t unix_ms) { return unix_ms > 0 && unix_ms < kLastUnixMs; }
 
 // In whole milliseconds, rounded down.
-constexpr std::int64_t to_unix_ms(Tenths time) {
-    return time >= 0 ? time / kTenthsPerMs : -((-time + kTenthsPerMs - 1) / kTenthsPerMs);
+constexpr std::int64_t to_unix_ms(Ticks time) {
+    return time >= 0 ? time / kTicksPerMs : -((-time + kTicksPerMs - 1) / kTicksPerMs);
 }
 
 class FleetClock {
   public:
     // Adds a machine's wall clock time, received at `seen_at` of this process's steady clock. Transit time
     // makes the machine appear late.
-    void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Tenths seen_at) {
+    void add_sample(const std::string& machine, std::int64_t time_of_day_ms, Ticks seen_at) {
         if (!is_plausible(time_of_day_ms)) return;
         Sample& stored = samples_[machine];
         if (seen_at < stored.seen_at) return;
-        stored = {time_of_day_ms * kTenthsPerMs - seen_at, seen_at};
+        stored = {time_of_day_ms * kTicksPerMs - seen_at, seen_at};
     }
 
     // A machine's wall clock time extrapolated from its last sample; none if that is too old.
-    std::optional<std::int64_t> wall_clock_of(const std::string& machine, Tenths steady_now) const {
+    std::optional<std::int64_t> wall_clock_of(const std::string& machine, Ticks steady_now) const {
         const auto found = samples_.find(machine);
         if (found == samples_.end() || !is_fresh(found->second, steady_now)) return std::nullopt;
         return to_unix_ms(found->second.offset + steady_now);
     }
 
-    std::optional<FleetTime> at(Tenths steady_now) const {
-        std::vector<Tenths> offsets;
+    std::optional<FleetTime> at(Ticks steady_now) const {
+        std::vector<Ticks> offsets;
         offsets.reserve(samples_.size());
         for (const auto& [machine, sample] : samples_)
             if (is_fresh(sample, steady_now)) offsets.push_back(sample.offset);
         if (offsets.empty()) return std::nullopt;
         std::ranges::sort(offsets);
-        const Tenths median = offsets[(offsets.size() - 1) / 2];
+        const Ticks median = offsets[(offsets.size() - 1) / 2];
         return FleetTime{to_unix_ms(median + steady_now), error_bound(median, offsets)};
     }
 
-    void forget_old(Tenths now) {
+    void forget_old(Ticks now) {
         std::erase_if(samples_, [&](const auto& entry) { return !is_fresh(entry.second, now); });
     }
 
   private:
     struct Sample {
-        Tenths offset = 0; // of the wall clock from the steady clock
-        Tenths seen_at = INT64_MIN;
+        Ticks offset = 0; // of the wall clock from the steady clock
+        Ticks seen_at = INT64_MIN;
     };
-    static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
+    static constexpr Ticks kSampleMaxAge = 10 * kTicksPerSecond;
     // Number of machines from which a single wrong clock is outvoted.
     static constexpr std::size_t kMinMajoritySamples = 3;
     static constexpr std::int64_t kUnconfirmedErrorMs = 3000; // how far a wall clock may jump
     static constexpr std::int64_t kMaxTransitMs = 10;         // of a sample
 
-    static bool is_fresh(const Sample& sample, Tenths now) { return now - sample.seen_at <= kSampleMaxAge; }
+    static bool is_fresh(const Sample& sample, Ticks now) { return now - sample.seen_at <= kSampleMaxAge; }
 
     // A majority is correct, so the shortest interval that holds a majority is no longer than theirs and
     // contains a correct one; the median lies in every such interval.
-    static std::int64_t error_bound(Tenths median, const std::vector<Tenths>& sorted) {
+    static std::int64_t error_bound(Ticks median, const std::vector<Ticks>& sorted) {
         if (sorted.size() < kMinMajoritySamples) return kUnconfirmedErrorMs;
         const std::size_t majority = sorted.size() / 2 + 1;
-        Tenths shortest = INT64_MAX, error = 0;
+        Ticks shortest = INT64_MAX, error = 0;
         for (std::size_t first = 0; first + majority <= sorted.size(); ++first) {
-            const Tenths begin = sorted[first], end = sorted[first + majority - 1];
+            const Ticks begin = sorted[first], end = sorted[first + majority - 1];
             if (end - begin >= shortest) continue;
             shortest = end - begin;
             error = std::max(median - begin, end - median);
--- a/src/clock/synced_clock.hpp
+++ b/src/clock/synced_clock.hpp
@@ -13,32 +13,32 @@
 
 class SyncedClock {
   public:
-    void update(const FleetTime& time, Tenths now) {
+    void update(const FleetTime& time, Ticks now) {
         if (!is_plausible(time.unix_ms) || time.error_ms < 0) return;
-        samples_.push_back({time.unix_ms * kTenthsPerMs - now, time.error_ms, now});
+        samples_.push_back({time.unix_ms * kTicksPerMs - now, time.error_ms, now});
         while (samples_.size() > kMaxSamples || now - samples_.front().at > kSampleMaxAge)
             samples_.pop_front();
         choose_offset();
     }
-    std::optional<FleetTime> at(Tenths now) const {
+    std::optional<FleetTime> at(Ticks now) const {
         if (samples_.empty()) return std::nullopt;
         return FleetTime{to_unix_ms(offset_ + now), error_ms_};
     }
 
   private:
     struct Sample {
-        Tenths offset = 0; // of the fleet's time from this process's steady clock
+        Ticks offset = 0; // of the fleet's time from this process's steady clock
         std::int64_t error_ms = 0;
-        Tenths at = 0;
+        Ticks at = 0;
     };
-    static constexpr Tenths kSampleMaxAge = 10 * kTenthsPerSecond;
+    static constexpr Ticks kSampleMaxAge = 10 * kTicksPerSecond;
     static constexpr std::size_t kMaxSamples = 32;
     // Samples with an error larger by more than this are ignored.
     static constexpr std::int64_t kMaxErrorExcessMs = 100;
 
     void choose_offset() {
         const auto min_error_ms = std::ranges::min_element(samples_, {}, &Sample::error_ms)->error_ms;
-        std::optional<Tenths> latest;
+        std::optional<Ticks> latest;
         for (const Sample& sample : samples_) {
             if (sample.error_ms > min_error_ms + kMaxErrorExcessMs || (latest && sample.offset <= *latest))
                 continue;
@@ -48,7 +48,7 @@
     }
 
     std::deque<Sample> samples_;
-    Tenths offset_ = 0;
+    Ticks offset_ = 0;
     std::int64_t error_ms_ = 0;
 };
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr Tenths kVoterLostAfter = 2 * kTenthsPerSecond; // a voter not alive for this long is replaced
+constexpr Ticks kVoterLostAfter = 2 * kTicksPerSecond; // a voter not alive for this long is replaced
 
 } // namespace
 
 void Replica::set_member_statuses(std::vector<MemberStatus> statuses, std::size_t min_voters,
-                                  std::size_t max_voters, Tenths now) {
+                                  std::size_t max_voters, Ticks now) {
     const std::vector<MemberStatus> before = std::exchange(member_statuses_, std::move(statuses));
     min_voters_ = min_voters;
     max_voters_ = max_voters;
-    std::map<MemberId, Tenths> unlisted;
+    std::map<MemberId, Ticks> unlisted;
     if (newest_)
         for (const Member& voter : newest_->voters) {
             if (status_of(voter.id)) continue;
@@ -36,7 +36,7 @@
 
 // Messages sent to a peer before its link was up are lost: after a start of the whole group the peer would
 // wait for the entry until the resend interval ends.
-void Replica::resend_to_reconnected(const std::vector<MemberStatus>& before, Tenths now) {
+void Replica::resend_to_reconnected(const std::vector<MemberStatus>& before, Ticks now) {
     for (auto& [id, progress] : peers_) {
         const MemberStatus* listed = status_of(id);
         const auto was = std::ranges::find(before, id, [](const MemberStatus& c) { return c.member.id; });
@@ -85,7 +85,7 @@
     return voter.id == options_.self.id || (listed && listed->alive);
 }
 
-bool Replica::is_lost(const Member& voter, Tenths now) const {
+bool Replica::is_lost(const Member& voter, Ticks now) const {
     const MemberStatus* listed = status_of(voter.id);
     if ((listed && listed->removed) || disk_was_replaced(voter)) return true;
     if (voter.id == options_.self.id) return false;
@@ -95,7 +95,7 @@
 }
 
 // The best learner to become a voter now: alive, caught up, in the zone with the fewest voters.
-const Member* Replica::best_learner(Tenths now) const {
+const Member* Replica::best_learner(Ticks now) const {
     const Member* best = nullptr;
     const auto voters_in = [&](const std::string& zone) {
         return std::ranges::count_if(newest_->voters, [&](const Member& v) { return v.zone == zone; });
@@ -115,7 +115,7 @@
     return best;
 }
 
-std::optional<std::vector<Member>> Replica::target_voters(Tenths now) const {
+std::optional<std::vector<Member>> Replica::target_voters(Ticks now) const {
     if (member_statuses_.empty()) return std::nullopt;
     std::vector<Member> voters = newest_->voters;
     const auto lost = std::ranges::find_if(voters, [&](const Member& voter) { return is_lost(voter, now); });
@@ -133,7 +133,7 @@
 
 // How many of these voters may still be lost, one after the other, before no majority is left; negative if
 // there is no majority now.
-int Replica::tolerable_losses(const std::vector<Member>& voters, Tenths now) const {
+int Replica::tolerable_losses(const std::vector<Member>& voters, Ticks now) const {
     const auto stays = [&](const Member& voter) { return is_alive(voter) && responds(voter.id, now); };
     return static_cast<int>(std::ranges::count_if(voters, stays)) - static_cast<int>(voters.size() / 2 + 1);
 }
@@ -141,7 +141,7 @@
 // The group without its lost voters, if it then tolerates more further losses. With one of five lost, a group
 // of four tolerates no more than the five do, so the lost voter stays and counts again when it returns; with
 // two of five lost, a group of three tolerates one more loss.
-std::optional<std::vector<Member>> Replica::without_lost_voters(Tenths now) const {
+std::optional<std::vector<Member>> Replica::without_lost_voters(Ticks now) const {
     if (planted(PlantedFault::kDeadVotersKept)) return std::nullopt;
     std::vector<Member> voters = newest_->voters;
     std::optional<std::vector<Member>> best;
@@ -158,7 +158,7 @@
     return most >= 0 ? best : std::nullopt;
 }
 
-bool Replica::responds(MemberId id, Tenths now) const {
+bool Replica::responds(MemberId id, Ticks now) const {
     if (id == options_.self.id) return true;
     const auto peer = peers_.find(id);
     return peer != peers_.end() && peer->second.answered_at &&
--- a/src/consensus/replica.cpp
+++ b/src/consensus/replica.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-constexpr Tenths kStoreRetryDelay = 2000; // 200 ms after a failed write
+constexpr Ticks kStoreRetryDelay = 2000; // 200 ms after a failed write
 constexpr std::uint64_t kBootstrapTerm = 1, kBootstrapIndex = 1;
 
 } // namespace
 
-Replica::Replica(Options options, DurableState durable, Tenths now)
+Replica::Replica(Options options, DurableState durable, Ticks now)
     : options_(std::move(options)), random_(options_.seed), term_(durable.term),
       voted_for_(durable.voted_for), newest_(std::move(durable.entry)) {
     durable_ = current_summary();
     postpone_election(now);
 }
 
-void Replica::bootstrap(std::vector<Member> initial_voters, std::string payload, Tenths now) {
+void Replica::bootstrap(std::vector<Member> initial_voters, std::string payload, Ticks now) {
     if (newest_) return;
     term_ = std::max(term_, kBootstrapTerm);
     newest_ = Entry{{kBootstrapTerm, kBootstrapIndex}, std::move(initial_voters), {}, std::move(payload)};
     after_event(now);
 }
 
-void Replica::receive(const Message& message, Tenths now) {
+void Replica::receive(const Message& message, Ticks now) {
     if (message.to != options_.self.id) {
         ++dropped_messages_.other_member;
         if (planted(PlantedFault::kNewDiskVotes)) vote_for_former_disk(message, now);
@@ -36,7 +36,7 @@
 }
 
 // Only for a planted fault; otherwise messages to a replaced disk are dropped.
-void Replica::vote_for_former_disk(const Message& message, Tenths now) {
+void Replica::vote_for_former_disk(const Message& message, Ticks now) {
     if (has_durable_entry() || !std::holds_alternative<VoteRequest>(message.body)) return;
     const MemberId own = std::exchange(options_.self.id, message.to);
     on(message.from, std::get<VoteRequest>(message.body), now);
@@ -44,7 +44,7 @@
     after_event(now);
 }
 
-void Replica::stored(StoreTicket ticket, Tenths now) {
+void Replica::stored(StoreTicket ticket, Ticks now) {
     if (!pending_store_ || pending_store_->ticket != ticket) return;
     durable_ = pending_store_->state;
     pending_store_.reset();
@@ -52,14 +52,14 @@
     after_event(now);
 }
 
-void Replica::store_failed(StoreTicket ticket, Tenths now) {
+void Replica::store_failed(StoreTicket ticket, Ticks now) {
     if (!pending_store_ || pending_store_->ticket != ticket) return;
     pending_store_.reset();
     store_retry_at_ = now + kStoreRetryDelay;
     after_event(now);
 }
 
-void Replica::tick(Tenths now) {
+void Replica::tick(Ticks now) {
     if (store_retry_at_ && now >= *store_retry_at_) store_retry_at_.reset();
     if (role_ == Role::kLeader) {
         if (now - quorum_at_ > options_.election_timeout) {
@@ -76,9 +76,9 @@
     after_event(now);
 }
 
-Tenths Replica::next_tick() const {
-    Tenths next = role_ == Role::kLeader ? std::min(heartbeat_at_, quorum_at_ + options_.election_timeout + 1)
-                                         : election_at_;
+Ticks Replica::next_tick() const {
+    Ticks next = role_ == Role::kLeader ? std::min(heartbeat_at_, quorum_at_ + options_.election_timeout + 1)
+                                        : election_at_;
     if (transfer_at_) next = std::min(next, *transfer_at_);
     if (store_retry_at_) next = std::min(next, *store_retry_at_);
     return next;
@@ -97,7 +97,7 @@
            std::ranges::any_of(newest_->former_voters, is_self);
 }
 
-std::optional<Tenths> Replica::contact_at() const {
+std::optional<Ticks> Replica::contact_at() const {
     return role_ == Role::kLeader ? std::optional(quorum_at_) : contact_at_;
 }
 
@@ -109,14 +109,14 @@
 std::vector<Effect> Replica::take_effects() { return std::exchange(effects_, {}); }
 
 // Runs after every event: stores changed state and lets a leader proceed.
-void Replica::after_event(Tenths now) {
+void Replica::after_event(Ticks now) {
     persist(now);
     advance(now);
 }
 
 Replica::Summary Replica::current_summary() const { return {term_, voted_for_, newest_stamp()}; }
 
-void Replica::persist(Tenths now) {
+void Replica::persist(Ticks now) {
     if (pending_store_ || (store_retry_at_ && now < *store_retry_at_)) return;
     store_retry_at_.reset();
     const Summary state = current_summary();
@@ -126,7 +126,7 @@
 }
 
 // Sends the replies that waited for `durable_`.
-void Replica::after_store(Tenths now) {
+void Replica::after_store(Ticks now) {
     const bool vote_is_durable = durable_.term == term_ && durable_.voted_for == voted_for_;
     if (vote_is_durable && pending_vote_) {
         reply(*pending_vote_, VoteReply{term_, true, false});
@@ -157,7 +157,7 @@
     leader_ = leader;
 }
 
-void Replica::commit(Tenths now) {
+void Replica::commit(Ticks now) {
     committed_ = newest_;
     emit(Committed{*committed_});
     if (role_ != Role::kLeader) return;
--- a/src/consensus/replica.hpp
+++ b/src/consensus/replica.hpp
@@ -24,8 +24,8 @@
 
 struct Options {
     Member self;
-    Tenths heartbeat_interval = 1000; // 100 ms
-    Tenths election_timeout = 6000;   // minimum; randomized up to twice this value
+    Ticks heartbeat_interval = 1000; // 100 ms
+    Ticks election_timeout = 6000;   // minimum; randomized up to twice this value
     std::uint64_t seed = 1;
     // An entry commits only when it is durable at this many voters that are not leaving the group (in
     // addition to a majority): one more than the number of simultaneous disk losses to tolerate.
@@ -72,7 +72,7 @@
     bool alive = false;   // its link is up and it was heard from recently
     bool ready = true;    // it holds the other data that a voter must hold
     bool removed = false; // it announced its shutdown, or another disk now uses its address
-    Tenths since = 0;     // when `alive` last changed
+    Ticks since = 0;      // when `alive` last changed
 };
 
 // Messages that were dropped without any effect, by cause.
@@ -86,17 +86,17 @@
   public:
     // `durable` without an entry means a new disk: it neither votes nor leads until a leader adds it as a
     // voter.
-    Replica(Options options, DurableState durable, Tenths now);
+    Replica(Options options, DurableState durable, Ticks now);
 
     // Creates the group's first entry. Only for the first start of a group, at each of its initial voters,
     // with the same list at all of them.
-    void bootstrap(std::vector<Member> initial_voters, std::string payload, Tenths now);
+    void bootstrap(std::vector<Member> initial_voters, std::string payload, Ticks now);
 
-    void receive(const Message& message, Tenths now);
-    void stored(StoreTicket ticket, Tenths now);
-    void store_failed(StoreTicket ticket, Tenths now); // retried by a later Store
-    void tick(Tenths now);
-    Tenths next_tick() const; // when to call `tick` at the latest
+    void receive(const Message& message, Ticks now);
+    void stored(StoreTicket ticket, Ticks now);
+    void store_failed(StoreTicket ticket, Ticks now); // retried by a later Store
+    void tick(Ticks now);
+    Ticks next_tick() const; // when to call `tick` at the latest
 
     bool leads() const; // is leader and has committed an entry of its own term
     std::optional<MemberId> leader() const;
@@ -106,7 +106,7 @@
     // The latest time at which this member is known to have had contact with a majority. For a leader: when
     // it sent the newest heartbeat that a majority has answered. For others, voters or not: a time after
     // which a leader had a majority, as proven by an append of that leader.
-    std::optional<Tenths> contact_at() const;
+    std::optional<Ticks> contact_at() const;
     // Whether this process holds everything that the current leader has reported as committed in its term.
     bool caught_up() const;
     using MemberPredicate = std::function<bool(MemberId)>;
@@ -122,17 +122,17 @@
     // Proposes a new payload. Only a leader accepts proposals; they are processed one at a time, and further
     // ones are queued in order. `make` is called once, when the proposal starts; it must not call this
     // object. If it returns no payload, or this member is not the leader, the outcome is kRejected.
-    ProposalId propose(MakePayload make, Tenths now);
+    ProposalId propose(MakePayload make, Ticks now);
     bool proposal_under_way() const;
     // Completed by ReadDone after a majority has answered a heartbeat sent after this call.
-    ReadId confirm_leadership(Tenths now);
+    ReadId confirm_leadership(Ticks now);
 
     // Updates the known nodes. A leader replaces lost voters by live members, grows the group with live
     // members up to `max_voters`, and never shrinks it below `min_voters`.
     void set_member_statuses(std::vector<MemberStatus> statuses, std::size_t min_voters,
-                             std::size_t max_voters, Tenths now);
+                             std::size_t max_voters, Ticks now);
     // Before a planned shutdown: transfers leadership to an up-to-date voter, and starts no election again.
-    void resign(Tenths now);
+    void resign(Ticks now);
 
     std::vector<Effect> take_effects();
 
@@ -154,14 +154,14 @@
         std::string address;
         Stamp stored;            // its newest durable entry
         std::uint64_t round = 0; // the newest heartbeat that it has answered
-        std::optional<Tenths> answered_at;
+        std::optional<Ticks> answered_at;
         std::optional<ContactToken> token; // the newest that it has sent
         Stamp sent;                        // the newest entry sent to it, and when
-        Tenths sent_at = 0;
+        Ticks sent_at = 0;
     };
     struct Round {
         std::uint64_t number = 0;
-        Tenths sent_at = 0;
+        Ticks sent_at = 0;
     };
     struct Proposal {
         ProposalId id;
@@ -173,15 +173,15 @@
     };
 
     // replica.cpp: event handling and durable state
-    void vote_for_former_disk(const Message& message, Tenths now);
-    void after_event(Tenths now);
-    void persist(Tenths now);
-    void after_store(Tenths now);
+    void vote_for_former_disk(const Message& message, Ticks now);
+    void after_event(Ticks now);
+    void persist(Ticks now);
+    void after_store(Ticks now);
     Summary current_summary() const;
     Stamp newest_stamp() const { return newest_ ? newest_->stamp : Stamp{}; }
     bool has_durable_entry() const { return durable_.newest != Stamp{}; }
     void become_follower(std::uint64_t term, std::optional<MemberId> leader);
-    void commit(Tenths now);
+    void commit(Ticks now);
     void send(MemberId to, const std::string& address, Body body);
     void reply(MemberId to, Body body);
     std::optional<std::string> address_of(MemberId id) const;
@@ -189,58 +189,57 @@
     static bool majority(const std::vector<Member>& voters, const MemberPredicate& holds);
 
     // election.cpp
-    void postpone_election(Tenths now);
-    void shorten_first_election_timeout(Tenths now);
-    void start_pre_vote(Tenths now);
-    void start_election(Tenths now);
+    void postpone_election(Ticks now);
+    void shorten_first_election_timeout(Ticks now);
+    void start_pre_vote(Ticks now);
+    void start_election(Ticks now);
     void request_votes(bool pre_vote);
-    void count_votes(Tenths now);
+    void count_votes(Ticks now);
     bool may_campaign() const;
-    bool has_live_leader(Tenths now) const;
-    void on(MemberId from, const VoteRequest& request, Tenths now);
-    void on_pre_vote(MemberId from, const VoteRequest& request, Tenths now);
-    void on(MemberId from, const VoteReply& answer, Tenths now);
-    void on(MemberId from, const TimeoutNow& order, Tenths now);
+    bool has_live_leader(Ticks now) const;
+    void on(MemberId from, const VoteRequest& request, Ticks now);
+    void on_pre_vote(MemberId from, const VoteRequest& request, Ticks now);
+    void on(MemberId from, const VoteReply& answer, Ticks now);
+    void on(MemberId from, const TimeoutNow& order, Ticks now);
 
     // replication.cpp
-    void become_leader(Tenths now);
+    void become_leader(Ticks now);
     void lose_leadership();
-    void append_entry(std::vector<Member> voters, std::vector<Member> former, std::string payload,
-                      Tenths now);
-    void broadcast(Tenths now);
-    void send_append(MemberId to, Progress& progress, Tenths now);
-    void reply_to_leader(Tenths now);
-    ContactToken token(Tenths now) const { return {options_.seed, now}; }
-    std::optional<ContactToken> echo(const Progress& progress, Tenths now) const;
-    void process_echo(const Append& append, Tenths now);
+    void append_entry(std::vector<Member> voters, std::vector<Member> former, std::string payload, Ticks now);
+    void broadcast(Ticks now);
+    void send_append(MemberId to, Progress& progress, Ticks now);
+    void reply_to_leader(Ticks now);
+    ContactToken token(Ticks now) const { return {options_.seed, now}; }
+    std::optional<ContactToken> echo(const Progress& progress, Ticks now) const;
+    void process_echo(const Append& append, Ticks now);
     bool newest_has_majority() const; // the newest entry is durable at a majority: the next may be proposed
     bool is_committed() const;        // ... and has also reached `Options::min_copies` voters
     bool has_stored(MemberId id) const;
     std::size_t lasting_copies(const MemberPredicate& holds) const;
     bool is_leaving(const Member& voter) const;
-    bool may_propose(Tenths now) const;
-    void advance(Tenths now);
-    void next_entry(Tenths now);
-    void next_proposal(Tenths now);
+    bool may_propose(Ticks now) const;
+    void advance(Ticks now);
+    void next_entry(Ticks now);
+    void next_proposal(Ticks now);
     void update_quorum();
     std::uint64_t round_of_majority(const std::vector<Member>& voters) const;
-    void answer_reads(Tenths now);
-    void transfer_leadership(Tenths now);
-    void on(MemberId from, const Append& append, Tenths now);
-    void on(MemberId from, const AppendReply& answer, Tenths now);
+    void answer_reads(Ticks now);
+    void transfer_leadership(Ticks now);
+    void on(MemberId from, const Append& append, Ticks now);
+    void on(MemberId from, const AppendReply& answer, Ticks now);
 
     // membership.cpp
     void refresh_peers();
-    void resend_to_reconnected(const std::vector<MemberStatus>& before, Tenths now);
+    void resend_to_reconnected(const std::vector<MemberStatus>& before, Ticks now);
     const MemberStatus* status_of(MemberId id) const;
     bool disk_was_replaced(const Member& voter) const;
     bool is_alive(const Member& voter) const;
-    bool is_lost(const Member& voter, Tenths now) const;
-    const Member* best_learner(Tenths now) const;
-    bool responds(MemberId id, Tenths now) const; // has recently answered this leader
-    int tolerable_losses(const std::vector<Member>& voters, Tenths now) const;
-    std::optional<std::vector<Member>> without_lost_voters(Tenths now) const;
-    std::optional<std::vector<Member>> target_voters(Tenths now) const;
+    bool is_lost(const Member& voter, Ticks now) const;
+    const Member* best_learner(Ticks now) const;
+    bool responds(MemberId id, Ticks now) const; // has recently answered this leader
+    int tolerable_losses(const std::vector<Member>& voters, Ticks now) const;
+    std::optional<std::vector<Member>> without_lost_voters(Ticks now) const;
+    std::optional<std::vector<Member>> target_voters(Ticks now) const;
 
     Options options_;
     Pcg random_;
@@ -251,16 +250,16 @@
     Stamp majority_stamp_;   // leader: the newest entry that a majority holds
     Stamp leader_committed_; // follower: as reported by the current leader
     std::optional<MemberId> leader_;
-    std::optional<Tenths> leader_heard_at_; // when the last append of a leader was received
-    std::optional<Tenths> contact_at_;      // a leader had a majority after this time; see contact_at()
+    std::optional<Ticks> leader_heard_at_; // when the last append of a leader was received
+    std::optional<Ticks> contact_at_;      // a leader had a majority after this time; see contact_at()
     std::uint64_t leader_round_ = 0;
-    Tenths election_at_ = 0;
+    Ticks election_at_ = 0;
     bool has_known_leader_ = false; // since this process started; also true after leading itself
     bool resigning_ = false;
 
     Summary durable_;
     std::optional<PendingStore> pending_store_;
-    std::optional<Tenths> store_retry_at_;
+    std::optional<Ticks> store_retry_at_;
     std::uint64_t last_ticket_ = 0;
 
     std::optional<MemberId> pending_vote_; // granted as soon as it is durable
@@ -270,19 +269,19 @@
     std::map<MemberId, Progress> peers_;
     std::uint64_t round_ = 0, quorum_round_ = 0, read_round_ = 0;
     std::deque<Round> rounds_; // heartbeats not yet answered by a majority
-    Tenths quorum_at_ = 0;     // when the newest heartbeat answered by a majority was sent
-    Tenths heartbeat_at_ = 0;
+    Ticks quorum_at_ = 0;      // when the newest heartbeat answered by a majority was sent
+    Ticks heartbeat_at_ = 0;
     Stamp previous_stamp_; // of the entry that the newest one replaced
     bool leads_ = false;
-    Tenths leading_since_ = 0;
-    std::optional<Tenths> transfer_at_;
+    Ticks leading_since_ = 0;
+    std::optional<Ticks> transfer_at_;
     std::deque<Proposal> queued_proposals_;
     std::optional<ProposalId> active_proposal_;
     std::uint64_t last_proposal_ = 0, last_read_ = 0;
     std::deque<Read> reads_;
 
     std::vector<MemberStatus> member_statuses_;
-    std::map<MemberId, Tenths> unlisted_since_; // voters missing in `member_statuses_`
+    std::map<MemberId, Ticks> unlisted_since_; // voters missing in `member_statuses_`
     std::size_t min_voters_ = 0, max_voters_ = 0;
 
     DroppedMessages dropped_messages_;
--- a/src/consensus/replication.cpp
+++ b/src/consensus/replication.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr Tenths kEntryResendInterval = 3000; // 300 ms; an entry is the whole value and may be large
+constexpr Ticks kEntryResendInterval = 3000; // 300 ms; an entry is the whole value and may be large
 constexpr std::size_t kMaxQueuedProposals = 1024, kMaxPendingReads = 16384;
-constexpr Tenths kGrowthTimeout = 3 * kTenthsPerSecond;
+constexpr Ticks kGrowthTimeout = 3 * kTicksPerSecond;
 constexpr int kTransferDelayHeartbeats = 2; // a resigning leader first waits for the active proposal
 
 } // namespace
 
-void Replica::become_leader(Tenths now) {
+void Replica::become_leader(Ticks now) {
     role_ = Role::kLeader;
     has_known_leader_ = true;
     leader_ = options_.self.id;
@@ -55,7 +55,7 @@
 }
 
 void Replica::append_entry(std::vector<Member> voters, std::vector<Member> former, std::string payload,
-                           Tenths now) {
+                           Ticks now) {
     previous_stamp_ = newest_stamp();
     newest_ =
         Entry{{term_, previous_stamp_.index + 1}, std::move(voters), std::move(former), std::move(payload)};
@@ -64,14 +64,14 @@
     broadcast(now);
 }
 
-void Replica::broadcast(Tenths now) {
+void Replica::broadcast(Ticks now) {
     rounds_.push_back({++round_, now});
     heartbeat_at_ = now + options_.heartbeat_interval;
     for (auto& [id, progress] : peers_) send_append(id, progress, now);
     update_quorum();
 }
 
-void Replica::send_append(MemberId to, Progress& progress, Tenths now) {
+void Replica::send_append(MemberId to, Progress& progress, Ticks now) {
     Append append{term_,          round_,
                   newest_stamp(), committed_ ? committed_->stamp : Stamp{},
                   std::nullopt,   echo(progress, now)};
@@ -86,12 +86,12 @@
 
 // Returns a time of the member's own clock after which this leader had contact with a majority: the token's
 // time, moved back by the time since the last contact. Assumes that both clocks run at the same rate.
-std::optional<ContactToken> Replica::echo(const Progress& progress, Tenths now) const {
+std::optional<ContactToken> Replica::echo(const Progress& progress, Ticks now) const {
     if (!progress.token || planted(PlantedFault::kContactWithoutMajority)) return progress.token;
     return ContactToken{progress.token->process, progress.token->at - (now - quorum_at_)};
 }
 
-void Replica::on(MemberId from, const Append& append, Tenths now) {
+void Replica::on(MemberId from, const Append& append, Ticks now) {
     if (append.term < term_ && !planted(PlantedFault::kOlderTermAccepted)) {
         ++dropped_messages_.older_term;
         return reply(from, AppendReply{term_, 0, durable_.newest, token(now)});
@@ -122,19 +122,19 @@
 }
 
 // An append that a network partition has delayed looks new on arrival; the echo bounds when it was sent.
-void Replica::process_echo(const Append& append, Tenths now) {
+void Replica::process_echo(const Append& append, Ticks now) {
     if (planted(PlantedFault::kContactByAnyAppend)) contact_at_ = now;
     if (!append.echo || append.echo->process != options_.seed || append.echo->at > now) return;
     contact_at_ = std::max(contact_at_.value_or(append.echo->at), append.echo->at);
 }
 
-void Replica::reply_to_leader(Tenths now) {
+void Replica::reply_to_leader(Ticks now) {
     const bool reply_early = planted(PlantedFault::kReplyBeforeStored);
     reply(*leader_,
           AppendReply{term_, leader_round_, reply_early ? newest_stamp() : durable_.newest, token(now)});
 }
 
-void Replica::on(MemberId from, const AppendReply& answer, Tenths now) {
+void Replica::on(MemberId from, const AppendReply& answer, Ticks now) {
     if (answer.term > term_) return become_follower(answer.term, std::nullopt);
     const auto peer = peers_.find(from);
     if (role_ != Role::kLeader) return;
@@ -195,7 +195,7 @@
 }
 
 // Takes a leader's next possible steps; called after every event.
-void Replica::advance(Tenths now) {
+void Replica::advance(Ticks now) {
     if (role_ != Role::kLeader) return;
     update_quorum();
     const MemberPredicate stored = [this](MemberId id) { return has_stored(id); };
@@ -205,7 +205,7 @@
     if (newest_has_majority()) next_entry(now);
 }
 
-void Replica::next_entry(Tenths now) {
+void Replica::next_entry(Ticks now) {
     if (!newest_->former_voters.empty()) return append_entry(newest_->voters, {}, newest_->payload, now);
     if (!is_voter() || resigning_) return transfer_leadership(now);
     if (auto voters = target_voters(now)) {
@@ -218,13 +218,13 @@
 
 // A group below its minimum size would hold a value on too few disks: it grows first, but waits for further
 // members for a limited time only.
-bool Replica::may_propose(Tenths now) const {
+bool Replica::may_propose(Ticks now) const {
     const bool has_min_voters = newest_->voters.size() >= min_voters_;
     return has_min_voters || now - leading_since_ >= kGrowthTimeout ||
            planted(PlantedFault::kMajorityIsEnough);
 }
 
-void Replica::next_proposal(Tenths now) {
+void Replica::next_proposal(Ticks now) {
     while (!queued_proposals_.empty()) {
         const Proposal next = std::move(queued_proposals_.front());
         queued_proposals_.pop_front();
@@ -237,7 +237,7 @@
     }
 }
 
-ProposalId Replica::propose(MakePayload make, Tenths now) {
+ProposalId Replica::propose(MakePayload make, Ticks now) {
     const ProposalId id{++last_proposal_};
     if (role_ != Role::kLeader || resigning_ || queued_proposals_.size() >= kMaxQueuedProposals) {
         emit(ProposalDone{id, ProposalOutcome::kRejected});
@@ -268,7 +268,7 @@
         quorum_at_ = rounds_.front().sent_at;
 }
 
-ReadId Replica::confirm_leadership(Tenths now) {
+ReadId Replica::confirm_leadership(Ticks now) {
     const ReadId id{++last_read_};
     if (role_ != Role::kLeader || reads_.size() >= kMaxPendingReads) {
         emit(ReadDone{id, false});
@@ -280,7 +280,7 @@
 }
 
 // At most one heartbeat round for reads is in progress; reads that arrive meanwhile share the next round.
-void Replica::answer_reads(Tenths now) {
+void Replica::answer_reads(Ticks now) {
     if (!reads_.empty() && reads_.back().round > round_ && quorum_round_ >= read_round_) {
         broadcast(now);
         read_round_ = round_;
@@ -291,7 +291,7 @@
     }
 }
 
-void Replica::resign(Tenths now) {
+void Replica::resign(Ticks now) {
     resigning_ = true;
     if (role_ == Role::kLeader) {
         for (const Proposal& waiting : std::exchange(queued_proposals_, {}))
@@ -303,7 +303,7 @@
 
 // Transfers leadership to the live voter with the newest entry and the latest reply, after sending it the
 // newest commit position.
-void Replica::transfer_leadership(Tenths now) {
+void Replica::transfer_leadership(Ticks now) {
     broadcast(now);
     const Member* best = nullptr;
     const auto rank = [&](const Member& voter) {
--- a/src/control/autoscale_duty.cpp
+++ b/src/control/autoscale_duty.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // A restarting server is missing for up to this long; the count of its zone stays the same meanwhile.
-constexpr Tenths kRestartGrace = 8 * kTenthsPerSecond;
+constexpr Ticks kRestartGrace = 8 * kTicksPerSecond;
 
 // Only servers with stages report their load.
 bool is_autoscaled(const model::Service& service) { return service.engine && service.scaling; }
@@ -57,7 +57,7 @@
     ServiceCounts& counts = services_[service.name];
     count_servers(service.name, counts);
     update_held_zones(service.name, counts);
-    clear_outdated_orders(counts, static_cast<Tenths>(service.scaling->boot_time_s * kTenthsPerSecond));
+    clear_outdated_orders(counts, static_cast<Ticks>(service.scaling->boot_time_s * kTicksPerSecond));
     const auto wanted =
         counts.controller.plan(scaling_input(service.name, counts), *service.scaling, reactor_.now());
     request_counts(service.name, counts, wanted);
@@ -89,7 +89,7 @@
 }
 
 // Fewer servers than ordered for this long means that some were removed, not only restarted.
-void AutoscaleDuty::clear_outdated_orders(ServiceCounts& counts, Tenths boot_time) const {
+void AutoscaleDuty::clear_outdated_orders(ServiceCounts& counts, Ticks boot_time) const {
     for (auto& [zone, state] : counts.zones) {
         if (!state.holds || !state.order->accepted()) continue;
         const bool should_serve = reactor_.now() - state.order->accepted_at() > boot_time + kRestartGrace;
--- a/src/control/autoscale_duty.hpp
+++ b/src/control/autoscale_duty.hpp
@@ -52,14 +52,14 @@
     const duties::PlatformCallStats& calls() const { return calls_; } // of this process
 
     // A new holder observes the zone for this long before it orders anything.
-    static constexpr Tenths kObservationTime = 3 * kTenthsPerSecond;
+    static constexpr Ticks kObservationTime = 3 * kTicksPerSecond;
 
   private:
     struct Zone {
-        Tenths at = 0;            // when `servers` was last reached
+        Ticks at = 0;             // when `servers` was last reached
         std::int64_t servers = 0; // highest recent number of servers
         bool holds = false;       // this node may act for the duty
-        Tenths held_since = 0;
+        Ticks held_since = 0;
         std::optional<duties::ScaleOrder> order; // under the latest fencing token of this node
     };
     struct ServiceCounts {
@@ -71,7 +71,7 @@
     void run_service(const model::Service& service);
     void count_servers(const std::string& service, ServiceCounts& counts) const;
     void update_held_zones(const std::string& service, ServiceCounts& counts) const;
-    void clear_outdated_orders(ServiceCounts& counts, Tenths boot_time) const;
+    void clear_outdated_orders(ServiceCounts& counts, Ticks boot_time) const;
     duties::ScalingInput scaling_input(const std::string& service, const ServiceCounts& counts) const;
     void request_counts(const std::string& service, ServiceCounts& counts,
                         const std::vector<duties::ZoneServerCount>& wanted) const;
--- a/src/control/configuration_group.cpp
+++ b/src/control/configuration_group.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr Tenths kProposalTimeout = 9'000; // below the callers' timeout of 1 s, after which they retry
-constexpr Tenths kReadTimeout = 8'000;
-constexpr Tenths kBootstrapDelay = 16'000;   // any member of an existing group connects within this time
-constexpr Tenths kBootstrapTimeout = 25'000; // then an unreachable initial voter is no longer waited for
-constexpr Tenths kBootstrapCheckInterval = 500;
-constexpr std::uint64_t kBootstrapTerm = 1;    // a higher term proves an election
-constexpr Tenths kElectionTimeout = 4'000;     // four heartbeats; randomized up to twice this value
-constexpr Tenths kVoterContactTimeout = 9'000; // since a leader is known to have had a majority
-constexpr Tenths kLearnerContactTimeout = 12'000;
+constexpr Ticks kProposalTimeout = 9'000; // below the callers' timeout of 1 s, after which they retry
+constexpr Ticks kReadTimeout = 8'000;
+constexpr Ticks kBootstrapDelay = 16'000;   // any member of an existing group connects within this time
+constexpr Ticks kBootstrapTimeout = 25'000; // then an unreachable initial voter is no longer waited for
+constexpr Ticks kBootstrapCheckInterval = 500;
+constexpr std::uint64_t kBootstrapTerm = 1;   // a higher term proves an election
+constexpr Ticks kElectionTimeout = 4'000;     // four heartbeats; randomized up to twice this value
+constexpr Ticks kVoterContactTimeout = 9'000; // since a leader is known to have had a majority
+constexpr Ticks kLearnerContactTimeout = 12'000;
 
 consensus::MemberId initial_voter_id(const std::string& address) { return {hash_text(address) | 1U}; }
 
@@ -192,14 +192,14 @@
 }
 
 bool ConfigurationGroup::in_contact() const {
-    const Tenths span = leads()                ? kElectionTimeout
-                        : replica().is_voter() ? kVoterContactTimeout
-                                               : kLearnerContactTimeout;
+    const Ticks span = leads()                ? kElectionTimeout
+                       : replica().is_voter() ? kVoterContactTimeout
+                                              : kLearnerContactTimeout;
     const auto contact_at = replica().contact_at();
     return contact_at && reactor_.now() - *contact_at <= span;
 }
 
-Tenths ConfigurationGroup::time_out_of_contact() const {
+Ticks ConfigurationGroup::time_out_of_contact() const {
     return in_contact() ? 0 : reactor_.now() - replica().contact_at().value_or(opened_at_);
 }
 
--- a/src/control/configuration_group.hpp
+++ b/src/control/configuration_group.hpp
@@ -51,7 +51,7 @@
     // Whether this node is the leader with a majority or recently heard from it, so that its state is
     // current.
     bool in_contact() const;
-    Tenths time_out_of_contact() const; // 0 while in contact
+    Ticks time_out_of_contact() const; // 0 while in contact
     bool caught_up() const { return replica().caught_up(); }
     std::uint64_t term() const { return replica().term(); }
     const consensus::DroppedMessages& dropped_messages() const { return replica().dropped_messages(); }
@@ -96,7 +96,7 @@
     std::unique_ptr<StateFile> file_;
     std::unique_ptr<ReplicatedGroup> group_; // after the file, which it writes to
     std::int64_t published_version_ = 0;
-    Tenths opened_at_ = 0;
+    Ticks opened_at_ = 0;
     std::optional<consensus::MemberId> reported_leader_;
     bool bootstrapping_ = false;                     // an initial voter on an empty disk at a first start
     std::set<std::string> contacted_initial_voters_; // that know of no group either
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr Tenths kCheckInterval = 1000;
-constexpr Tenths kUsageInterval = 2500;              // between exchanges of usage counts with peers
-constexpr Tenths kShutdownDelay = 4000;              // for the last replies and the leadership transfer
+constexpr Ticks kCheckInterval = 1000;
+constexpr Ticks kUsageInterval = 2500;               // between exchanges of usage counts with peers
+constexpr Ticks kShutdownDelay = 4000;               // for the last replies and the leadership transfer
 constexpr const char* kEngineContract = "engine";    // in deployments whose servers have stages
 constexpr const char* kUsageReport = "usage_report"; // a duty of the platform
 constexpr const char* kServerCount = "autoscale";    // ... if it takes server counts
@@ -90,7 +90,7 @@
     if (!has_stages && settings_.cloud_api.duties.empty()) return boost::outcome_v2::success();
     DutyPartitions::Options options;
     options.min_copies = tolerated_losses() + 1, options.voters = min_voters();
-    options.lease = settings_.bounds.lease_ms * (kTenthsPerSecond / 1000);
+    options.lease = settings_.bounds.lease_ms * (kTicksPerSecond / 1000);
     options.draw = environment_.draw;
     const auto send = [this](std::size_t partition, const consensus::Send& sent) {
         const feed::DutyMessage message{partition, sent.message};
@@ -147,7 +147,7 @@
 void ControlNode::open_registry() {
     InstanceRegistry::Options options;
     options.self = self_.address, options.incarnation = incarnation_;
-    options.heartbeat_interval = settings_.beat_interval_ms * (kTenthsPerSecond / 1000);
+    options.heartbeat_interval = settings_.beat_interval_ms * (kTicksPerSecond / 1000);
     // Each server keeps a connection, and the other half is for servers that connect here after another
     // node's failure.
     const std::int64_t available = settings_.limits.file_descriptors - kReservedDescriptors;
--- a/src/control/duty_partitions.cpp
+++ b/src/control/duty_partitions.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 // Slower than the configuration's group, because a new holder waits for `leaseMs` anyway.
-constexpr Tenths kHeartbeat = 3'000;
-constexpr Tenths kElectionTimeout = 12'000; // four heartbeats; randomized up to twice as long
-constexpr Tenths kContactAgeDivisor = 3; // a holder acts without contact to a majority for 1/3 of the lease
+constexpr Ticks kHeartbeat = 3'000;
+constexpr Ticks kElectionTimeout = 12'000; // four heartbeats; randomized up to twice as long
+constexpr Ticks kContactAgeDivisor = 3;    // a holder acts without contact to a majority for 1/3 of the lease
 
 std::optional<duties::PartitionState> committed_state(const consensus::Replica& replica) {
     return replica.committed() ? duties::read_partition_state(replica.committed()->payload) : std::nullopt;
@@ -83,7 +83,7 @@
     callbacks.role_changed = [this, &partition](const consensus::RoleChanged& role) {
         role_changed(partition, role);
     };
-    const Tenths max_contact_age = std::min(options_.lease / kContactAgeDivisor, kElectionTimeout);
+    const Ticks max_contact_age = std::min(options_.lease / kContactAgeDivisor, kElectionTimeout);
     const duties::Lease::Timing timing{options_.lease, max_contact_age, duties::OrderClient::kTimeout};
     partition.lease = std::make_unique<duties::Lease>(timing, opened_at_);
     partition.member = std::make_unique<ReplicatedGroup>(reactor_, *partition.disk, std::move(options),
@@ -191,7 +191,7 @@
     std::array<Status, duties::kDutyPartitions> result;
     for (std::size_t number = 0; has_joined() && number < partitions_.size(); ++number) {
         const consensus::Replica& replica = partitions_[number].member->replica();
-        const Tenths led_for = replica.leads() ? reactor_.now() - partitions_[number].led_since : 0;
+        const Ticks led_for = replica.leads() ? reactor_.now() - partitions_[number].led_since : 0;
         result[number] = {replica.leads(), may_act(partitions_[number]), replica.term(), replica.leader(),
                           led_for};
     }
--- a/src/control/duty_partitions.hpp
+++ b/src/control/duty_partitions.hpp
@@ -22,7 +22,7 @@
         std::size_t min_copies =
             1;                  // number of disks, of voters that remain, that must hold a committed entry
         std::size_t voters = 3; // per partition
-        Tenths lease = 0;       // `leaseMs`
+        Ticks lease = 0;        // `leaseMs`
         std::function<std::uint64_t()> draw;
     };
     using SendToMember = std::function<void(std::size_t partition, const consensus::Send&)>;
@@ -30,7 +30,7 @@
         bool leads = false, acts = false;
         std::uint64_t fence = 0;
         std::optional<consensus::MemberId> leader;
-        Tenths led_for = 0; // time since this node was elected
+        Ticks led_for = 0; // time since this node was elected
     };
     // Computes the next state; none if nothing should change.
     using ChangeState =
@@ -71,7 +71,7 @@
         std::unique_ptr<ReplicatedGroup> member; // declared after the disk that it writes to
         std::unique_ptr<duties::Lease> lease;
         std::uint64_t times_elected = 0; // by this process
-        Tenths led_since = 0;
+        Ticks led_since = 0;
     };
     DutyPartitions(transport::Reactor& reactor, Options options, SendToMember send);
     Result<void> load(const OpenStateFile& open_file);
@@ -83,7 +83,7 @@
     transport::Reactor& reactor_;
     Options options_;
     SendToMember send_;
-    Tenths opened_at_;
+    Ticks opened_at_;
     std::array<Partition, duties::kDutyPartitions> partitions_;
     std::vector<consensus::Member> initial_voters_;
     consensus::Member self_;
--- a/src/control/failure_detector.cpp
+++ b/src/control/failure_detector.cpp
@@ -8,8 +8,8 @@
 
 } // namespace
 
-model::InstanceState FailureDetector::state_of(const model::Instance& record, Tenths now) {
-    const Tenths at = last_heard_.try_emplace(record.id, now).first->second;
+model::InstanceState FailureDetector::state_of(const model::Instance& record, Ticks now) {
+    const Ticks at = last_heard_.try_emplace(record.id, now).first->second;
     const double missed = static_cast<double>(now - at) / static_cast<double>(heartbeat_interval_);
     if (missed >= kGoneHeartbeats) return model::InstanceState::kGone;
     const bool becomes_silent = missed >= kSilentHeartbeats && record.state == model::InstanceState::kServing;
@@ -18,7 +18,7 @@
 
 std::vector<model::Instance>
 FailureDetector::check(const feed::InstanceTable& table,
-                       const std::function<bool(const std::string& service)>& owned, Tenths now) {
+                       const std::function<bool(const std::string& service)>& owned, Ticks now) {
     std::vector<model::Instance> changes;
     for (const auto& [id, record] : table.records()) {
         if (record.state == model::InstanceState::kGone || !owned(record.service)) continue;
--- a/src/control/failure_detector.hpp
+++ b/src/control/failure_detector.hpp
@@ -14,30 +14,30 @@
 
 class FailureDetector {
   public:
-    explicit FailureDetector(Tenths heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
+    explicit FailureDetector(Ticks heartbeat_interval) : heartbeat_interval_(heartbeat_interval) {}
 
-    void record_heartbeat(const std::string& id, Tenths now) { last_heard_[id] = now; }
+    void record_heartbeat(const std::string& id, Ticks now) { last_heard_[id] = now; }
     void forget(const std::string& id) { last_heard_.erase(id); }
     // Excludes a time in which this process itself was suspended and received nothing.
-    void discount_pause(Tenths span) {
+    void discount_pause(Ticks span) {
         for (auto& [id, at] : last_heard_) at += span;
     }
     // Restarts the timeouts of all servers after a partition, in which their heartbeats reached only other
     // nodes.
-    void restart_timeouts(Tenths now) {
+    void restart_timeouts(Ticks now) {
         for (auto& [id, at] : last_heard_) at = now;
     }
     // Returns the changed records of those servers whose state changes now, among the services that `owned`
     // accepts.
     std::vector<model::Instance> check(const feed::InstanceTable& table,
                                        const std::function<bool(const std::string& service)>& owned,
-                                       Tenths now);
+                                       Ticks now);
 
   private:
-    model::InstanceState state_of(const model::Instance& record, Tenths now);
+    model::InstanceState state_of(const model::Instance& record, Ticks now);
 
-    Tenths heartbeat_interval_;
-    std::map<std::string, Tenths> last_heard_; // by id
+    Ticks heartbeat_interval_;
+    std::map<std::string, Ticks> last_heard_; // by id
 };
 
 } // namespace ivyrill::control
--- a/src/control/feed_gate.hpp
+++ b/src/control/feed_gate.hpp
@@ -7,7 +7,7 @@
 
 // The conditions that the gate depends on.
 struct FeedConditions {
-    Tenths time_out_of_contact = 0;  // time without contact to a leader with a majority; 0: in contact
+    Ticks time_out_of_contact = 0;   // time without contact to a leader with a majority; 0: in contact
     bool caught_up = false;          // it holds everything that the leader has committed
     bool has_server_records = false; // it has merged the server records of a majority
     bool ending = false;
@@ -32,7 +32,7 @@
     // 1.6 s. Other nodes may acknowledge a server's departure at once, and no request may reach that server 2
     // s later; the subscribers of this feed have to connect elsewhere before. An election with one split vote
     // is mostly over by then.
-    static constexpr Tenths kContactTimeout = 16'000;
+    static constexpr Ticks kContactTimeout = 16'000;
     static bool may_open(const FeedConditions& conditions) {
         const bool caught_up = conditions.caught_up || planted(PlantedFault::kFeedBeforeCaughtUp);
         const bool has_server_records =
--- a/src/control/inspection.cpp
+++ b/src/control/inspection.cpp
@@ -69,7 +69,7 @@
         return fmt::format(
             R"({{"holder":"{}","holderAddress":"{}","holds":{},"acts":{},"fence":{},"heldForMs":{}}})",
             holder, address, partition.leads, partition.acts, partition.fence,
-            partition.led_for / (kTenthsPerSecond / 1000));
+            partition.led_for / (kTicksPerSecond / 1000));
     });
 }
 
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Tenths kCheckInterval = 2500;
-constexpr Tenths kReplicationTimeout = 8000; // below the servers' timeout of 1 s
-constexpr Tenths kGoneRetention =
-    60 * kTenthsPerSecond;                 // how long gone servers are remembered, to reject late messages
+constexpr Ticks kCheckInterval = 2500;
+constexpr Ticks kReplicationTimeout = 8000; // below the servers' timeout of 1 s
+constexpr Ticks kGoneRetention =
+    60 * kTicksPerSecond;                  // how long gone servers are remembered, to reject late messages
 constexpr int kMismatchesBeforeRepair = 2; // consecutive; a single one may be due to messages in transit
 
 Error not_durable() {
@@ -248,7 +248,7 @@
     timer_ = reactor_.call_after(kCheckInterval, [this] { check_failures(); });
     notify_watchers();
     partitions_.count_servers(table_);
-    if (const Tenths suspended = reactor_.stalled_for(); suspended > kCheckInterval / 5)
+    if (const Ticks suspended = reactor_.stalled_for(); suspended > kCheckInterval / 5)
         failure_detector_.discount_pause(suspended);
     std::vector<Instance> changes;
     const bool in_contact = callbacks_.in_contact();
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -29,7 +29,7 @@
     struct Options {
         std::string self;              // this node's address for its peers
         std::uint64_t incarnation = 0; // of this process
-        Tenths heartbeat_interval = 0; // of the servers
+        Ticks heartbeat_interval = 0;  // of the servers
         std::size_t max_per_owner = 0; // see ServicePartitions; 0: unlimited
     };
     struct Callbacks {
--- a/src/control/node_snapshot.cpp
+++ b/src/control/node_snapshot.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr Tenths kWriteDelay = 500;      // changes within this time are written together
-constexpr Tenths kUrgentWriteDelay = 20; // ... if a caller waits for them
-constexpr Tenths kRetryDelay = 10'000;   // after a failed write
+constexpr Ticks kWriteDelay = 500;      // changes within this time are written together
+constexpr Ticks kUrgentWriteDelay = 20; // ... if a caller waits for them
+constexpr Ticks kRetryDelay = 10'000;   // after a failed write
 
 } // namespace
 
@@ -50,8 +50,8 @@
 }
 
 // Keeps an earlier scheduled write.
-void SnapshotStore::schedule_write(Tenths delay) {
-    const Tenths at = reactor_.now() + delay;
+void SnapshotStore::schedule_write(Ticks delay) {
+    const Ticks at = reactor_.now() + delay;
     if (writing_ || (scheduled_ && scheduled_at_ <= at)) return;
     reactor_.cancel(timer_);
     scheduled_ = true, scheduled_at_ = at;
--- a/src/control/node_snapshot.hpp
+++ b/src/control/node_snapshot.hpp
@@ -44,7 +44,7 @@
     };
     SnapshotStore(transport::Reactor& reactor, std::unique_ptr<StateFile> file,
                   std::function<NodeSnapshot()> collect);
-    void schedule_write(Tenths delay);
+    void schedule_write(Ticks delay);
     void write();
     void write_done(const Result<void>& result, std::uint64_t change);
 
@@ -56,7 +56,7 @@
     std::uint64_t change_ = 0, durable_change_ = 0; // counted from the start
     std::vector<Waiter> waiters_;
     bool scheduled_ = false, writing_ = false;
-    Tenths scheduled_at_ = 0;
+    Ticks scheduled_at_ = 0;
     transport::Reactor::TimerId timer_{};
 };
 
--- a/src/control/one_shot_request.cpp
+++ b/src/control/one_shot_request.cpp
@@ -23,8 +23,8 @@
         reactor, call.address, call.request.size(), call.delivery_timeout);
     if (!connection) co_return OneShotResult{};
     // The request must be delivered or lost within the timeout: half of it is reserved for transmission.
-    const Tenths send_deadline = reactor.now() + call.delivery_timeout / 2;
-    const Tenths response_deadline = reactor.now() + call.response_timeout;
+    const Ticks send_deadline = reactor.now() + call.delivery_timeout / 2;
+    const Ticks response_deadline = reactor.now() + call.response_timeout;
     transport::Slot wake(reactor.loop());
     connection->stream().also_wake(&wake);
     {
--- a/src/control/one_shot_request.hpp
+++ b/src/control/one_shot_request.hpp
@@ -14,8 +14,8 @@
 struct OneShotRequest {
     std::string address; // IP:PORT
     std::string request; // encoded request
-    Tenths delivery_timeout = 0;
-    Tenths response_timeout = 0; // since the start of the connection attempt
+    Ticks delivery_timeout = 0;
+    Ticks response_timeout = 0; // since the start of the connection attempt
 };
 
 struct OneShotResult {
--- a/src/control/operator_calls.cpp
+++ b/src/control/operator_calls.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr Tenths kCallTimeout = 9000;       // over all leaders; below the callers' timeout of 1 s
-constexpr Tenths kLeaderPollInterval = 200; // while there is no leader
+constexpr Ticks kCallTimeout = 9000;       // over all leaders; below the callers' timeout of 1 s
+constexpr Ticks kLeaderPollInterval = 200; // while there is no leader
 
 http::Response to_answer(const Result<void>& result) {
     return result.has_error() ? http::error_response(result.error()) : http::json_response("{}");
@@ -75,7 +75,7 @@
 // A reply of 503 from a former leader does not apply to the next one, so the call is retried there.
 transport::Async<http::Response> OperatorCalls::call_leader(std::string method, std::string if_match,
                                                             std::string body) {
-    const Tenths deadline = reactor_.now() + kCallTimeout;
+    const Ticks deadline = reactor_.now() + kCallTimeout;
     while (reactor_.now() < deadline) {
         http::Response answer = no_leader();
         const auto leader = group_.leader();
@@ -99,7 +99,7 @@
 }
 
 transport::Async<OperatorCalls::Outcome> OperatorCalls::forward(std::uint64_t member,
-                                                                feed::ForwardedCall call, Tenths deadline,
+                                                                feed::ForwardedCall call, Ticks deadline,
                                                                 http::Response& answer) {
     const std::uint64_t number = call.id.number;
     auto pending = std::make_shared<transport::Pending<Outcome>>(reactor_);
--- a/src/control/operator_calls.hpp
+++ b/src/control/operator_calls.hpp
@@ -53,7 +53,7 @@
     transport::Async<http::Response> call_leader(std::string method, std::string if_match, std::string body);
     transport::Async<http::Response> execute_locally(const std::string& method, const std::string& if_match,
                                                      std::string body);
-    transport::Async<Outcome> forward(std::uint64_t member, feed::ForwardedCall call, Tenths deadline,
+    transport::Async<Outcome> forward(std::uint64_t member, feed::ForwardedCall call, Ticks deadline,
                                       http::Response& answer);
     transport::Async<transport::Done> wait_for_leader();
     transport::Task answer_forwarded(std::string peer, feed::ForwardedCall call);
--- a/src/control/peer_mesh.cpp
+++ b/src/control/peer_mesh.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr Tenths kMinRetryDelay = 1000, kMaxRetryDelay = 10'000; // between connection attempts
-constexpr Tenths kConnectTimeout = 5000;
-constexpr Tenths kForgetAfter = 300'000; // 30 s; then a silent peer is removed, unless it is a seed
+constexpr Ticks kMinRetryDelay = 1000, kMaxRetryDelay = 10'000; // between connection attempts
+constexpr Ticks kConnectTimeout = 5000;
+constexpr Ticks kForgetAfter = 300'000; // 30 s; then a silent peer is removed, unless it is a seed
 
 void free_link(transport::Reactor& reactor, std::unique_ptr<feed::Link> link) {
     if (!link) return;
@@ -207,7 +207,7 @@
 void PeerMesh::tick() {
     std::vector<std::string> removed;
     for (auto& [address, peer] : peers_) {
-        const Tenths silence = reactor_.now() - peer.last_heard;
+        const Ticks silence = reactor_.now() - peer.last_heard;
         // A connection that stopped carrying data is closed: a new one succeeds as soon as the peer is
         // reachable, while the old one may stay stuck.
         if (peer.out && peer.out->up() && silence > options_.peer_timeout * 3 / 2)
--- a/src/control/peer_mesh.hpp
+++ b/src/control/peer_mesh.hpp
@@ -22,8 +22,8 @@
         model::ControlNode self;
         std::uint64_t incarnation = 0;
         std::vector<std::string> seeds; // addresses of peers
-        Tenths status_interval = 2500;
-        Tenths peer_timeout = 10'000; // a peer not heard from for this long is not alive
+        Ticks status_interval = 2500;
+        Ticks peer_timeout = 10'000; // a peer not heard from for this long is not alive
     };
     struct Callbacks {
         std::function<void(const model::ControlNode&, feed::Message)> received;
@@ -65,10 +65,10 @@
         model::ControlNode node; // member is 0 while unknown
         std::uint64_t incarnation = 0;
         std::unique_ptr<feed::Link> out;
-        Tenths last_heard = 0, next_attempt = 0, first_known = 0, alive_since = 0;
+        Ticks last_heard = 0, next_attempt = 0, first_known = 0, alive_since = 0;
         bool alive = false, ending = false, ready = false, seed = false;
         std::vector<model::EdgeNode> sessions;
-        Tenths retry_delay = 0;
+        Ticks retry_delay = 0;
         std::uint64_t hello_link = 0; // the newest incoming link over which its hello came
     };
     struct Incoming {
@@ -98,7 +98,7 @@
     Callbacks callbacks_;
     std::map<std::string, Peer> peers_; // by address
     std::map<std::uint64_t, Incoming> incoming_;
-    std::map<std::uint64_t, Tenths>
+    std::map<std::uint64_t, Ticks>
         replaced_members_; // members whose address another member uses now, and since when
     std::uint64_t last_link_id_ = 0;
     RejectedMessages rejected_messages_;
--- a/src/control/replicated_group.cpp
+++ b/src/control/replicated_group.cpp
@@ -40,7 +40,7 @@
 }
 
 transport::Async<std::optional<consensus::ProposalOutcome>>
-ReplicatedGroup::propose(consensus::Replica::MakePayload make, Tenths timeout) {
+ReplicatedGroup::propose(consensus::Replica::MakePayload make, Ticks timeout) {
     auto pending = std::make_shared<transport::Pending<consensus::ProposalOutcome>>(reactor_);
     proposals_[replica_.propose(std::move(make), reactor_.now())] = pending;
     step();
@@ -53,7 +53,7 @@
     step();
 }
 
-transport::Async<bool> ReplicatedGroup::confirm_leadership(Tenths timeout) {
+transport::Async<bool> ReplicatedGroup::confirm_leadership(Ticks timeout) {
     auto pending = std::make_shared<transport::Pending<bool>>(reactor_);
     reads_[replica_.confirm_leadership(reactor_.now())] = pending;
     step();
--- a/src/control/replicated_group.hpp
+++ b/src/control/replicated_group.hpp
@@ -48,10 +48,10 @@
     void resign();
     // Returns the outcome, or nothing if it is not known within the timeout.
     transport::Async<std::optional<consensus::ProposalOutcome>> propose(consensus::Replica::MakePayload make,
-                                                                        Tenths timeout);
+                                                                        Ticks timeout);
     void propose_without_waiting(consensus::Replica::MakePayload make);
     // Returns whether a majority has confirmed within the timeout that this member still leads.
-    transport::Async<bool> confirm_leadership(Tenths timeout);
+    transport::Async<bool> confirm_leadership(Ticks timeout);
     void step(); // executes effects and sets the timer
 
   private:
--- a/src/control/sync_tracker.cpp
+++ b/src/control/sync_tracker.cpp
@@ -11,7 +11,7 @@
     return false;
 }
 
-std::optional<feed::RangeRequest> SyncTracker::request(std::uint64_t member, Tenths now) {
+std::optional<feed::RangeRequest> SyncTracker::request(std::uint64_t member, Ticks now) {
     if (member == 0 || synced_members_.contains(member)) return std::nullopt;
     Request& pending = requests_[member];
     if (pending.number != 0 && now - pending.sent_at < kRequestTimeout) return std::nullopt;
--- a/src/control/sync_tracker.hpp
+++ b/src/control/sync_tracker.hpp
@@ -28,7 +28,7 @@
 
     // Returns the request to send to the member, if one is due. Call `request_failed` if it could not be
     // sent.
-    std::optional<feed::RangeRequest> request(std::uint64_t member, Tenths now);
+    std::optional<feed::RangeRequest> request(std::uint64_t member, Ticks now);
     void request_failed(std::uint64_t member) { requests_.erase(member); }
     void reply_received(std::uint64_t member, const feed::RequestId& answers);
     void reset(); // after a partition, in which others may have acknowledged further records
@@ -38,9 +38,9 @@
   private:
     struct Request {
         std::uint64_t number = 0;
-        Tenths sent_at = 0;
+        Ticks sent_at = 0;
     };
-    static constexpr Tenths kRequestTimeout = 5000; // then the request is sent again
+    static constexpr Ticks kRequestTimeout = 5000; // then the request is sent again
 
     std::uint64_t incarnation_, count_ = 0;
     std::map<std::uint64_t, Request> requests_; // by member
--- a/src/control/usage_duty.cpp
+++ b/src/control/usage_duty.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Tenths kProposeRetryDelay = kTenthsPerSecond; // if the effect of a proposal has not shown
+constexpr Ticks kProposeRetryDelay = kTicksPerSecond; // if the effect of a proposal has not shown
 
 } // namespace
 
--- a/src/control/usage_duty.hpp
+++ b/src/control/usage_duty.hpp
@@ -53,15 +53,15 @@
 
     Status status() const;
 
-    static constexpr Tenths kCheckInterval = 2'500;
-    static constexpr Tenths kInitialBackoff = 2'000, kMaxBackoff = 10'000; // before a report is retried
+    static constexpr Ticks kCheckInterval = 2'500;
+    static constexpr Ticks kInitialBackoff = 2'000, kMaxBackoff = 10'000; // before a report is retried
     static constexpr int kMaxRefusals = 5; // refusals of a window's report, after which it is given up
     static constexpr std::size_t kMaxInFlight = 4;
 
   private:
     struct Sending { // state of one window's report
         bool is_in_flight = false;
-        Tenths not_before = 0, backoff = kInitialBackoff;
+        Ticks not_before = 0, backoff = kInitialBackoff;
         int refusals = 0;
     };
 
@@ -84,7 +84,7 @@
     Callbacks callbacks_;
     std::map<std::int64_t, Sending> sending_; // by window
     std::set<std::int64_t> settled_;          // windows acknowledged or given up, and still in the ledger
-    std::optional<Tenths> proposed_at_;
+    std::optional<Ticks> proposed_at_;
     std::uint64_t fenced_off_ = 0; // highest fencing token that the platform has refused
     std::uint64_t acknowledged_ = 0, given_up_ = 0;
     duties::PlatformCallStats calls_;
--- a/src/control/usage_exchange.cpp
+++ b/src/control/usage_exchange.cpp
@@ -41,20 +41,20 @@
     return split_into_messages(std::move(counts));
 }
 
-void UsageExchange::tick(Tenths now) {
+void UsageExchange::tick(Ticks now) {
     clock_.add_sample(self_, time_of_day_(), now);
     clock_.forget_old(now);
     if (const auto time = clock_.at(now)) aggregator_.advance(time->unix_ms, now);
 }
 
-void UsageExchange::fill_status(feed::PeerStatus& status, Tenths now) const {
+void UsageExchange::fill_status(feed::PeerStatus& status, Ticks now) const {
     status.unix_ms = time_of_day_();
     for (std::size_t index = 0; index < status.sessions.size(); ++index)
         if (const auto unix_ms = clock_.wall_clock_of(status.sessions[index].name, now))
             status.session_clocks.push_back({index, *unix_ms - status.unix_ms});
 }
 
-void UsageExchange::on_peer_status(const std::string& peer, const feed::PeerStatus& status, Tenths now) {
+void UsageExchange::on_peer_status(const std::string& peer, const feed::PeerStatus& status, Ticks now) {
     if (!clock::is_plausible(status.unix_ms)) return;
     clock_.add_sample(peer, status.unix_ms, now);
     for (const feed::SessionClock& session_clock : status.session_clocks)
@@ -64,14 +64,14 @@
                               status.unix_ms + session_clock.offset_ms, now);
 }
 
-void UsageExchange::add_local_counts(const std::vector<model::ProcessUsage>& counts, Tenths now) {
+void UsageExchange::add_local_counts(const std::vector<model::ProcessUsage>& counts, Ticks now) {
     for (const model::ProcessUsage& usage : counts) {
         aggregator_.merge(usage, now);
         for_peers_.push_back(usage);
     }
 }
 
-feed::UsageRequest UsageExchange::merge(const feed::UsageCounts& forwarded, Tenths now) {
+feed::UsageRequest UsageExchange::merge(const feed::UsageCounts& forwarded, Ticks now) {
     feed::UsageRequest missing;
     for (const model::ProcessUsage& usage : forwarded.counts) {
         aggregator_.merge(usage, now);
--- a/src/control/usage_exchange.hpp
+++ b/src/control/usage_exchange.hpp
@@ -21,16 +21,16 @@
           time_of_day_(std::move(time_of_day)) {}
 
     // To be called periodically: samples this node's own clock and advances the aggregator.
-    void tick(Tenths now);
-    void add_time_of_day(const std::string& node, std::int64_t unix_ms, Tenths now) {
+    void tick(Ticks now);
+    void add_time_of_day(const std::string& node, std::int64_t unix_ms, Ticks now) {
         clock_.add_sample(node, unix_ms, now);
     }
     // `status.sessions` must be filled already.
-    void fill_status(feed::PeerStatus& status, Tenths now) const;
-    void on_peer_status(const std::string& peer, const feed::PeerStatus& status, Tenths now);
+    void fill_status(feed::PeerStatus& status, Ticks now) const;
+    void on_peer_status(const std::string& peer, const feed::PeerStatus& status, Ticks now);
 
     void add_local_counts(const std::vector<model::ProcessUsage>& counts,
-                          Tenths now); // reported by this node's sessions
+                          Ticks now); // reported by this node's sessions
     std::vector<feed::UsageCounts> drain_for_peers() {
         return split_into_messages(std::exchange(for_peers_, {}));
     }
@@ -39,7 +39,7 @@
         return newest_within_limit(aggregator_.recent(kRecentMs));
     }
     // Merges counts forwarded by a peer; returns the request for missing counts to send to it, if any.
-    feed::UsageRequest merge(const feed::UsageCounts& forwarded, Tenths now);
+    feed::UsageRequest merge(const feed::UsageCounts& forwarded, Ticks now);
     std::vector<feed::UsageCounts> answer(const feed::UsageRequest& missing) const {
         return newest_within_limit(aggregator_.recent_from(missing.processes, kRecentMs));
     }
--- a/src/duties/autoscaler.cpp
+++ b/src/duties/autoscaler.cpp
@@ -24,11 +24,11 @@
 // Requests per server after a scale-down, relative to those at the shortage.
 constexpr double kMaxRequestShareAfterScaleDown = 0.6;
 // After new servers start: their caches are cold and the means outdated.
-constexpr Tenths kSettleTime = 3 * kTenthsPerSecond;
+constexpr Ticks kSettleTime = 3 * kTicksPerSecond;
 // Without a shortage or a change, before a scale-down.
-constexpr Tenths kScaleDownDelay = 10 * kTenthsPerSecond;
+constexpr Ticks kScaleDownDelay = 10 * kTicksPerSecond;
 
-Tenths to_tenths(double seconds) { return static_cast<Tenths>(seconds * kTenthsPerSecond); }
+Ticks to_ticks(double seconds) { return static_cast<Ticks>(seconds * kTicksPerSecond); }
 
 // Zones with servers that report, and the number of those servers.
 std::vector<ZoneServerCount> reporting_zones(const std::vector<StagedServer>& servers) {
@@ -83,7 +83,7 @@
 }
 
 std::vector<ZoneServerCount> Autoscaler::plan(const ScalingInput& input, const model::Scaling& scaling,
-                                              Tenths now) {
+                                              Ticks now) {
     if (!has_enough_reports(input.servers) || !input.demand) {
         samples_ = 0; // earlier samples may be outdated
         return {};
@@ -104,8 +104,8 @@
 // Adds the whole shortfall in one step, the same number in each reporting zone.
 std::vector<ZoneServerCount> Autoscaler::scale_up(const ScalingInput& input,
                                                   const std::vector<ZoneServerCount>& zones,
-                                                  const model::Scaling& scaling, Tenths now) {
-    if (changed_at_ && now - *changed_at_ < to_tenths(scaling.boot_time_s) + kSettleTime) return {};
+                                                  const model::Scaling& scaling, Ticks now) {
+    if (changed_at_ && now - *changed_at_ < to_ticks(scaling.boot_time_s) + kSettleTime) return {};
     const auto serving = static_cast<double>(total_of(zones));
     if (!requests_per_server_when_short_)
         requests_per_server_when_short_ = statistics::rolling_mean(request_rate_) / serving;
@@ -120,7 +120,7 @@
 // No scale-down while servers are missing: they may be starting or restarting.
 std::vector<ZoneServerCount> Autoscaler::scale_down(const ScalingInput& input,
                                                     const std::vector<ZoneServerCount>& zones,
-                                                    const model::Scaling& scaling, Tenths now) const {
+                                                    const model::Scaling& scaling, Ticks now) const {
     const bool is_complete = total_of(zones) >= total_of(input.target_counts);
     const bool has_settled = !changed_at_ || now - *changed_at_ >= kScaleDownDelay;
     if (!is_complete || !has_settled || now - *busy_at_ < kScaleDownDelay) return {};
--- a/src/duties/autoscaler.hpp
+++ b/src/duties/autoscaler.hpp
@@ -37,11 +37,11 @@
   public:
     Autoscaler();
     // To be called every kInterval. Returns the zones whose count should change now; usually none.
-    std::vector<ZoneServerCount> plan(const ScalingInput& input, const model::Scaling& scaling, Tenths now);
+    std::vector<ZoneServerCount> plan(const ScalingInput& input, const model::Scaling& scaling, Ticks now);
     // Number of servers that the load requires: mean over the last samples.
     double needed_servers() const { return needed_; }
 
-    static constexpr Tenths kInterval = 5'000;
+    static constexpr Ticks kInterval = 5'000;
 
   private:
     using Mean = boost::accumulators::accumulator_set<
@@ -50,10 +50,10 @@
     void sample(const ScalingInput& input);
     std::vector<ZoneServerCount> scale_up(const ScalingInput& input,
                                           const std::vector<ZoneServerCount>& zones,
-                                          const model::Scaling& scaling, Tenths now);
+                                          const model::Scaling& scaling, Ticks now);
     std::vector<ZoneServerCount> scale_down(const ScalingInput& input,
                                             const std::vector<ZoneServerCount>& zones,
-                                            const model::Scaling& scaling, Tenths now) const;
+                                            const model::Scaling& scaling, Ticks now) const;
     bool can_scale_down(const std::vector<ZoneServerCount>& zones) const;
     static std::vector<ZoneServerCount> changed_counts(std::int64_t step, const ScalingInput& input,
                                                        const std::vector<ZoneServerCount>& zones,
@@ -63,7 +63,7 @@
     double needed_ = 0;
     int short_samples_ = 0, very_short_samples_ = 0; // consecutive, up to the latest
     int samples_ = 0;                                // since the input was last incomplete
-    std::optional<Tenths> changed_at_, busy_at_;     // busy: too much load to scale down
+    std::optional<Ticks> changed_at_, busy_at_;      // busy: too much load to scale down
     // Per second and server, when a shortage was first seen.
     std::optional<double> requests_per_server_when_short_;
 };
--- a/src/duties/demand_aggregator.cpp
+++ b/src/duties/demand_aggregator.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-constexpr Tenths kMaxAge = 3 * kTenthsPerSecond; // older reports are dropped
+constexpr Ticks kMaxAge = 3 * kTicksPerSecond; // older reports are dropped
 
 } // namespace
 
-void DemandAggregator::add(std::map<std::string, Update>& updates, Tenths now, Sums& sums) {
+void DemandAggregator::add(std::map<std::string, Update>& updates, Ticks now, Sums& sums) {
     std::erase_if(updates, [now](const auto& entry) { return now - entry.second.received_at > kMaxAge; });
     for (const auto& [name, update] : updates)
         for (const model::ServiceDemand& demand : update.demands) {
@@ -18,7 +18,7 @@
         }
 }
 
-std::vector<model::ServiceDemand> DemandAggregator::local(Tenths now) {
+std::vector<model::ServiceDemand> DemandAggregator::local(Ticks now) {
     Sums sums;
     add(nodes_, now, sums);
     std::vector<model::ServiceDemand> demands;
@@ -26,7 +26,7 @@
     return demands;
 }
 
-std::optional<model::ServiceDemand> DemandAggregator::total(const std::string& service, Tenths now) {
+std::optional<model::ServiceDemand> DemandAggregator::total(const std::string& service, Ticks now) {
     Sums sums;
     add(nodes_, now, sums);
     add(peers_, now, sums);
--- a/src/duties/order_client.hpp
+++ b/src/duties/order_client.hpp
@@ -19,7 +19,7 @@
     virtual void send(const StageOrder& order, const std::string& holder, std::function<bool()> may_send,
                       std::function<void(OrderOutcome)> done) = 0;
 
-    static constexpr Tenths kTimeout = 6'000;
+    static constexpr Ticks kTimeout = 6'000;
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/platform_client.hpp
+++ b/src/duties/platform_client.hpp
@@ -38,8 +38,8 @@
                       std::function<void(PlatformOutcome)> done) = 0;
 
     // After kDeliveryTimeout nothing of a call is in flight to the platform; the response may still follow.
-    static constexpr Tenths kDeliveryTimeout = 6'000;
-    static constexpr Tenths kResponseTimeout = 30'000; // a slow platform takes seconds
+    static constexpr Ticks kDeliveryTimeout = 6'000;
+    static constexpr Ticks kResponseTimeout = 30'000; // a slow platform takes seconds
 };
 
 } // namespace ivyrill::duties
--- a/src/duties/report_freshness.hpp
+++ b/src/duties/report_freshness.hpp
@@ -12,14 +12,14 @@
 
 class ReportFreshness {
   public:
-    void record_report(const std::string& instance, Tenths now) {
+    void record_report(const std::string& instance, Ticks now) {
         const auto [entry, inserted] = seen_.try_emplace(instance, Seen{now, 0});
         if (!inserted) entry->second = {now, now - entry->second.last};
     }
-    void forget_old(Tenths now) {
+    void forget_old(Ticks now) {
         std::erase_if(seen_, [now](const auto& entry) { return now - entry.second.last > kRetention; });
     }
-    bool is_fresh(const std::string& instance, Tenths now) const {
+    bool is_fresh(const std::string& instance, Ticks now) const {
         const auto found = seen_.find(instance);
         if (found == seen_.end()) return false;
         return now - found->second.last <= std::max(kMinFreshAge, kMissedReports * found->second.interval);
@@ -27,11 +27,11 @@
 
   private:
     struct Seen {
-        Tenths last = 0, interval = 0; // between the last two reports
+        Ticks last = 0, interval = 0; // between the last two reports
     };
-    static constexpr Tenths kMinFreshAge = 3 * kTenthsPerSecond;
-    static constexpr Tenths kMissedReports = 3; // reports that may be missed
-    static constexpr Tenths kRetention = 120 * kTenthsPerSecond;
+    static constexpr Ticks kMinFreshAge = 3 * kTicksPerSecond;
+    static constexpr Ticks kMissedReports = 3; // reports that may be missed
+    static constexpr Ticks kRetention = 120 * kTicksPerSecond;
     std::map<std::string, Seen> seen_; // by instance id
 };
 
--- a/src/duties/scale_order.cpp
+++ b/src/duties/scale_order.cpp
@@ -4,12 +4,12 @@
 
 namespace ivyrill::duties {
 
-void ScaleOrder::request(std::int64_t servers, Tenths now) {
+void ScaleOrder::request(std::int64_t servers, Ticks now) {
     if (pending_ != servers) not_before_ = now, backoff_ = kInitialBackoff;
     pending_ = servers, pending_until_ = now + kOrderValidity;
 }
 
-std::optional<std::int64_t> ScaleOrder::due(Tenths now) {
+std::optional<std::int64_t> ScaleOrder::due(Ticks now) {
     if (now >= pending_until_) pending_.reset();
     if (is_in_flight_ || fenced_off_ || now < not_before_ || pending_ == accepted_) return std::nullopt;
     return pending_;
@@ -17,7 +17,7 @@
 
 void ScaleOrder::sent() { is_in_flight_ = true; }
 
-void ScaleOrder::answered(std::int64_t servers, PlatformOutcome outcome, Tenths now) {
+void ScaleOrder::answered(std::int64_t servers, PlatformOutcome outcome, Ticks now) {
     is_in_flight_ = false;
     if (outcome == PlatformOutcome::kFencedOff) fenced_off_ = true;
     if (outcome == PlatformOutcome::kRefused && pending_ == servers) pending_.reset();
--- a/src/duties/stage_controller.cpp
+++ b/src/duties/stage_controller.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t kMinServersPerChange = 6;       // at most one in this many servers changes at a time
 // Utilization from which a pool is overloaded, not only short of servers.
 constexpr double kOverloadUtilization = 1;
-constexpr int kSamplesIfOverloaded = 2;              // half the samples suffice then
-constexpr std::size_t kMinServersPerStage = 2;       // servers of each stage that must remain
-constexpr Tenths kSettleTime = 2 * kTenthsPerSecond; // after a change: caches are cold and the means outdated
-constexpr Tenths kReversalDelay = 8 * kTenthsPerSecond; // before a change in the opposite direction
+constexpr int kSamplesIfOverloaded = 2;            // half the samples suffice then
+constexpr std::size_t kMinServersPerStage = 2;     // servers of each stage that must remain
+constexpr Ticks kSettleTime = 2 * kTicksPerSecond; // after a change: caches are cold and the means outdated
+constexpr Ticks kReversalDelay = 8 * kTicksPerSecond; // before a change in the opposite direction
 
 // Number of servers that brings the load of each back to the target; bounded, because the input is some
 // seconds old.
@@ -33,7 +33,7 @@
 
 } // namespace
 
-StageController::StageController(Tenths stage_change_time)
+StageController::StageController(Ticks stage_change_time)
     : stage_change_time_(stage_change_time),
       prefill_utilization_(statistics::tag::rolling_window::window_size = kSamples),
       decode_utilization_(statistics::tag::rolling_window::window_size = kSamples) {}
@@ -55,15 +55,14 @@
     return after <= kMaxPrefillUtilizationAfter || after <= decode_utilization();
 }
 
-bool StageController::may_change_to(Stage stage, Tenths now) const {
+bool StageController::may_change_to(Stage stage, Ticks now) const {
     if (!changed_at_) return true;
-    const Tenths delay = stage == changed_to_ ? kSettleTime : kReversalDelay;
+    const Ticks delay = stage == changed_to_ ? kSettleTime : kReversalDelay;
     return now - *changed_at_ >= delay + stage_change_time_;
 }
 
 std::vector<StageChange> StageController::plan(const std::vector<StagedServer>& servers,
-                                               const std::optional<model::ServiceDemand>& demand,
-                                               Tenths now) {
+                                               const std::optional<model::ServiceDemand>& demand, Ticks now) {
     const bool is_changing = std::ranges::any_of(servers, &StagedServer::changing);
     const StagePool prefill = pool_of(servers, Stage::kPrefill), decode = pool_of(servers, Stage::kDecode);
     if (is_changing || !has_enough_reports(servers) || !demand) {
@@ -92,7 +91,7 @@
 
 // Picks the least loaded donors, from zones with many donors and few receivers.
 std::vector<StageChange> StageController::select_changes(const StagePool& donors, const StagePool& receivers,
-                                                         Stage to, std::size_t step, Tenths now) {
+                                                         Stage to, std::size_t step, Ticks now) {
     std::map<std::string, int> surplus; // by zone
     for (const StagedServer* server : donors.servers) ++surplus[server->zone];
     for (const StagedServer* server : receivers.servers) --surplus[server->zone];
--- a/src/duties/stage_controller.hpp
+++ b/src/duties/stage_controller.hpp
@@ -23,18 +23,18 @@
 class StageController {
   public:
     // `stage_change_time`: how long a server takes to change its stage (`roleSwitchS`).
-    explicit StageController(Tenths stage_change_time = 0);
+    explicit StageController(Ticks stage_change_time = 0);
 
     // To be called every kInterval. Returns the changes to order now; usually none. `demand`: of all edge
     // nodes, none without recent reports.
     std::vector<StageChange> plan(const std::vector<StagedServer>& servers,
-                                  const std::optional<model::ServiceDemand>& demand, Tenths now);
-    void set_stage_change_time(Tenths delay) { stage_change_time_ = delay; }
+                                  const std::optional<model::ServiceDemand>& demand, Ticks now);
+    void set_stage_change_time(Ticks delay) { stage_change_time_ = delay; }
     // Means over the last samples; from kShortageThreshold on there is a shortage of servers.
     double prefill_utilization() const { return boost::accumulators::rolling_mean(prefill_utilization_); }
     double decode_utilization() const { return boost::accumulators::rolling_mean(decode_utilization_); }
 
-    static constexpr Tenths kInterval = 5'000;
+    static constexpr Ticks kInterval = 5'000;
 
   private:
     using Mean = boost::accumulators::accumulator_set<
@@ -43,14 +43,14 @@
     bool decode_can_spare(const StagePool& decode, const model::ServiceDemand& demand,
                           std::size_t step) const;
     bool prefill_can_spare(const StagePool& prefill, std::size_t step) const;
-    bool may_change_to(model::Stage stage, Tenths now) const;
+    bool may_change_to(model::Stage stage, Ticks now) const;
     std::vector<StageChange> select_changes(const StagePool& donors, const StagePool& receivers,
-                                            model::Stage to, std::size_t step, Tenths now);
+                                            model::Stage to, std::size_t step, Ticks now);
 
-    Tenths stage_change_time_;
+    Ticks stage_change_time_;
     Mean prefill_utilization_, decode_utilization_;
     int samples_ = 0; // since the last change
-    std::optional<Tenths> changed_at_;
+    std::optional<Ticks> changed_at_;
     model::Stage changed_to_ = model::Stage::kNone;
 };
 
--- a/src/duties/stage_order_tracker.cpp
+++ b/src/duties/stage_order_tracker.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // A server finishes its running requests before it changes; the longest take this long.
-constexpr Tenths kStageChangeTimeout = 15 * kTenthsPerSecond;
-constexpr Tenths kBackoff = 5 * kTenthsPerSecond;
-constexpr Tenths kReportLag = 2 * kTenthsPerSecond; // reports are some hundred ms old and may be relayed
+constexpr Ticks kStageChangeTimeout = 15 * kTicksPerSecond;
+constexpr Ticks kBackoff = 5 * kTicksPerSecond;
+constexpr Ticks kReportLag = 2 * kTicksPerSecond; // reports are some hundred ms old and may be relayed
 
 } // namespace
 
@@ -32,12 +32,12 @@
     }
 }
 
-void StageOrderTracker::sent(const StageOrder& order, Tenths now) {
+void StageOrderTracker::sent(const StageOrder& order, Ticks now) {
     ++counts_.sent;
     orders_[order.instance] = {order, true, now, now + kStageChangeTimeout};
 }
 
-void StageOrderTracker::answered(const std::string& instance, OrderOutcome outcome, Tenths now) {
+void StageOrderTracker::answered(const std::string& instance, OrderOutcome outcome, Ticks now) {
     const auto found = orders_.find(instance);
     if (found == orders_.end()) return;
     Order& entry = found->second;
@@ -72,7 +72,7 @@
 
 // Completed: the server reports the ordered stage. Not accepted: some time after the order the server still
 // reports the same number of orders.
-void StageOrderTracker::reported(const model::Load& load, Tenths now) {
+void StageOrderTracker::reported(const model::Load& load, Ticks now) {
     const auto found = orders_.find(load.instance);
     if (found == orders_.end() || !found->second.may_be_pending || load.changing) return;
     Order& entry = found->second;
@@ -83,14 +83,14 @@
     }
 }
 
-std::optional<model::Stage> StageOrderTracker::pending_stage(const std::string& instance, Tenths now) const {
+std::optional<model::Stage> StageOrderTracker::pending_stage(const std::string& instance, Ticks now) const {
     const auto found = orders_.find(instance);
     if (found == orders_.end() || !found->second.may_be_pending || now >= found->second.until)
         return std::nullopt;
     return found->second.order.stage;
 }
 
-bool StageOrderTracker::is_backing_off(const std::string& instance, Tenths now) const {
+bool StageOrderTracker::is_backing_off(const std::string& instance, Ticks now) const {
     const auto found = orders_.find(instance);
     return found != orders_.end() && now < found->second.until;
 }
--- a/src/duties/stage_order_tracker.hpp
+++ b/src/duties/stage_order_tracker.hpp
@@ -38,15 +38,15 @@
         std::uint64_t sent = 0, taken = 0, conflicts = 0, fenced_off = 0, other_server = 0, refused = 0,
                       not_sent = 0, unanswered = 0;
     };
-    void sent(const StageOrder& order, Tenths now);
-    void answered(const std::string& instance, OrderOutcome outcome, Tenths now);
-    void reported(const model::Load& load, Tenths now); // reported by the server itself
+    void sent(const StageOrder& order, Ticks now);
+    void answered(const std::string& instance, OrderOutcome outcome, Ticks now);
+    void reported(const model::Load& load, Ticks now); // reported by the server itself
     void forget(const std::string& instance) { orders_.erase(instance); }
 
     // Target stage of an order from here that the server may still be executing.
-    std::optional<model::Stage> pending_stage(const std::string& instance, Tenths now) const;
+    std::optional<model::Stage> pending_stage(const std::string& instance, Ticks now) const;
     // The last order was refused or not answered: the server gets no orders for a while.
-    bool is_backing_off(const std::string& instance, Tenths now) const;
+    bool is_backing_off(const std::string& instance, Ticks now) const;
     // A server has seen a higher fencing token: the holder of this one must not act under it.
     bool is_fenced_off(std::uint64_t fence) const;
     const Counts& counts() const { return counts_; }
@@ -55,8 +55,8 @@
     struct Order {
         StageOrder order;
         bool may_be_pending = true;
-        Tenths sent_at = 0;
-        Tenths until = 0; // latest end of the pending state or of the backoff
+        Ticks sent_at = 0;
+        Ticks until = 0; // latest end of the pending state or of the backoff
     };
     std::map<std::string, Order> orders_; // by instance id
     std::uint64_t fenced_off_ = 0;        // highest fence that was refused
--- a/src/duties/usage_aggregator.cpp
+++ b/src/duties/usage_aggregator.cpp
@@ -10,9 +10,9 @@
 constexpr std::size_t kMaxProcesses = 20'000; // within the kept time
 constexpr std::size_t kMaxWindows = 100;      // per process
 constexpr std::int64_t kMaxCount = 1'000'000'000;
-constexpr std::int64_t kMaxAheadMs = 10'000; // how far a process's clock may be ahead of this node's
-constexpr Tenths kReportTimeout = 4 * kTenthsPerSecond;      // processes report every second
-constexpr Tenths kProcessRetention = 120 * kTenthsPerSecond; // after which a silent process is dropped
+constexpr std::int64_t kMaxAheadMs = 10'000;          // how far a process's clock may be ahead of this node's
+constexpr Ticks kReportTimeout = 4 * kTicksPerSecond; // processes report every second
+constexpr Ticks kProcessRetention = 120 * kTicksPerSecond; // after which a silent process is dropped
 
 } // namespace
 
@@ -36,7 +36,7 @@
     return true;
 }
 
-void UsageAggregator::merge(const model::ProcessUsage& usage, Tenths now) {
+void UsageAggregator::merge(const model::ProcessUsage& usage, Ticks now) {
     if (!is_acceptable(usage)) return;
     Process& process = processes_[usage.process];
     process.ended = process.ended || usage.ended;
@@ -69,7 +69,7 @@
     return sums;
 }
 
-bool UsageAggregator::is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const {
+bool UsageAggregator::is_complete(std::int64_t window, std::int64_t window_end_ms, Ticks now) const {
     if (advanced_since_ && now - *advanced_since_ < kReportTimeout) return false;
     return std::ranges::all_of(processes_, [&](const auto& entry) {
         const Process& process = entry.second;
@@ -81,7 +81,7 @@
     });
 }
 
-void UsageAggregator::advance(std::int64_t unix_ms, Tenths now) {
+void UsageAggregator::advance(std::int64_t unix_ms, Ticks now) {
     unix_ms_ = unix_ms;
     if (!advanced_since_) advanced_since_ = now;
     const std::int64_t oldest = (unix_ms_ - options_.kept_ms) / options_.window_ms;
--- a/src/duties/usage_aggregator.hpp
+++ b/src/duties/usage_aggregator.hpp
@@ -29,16 +29,16 @@
     };
     explicit UsageAggregator(Options options) : options_(options) {}
 
-    void merge(const model::ProcessUsage& usage, Tenths now);
+    void merge(const model::ProcessUsage& usage, Ticks now);
     // By tenant, over all processes; tenants with no requests are left out.
     std::map<std::string, std::int64_t> counts(std::int64_t window) const;
     // Whether every process that reported recently and has not ended has reported everything up to the
     // window's end, with no part missing here. False until each process has had time to report since the
     // first call of `advance`.
-    bool is_complete(std::int64_t window, std::int64_t window_end_ms, Tenths now) const;
+    bool is_complete(std::int64_t window, std::int64_t window_end_ms, Ticks now) const;
 
     // Sets the fleet's time: drops old windows; windows too far in the future are rejected from now on.
-    void advance(std::int64_t unix_ms, Tenths now);
+    void advance(std::int64_t unix_ms, Ticks now);
     // All counts of windows that ended at most `span_ms` ago.
     std::vector<model::ProcessUsage> recent(std::int64_t span_ms) const;
     std::vector<model::ProcessUsage> recent_from(const std::vector<std::uint64_t>& processes,
@@ -56,7 +56,7 @@
         std::map<std::int64_t, Window> windows;
         std::int64_t counted_until_ms = 0;
         bool ended = false;
-        Tenths last_report_at = 0;
+        Ticks last_report_at = 0;
     };
     bool is_out_of_range(const model::ProcessUsage& usage) const;
     bool is_acceptable(const model::ProcessUsage& usage);
@@ -68,7 +68,7 @@
     Options options_;
     std::map<std::uint64_t, Process> processes_;
     std::int64_t unix_ms_ = 0; // 0: not known yet
-    std::optional<Tenths> advanced_since_;
+    std::optional<Ticks> advanced_since_;
     Rejected rejected_;
 };
 
--- a/src/feed/flush_plan.hpp
+++ b/src/feed/flush_plan.hpp
@@ -10,19 +10,19 @@
 
 class FlushPlan {
   public:
-    FlushPlan(Tenths min_interval, Tenths delay) : min_interval_(min_interval), delay_(delay) {}
+    FlushPlan(Ticks min_interval, Ticks delay) : min_interval_(min_interval), delay_(delay) {}
     // Called after an item arrived; returns the time of the next flush, never later than scheduled before.
-    Tenths schedule(bool urgent, Tenths now) {
-        Tenths at = urgent ? now : now + delay_;
+    Ticks schedule(bool urgent, Ticks now) {
+        Ticks at = urgent ? now : now + delay_;
         if (urgent && last_flush_) at = std::max(at, *last_flush_ + min_interval_);
         next_flush_ = next_flush_ ? std::min(*next_flush_, at) : at;
         return *next_flush_;
     }
-    void flushed(Tenths now) { last_flush_ = now, next_flush_.reset(); }
+    void flushed(Ticks now) { last_flush_ = now, next_flush_.reset(); }
 
   private:
-    Tenths min_interval_, delay_;
-    std::optional<Tenths> last_flush_, next_flush_;
+    Ticks min_interval_, delay_;
+    std::optional<Ticks> last_flush_, next_flush_;
 };
 
 } // namespace ivyrill::feed
--- a/src/feed/instance_table.cpp
+++ b/src/feed/instance_table.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-bool InstanceTable::merge(const Instance& record, Tenths now) {
+bool InstanceTable::merge(const Instance& record, Ticks now) {
     const auto [entry, inserted] = records_.try_emplace(record.id, record);
     if (!inserted) {
         if (!model::supersedes(record, entry->second)) return false;
@@ -88,7 +88,7 @@
     gone_since_.erase(id);
 }
 
-std::vector<std::string> InstanceTable::remove_expired(Tenths span, Tenths now) {
+std::vector<std::string> InstanceTable::remove_expired(Ticks span, Ticks now) {
     std::vector<std::string> forgotten;
     for (auto next = gone_since_.begin(); next != gone_since_.end();) {
         const auto current = next++;
--- a/src/feed/instance_table.hpp
+++ b/src/feed/instance_table.hpp
@@ -16,7 +16,7 @@
 class InstanceTable {
   public:
     // Returns true if the record changed the table.
-    bool merge(const model::Instance& record, Tenths now);
+    bool merge(const model::Instance& record, Ticks now);
     const model::Instance* find(const std::string& id) const; // null if unknown
     const std::map<std::string, model::Instance>& records() const { return records_; }
 
@@ -27,7 +27,7 @@
     records_in_ranges(const std::vector<std::uint64_t>& ranges) const; // including instances that are gone
     void forget(const std::string& id);
     // Removes the instances that have been gone for longer than `span`; returns their ids.
-    std::vector<std::string> remove_expired(Tenths span, Tenths now);
+    std::vector<std::string> remove_expired(Ticks span, Ticks now);
 
   private:
     void add_to_digest(const model::Instance& record); // adds the record to the digests
@@ -36,7 +36,7 @@
 
     Digests digests_{std::vector<std::uint64_t>(kDigestRanges, 0)};
     std::map<std::string, model::Instance> records_;
-    std::map<std::string, Tenths> gone_since_;
+    std::map<std::string, Ticks> gone_since_;
 };
 
 } // namespace ivyrill::feed
--- a/src/feed/link.hpp
+++ b/src/feed/link.hpp
@@ -38,7 +38,7 @@
 
 // Factory for the link of an incoming connection; to be called once. `silence`: the link ends after this long
 // without data from the peer; 0: never.
-using AcceptedLink = std::function<std::unique_ptr<Link>(Tenths silence, Link::Callbacks callbacks)>;
+using AcceptedLink = std::function<std::unique_ptr<Link>(Ticks silence, Link::Callbacks callbacks)>;
 
 // Listens for connections until it is destroyed.
 class LinkListener {
@@ -56,7 +56,7 @@
     LinkNetwork(const LinkNetwork&) = delete;
     LinkNetwork& operator=(const LinkNetwork&) = delete;
     // Null if the connection can't even be started.
-    virtual std::unique_ptr<Link> connect(const std::string& address, Tenths silence,
+    virtual std::unique_ptr<Link> connect(const std::string& address, Ticks silence,
                                           Link::Callbacks callbacks) = 0;
     virtual std::unique_ptr<LinkListener> listen(const std::string& address,
                                                  std::function<void(AcceptedLink)> accepted) = 0;
--- a/src/feed/ports.hpp
+++ b/src/feed/ports.hpp
@@ -28,7 +28,7 @@
     return inner_address(settings, loopback ? settings.ip : "127.0.0.1", kLocalFeedPort);
 }
 
-inline constexpr Tenths kSessionHeartbeat = 4000, kSessionTimeout = 14'000;
+inline constexpr Ticks kSessionHeartbeat = 4000, kSessionTimeout = 14'000;
 
 inline Publisher::Options session_options() {
     Publisher::Options options;
--- a/src/feed/publisher.cpp
+++ b/src/feed/publisher.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Tenths kTimeInterval = kTenthsPerSecond; // between updates of the fleet's time
-constexpr Tenths kSnapshotMaxAge = 10'000;         // a snapshot is reused for this long
+constexpr Ticks kTimeInterval = kTicksPerSecond; // between updates of the fleet's time
+constexpr Ticks kSnapshotMaxAge = 10'000;        // a snapshot is reused for this long
 
 // Batched as well: when many nodes join together, each one changes the list.
 bool is_batched(const Item* item) {
@@ -166,7 +166,7 @@
         urgent = true;
     else
         urgent = !std::ranges::all_of(*items, is_batched);
-    const Tenths at = plan_.schedule(urgent, reactor_.now());
+    const Ticks at = plan_.schedule(urgent, reactor_.now());
     if (at <= reactor_.now()) return flush();
     reactor_.cancel(flush_timer_);
     flush_timer_ = reactor_.call_at(at, [this] { flush(); });
--- a/src/feed/publisher.hpp
+++ b/src/feed/publisher.hpp
@@ -21,11 +21,11 @@
   public:
     struct Options {
         // Interval of heartbeats; 0: none, if the closed link suffices to detect a dead peer.
-        Tenths heartbeat = 0;
-        Tenths silence = 0;        // without data for this long a subscriber is considered dead
-        Tenths batch_delay = 1000; // loads and node lists are batched for this long
+        Ticks heartbeat = 0;
+        Ticks silence = 0;        // without data for this long a subscriber is considered dead
+        Ticks batch_delay = 1000; // loads and node lists are batched for this long
         // All other items are sent at once, but at least this long after the previous flush.
-        Tenths min_flush_interval = 300;
+        Ticks min_flush_interval = 300;
     };
     struct Callbacks {
         std::function<std::optional<std::string>()> refuse; // reason to refuse subscribers now, or none
@@ -59,7 +59,7 @@
         bool subscribed = false, awaits_records = false;
         std::uint64_t feed_id = 0, sequence = 0; // as requested, then as sent
         std::int64_t configuration_version = 0;
-        Tenths last_sent = 0, time_sent_at = 0;
+        Ticks last_sent = 0, time_sent_at = 0;
     };
     void received(std::uint64_t id, Message message);
     void subscribe(std::uint64_t id, Subscribe message);
@@ -85,7 +85,7 @@
     std::string snapshot_;
     std::uint64_t snapshot_sequence_ = 0;
     std::int64_t snapshot_version_ = 0; // version of its configuration
-    Tenths snapshot_at_ = 0;
+    Ticks snapshot_at_ = 0;
     transport::Reactor::TimerId flush_timer_{}, heartbeat_timer_{};
     FlushPlan plan_;
 };
--- a/src/feed/publisher_list.hpp
+++ b/src/feed/publisher_list.hpp
@@ -18,7 +18,7 @@
     explicit PublisherList(std::uint64_t order_key) : order_key_(order_key) {}
 
     // Sets the live publishers according to the current one, as feed addresses.
-    void update(const std::vector<std::string>& addresses, Tenths now) {
+    void update(const std::vector<std::string>& addresses, Ticks now) {
         current_ = addresses;
         std::erase_if(last_listed_, [&](const auto& entry) { return now - entry.second > kRetention; });
         for (const std::string& address : addresses) last_listed_[address] = now;
@@ -46,10 +46,10 @@
         return std::ranges::find(list, address) != list.end();
     }
     // Regions may be disconnected from each other for an hour.
-    static constexpr Tenths kRetention = 3600 * kTenthsPerSecond;
+    static constexpr Ticks kRetention = 3600 * kTicksPerSecond;
     std::uint64_t order_key_;
     std::vector<std::string> current_;
-    std::map<std::string, Tenths> last_listed_;
+    std::map<std::string, Ticks> last_listed_;
     std::size_t rounds_ = 0;
 };
 
--- a/src/feed/socket_link.cpp
+++ b/src/feed/socket_link.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 SocketLink::SocketLink(transport::Reactor& reactor, int descriptor, transport::Stream::Start start,
-                       Tenths silence, Callbacks callbacks)
+                       Ticks silence, Callbacks callbacks)
     : reactor_(reactor), wake_(reactor.loop()),
       stream_(reactor.loop(), descriptor, start, kMaxUnreadBytes, kMaxUnsentBytes), silence_(silence),
       last_received_(reactor.now()), callbacks_(std::move(callbacks)), reported_up_(stream_.established()) {
@@ -98,13 +98,13 @@
 }
 
 AcceptedLink accept_socket(transport::Reactor& reactor, int descriptor) {
-    return [&reactor, descriptor](Tenths silence, Link::Callbacks callbacks) -> std::unique_ptr<Link> {
+    return [&reactor, descriptor](Ticks silence, Link::Callbacks callbacks) -> std::unique_ptr<Link> {
         return std::make_unique<SocketLink>(reactor, descriptor, transport::Stream::Start::kConnected,
                                             silence, std::move(callbacks));
     };
 }
 
-std::unique_ptr<Link> SocketNetwork::connect(const std::string& address, Tenths silence,
+std::unique_ptr<Link> SocketNetwork::connect(const std::string& address, Ticks silence,
                                              Link::Callbacks callbacks) {
     const int descriptor = transport::connect_to(address);
     if (descriptor < 0) return nullptr;
--- a/src/feed/socket_link.hpp
+++ b/src/feed/socket_link.hpp
@@ -14,7 +14,7 @@
 
 class SocketLink : public Link {
   public:
-    SocketLink(transport::Reactor& reactor, int descriptor, transport::Stream::Start start, Tenths silence,
+    SocketLink(transport::Reactor& reactor, int descriptor, transport::Stream::Start start, Ticks silence,
                Callbacks callbacks);
     ~SocketLink() override;
     void start() override;
@@ -31,7 +31,7 @@
     transport::Reactor& reactor_;
     transport::Slot wake_;
     transport::Stream stream_;
-    Tenths silence_, last_received_;
+    Ticks silence_, last_received_;
     Callbacks callbacks_;
     wire::FrameReader reader_;
     bool reported_up_ = false, ended_ = false;
@@ -46,7 +46,7 @@
 class SocketNetwork : public LinkNetwork {
   public:
     explicit SocketNetwork(transport::Reactor& reactor) : reactor_(reactor) {}
-    std::unique_ptr<Link> connect(const std::string& address, Tenths silence,
+    std::unique_ptr<Link> connect(const std::string& address, Ticks silence,
                                   Link::Callbacks callbacks) override;
     // Throws AddressError or std::system_error.
     std::unique_ptr<LinkListener> listen(const std::string& address,
--- a/src/feed/subscriber.hpp
+++ b/src/feed/subscriber.hpp
@@ -18,10 +18,10 @@
   public:
     struct Options {
         model::EdgeNode node;
-        Tenths heartbeat = 0;                             // 0: none are sent
-        Tenths silence = 0;                               // 0: the link ends only when it is closed
-        Tenths connect_timeout = 5000;                    // for the connection, and then for the first batch
-        Tenths initial_backoff = 500, max_backoff = 5000; // between rounds over all publishers
+        Ticks heartbeat = 0;                             // 0: none are sent
+        Ticks silence = 0;                               // 0: the link ends only when it is closed
+        Ticks connect_timeout = 5000;                    // for the connection, and then for the first batch
+        Ticks initial_backoff = 500, max_backoff = 5000; // between rounds over all publishers
         bool offers_records = false; // sends records of instances that the publisher lacks
     };
     struct Callbacks {
@@ -61,7 +61,7 @@
     std::string address_;
     std::vector<std::string> candidates_;
     bool synchronized_ = false; // a batch has arrived over this link
-    Tenths backoff_, last_sent_ = 0;
+    Ticks backoff_, last_sent_ = 0;
     transport::Reactor::TimerId timer_{}, heartbeat_timer_{};
 };
 
--- a/src/feed/tables.cpp
+++ b/src/feed/tables.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Tenths kGoneRetention = 60 * kTenthsPerSecond; // kept for late records of instances that are gone
+constexpr Ticks kGoneRetention = 60 * kTicksPerSecond; // kept for late records of instances that are gone
 
 } // namespace
 
-Tables::Applied Tables::apply(const Batch& batch, Tenths now) {
+Tables::Applied Tables::apply(const Batch& batch, Ticks now) {
     Applied applied;
     if (!batch.snapshot && batch.feed_id != feed_id_) return applied.is_applicable = false, applied;
     // A change is the only item that may not apply: checked before anything is modified.
@@ -29,7 +29,7 @@
 }
 
 // Configurations only move to higher versions, whatever a feed sends.
-void Tables::apply_item(const Item& item, Applied& applied, Tenths now) {
+void Tables::apply_item(const Item& item, Applied& applied, Ticks now) {
     if (const auto* whole = std::get_if<model::Configuration>(&item)) {
         if (configuration_ && whole->version <= configuration_->version) return;
         configuration_ = std::make_shared<const model::Configuration>(*whole);
@@ -70,7 +70,7 @@
     }
 }
 
-void Tables::remove_unlisted(const Batch& batch, Applied& applied, Tenths now) {
+void Tables::remove_unlisted(const Batch& batch, Applied& applied, Ticks now) {
     std::set<std::string> listed;
     for (const Item& item : batch.items)
         if (const auto* instance = std::get_if<model::Instance>(&item)) listed.insert(instance->id);
--- a/src/feed/tables.hpp
+++ b/src/feed/tables.hpp
@@ -21,7 +21,7 @@
         std::vector<std::string> expired; // instances whose records were dropped after being gone for a while
         std::vector<Item> changes; // changed items, including removals of instances missing from a snapshot
     };
-    Applied apply(const Batch& batch, Tenths now);
+    Applied apply(const Batch& batch, Ticks now);
 
     std::uint64_t feed_id() const { return feed_id_; }
     std::uint64_t sequence() const { return sequence_; }
@@ -36,8 +36,8 @@
     const std::vector<model::ControlNode>& control_nodes() const { return control_nodes_; }
 
   private:
-    void apply_item(const Item& item, Applied& applied, Tenths now);
-    void remove_unlisted(const Batch& batch, Applied& applied, Tenths now);
+    void apply_item(const Item& item, Applied& applied, Ticks now);
+    void remove_unlisted(const Batch& batch, Applied& applied, Ticks now);
 
     std::uint64_t feed_id_ = 0, sequence_ = 0;
     std::shared_ptr<const model::Configuration> configuration_;
--- a/src/http/call_server.cpp
+++ b/src/http/call_server.cpp
@@ -71,8 +71,8 @@
             continue;
         }
         if (connection.stream.ended()) break;
-        const Tenths timeout = connection.parser.begun() ? options_.request_timeout : options_.idle_timeout;
-        const Tenths until = reactor_.now() + timeout;
+        const Ticks timeout = connection.parser.begun() ? options_.request_timeout : options_.idle_timeout;
+        const Ticks until = reactor_.now() + timeout;
         const transport::WakeAt timer(reactor_, until, connection.wake);
         co_await connection.wake;
         if (reactor_.now() >= until && !connection.stream.unread()) break;
@@ -94,7 +94,7 @@
     connection.stream.send(protocol::http_response(response.status, response.fields, response.body, close));
     if (!close) co_return transport::Done{};
     // Before the connection is freed, the output must be written and the peer must close.
-    const Tenths until = reactor_.now() + options_.request_timeout;
+    const Ticks until = reactor_.now() + options_.request_timeout;
     const transport::WakeAt timer(reactor_, until, connection.wake);
     while (connection.stream.unwritten() > 0 && !connection.stream.ended() && reactor_.now() < until)
         co_await connection.wake;
--- a/src/http/call_server.hpp
+++ b/src/http/call_server.hpp
@@ -17,8 +17,8 @@
     struct Options {
         std::size_t max_body_bytes = 8 * 1024 * 1024;
         std::size_t max_connections = 1000; // further connections are closed at once
-        Tenths request_timeout = 50'000;    // for a whole request, from its first byte
-        Tenths idle_timeout = 300'000;      // between requests
+        Ticks request_timeout = 50'000;     // for a whole request, from its first byte
+        Ticks idle_timeout = 300'000;       // between requests
     };
     using Handler = std::function<transport::Async<Response>(protocol::HttpMessage)>;
     CallServer(transport::Reactor& reactor, const std::string& address, Options options, Handler handler);
--- a/src/http/client_connection.hpp
+++ b/src/http/client_connection.hpp
@@ -25,7 +25,7 @@
     static std::unique_ptr<ClientConnection> open_for_one_call(transport::Reactor& reactor,
                                                                const std::string& address,
                                                                std::size_t max_output_bytes,
-                                                               Tenths delivery_timeout) {
+                                                               Ticks delivery_timeout) {
         const int descriptor = transport::connect_to(address);
         if (descriptor < 0) return nullptr;
         transport::reset_on_close(descriptor);
@@ -47,8 +47,8 @@
         return stream_.established() && !stream_.hung_up() && !stream_.has_unread_input() && !parser_.begun();
     }
 
-    Tenths idle_since = 0;
-    Tenths server_idle_timeout = 0; // from the server's Keep-Alive header; 0 if absent
+    Ticks idle_since = 0;
+    Ticks server_idle_timeout = 0; // from the server's Keep-Alive header; 0 if absent
     std::uint64_t uses = 0;
 
   private:
--- a/src/limits/connection_budget.cpp
+++ b/src/limits/connection_budget.cpp
@@ -30,18 +30,18 @@
     return kNames[static_cast<std::size_t>(action)];
 }
 
-ConnectionBudget::ConnectionBudget(const ConnectionLimits& limits, Tenths now) : limits_(limits) {
+ConnectionBudget::ConnectionBudget(const ConnectionLimits& limits, Ticks now) : limits_(limits) {
     for (std::size_t i = 0; i < kClientActionCount; ++i)
         buckets_[i] = {std::max(4.0, kAllowances[i].burst * static_cast<double>(limits.max_streams)), now};
 }
 
-bool ConnectionBudget::spend(ClientAction action, Tenths now) {
+bool ConnectionBudget::spend(ClientAction action, Ticks now) {
     const auto at = static_cast<std::size_t>(action);
     ++counts_[at];
     Bucket& bucket = buckets_[at];
     const double streams = static_cast<double>(limits_.max_streams);
     const double burst = std::max(4.0, kAllowances[at].burst * streams);
-    const double passed = static_cast<double>(std::max<Tenths>(0, now - bucket.filled_at)) / kTenthsPerSecond;
+    const double passed = static_cast<double>(std::max<Ticks>(0, now - bucket.filled_at)) / kTicksPerSecond;
     bucket.tokens = std::min(burst, bucket.tokens + passed * kAllowances[at].per_second * streams);
     bucket.filled_at = std::max(bucket.filled_at, now);
     if (bucket.tokens < 1) return false;
--- a/src/limits/connection_budget.hpp
+++ b/src/limits/connection_budget.hpp
@@ -35,9 +35,9 @@
 
 class ConnectionBudget {
   public:
-    ConnectionBudget(const ConnectionLimits& limits, Tenths now);
+    ConnectionBudget(const ConnectionLimits& limits, Ticks now);
     // False: the budget is exhausted, and the connection ends with ENHANCE_YOUR_CALM.
-    bool spend(ClientAction action, Tenths now);
+    bool spend(ClientAction action, Ticks now);
     // Whether a further stream is accepted with `buffered` bytes buffered already; else it is refused
     // unprocessed, and its client may retry elsewhere.
     bool allows_stream(std::size_t open, std::size_t buffered) const;
@@ -48,7 +48,7 @@
   private:
     struct Bucket {
         double tokens = 0;
-        Tenths filled_at = 0;
+        Ticks filled_at = 0;
     };
     ConnectionLimits limits_;
     std::array<Bucket, kClientActionCount> buckets_;
--- a/src/limits/slow_start.hpp
+++ b/src/limits/slow_start.hpp
@@ -10,14 +10,14 @@
 namespace ivyrill::limits {
 
 struct SlowStart {
-    Tenths warm_up_time = 0;        // until it has its full capacity
+    Ticks warm_up_time = 0;         // until it has its full capacity
     double cold_capacity_ratio = 1; // share of the capacity at its start
-    Tenths overload_window = 0;     // in which its load is limited
+    Ticks overload_window = 0;      // in which its load is limited
     double overload_factor = 1;     // limit of the load, as a multiple of the capacity
 
     // Share of its capacity at this age: a linear rise, the least that is assumed.
-    double share(Tenths age) const {
-        return std::min(1.0, cold_capacity_ratio + slope() * static_cast<double>(std::max<Tenths>(0, age)));
+    double share(Ticks age) const {
+        return std::min(1.0, cold_capacity_ratio + slope() * static_cast<double>(std::max<Ticks>(0, age)));
     }
     // Attempts per tenth of a millisecond, of all front nodes together, that it may get at full capacity,
     // with `concurrency` parts at a time that take `service` each.
@@ -26,19 +26,19 @@
     // Time until `attempts` more are due at one front node of `nodes`. Where a node's share of a window is
     // less than one attempt, the total is random: the budget is lowered by about one standard deviation of
     // it. One gap may outlast the warm-up, so it accounts for the rise during the gap.
-    Tenths gap(Tenths age, double full, double nodes, double attempts) const {
+    Ticks gap(Ticks age, double full, double nodes, double attempts) const {
         const double now = share(age), budget = full * now * static_cast<double>(overload_window);
         // The rate at which the mean plus one standard deviation is the budget.
         const double safe = budget > 0 ? std::pow(std::sqrt(budget + 0.25) - 0.5, 2) / budget : 1;
         const double need = attempts * nodes / full / (budget < nodes ? safe : 1);
         const double rise = slope();
-        return static_cast<Tenths>(rise > 0 ? (std::sqrt(now * now + 2 * rise * need) - now) / rise
-                                            : need / now);
+        return static_cast<Ticks>(rise > 0 ? (std::sqrt(now * now + 2 * rise * need) - now) / rise
+                                           : need / now);
     }
 
   private:
     double slope() const {
-        return (1 - cold_capacity_ratio) / static_cast<double>(std::max<Tenths>(1, warm_up_time));
+        return (1 - cold_capacity_ratio) / static_cast<double>(std::max<Ticks>(1, warm_up_time));
     }
 };
 
--- a/src/maintenance/codec.cpp
+++ b/src/maintenance/codec.cpp
@@ -39,7 +39,7 @@
         throw std::out_of_range("the machine is malformed");
     MachineFacts facts{decode_text(row[0]),   row[1].get<bool>(),
                        decode_text(row[2]),   {},
-                       decode_number(row[4]), static_cast<Tenths>(decode_number(row[5]))};
+                       decode_number(row[4]), static_cast<Ticks>(decode_number(row[5]))};
     for (const auto& shard : row[3]) facts.shards.push_back(static_cast<int>(decode_number(shard)));
     return facts;
 }
@@ -82,8 +82,8 @@
             row[9].get<bool>(),
             static_cast<int>(decode_number(row[10])),
             static_cast<int>(decode_number(row[11])),
-            static_cast<Tenths>(decode_number(row[12])),
-            static_cast<Tenths>(decode_number(row[13])),
+            static_cast<Ticks>(decode_number(row[12])),
+            static_cast<Ticks>(decode_number(row[13])),
             decode_text(row[14])};
 }
 
@@ -131,7 +131,7 @@
     return Json::array({command.machine, command.fence.value, command.reason});
 }
 
-Tenths decode_time(const Json& value) { return static_cast<Tenths>(decode_count(value) & ~(1ULL << 63U)); }
+Ticks decode_time(const Json& value) { return static_cast<Ticks>(decode_count(value) & ~(1ULL << 63U)); }
 
 Command decode_command(std::uint64_t kind, const Json& row) {
     const auto fence = [&](std::size_t at) { return FencingToken{decode_count(row.at(at))}; };
--- a/src/maintenance/consensus_node.cpp
+++ b/src/maintenance/consensus_node.cpp
@@ -338,7 +338,7 @@
             return 0;
         };
         io.time = [](raft_io* handle) {
-            return static_cast<raft_time>(of(handle).node.now_ * 1000 / kTenthsPerSecond);
+            return static_cast<raft_time>(of(handle).node.now_ * 1000 / kTicksPerSecond);
         };
         io.random = [](raft_io* handle, int min, int max) {
             return min + static_cast<int>(of(handle).node.random_.unit() * (max - min));
@@ -400,7 +400,7 @@
     }
 };
 
-ConsensusNode::ConsensusNode(ConsensusSettings settings, RaftStore& store, Tenths now)
+ConsensusNode::ConsensusNode(ConsensusSettings settings, RaftStore& store, Ticks now)
     : settings_(std::move(settings)), store_(store), random_(settings_.seed), now_(now) {
     open_at_ = now;
     step(now);
@@ -452,7 +452,7 @@
         raft& machine = raft_->machine;
         bool ok = raft_init(&machine, &raft_->io, &raft_->fsm, raft_->id, settings_.name.c_str()) == 0;
         machine.data = raft_.get();
-        const auto heartbeat_ms = static_cast<unsigned>(settings_.heartbeat * 1000 / kTenthsPerSecond);
+        const auto heartbeat_ms = static_cast<unsigned>(settings_.heartbeat * 1000 / kTicksPerSecond);
         raft_set_heartbeat_timeout(&machine, std::max(1U, heartbeat_ms));
         raft_set_election_timeout(&machine, std::max(1U, heartbeat_ms) *
                                                 static_cast<unsigned>(settings_.election_timeout_heartbeats));
@@ -586,7 +586,7 @@
     } catch (const RaftStoreError&) { raft_->failed = true; }
 }
 
-void ConsensusNode::step(Tenths now) {
+void ConsensusNode::step(Ticks now) {
     now_ = std::max(now_, now);
     // libraft never ends a leadership transfer to a node that does not answer, and commits nothing
     // meanwhile.
@@ -608,7 +608,7 @@
         !log_extent().shorter_than(required_log_))
         marked_verified_ = true, store_.mark_verified();
     if (raft_ && raft_->started && !raft_->failed && now_ >= tick_at_) {
-        tick_at_ = now_ + std::max<Tenths>(1, settings_.heartbeat / 2);
+        tick_at_ = now_ + std::max<Ticks>(1, settings_.heartbeat / 2);
         raft_->tick(&raft_->io);
         run_callbacks();
     }
@@ -617,10 +617,10 @@
     if (!is_leader()) was_leader_ = up_to_date_ = false;
 }
 
-Tenths ConsensusNode::next_step() const {
+Ticks ConsensusNode::next_step() const {
     if (incarnation_.number == 0) return open_at_;
-    Tenths first = confirmed_by_.size() + 1 < settings_.candidates.size() ? store_check_at_
-                                                                          : now_ + kTenthsPerSecond * 3600;
+    Ticks first = confirmed_by_.size() + 1 < settings_.candidates.size() ? store_check_at_
+                                                                         : now_ + kTicksPerSecond * 3600;
     if (raft_ && !raft_->failed) return std::min(first, tick_at_);
     return phase() == ConsensusPhase::kUnavailable ? std::min(first, std::max(now_ + 1, open_at_)) : first;
 }
@@ -852,7 +852,7 @@
     }
 }
 
-void ConsensusNode::receive(Tenths now, const std::string& from, std::string_view bytes) {
+void ConsensusNode::receive(Ticks now, const std::string& from, std::string_view bytes) {
     now_ = std::max(now_, now);
     Json row;
     raft_message message{};
--- a/src/maintenance/consensus_node.hpp
+++ b/src/maintenance/consensus_node.hpp
@@ -29,7 +29,7 @@
     std::string name;
     std::vector<std::string> candidates; // front nodes with a store, this one included
     std::size_t voter_count = 3;         // the first candidates are the initial voters
-    Tenths heartbeat = kTenthsPerSecond / 10;
+    Ticks heartbeat = kTicksPerSecond / 10;
     // Followers stand for election after this time without a leader, at most twice as long.
     int election_timeout_heartbeats = 8;
     std::uint64_t seed = 0;
@@ -44,14 +44,14 @@
 
 class ConsensusNode {
   public:
-    ConsensusNode(ConsensusSettings settings, RaftStore& store, Tenths now);
+    ConsensusNode(ConsensusSettings settings, RaftStore& store, Ticks now);
     ~ConsensusNode();
     ConsensusNode(const ConsensusNode&) = delete;
     ConsensusNode& operator=(const ConsensusNode&) = delete;
 
-    void receive(Tenths now, const std::string& from, std::string_view bytes);
-    void step(Tenths now);
-    Tenths next_step() const; // when `step` has to be called next
+    void receive(Ticks now, const std::string& from, std::string_view bytes);
+    void step(Ticks now);
+    Ticks next_step() const; // when `step` has to be called next
     std::vector<ConsensusMessage> take_messages();
 
     ConsensusPhase phase() const;
@@ -70,7 +70,7 @@
     std::string last_error() const; // the latest error message of the library
     // This node leads and has applied all entries that were committed under earlier leaders.
     bool is_up_to_date() const { return is_leader() && up_to_date_; }
-    Tenths leader_since() const { return leader_since_; }
+    Ticks leader_since() const { return leader_since_; }
     // Called for each applied command with its result.
     std::function<void(const Command&, const CommandResult&)> on_applied;
 
@@ -84,8 +84,8 @@
     VoterIncarnation incarnation() const { return incarnation_; }
     std::uint64_t term() const;
     // When a leader was last heard, or this node led itself.
-    Tenths last_leader_contact() const { return last_leader_contact_; }
-    Tenths next_store_check() const { return store_check_at_; }
+    Ticks last_leader_contact() const { return last_leader_contact_; }
+    Ticks next_store_check() const { return store_check_at_; }
 
   private:
     struct Raft; // libraft and its callbacks
@@ -118,8 +118,8 @@
     ConsensusSettings settings_;
     RaftStore& store_;
     Pcg random_;
-    Tenths now_, tick_at_ = 0, last_leader_contact_ = 0, store_check_at_ = 0, open_at_ = 0, leader_since_ = 0,
-                 transfer_at_ = 0;
+    Ticks now_, tick_at_ = 0, last_leader_contact_ = 0, store_check_at_ = 0, open_at_ = 0, leader_since_ = 0,
+                transfer_at_ = 0;
     bool was_leader_ = false, up_to_date_ = false;
     std::uint64_t leader_start_index_ = 0; // end of the log when this node was elected
     VoterIncarnation incarnation_;
--- a/src/maintenance/executor.cpp
+++ b/src/maintenance/executor.cpp
@@ -28,17 +28,15 @@
     return {};
 }
 
-bool Executor::holds_lease(const std::string& machine, Tenths now) const {
-    return now < lease_until(machine);
-}
+bool Executor::holds_lease(const std::string& machine, Ticks now) const { return now < lease_until(machine); }
 
-Tenths Executor::lease_until(const std::string& machine) const {
+Ticks Executor::lease_until(const std::string& machine) const {
     const auto found = executions_.find(machine);
     return found == executions_.end() ? 0 : found->second.lease_until;
 }
 
-Tenths Executor::next_step(Tenths now) const {
-    Tenths first = now + settings_.timing.lease;
+Ticks Executor::next_step(Ticks now) const {
+    Ticks first = now + settings_.timing.lease;
     for (const auto& [machine, execution] : executions_) {
         first = std::min(first, execution.confirm_at);
         if (execution.pending)
@@ -50,7 +48,7 @@
 }
 
 std::vector<MachineCommand>
-Executor::recover_without_leader(Tenths now, const MaintenanceSchedule& uncommitted_schedule) {
+Executor::recover_without_leader(Ticks now, const MaintenanceSchedule& uncommitted_schedule) {
     ExecutorOutput output;
     for (const auto& [machine, job] : uncommitted_schedule.jobs()) {
         if (!is_out(job.state)) continue;
@@ -69,7 +67,7 @@
     return std::move(output.actions);
 }
 
-ExecutorOutput Executor::run(Tenths now, const MaintenanceSchedule& schedule,
+ExecutorOutput Executor::run(Ticks now, const MaintenanceSchedule& schedule,
                              const FleetObservation& observed) {
     ExecutorOutput output;
     std::erase_if(executions_, [&](auto& entry) {
@@ -92,8 +90,8 @@
         }
         // Only confirmations sent by this process count, from the time at which they were sent.
         if (job.lease_confirmed && execution.confirmation_times.contains(job.holder_time))
-            execution.lease_until = std::max(execution.lease_until,
-                                             static_cast<Tenths>(job.holder_time) + settings_.timing.lease);
+            execution.lease_until =
+                std::max(execution.lease_until, static_cast<Ticks>(job.holder_time) + settings_.timing.lease);
         if (now >= execution.confirm_at) {
             execution.confirm_at = now + settings_.timing.lease / kRenewalsPerLease / 2;
             if (now + settings_.timing.lease - settings_.timing.lease / kRenewalsPerLease >=
@@ -121,11 +119,11 @@
 }
 
 // One step of one job: compares the machine's reported state with the state that the job requires.
-void Executor::advance(Tenths now, const MaintenanceJob& job, JobExecution& execution,
+void Executor::advance(Ticks now, const MaintenanceJob& job, JobExecution& execution,
                        const MaintenanceSchedule& schedule, const FleetObservation& observed,
                        ExecutorOutput& output) {
     const bool cancel = job.withdrawn || job.recalled;
-    const Tenths elapsed = now - execution.state_since;
+    const Ticks elapsed = now - execution.state_since;
     // A previous holder may have actions in flight: the controller must see the new fencing token before its
     // state is relied on.
     if (!execution.fence_registered || execution.status == MachineStatus::kUnknown) {
@@ -229,7 +227,7 @@
     }
 }
 
-void Executor::apply_policy(Tenths now, FailureAction action, const MaintenanceJob& job,
+void Executor::apply_policy(Ticks now, FailureAction action, const MaintenanceJob& job,
                             JobExecution& execution, const std::string& reason,
                             const MaintenanceSchedule& schedule, ExecutorOutput& output) {
     const std::string text = job.machine + ": " + reason;
@@ -259,7 +257,7 @@
         send_action(now, job.machine, execution, MachineAction::kQueryState, output);
 }
 
-void Executor::send_action(Tenths now, const std::string& machine, JobExecution& execution,
+void Executor::send_action(Ticks now, const std::string& machine, JobExecution& execution,
                            MachineAction action, ExecutorOutput& output) {
     if (execution.pending || now < execution.next_action_at) return;
     ++counts_.actions;
@@ -268,7 +266,7 @@
     output.actions.push_back(*execution.pending);
 }
 
-void Executor::propose_state(Tenths now, const MaintenanceJob& job, JobExecution& execution, JobState to,
+void Executor::propose_state(Ticks now, const MaintenanceJob& job, JobExecution& execution, JobState to,
                              std::string reason, ExecutorOutput& output) {
     if (now < execution.next_proposal_at) return;
     execution.next_proposal_at = execution.next_action_at =
@@ -277,7 +275,7 @@
     output.commands.emplace_back(AdvanceJob{job.machine, job.fence, to, std::move(reason), incomplete});
 }
 
-void Executor::on_status(Tenths now, std::uint64_t serial, const std::string& machine, MachineStatus status) {
+void Executor::on_status(Ticks now, std::uint64_t serial, const std::string& machine, MachineStatus status) {
     JobExecution* match = nullptr;
     for (auto* executions : {&executions_, &recoveries_})
         if (const auto found = executions->find(machine);
--- a/src/maintenance/executor.hpp
+++ b/src/maintenance/executor.hpp
@@ -59,19 +59,19 @@
   public:
     explicit Executor(ExecutorSettings settings) : settings_(std::move(settings)) {}
     // Advances every job whose lease this node holds.
-    ExecutorOutput run(Tenths now, const MaintenanceSchedule& schedule, const FleetObservation& observed);
+    ExecutorOutput run(Ticks now, const MaintenanceSchedule& schedule, const FleetObservation& observed);
     // Without a leader: brings back every machine that is out according to the local log, whoever held its
     // lease.
-    std::vector<MachineCommand> recover_without_leader(Tenths now,
+    std::vector<MachineCommand> recover_without_leader(Ticks now,
                                                        const MaintenanceSchedule& uncommitted_schedule);
     void leader_available() { recoveries_.clear(); }
     // The controller's answer to the action `serial`; unexpected answers are counted and dropped.
-    void on_status(Tenths now, std::uint64_t serial, const std::string& machine, MachineStatus status);
-    bool holds_lease(const std::string& machine, Tenths now) const;
-    Tenths lease_until(const std::string& machine) const;
+    void on_status(Ticks now, std::uint64_t serial, const std::string& machine, MachineStatus status);
+    bool holds_lease(const std::string& machine, Ticks now) const;
+    Ticks lease_until(const std::string& machine) const;
     // On shutdown: releases all leases, so that other holders can continue at once.
     std::vector<Command> release_leases(const MaintenanceSchedule& schedule);
-    Tenths next_step(Tenths now) const; // when `run` has to be called next
+    Ticks next_step(Ticks now) const; // when `run` has to be called next
     const ExecutorCounts& counts() const { return counts_; }
 
   private:
@@ -79,26 +79,26 @@
         FencingToken fence;
         // Local times of this node's confirmations since the process started.
         std::set<std::uint64_t> confirmation_times;
-        Tenths lease_until = 0;
-        Tenths confirm_at = 0;
+        Ticks lease_until = 0;
+        Ticks confirm_at = 0;
         JobState state = JobState::kProposed;
-        Tenths state_since = 0;        // when the job entered this state
+        Ticks state_since = 0;         // when the job entered this state
         bool fence_registered = false; // the controller has seen our fencing token
         MachineStatus status = MachineStatus::kUnknown;
         std::optional<MachineCommand> pending; // waits for the answer of the controller
-        Tenths reply_due = 0, next_action_at = 0, next_proposal_at = 0;
+        Ticks reply_due = 0, next_action_at = 0, next_proposal_at = 0;
         int unanswered = 0; // consecutive actions without an answer
         // `released`: the lease was given up and must not be used again.
         bool fenced_off = false, notified = false, released = false;
     };
-    void advance(Tenths now, const MaintenanceJob& job, JobExecution& execution,
+    void advance(Ticks now, const MaintenanceJob& job, JobExecution& execution,
                  const MaintenanceSchedule& schedule, const FleetObservation& observed,
                  ExecutorOutput& output);
-    void send_action(Tenths now, const std::string& machine, JobExecution& execution, MachineAction action,
+    void send_action(Ticks now, const std::string& machine, JobExecution& execution, MachineAction action,
                      ExecutorOutput& output);
-    void propose_state(Tenths now, const MaintenanceJob& job, JobExecution& execution, JobState to,
+    void propose_state(Ticks now, const MaintenanceJob& job, JobExecution& execution, JobState to,
                        std::string reason, ExecutorOutput& output);
-    void apply_policy(Tenths now, FailureAction action, const MaintenanceJob& job, JobExecution& execution,
+    void apply_policy(Ticks now, FailureAction action, const MaintenanceJob& job, JobExecution& execution,
                       const std::string& reason, const MaintenanceSchedule& schedule, ExecutorOutput& output);
 
     ExecutorSettings settings_;
--- a/src/maintenance/fleet_observation.hpp
+++ b/src/maintenance/fleet_observation.hpp
@@ -15,7 +15,7 @@
 
 struct FleetObservation {
     std::string self;
-    Tenths wall_time = 0; // tenths of a millisecond, Unix time
+    Ticks wall_time = 0; // tenths of a millisecond, Unix time
     std::map<std::string, ObservedMachine> machines;
     std::set<std::string> voters;      // of the consensus group
     std::set<std::string> unreachable; // front nodes that do not answer, suspected ones included
@@ -38,14 +38,14 @@
         FailureAction::kRollBack; // another replica of its shards has failed meanwhile
 };
 
-struct Timing {                           // time limits of a job, each counted from entering the state
-    Tenths lease = 10 * kTenthsPerSecond; // validity by the holder's clock, from its request
-    Tenths drain = 60 * kTenthsPerSecond, work = 1800 * kTenthsPerSecond, bring_back = 120 * kTenthsPerSecond,
-           warm_up = 120 * kTenthsPerSecond;
-    Tenths action = 10 * kTenthsPerSecond;      // timeout of one action of the machine's controller
-    Tenths fleet_settle = 3 * kTenthsPerSecond; // a fleet change must last this long before it is proposed
-    double clock_error = 0.01;                  // assumed maximum difference between the rates of two clocks
-    int max_setbacks = 3;                       // a job that is rolled back more often is given up
+struct Timing {                         // time limits of a job, each counted from entering the state
+    Ticks lease = 10 * kTicksPerSecond; // validity by the holder's clock, from its request
+    Ticks drain = 60 * kTicksPerSecond, work = 1800 * kTicksPerSecond, bring_back = 120 * kTicksPerSecond,
+          warm_up = 120 * kTicksPerSecond;
+    Ticks action = 10 * kTicksPerSecond;      // timeout of one action of the machine's controller
+    Ticks fleet_settle = 3 * kTicksPerSecond; // a fleet change must last this long before it is proposed
+    double clock_error = 0.01;                // assumed maximum difference between the rates of two clocks
+    int max_setbacks = 3;                     // a job that is rolled back more often is given up
     double max_rejected_share = 0.05;
 };
 
--- a/src/maintenance/fragment_transport.cpp
+++ b/src/maintenance/fragment_transport.cpp
@@ -41,7 +41,7 @@
     outgoing_.push_back({to, datagram_codec_.sign(codec::pack_cbor(row))});
 }
 
-bool FragmentTransport::send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes) {
+bool FragmentTransport::send(Ticks now, const std::string& to, MessageKind kind, const std::string& bytes) {
     const std::size_t fragment_count =
         std::max<std::size_t>(1, (bytes.size() + kFragmentBytes - 1) / kFragmentBytes);
     if (fragment_count > kMaxFragments || name_.size() > membership::kMaxNameBytes)
@@ -56,7 +56,7 @@
     return true;
 }
 
-std::optional<PeerMessage> FragmentTransport::receive(Tenths now, std::string_view datagram) {
+std::optional<PeerMessage> FragmentTransport::receive(Ticks now, std::string_view datagram) {
     const auto verified = datagram_codec_.verify(datagram);
     if (!verified) return {};
     try {
@@ -118,7 +118,7 @@
     } catch (const std::exception&) { return datagram_codec_.count_malformed(), std::nullopt; }
 }
 
-void FragmentTransport::step(Tenths now) {
+void FragmentTransport::step(Ticks now) {
     std::erase_if(retained_, [&](const Retained& retained) { return now >= retained.until; });
     std::erase_if(incomplete_, [&](auto& entry) {
         const bool expired =
@@ -137,8 +137,8 @@
     }
 }
 
-std::optional<Tenths> FragmentTransport::next_step() const {
-    std::optional<Tenths> first;
+std::optional<Ticks> FragmentTransport::next_step() const {
+    std::optional<Ticks> first;
     for (const auto& [key, incomplete] : incomplete_)
         first = first ? std::min(*first, incomplete.resend_at) : incomplete.resend_at;
     return first;
--- a/src/maintenance/fragment_transport.hpp
+++ b/src/maintenance/fragment_transport.hpp
@@ -42,8 +42,8 @@
   public:
     static constexpr std::size_t kFragmentBytes = 1'100; // payload bytes of a datagram
     static constexpr std::size_t kMaxFragments = 400, kMaxIncomplete = 64, kMaxRetained = 32;
-    static constexpr Tenths kRetention = 5 * kTenthsPerSecond;
-    static constexpr Tenths kResendAfter = kTenthsPerSecond / 20;
+    static constexpr Ticks kRetention = 5 * kTicksPerSecond;
+    static constexpr Ticks kResendAfter = kTicksPerSecond / 20;
 
     FragmentTransport(std::string name, std::string address, membership::DatagramCodec& datagram_codec,
                       std::uint64_t first_serial)
@@ -51,12 +51,12 @@
           serial_(first_serial) {}
 
     // Returns false if the message is too large.
-    bool send(Tenths now, const std::string& to, MessageKind kind, const std::string& bytes);
+    bool send(Ticks now, const std::string& to, MessageKind kind, const std::string& bytes);
     // Tells a fragment from a membership datagram by its first byte.
     static bool is_fragment(std::string_view bytes);
-    std::optional<PeerMessage> receive(Tenths now, std::string_view datagram);
-    void step(Tenths now);                   // requests missing fragments, drops expired messages
-    std::optional<Tenths> next_step() const; // when `step` has to be called next
+    std::optional<PeerMessage> receive(Ticks now, std::string_view datagram);
+    void step(Ticks now);                   // requests missing fragments, drops expired messages
+    std::optional<Ticks> next_step() const; // when `step` has to be called next
     std::vector<OutboundDatagram> take_datagrams() { return std::exchange(outgoing_, {}); }
     const FragmentCounts& counts() const { return counts_; }
     std::size_t incomplete() const { return incomplete_.size(); }
@@ -67,7 +67,7 @@
         std::vector<std::string> fragments;
         std::vector<bool> received;
         std::size_t received_count = 0;
-        Tenths started_at = 0, resend_at = 0;
+        Ticks started_at = 0, resend_at = 0;
         int resend_attempts = 0;
     };
     struct Retained {
@@ -75,7 +75,7 @@
         std::string to;
         MessageKind kind;
         std::string bytes;
-        Tenths until;
+        Ticks until;
     };
     void send_fragment(const std::string& to, MessageKind kind, std::uint64_t serial,
                        std::size_t fragment_index, std::size_t fragment_count, std::string_view bytes);
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -16,8 +16,8 @@
 constexpr int kScheduleRequestHeartbeats = 10; // heartbeats between two requests for the schedule
 constexpr int kProposalRetryHeartbeats = 6;    // heartbeats until an unconfirmed proposal is repeated
 constexpr int kMaxForwards = 2;                // hops of a proposal on its way to the leader
-constexpr Tenths kMaxRequestAge = 300 * kTenthsPerSecond; // older operators' requests are refused
-constexpr Tenths kRequestTimeout = 10 * kTenthsPerSecond;
+constexpr Ticks kMaxRequestAge = 300 * kTicksPerSecond; // older operators' requests are refused
+constexpr Ticks kRequestTimeout = 10 * kTicksPerSecond;
 // Lease durations without a leader until any node may bring machines back.
 constexpr int kLeaderlessLeases = 3;
 // A zone counts as lost if this share of its machines is gone outside of maintenance.
@@ -48,7 +48,7 @@
                                    settings.candidates.end();
 }
 
-std::string milliseconds_text(Tenths time) { return std::to_string(time * 1000 / kTenthsPerSecond); }
+std::string milliseconds_text(Ticks time) { return std::to_string(time * 1000 / kTicksPerSecond); }
 
 Json job_json(const MaintenanceJob& job) {
     return {{"machine", job.machine},     {"state", to_string(job.state)}, {"holder", job.holder},
@@ -59,8 +59,8 @@
 
 } // namespace
 
-MaintenanceNode::MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Tenths now,
-                                 Tenths wall_time)
+MaintenanceNode::MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Ticks now,
+                                 Ticks wall_time)
     : settings_(std::move(settings)), now_(now), started_at_(now), wall_time_(wall_time),
       datagram_codec_(settings_.secret), member_list_(member_list_options(settings_), now),
       transport_(settings_.name, settings_.address, datagram_codec_,
@@ -85,14 +85,14 @@
     return is_voter() ? consensus_->schedule() : remote_schedule_;
 }
 
-Tenths MaintenanceNode::schedule_age(Tenths now) const {
-    const Tenths at = is_voter() ? consensus_->last_leader_contact() : remote_schedule_at_;
+Ticks MaintenanceNode::schedule_age(Ticks now) const {
+    const Ticks at = is_voter() ? consensus_->last_leader_contact() : remote_schedule_at_;
     return at == 0 ? now : now - at;
 }
 
 // There has been no leader for so long that no lease can still be valid.
 bool MaintenanceNode::leaderless() const {
-    const Tenths since = std::max(started_at_, consensus_->last_leader_contact());
+    const Ticks since = std::max(started_at_, consensus_->last_leader_contact());
     return now_ > since + kLeaderlessLeases * settings_.timing.lease;
 }
 
@@ -111,16 +111,16 @@
 
 // ---- input
 
-bool MaintenanceNode::take_token(Tenths now, TokenBucket& bucket, double rate) const {
+bool MaintenanceNode::take_token(Ticks now, TokenBucket& bucket, double rate) const {
     const double capacity = rate * kBurstSeconds;
     if (bucket.refilled_at == 0) bucket.tokens = capacity;
     bucket.tokens = std::min(capacity, bucket.tokens + rate * static_cast<double>(now - bucket.refilled_at) /
-                                                           static_cast<double>(kTenthsPerSecond));
+                                                           static_cast<double>(kTicksPerSecond));
     bucket.refilled_at = now;
     return bucket.tokens >= 1 ? (bucket.tokens -= 1, true) : false;
 }
 
-void MaintenanceNode::receive(Tenths now, const std::string& from, std::string_view bytes) {
+void MaintenanceNode::receive(Ticks now, const std::string& from, std::string_view bytes) {
     now_ = std::max(now_, now);
     ++counts_.datagrams;
     if (peer_buckets_.size() >= kMaxPeerBuckets) peer_buckets_.clear();
@@ -183,7 +183,7 @@
     servers_ = servers, rejected_share_ = rejected_share;
 }
 
-void MaintenanceNode::on_machine_status(Tenths now, std::uint64_t serial, const std::string& machine,
+void MaintenanceNode::on_machine_status(Ticks now, std::uint64_t serial, const std::string& machine,
                                         MachineStatus status) {
     now_ = std::max(now_, now);
     executor_.on_status(now_, serial, machine, status);
@@ -285,7 +285,7 @@
 
 // ---- timers
 
-void MaintenanceNode::step(Tenths now, Tenths wall_time) {
+void MaintenanceNode::step(Ticks now, Ticks wall_time) {
     now_ = std::max(now_, now), wall_time_ = wall_time;
     if (now_ >= member_list_.next_step()) handle_member_list_effects(member_list_.step(now_));
     transport_.step(now_);
@@ -337,9 +337,8 @@
         effects_.emplace_back(SendDatagram{std::move(datagram.address), std::move(datagram.bytes)});
 }
 
-Tenths MaintenanceNode::next_step() const {
-    Tenths first =
-        std::min(member_list_.next_step(), transport_.next_step().value_or(now_ + kTenthsPerSecond));
+Ticks MaintenanceNode::next_step() const {
+    Ticks first = std::min(member_list_.next_step(), transport_.next_step().value_or(now_ + kTicksPerSecond));
     if (!settings_.candidates.empty()) first = std::min(first, executor_at_);
     if (consensus_) first = std::min(first, consensus_->next_step());
     if (consensus_ && consensus_->is_leader() && pending_proposals_ == 0)
@@ -460,7 +459,7 @@
             voter_gone_since_.erase(voter);
             continue;
         }
-        const Tenths since = voter_gone_since_.try_emplace(voter, now_).first->second;
+        const Ticks since = voter_gone_since_.try_emplace(voter, now_).first->second;
         const bool replacement_available =
             std::ranges::any_of(settings_.candidates, [&](const Candidate& other) {
                 return !voters.contains(other.name) && reachable(other.name) &&
@@ -486,7 +485,7 @@
 }
 
 // Orderly shutdown: tells the other nodes and releases the leases, so that they need not wait for an expiry.
-void MaintenanceNode::leave(Tenths now) {
+void MaintenanceNode::leave(Ticks now) {
     now_ = std::max(now_, now);
     if (!settings_.candidates.empty())
         for (const Command& command : executor_.release_leases(schedule())) propose(command);
@@ -522,7 +521,7 @@
     try {
         const Json row = Json::from_cbor(message.bytes.begin(), message.bytes.end());
         const auto& bytes = row.at(4).get_binary();
-        const auto age = static_cast<Tenths>(codec::decode_count(row.at(2)));
+        const auto age = static_cast<Ticks>(codec::decode_count(row.at(2)));
         if (now_ - age < remote_schedule_at_ ||
             codec::decode_count(row.at(3)) < remote_schedule_.applied_commands())
             return; // older than the local copy
@@ -548,7 +547,7 @@
         query = Json::from_cbor(message.bytes.begin(), message.bytes.end());
         const std::string request = codec::decode_text(query.at("request")),
                           verb = codec::decode_text(query.at("verb"));
-        const auto sent_at = static_cast<Tenths>(codec::decode_count(query.at("wall")));
+        const auto sent_at = static_cast<Ticks>(codec::decode_count(query.at("wall")));
         if (std::abs(sent_at - wall_time_) >
             kMaxRequestAge) { // a replayed request, or clocks that are far apart
             ++counts_.stale_operator_requests;
@@ -567,8 +566,8 @@
                               text("by"),
                               text("note"),
                               codec::decode_texts<std::vector<std::string>>(query.at("machines")),
-                              static_cast<Tenths>(codec::decode_count(query.value("earliest", Json(0U)))),
-                              static_cast<Tenths>(codec::decode_count(query.value("latest", Json(0U))))};
+                              static_cast<Ticks>(codec::decode_count(query.value("earliest", Json(0U)))),
+                              static_cast<Ticks>(codec::decode_count(query.value("latest", Json(0U))))};
         if (verb == "withdraw") command = WithdrawJob{request, text("machine"), "withdrawn by " + text("by")};
         if (verb == "hold")
             command = HoldSchedule{request, text("why").empty() ? "held by " + text("by") : text("why")};
@@ -601,7 +600,7 @@
     const FleetObservation observed = observe_fleet();
     const std::set<std::string> down = Scheduler::down(state, observed);
     Json result{{"node", settings_.name},
-                {"age_ms", schedule_age(now_) * 1000 / kTenthsPerSecond},
+                {"age_ms", schedule_age(now_) * 1000 / kTicksPerSecond},
                 {"leader", leader()},
                 {"voters", observed.voters},
                 {"members", member_list_.present_count()},
@@ -634,15 +633,15 @@
         const auto size = static_cast<int>(std::max<std::size_t>(1, jobs_to_plan.size()));
         const Plan plan =
             plan_optimized(state, jobs_to_plan, down, settings_.seed, std::min(200, 40'000 / (size * size)));
-        result["length_ms"] = plan.duration * 1000 / kTenthsPerSecond;
+        result["length_ms"] = plan.duration * 1000 / kTicksPerSecond;
         result["first_come_ms"] =
-            plan_first_come_first_served(constraints, jobs_to_plan, down).duration * 1000 / kTenthsPerSecond;
-        result["least_ms"] = duration_lower_bound(state, jobs_to_plan) * 1000 / kTenthsPerSecond;
+            plan_first_come_first_served(constraints, jobs_to_plan, down).duration * 1000 / kTicksPerSecond;
+        result["least_ms"] = duration_lower_bound(state, jobs_to_plan) * 1000 / kTicksPerSecond;
         result["steps"] = Json::array();
         for (const PlanStep& step : plan.steps)
             result["steps"].push_back({{"machine", step.machine},
-                                       {"begins_ms", step.start * 1000 / kTenthsPerSecond},
-                                       {"ends_ms", step.end * 1000 / kTenthsPerSecond},
+                                       {"begins_ms", step.start * 1000 / kTicksPerSecond},
+                                       {"ends_ms", step.end * 1000 / kTicksPerSecond},
                                        {"why", step.reason}});
         result["never"] = plan.impossible;
         return result;
