--- a/src/maintenance/maintenance_node.hpp
+++ b/src/maintenance/maintenance_node.hpp
@@ -28,10 +28,10 @@
     Limits limits;
     Timing timing;
     FailurePolicy failure_policy;
-    Tenths probe_interval = kTenthsPerSecond;
-    Tenths heartbeat = kTenthsPerSecond / 10;
-    Tenths replace_voter_after = 60 * kTenthsPerSecond; // a voter unreachable for this long is replaced
-    Tenths front_node_duration = 60 * kTenthsPerSecond; // planned maintenance time of a front node
+    Ticks probe_interval = kTicksPerSecond;
+    Ticks heartbeat = kTicksPerSecond / 10;
+    Ticks replace_voter_after = 60 * kTicksPerSecond; // a voter unreachable for this long is replaced
+    Ticks front_node_duration = 60 * kTicksPerSecond; // planned maintenance time of a front node
     std::uint64_t seed = 0;
     std::uint64_t incarnation = 1;
     double max_datagrams_per_second = 20'000; // datagrams above this rate are dropped unread
@@ -60,16 +60,15 @@
 class MaintenanceNode {
   public:
     // `store` may be null: the node is then a member but never a voter.
-    MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Tenths now, Tenths wall_time);
+    MaintenanceNode(MaintenanceNodeSettings settings, RaftStore* store, Ticks now, Ticks wall_time);
 
-    void receive(Tenths now, const std::string& from, std::string_view bytes);
+    void receive(Ticks now, const std::string& from, std::string_view bytes);
     // The index servers from the list, and the share of recent searches that this node has rejected.
     void update_servers(const std::map<std::string, ObservedMachine>& servers, double rejected_share);
-    void on_machine_status(Tenths now, std::uint64_t serial, const std::string& machine,
-                           MachineStatus status);
-    void step(Tenths now, Tenths wall_time);
-    void leave(Tenths now);
-    Tenths next_step() const; // when `step` has to be called next
+    void on_machine_status(Ticks now, std::uint64_t serial, const std::string& machine, MachineStatus status);
+    void step(Ticks now, Ticks wall_time);
+    void leave(Ticks now);
+    Ticks next_step() const; // when `step` has to be called next
     std::vector<MaintenanceEffect> take_effects() { return std::exchange(effects_, {}); }
 
     // Called for each command when it is committed.
@@ -79,7 +78,7 @@
     const ConsensusNode* consensus() const { return consensus_ ? consensus_.get() : nullptr; }
     const MaintenanceSchedule& schedule() const;
     // Time since this node's copy of the schedule was known to be current.
-    Tenths schedule_age(Tenths now) const;
+    Ticks schedule_age(Ticks now) const;
     const Executor& executor() const { return executor_; }
     const Scheduler& scheduler() const { return scheduler_; }
     const MaintenanceCounts& counts() const { return counts_; }
@@ -91,14 +90,14 @@
   private:
     struct TokenBucket {
         double tokens = 0;
-        Tenths refilled_at = 0;
+        Ticks refilled_at = 0;
     };
     struct PendingRequest { // an operator's request, until it is committed
         std::string address;
-        Tenths deadline = 0, retry_at = 0;
+        Ticks deadline = 0, retry_at = 0;
         Command command;
     };
-    bool take_token(Tenths now, TokenBucket& bucket, double rate) const;
+    bool take_token(Ticks now, TokenBucket& bucket, double rate) const;
     void handle_member_list_effects(std::vector<membership::Effect> effects);
     void dispatch(const PeerMessage& message);
     void send_consensus_messages();
@@ -123,9 +122,9 @@
     bool leaderless() const;
 
     MaintenanceNodeSettings settings_;
-    Tenths now_, started_at_, wall_time_ = 0;
+    Ticks now_, started_at_, wall_time_ = 0;
     MaintenanceSchedule uncommitted_schedule_;
-    Tenths uncommitted_refresh_at_ = 0;
+    Ticks uncommitted_refresh_at_ = 0;
     membership::DatagramCodec datagram_codec_;
     membership::MemberList member_list_;
     FragmentTransport transport_;
@@ -135,7 +134,7 @@
     MaintenanceSchedule remote_schedule_; // copy held by a node that does not vote, as last received
     std::string remote_leader_;
     std::set<std::string> remote_voters_;
-    Tenths remote_schedule_at_ = 0, request_schedule_at_ = 0, executor_at_ = 0, scheduler_at_ = 0;
+    Ticks remote_schedule_at_ = 0, request_schedule_at_ = 0, executor_at_ = 0, scheduler_at_ = 0;
     Pcg random_;
     std::map<std::string, ObservedMachine> servers_;
     double rejected_share_ = 0;
@@ -148,7 +147,7 @@
     std::uint64_t leadership_count_ = 0; // number of times this node was elected
     bool was_leader_ = false;
     std::string wait_reason_;
-    std::map<std::string, Tenths> voter_gone_since_;
+    std::map<std::string, Ticks> voter_gone_since_;
     std::size_t present_members_ = 0;
     std::vector<MaintenanceEffect> effects_;
     MaintenanceCounts counts_;
--- a/src/maintenance/plan.cpp
+++ b/src/maintenance/plan.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct Running {
-    Tenths end;
+    Ticks end;
     std::string machine;
 };
 
@@ -27,7 +27,7 @@
     std::vector<Running> running;
     std::set<std::string> out = down;
     std::map<std::string, std::string> wait_reasons; // latest reason why each job waits
-    Tenths now = 0;
+    Ticks now = 0;
     while (!waiting.empty()) {
         for (auto next = waiting.begin(); next != waiting.end();) {
             const PlannedJob& job = **next;
@@ -49,7 +49,7 @@
             ++next;
         }
         if (waiting.empty()) break;
-        Tenths next_time = -1;
+        Ticks next_time = -1;
         for (const Running& entry : running)
             if (next_time < 0 || entry.end < next_time) next_time = entry.end;
         for (const PlannedJob* job : waiting)
@@ -137,11 +137,11 @@
     EarliestFit(const Constraints& constraints, const std::set<std::string>& down)
         : constraints_(constraints), down_(down) {}
     void place(const PlannedJob& job) {
-        std::vector<Tenths> instants{job.earliest};
+        std::vector<Ticks> instants{job.earliest};
         for (const PlanStep& step : placed_steps)
             if (step.end > job.earliest) instants.push_back(step.end);
         std::ranges::sort(instants);
-        for (const Tenths at : instants) {
+        for (const Ticks at : instants) {
             if (!fits(job, at)) continue;
             placed_steps.push_back({job.machine, at, at + job.duration, {}});
             duration = std::max(duration, at + job.duration);
@@ -149,14 +149,14 @@
         }
     }
     std::vector<PlanStep> placed_steps;
-    Tenths duration = 0;
+    Ticks duration = 0;
 
   private:
-    bool fits(const PlannedJob& job, Tenths at) const {
-        std::vector<Tenths> instants{at};
+    bool fits(const PlannedJob& job, Ticks at) const {
+        std::vector<Ticks> instants{at};
         for (const PlanStep& step : placed_steps)
             if (step.start > at && step.start < at + job.duration) instants.push_back(step.start);
-        return std::ranges::all_of(instants, [&](Tenths instant) {
+        return std::ranges::all_of(instants, [&](Ticks instant) {
             std::set<std::string> out = down_;
             for (const PlanStep& step : placed_steps)
                 if (step.start <= instant && instant < step.end) out.insert(step.machine);
@@ -208,7 +208,7 @@
     std::vector<PlannedJob> order;
     for (auto& [rank, job] : ranked) order.push_back(std::move(job));
     Plan best = plan_in_order(constraints, order, down);
-    const auto lower_bound = static_cast<Tenths>(bottlenecks.max_load());
+    const auto lower_bound = static_cast<Ticks>(bottlenecks.max_load());
     Pcg random(seed);
     const auto pick = [&] {
         return static_cast<std::size_t>(random.unit() * static_cast<double>(order.size()));
@@ -247,19 +247,19 @@
     return best;
 }
 
-Tenths duration_lower_bound(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs) {
-    Tenths longest = 0;
+Ticks duration_lower_bound(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs) {
+    Ticks longest = 0;
     for (const PlannedJob& job : jobs) longest = std::max(longest, job.duration);
-    return std::max(longest, static_cast<Tenths>(BottleneckLoad(schedule, jobs).max_load()));
+    return std::max(longest, static_cast<Ticks>(BottleneckLoad(schedule, jobs).max_load()));
 }
 
-std::vector<PlannedJob> pending_jobs(const MaintenanceSchedule& schedule, Tenths now) {
+std::vector<PlannedJob> pending_jobs(const MaintenanceSchedule& schedule, Ticks now) {
     std::vector<PlannedJob> jobs;
     for (const auto& [name, job] : schedule.jobs()) {
         if (job.state != JobState::kProposed) continue;
         const auto facts = schedule.fleet().find(name);
         jobs.push_back({name, facts == schedule.fleet().end() ? 0 : facts->second.duration, job.prioritized,
-                        std::max<Tenths>(0, job.earliest - now)});
+                        std::max<Ticks>(0, job.earliest - now)});
     }
     return jobs;
 }
--- a/src/maintenance/plan.hpp
+++ b/src/maintenance/plan.hpp
@@ -10,21 +10,21 @@
 
 struct PlannedJob { // a job as the planner sees it
     std::string machine;
-    Tenths duration = 0;
+    Ticks duration = 0;
     bool prioritized = false;
-    Tenths earliest = 0; // relative to the start of the plan
+    Ticks earliest = 0; // relative to the start of the plan
 };
 
 struct PlanStep {
     std::string machine;
-    Tenths start = 0, end = 0;
+    Ticks start = 0, end = 0;
     std::string reason; // what delayed it, or why it goes first
 };
 
 struct Plan {
     std::vector<PlanStep> steps;                   // sorted by start
     std::map<std::string, std::string> impossible; // machines that can never go out, and why
-    Tenths duration = 0;
+    Ticks duration = 0;
 };
 
 // Starts every job that is allowed at each point in time, in the given order of preference.
@@ -40,9 +40,9 @@
 std::optional<Plan> plan_exhaustive(const Constraints& constraints, const std::vector<PlannedJob>& jobs,
                                     const std::set<std::string>& down, std::size_t max_jobs = 8);
 // Lower bound of the duration of any order: the work that must run sequentially.
-Tenths duration_lower_bound(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs);
+Ticks duration_lower_bound(const MaintenanceSchedule& schedule, const std::vector<PlannedJob>& jobs);
 
 // The proposed jobs of a schedule; `now` in Unix time.
-std::vector<PlannedJob> pending_jobs(const MaintenanceSchedule& schedule, Tenths now);
+std::vector<PlannedJob> pending_jobs(const MaintenanceSchedule& schedule, Ticks now);
 
 } // namespace ivyrill::maintenance
--- a/src/maintenance/scheduler.cpp
+++ b/src/maintenance/scheduler.cpp
@@ -18,11 +18,11 @@
 
 } // namespace
 
-Tenths Scheduler::lease_expiry_wait() const {
+Ticks Scheduler::lease_expiry_wait() const {
     // The holder counts from its request and the leader from the commit, which is always later. The holder's
     // clock may be slow and the leader's fast.
-    return static_cast<Tenths>(std::ceil(static_cast<double>(settings_.timing.lease) *
-                                         (1 + 2 * settings_.timing.clock_error))) +
+    return static_cast<Ticks>(std::ceil(static_cast<double>(settings_.timing.lease) *
+                                        (1 + 2 * settings_.timing.clock_error))) +
            1;
 }
 
@@ -43,7 +43,7 @@
     return names;
 }
 
-UpdateFleet Scheduler::build_fleet_update(Tenths now, const MaintenanceSchedule& schedule,
+UpdateFleet Scheduler::build_fleet_update(Ticks now, const MaintenanceSchedule& schedule,
                                           const FleetObservation& observed) {
     UpdateFleet update{settings_.limits, {}, observed.voters};
     update.limits.voter_count = static_cast<int>(observed.voters.size());
@@ -59,7 +59,7 @@
             continue;
         }
         // A leader that has just started does not know all front nodes yet.
-        const Tenths since = missing_since_.try_emplace(name, now).first->second;
+        const Ticks since = missing_since_.try_emplace(name, now).first->second;
         const bool keep_front_node =
             facts.front_node && now < since + kForgetSettleSpans * settings_.timing.fleet_settle;
         if (has_job || keep_front_node) update.fleet.push_back(facts);
@@ -67,7 +67,7 @@
     return update;
 }
 
-SchedulerDecision Scheduler::decide(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
+SchedulerDecision Scheduler::decide(Ticks now, Ticks leader_since, const MaintenanceSchedule& schedule,
                                     const FleetObservation& observed) {
     SchedulerDecision decision;
     UpdateFleet update = build_fleet_update(now, schedule, observed);
@@ -129,7 +129,7 @@
 
 // A lease that was not renewed within its validity has expired; the machine stays out until another holder
 // continues the job. By then the old holder has stopped, by its own clock.
-void Scheduler::check_leases(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
+void Scheduler::check_leases(Ticks now, Ticks leader_since, const MaintenanceSchedule& schedule,
                              const FleetObservation& observed, SchedulerDecision& decision) {
     std::erase_if(leases_, [&](auto& entry) {
         const MaintenanceJob* job = schedule.job(entry.first);
@@ -166,7 +166,7 @@
 
 // Leases assume clocks that run at nearly the same rate. This checks the assumption: each confirmation
 // carries the holder's time.
-void Scheduler::measure_clock(Tenths now, const MaintenanceJob& job) {
+void Scheduler::measure_clock(Ticks now, const MaintenanceJob& job) {
     ClockSample& clock = clock_samples_[job.holder];
     if (clock.holder_time == 0 || job.holder_time < clock.holder_time) {
         clock = {job.holder_time, now};
@@ -206,9 +206,8 @@
     return best;
 }
 
-void Scheduler::grant_leases(Tenths now, const MaintenanceSchedule& schedule,
-                             const FleetObservation& observed, const std::set<std::string>& down,
-                             SchedulerDecision& decision) {
+void Scheduler::grant_leases(Ticks now, const MaintenanceSchedule& schedule, const FleetObservation& observed,
+                             const std::set<std::string>& down, SchedulerDecision& decision) {
     if (schedule.held()) return void(decision.reason = "held: " + schedule.hold_reason());
     if (!observed.lost_zone.empty()) return void(decision.reason = "zone " + observed.lost_zone + " is lost");
     if (observed.rejected_share > settings_.timing.max_rejected_share) {
@@ -228,7 +227,7 @@
     for (const PlannedJob& planned : pending_jobs(schedule, observed.wall_time)) {
         const MaintenanceJob& job = *schedule.job(planned.machine);
         if (job.setbacks > 0) {
-            const Tenths since = rolled_back_since_.try_emplace(planned.machine, now).first->second;
+            const Ticks since = rolled_back_since_.try_emplace(planned.machine, now).first->second;
             if (now < since + settings_.timing.drain * job.setbacks) continue;
         }
         if (planned.earliest == 0 && job.setbacks <= settings_.timing.max_setbacks) jobs.push_back(planned);
--- a/src/maintenance/scheduler.hpp
+++ b/src/maintenance/scheduler.hpp
@@ -27,7 +27,7 @@
   public:
     explicit Scheduler(SchedulerSettings settings) : settings_(std::move(settings)) {}
     // The commands to propose now.
-    SchedulerDecision decide(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
+    SchedulerDecision decide(Ticks now, Ticks leader_since, const MaintenanceSchedule& schedule,
                              const FleetObservation& observed);
     void reset() {
         leases_.clear(), fleet_changing_since_ = overloaded_since_ = 0, rolled_back_since_.clear(),
@@ -37,7 +37,7 @@
     // Machines that do not serve although they are not out for maintenance.
     static std::set<std::string> down(const MaintenanceSchedule& schedule, const FleetObservation& observed);
     // How long after its last renewal was applied here a lease counts as expired.
-    Tenths lease_expiry_wait() const;
+    Ticks lease_expiry_wait() const;
     std::uint64_t distrusted_clocks() const { return distrusted_clocks_; }
 
   private:
@@ -45,30 +45,30 @@
         std::string holder;
         FencingToken fence;
         std::uint64_t holder_time = 0;
-        Tenths at = 0;
+        Ticks at = 0;
     };
     struct ClockSample { // reference sample of a holder's clock
         std::uint64_t holder_time = 0;
-        Tenths at = 0;
+        Ticks at = 0;
     };
-    UpdateFleet build_fleet_update(Tenths now, const MaintenanceSchedule& schedule,
+    UpdateFleet build_fleet_update(Ticks now, const MaintenanceSchedule& schedule,
                                    const FleetObservation& observed);
-    void check_leases(Tenths now, Tenths leader_since, const MaintenanceSchedule& schedule,
+    void check_leases(Ticks now, Ticks leader_since, const MaintenanceSchedule& schedule,
                       const FleetObservation& observed, SchedulerDecision& decision);
-    void measure_clock(Tenths now, const MaintenanceJob& job);
-    void grant_leases(Tenths now, const MaintenanceSchedule& schedule, const FleetObservation& observed,
+    void measure_clock(Ticks now, const MaintenanceJob& job);
+    void grant_leases(Ticks now, const MaintenanceSchedule& schedule, const FleetObservation& observed,
                       const std::set<std::string>& down, SchedulerDecision& decision);
     std::string holder_for(const MaintenanceJob& job, const MaintenanceSchedule& schedule,
                            const FleetObservation& observed) const;
 
     SchedulerSettings settings_;
-    std::map<std::string, LeaseRecord> leases_;       // by machine
-    std::map<std::string, Tenths> rolled_back_since_; // by machine, since when it waits after a rollback
-    std::map<std::string, Tenths> missing_since_;     // since when a machine of the fleet is not observed
+    std::map<std::string, LeaseRecord> leases_;      // by machine
+    std::map<std::string, Ticks> rolled_back_since_; // by machine, since when it waits after a rollback
+    std::map<std::string, Ticks> missing_since_;     // since when a machine of the fleet is not observed
     std::map<std::string, ClockSample> clock_samples_;
     std::set<std::string> distrusted_holders_; // holders whose clock rate exceeds the assumed error
     std::set<std::string> expired_holders_; // holders that let a lease expire, until they make progress again
-    Tenths fleet_changing_since_ = 0, overloaded_since_ = 0;
+    Ticks fleet_changing_since_ = 0, overloaded_since_ = 0;
     std::vector<std::string> planned_order_; // order of the cached plan
     std::string plan_key_;
     std::uint64_t distrusted_clocks_ = 0;
--- a/src/maintenance/types.hpp
+++ b/src/maintenance/types.hpp
@@ -25,7 +25,7 @@
     std::string zone;
     std::vector<int> shards; // shards it holds a replica of; empty for a front node
     double capacity = 1;     // relative capacity among the replicas of its shards
-    Tenths duration = 0;     // planned time from the start of the drain until it is warm
+    Ticks duration = 0;      // planned time from the start of the drain until it is warm
     friend bool operator==(const MachineFacts&, const MachineFacts&) = default;
 };
 
@@ -46,17 +46,17 @@
     std::string machine;
     OrderNo order;
     JobState state = JobState::kProposed;
-    std::string holder;              // front node that executes the job; empty: none at present
-    FencingToken fence;              // of its latest lease
-    bool lease_confirmed = false;    // the holder has confirmed the lease
-    std::uint64_t holder_time = 0;   // of the holder's latest confirmation, by its own clock
-    bool prioritized = false;        // goes before jobs that are not
-    bool withdrawn = false;          // to be rolled back and not retried
-    bool recalled = false;           // to be rolled back and retried later
-    int setbacks = 0;                // number of rollbacks
-    int lease_expiries = 0;          // leases that expired or were released in this state
-    Tenths earliest = 0, latest = 0; // Unix time; 0: unbounded
-    std::string reason;              // reason of the last change
+    std::string holder;             // front node that executes the job; empty: none at present
+    FencingToken fence;             // of its latest lease
+    bool lease_confirmed = false;   // the holder has confirmed the lease
+    std::uint64_t holder_time = 0;  // of the holder's latest confirmation, by its own clock
+    bool prioritized = false;       // goes before jobs that are not
+    bool withdrawn = false;         // to be rolled back and not retried
+    bool recalled = false;          // to be rolled back and retried later
+    int setbacks = 0;               // number of rollbacks
+    int lease_expiries = 0;         // leases that expired or were released in this state
+    Ticks earliest = 0, latest = 0; // Unix time; 0: unbounded
+    std::string reason;             // reason of the last change
 };
 // From the lease until the machine is warm again it may be unavailable and counts as out.
 constexpr bool is_out(JobState state) {
@@ -75,7 +75,7 @@
 struct AddJobs {
     std::string request, requested_by, note; // request id; a repeated id is ignored
     std::vector<std::string> machines;
-    Tenths earliest = 0, latest = 0;
+    Ticks earliest = 0, latest = 0;
 };
 struct WithdrawJob {
     std::string request, machine, reason;
@@ -95,7 +95,7 @@
     FencingToken previous_fence;
     // Machines that the granting node believes to be down, besides those that are out.
     std::set<std::string> down;
-    Tenths wall_time = 0;
+    Ticks wall_time = 0;
 };
 struct ConfirmLease { // by the holder: confirms its lease, and renews it when repeated
     std::string machine, holder;
--- a/src/membership/member_list.cpp
+++ b/src/membership/member_list.cpp
@@ -24,10 +24,10 @@
 
 } // namespace
 
-MemberList::MemberList(MemberListOptions options, Tenths now)
+MemberList::MemberList(MemberListOptions options, Ticks now)
     : options_(std::move(options)), rng_(options_.seed), now_(now), incarnation_(options_.incarnation) {
     // A random offset, so that members that start together don't probe at the same time.
-    next_probe_at_ = now + static_cast<Tenths>(rng_.unit() * static_cast<double>(options_.probe_interval));
+    next_probe_at_ = now + static_cast<Ticks>(rng_.unit() * static_cast<double>(options_.probe_interval));
     next_contact_at_ = now;
 }
 
@@ -58,14 +58,14 @@
     return std::max(1.0, std::log10(static_cast<double>(present_count())));
 }
 
-Tenths MemberList::suspicion_timeout() const {
-    return static_cast<Tenths>(options_.suspicion_factor * log_size() *
-                               static_cast<double>(options_.probe_interval)) *
+Ticks MemberList::suspicion_timeout() const {
+    return static_cast<Ticks>(options_.suspicion_factor * log_size() *
+                              static_cast<double>(options_.probe_interval)) *
            (1 + health_score_);
 }
 
-Tenths MemberList::next_step() const {
-    Tenths first = std::min(next_probe_at_, next_contact_at_);
+Ticks MemberList::next_step() const {
+    Ticks first = std::min(next_probe_at_, next_contact_at_);
     if (!probe_.target.empty())
         first = std::min(first, probe_.indirect_sent ? probe_.expires_at : probe_.indirect_at);
     for (const auto& [name, member] : members_)
@@ -73,7 +73,7 @@
     return first;
 }
 
-std::vector<Effect> MemberList::receive(Tenths now, const Datagram& datagram) {
+std::vector<Effect> MemberList::receive(Ticks now, const Datagram& datagram) {
     now_ = std::max(now_, now);
     if (left_ || datagram.from == options_.name) return {};
     ++counts_.received;
@@ -107,8 +107,8 @@
     return std::exchange(effects_, {});
 }
 
-std::vector<Effect> MemberList::step(Tenths now) {
-    const Tenths due_at = next_step();
+std::vector<Effect> MemberList::step(Ticks now) {
+    const Ticks due_at = next_step();
     now_ = std::max(now_, now);
     if (left_) return {};
     if (now_ > due_at + kStallIntervals * options_.probe_interval) recover_from_stall(now_ - due_at);
@@ -154,7 +154,7 @@
 }
 
 // Announces the departure, so that this member is not declared failed.
-std::vector<Effect> MemberList::leave(Tenths now) {
+std::vector<Effect> MemberList::leave(Ticks now) {
     now_ = std::max(now_, now);
     if (std::exchange(left_, true)) return {};
     std::vector<std::string> targets;
@@ -173,7 +173,7 @@
 // After a stall of this process, acknowledgements may have been missed and suspects had less time to refute
 // than their timeout says: cancels the current probes and extends the timeouts, rather than suspecting
 // others.
-void MemberList::recover_from_stall(Tenths delay) {
+void MemberList::recover_from_stall(Ticks delay) {
     ++counts_.stalls;
     raise_health_score(1);
     probe_ = {};
@@ -226,7 +226,7 @@
             absent.push_back(member.address);
     const bool alone = present_count() == 1;
     const double intervals = (alone ? 1 : kContactIntervals) * (0.5 + rng_.unit());
-    next_contact_at_ = now_ + static_cast<Tenths>(intervals * static_cast<double>(options_.probe_interval));
+    next_contact_at_ = now_ + static_cast<Ticks>(intervals * static_cast<double>(options_.probe_interval));
     if (absent.empty()) return;
     const std::string& address = absent[static_cast<std::size_t>(rng_.unit() * absent.size())];
     send(address, {DatagramKind::kPing, options_.name, options_.address, 0, {}, {}});
--- a/src/membership/member_list.hpp
+++ b/src/membership/member_list.hpp
@@ -54,8 +54,8 @@
     std::vector<std::string> peers; // addresses from the operator's file, may contain the own one
     Incarnation incarnation = 1;    // larger at each start: from the store, else from the clock
     std::uint64_t seed = 0;
-    Tenths probe_interval = kTenthsPerSecond; // between two probes
-    Tenths probe_timeout = kTenthsPerSecond / 5;
+    Ticks probe_interval = kTicksPerSecond; // between two probes
+    Ticks probe_timeout = kTicksPerSecond / 5;
     int indirect_probes = 3; // members asked to probe in place of this one
     // Suspicion timeout in probe intervals, and sends of an update, each times log10 of the group size.
     double suspicion_factor = 4;
@@ -72,12 +72,12 @@
 
 class MemberList {
   public:
-    MemberList(MemberListOptions options, Tenths now);
+    MemberList(MemberListOptions options, Ticks now);
 
-    std::vector<Effect> receive(Tenths now, const Datagram& datagram);
-    std::vector<Effect> step(Tenths now);  // does what is due
-    std::vector<Effect> leave(Tenths now); // announces the departure; no further use afterwards
-    Tenths next_step() const;              // when to step again
+    std::vector<Effect> receive(Ticks now, const Datagram& datagram);
+    std::vector<Effect> step(Ticks now);  // does what is due
+    std::vector<Effect> leave(Ticks now); // announces the departure; no further use afterwards
+    Ticks next_step() const;              // when to step again
 
     // Members alive or suspected, including this one.
     std::size_t present_count() const;
@@ -86,7 +86,7 @@
     struct MemberInfo {
         std::string name, address;
         MemberState state = MemberState::kAlive;
-        Tenths since = 0;
+        Ticks since = 0;
     };
     std::vector<MemberInfo> members() const; // all others, by name
     const std::string* address_of(const std::string& name) const;
@@ -100,7 +100,7 @@
         std::string address;
         Incarnation incarnation = 0;
         MemberState state = MemberState::kAlive;
-        Tenths since = 0, suspicion_ends_at = 0; // the latter while suspected
+        Ticks since = 0, suspicion_ends_at = 0; // the latter while suspected
     };
     struct QueuedUpdate {
         MemberUpdate update;
@@ -109,13 +109,13 @@
     struct Probe { // at most one at a time
         std::string target;
         std::uint64_t serial = 0;
-        Tenths indirect_at = 0, expires_at = 0;
+        Ticks indirect_at = 0, expires_at = 0;
         bool indirect_sent = false;
     };
     struct RelayedProbe { // made for another member
         std::string requester, target;
         std::uint64_t serial = 0;
-        Tenths expires_at = 0;
+        Ticks expires_at = 0;
     };
 
     void apply_update(const MemberUpdate& update);
@@ -126,18 +126,18 @@
     std::string take_random(std::vector<std::string>& names);
     void start_probe();
     void contact_absent_member();
-    void recover_from_stall(Tenths delay);
+    void recover_from_stall(Ticks delay);
     void raise_health_score(int by);
     void evict_absent_member();
     double log_size() const;
-    Tenths suspicion_timeout() const;
+    Ticks suspicion_timeout() const;
     MemberUpdate own_update() const {
         return {options_.name, options_.address, incarnation_, MemberState::kAlive};
     }
 
     MemberListOptions options_;
     Pcg rng_;
-    Tenths now_ = 0, next_probe_at_ = 0, next_contact_at_ = 0;
+    Ticks now_ = 0, next_probe_at_ = 0, next_contact_at_ = 0;
     Incarnation incarnation_;
     std::map<std::string, Member> members_;              // the others
     std::map<std::string, QueuedUpdate> queued_updates_; // by the member they describe
--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -9,7 +9,7 @@
 
 using access::Right;
 
-Tenths seconds(std::int64_t count) { return count * kTenthsPerSecond; }
+Ticks seconds(std::int64_t count) { return count * kTicksPerSecond; }
 
 access::Rights read_rights(FieldReader& fields) {
     access::Rights rights;
@@ -111,7 +111,7 @@
     return result;
 }
 
-Tenths millis(std::int64_t count) { return count * kTenthsPerSecond / 1000; }
+Ticks millis(std::int64_t count) { return count * kTicksPerSecond / 1000; }
 
 MembershipSettings read_members(FieldReader fields) {
     MembershipSettings result;
@@ -174,7 +174,7 @@
     timing.max_rejected_share = spans.number("strain", 0, 1, 0.05);
     if (timing.action >= timing.lease)
         spans.fail("act_ms", "expected less than grant_ms: a lease would expire during one action");
-    const Tenths election = 16 * result.heartbeat;
+    const Ticks election = 16 * result.heartbeat;
     if (timing.lease <= election)
         spans.fail("grant_ms",
                    "expected more than 16 heartbeats: leases would expire at each leader election");
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -43,7 +43,7 @@
     std::string bind;    // local address; differs from `address` behind a proxy or NAT
     std::vector<std::string> peers;
     std::string secret; // path of the shared secret, 32 bytes or more
-    Tenths probe_interval = kTenthsPerSecond;
+    Ticks probe_interval = kTicksPerSecond;
 };
 
 // Coordinated maintenance: the front nodes agree on which machines are out of service.
@@ -52,13 +52,13 @@
         candidates; // front nodes with a disk that may be voters: name, address
     std::size_t voter_count = 3;
     std::string raft_store, witness; // paths
-    Tenths heartbeat = kTenthsPerSecond / 10, replace_after = 0;
+    Ticks heartbeat = kTicksPerSecond / 10, replace_after = 0;
     maintenance::Limits limits;
     maintenance::Timing timing;
     maintenance::FailurePolicy failure_policy;
     std::vector<std::string> controller_command; // either this or the address
     std::string controller_address;
-    std::map<std::string, Tenths> work; // duration by kind of machine; "" for all others
+    std::map<std::string, Ticks> work; // duration by kind of machine; "" for all others
 };
 
 struct OperatorSettings {
@@ -68,7 +68,7 @@
     std::vector<ListenerSettings> listeners;
     access::HandshakeLimits handshakes;
     limits::ConnectionLimits connections;
-    Tenths ticket_lifetime = 0;
+    Ticks ticket_lifetime = 0;
     AuditSettings audit;
 };
 
--- a/src/program/audit.cpp
+++ b/src/program/audit.cpp
@@ -19,8 +19,8 @@
     logger_->flush_on(spdlog::level::info);
 }
 
-bool AuditLog::within_budget(Budget& budget, Tenths now) {
-    const Tenths second = now / kTenthsPerSecond;
+bool AuditLog::within_budget(Budget& budget, Ticks now) {
+    const Ticks second = now / kTicksPerSecond;
     if (second != second_) {
         second_ = second;
         for (Budget* each : {&refusals_, &changes_}) {
@@ -35,7 +35,7 @@
     return ++budget.lines, true;
 }
 
-void AuditLog::write(const routing::Audit& event, Tenths now) {
+void AuditLog::write(const routing::Audit& event, Ticks now) {
     ordered_json record = {{"what", event.what}};
     if (event.reason != access::Reason::kAdmitted) record["reason"] = access::name_of(event.reason);
     for (const auto& [name, text] :
@@ -46,12 +46,12 @@
         write_line(std::move(record), now);
 }
 
-void AuditLog::write(ordered_json line, Tenths now) {
+void AuditLog::write(ordered_json line, Ticks now) {
     if (within_budget(changes_, now)) write_line(std::move(line), now);
 }
 
-void AuditLog::write_line(ordered_json line, Tenths now) {
-    line["at_ms"] = now / (kTenthsPerSecond / 1000);
+void AuditLog::write_line(ordered_json line, Ticks now) {
+    line["at_ms"] = now / (kTicksPerSecond / 1000);
     const std::string text = line.dump(-1, ' ', true, ordered_json::error_handler_t::replace);
     if (logger_)
         logger_->info("{}", text);
--- a/src/program/audit.hpp
+++ b/src/program/audit.hpp
@@ -16,20 +16,20 @@
 class AuditLog {
   public:
     explicit AuditLog(const operators::AuditSettings& settings);
-    void write(const routing::Audit& event, Tenths now);
-    void write(nlohmann::ordered_json line, Tenths now); // with the key `what`
+    void write(const routing::Audit& event, Ticks now);
+    void write(nlohmann::ordered_json line, Ticks now); // with the key `what`
 
   private:
     struct Budget {
         int lines = 0;
         std::uint64_t suppressed = 0;
     };
-    bool within_budget(Budget& budget, Tenths now);
-    void write_line(nlohmann::ordered_json line, Tenths now);
+    bool within_budget(Budget& budget, Ticks now);
+    void write_line(nlohmann::ordered_json line, Ticks now);
     std::shared_ptr<spdlog::logger> logger_; // null: write to the log
     int max_lines_per_second_;
     Budget refusals_, changes_;
-    Tenths second_ = 0;
+    Ticks second_ = 0;
 };
 
 } // namespace ivyrill::program
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-constexpr Tenths kCountsInterval = 10 * kTenthsPerSecond;
-constexpr Tenths kStoreRetryInterval = 5 * kTenthsPerSecond; // after a failure to open the store
+constexpr Ticks kCountsInterval = 10 * kTicksPerSecond;
+constexpr Ticks kStoreRetryInterval = 5 * kTicksPerSecond; // after a failure to open the store
 
 std::uint64_t random_mixed_with(std::uint64_t seed) {
     std::uint64_t result = 0;
@@ -89,7 +89,7 @@
 
     void run() {
         receive_task = receive(), receive_task.start();
-        Tenths counts_at = loop.now() + kCountsInterval;
+        Ticks counts_at = loop.now() + kCountsInterval;
         while (!stop) {
             {
                 const std::lock_guard lock(mutex);
@@ -100,7 +100,7 @@
             while (read(wake_up_event.descriptor(), &count, sizeof count) > 0) {}
             // A cold machine becomes warm without any event, so the machines are observed periodically.
             if (loop.now() >= next_observation_at || observed_version != current_list.version) {
-                next_observation_at = loop.now() + kTenthsPerSecond / 10,
+                next_observation_at = loop.now() + kTicksPerSecond / 10,
                 observed_version = current_list.version;
                 maintenance_node->update_servers(
                     CoordinationThread::observe_machines(current_list, terms, work, Loop::wall()),
@@ -116,7 +116,7 @@
                                                         reply.status);
             }
             if (loop.now() >= counts_at) log_counts(), counts_at = loop.now() + kCountsInterval;
-            Tenths deadline = std::min({maintenance_node->next_step(), next_observation_at, counts_at});
+            Ticks deadline = std::min({maintenance_node->next_step(), next_observation_at, counts_at});
             if (machine_controller) deadline = std::min(deadline, machine_controller->next_step());
             loop.wait(deadline);
         }
@@ -163,7 +163,7 @@
     }
 
     protocol::FrontNodeConfig terms;
-    std::map<std::string, Tenths> work;
+    std::map<std::string, Ticks> work;
     Loop loop;
     transport::Source socket, wake_up_event; // the latter: written by the front node's thread
     int member_count_event;
@@ -173,7 +173,7 @@
     Task receive_task;
     protocol::ServerList current_list;
     std::int64_t observed_version = -1;
-    Tenths next_observation_at = 0;
+    Ticks next_observation_at = 0;
     bool leave_sent = false;
 
     std::mutex mutex; // for the next two
@@ -249,7 +249,7 @@
 
 std::map<std::string, maintenance::ObservedMachine>
 CoordinationThread::observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& terms,
-                                     const std::map<std::string, Tenths>& work, Tenths wall) {
+                                     const std::map<std::string, Ticks>& work, Ticks wall) {
     std::map<std::string, maintenance::ObservedMachine> result;
     for (const protocol::ServerEntry& entry : list.servers) {
         maintenance::ObservedMachine machine;
@@ -260,8 +260,8 @@
                 machine.facts.shards.push_back(shard);
         auto known = work.find(entry.kind);
         if (known == work.end()) known = work.find("");
-        machine.facts.duration = known == work.end() ? 600 * kTenthsPerSecond : known->second;
-        const Tenths started = entry.started_ms * (kTenthsPerSecond / 1000);
+        machine.facts.duration = known == work.end() ? 600 * kTicksPerSecond : known->second;
+        const Ticks started = entry.started_ms * (kTicksPerSecond / 1000);
         machine.health = entry.listed == ListedState::kGone       ? maintenance::MachineHealth::kGone
                          : entry.listed == ListedState::kDraining ? maintenance::MachineHealth::kDraining
                          : entry.started_ms > 0 && wall < started + terms.scheduler.warm_up_time
--- a/src/program/coordination_thread.hpp
+++ b/src/program/coordination_thread.hpp
@@ -36,7 +36,7 @@
     // Facts of all machines by the settings and their health by the list at the time `wall`.
     static std::map<std::string, maintenance::ObservedMachine>
     observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& terms,
-                     const std::map<std::string, Tenths>& work, Tenths wall);
+                     const std::map<std::string, Ticks>& work, Ticks wall);
 
   private:
     struct State;
--- a/src/program/credential_commands.cpp
+++ b/src/program/credential_commands.cpp
@@ -18,7 +18,7 @@
 using namespace access;
 
 // The operator's file limits tokens to this lifetime, so revocations are kept for as long.
-constexpr Tenths kMaxTokenLife = Tenths{366} * 86'400 * kTenthsPerSecond;
+constexpr Ticks kMaxTokenLife = Ticks{366} * 86'400 * kTicksPerSecond;
 
 // The options of all commands; each uses a part.
 struct Options {
@@ -83,7 +83,7 @@
     fs::permissions(secret, fs::perms::owner_all);
     const KeyRing ring = read_ring(options.folder);
     Rotation rotation = rotate(ring, options.name, selected_algorithm(options), transport::Loop::wall(),
-                               options.lead_s * kTenthsPerSecond, options.overlap_s * kTenthsPerSecond);
+                               options.lead_s * kTicksPerSecond, options.overlap_s * kTicksPerSecond);
     if (first) rotation.changed_keys.clear();
     if (ring.keys().size() + 1 > 64)
         throw AccessError("the key folder has 64 keys already: remove those that are gone");
@@ -96,7 +96,7 @@
 }
 
 int revoke(const Options& options) {
-    const Tenths now = transport::Loop::wall() / kTenthsPerSecond * kTenthsPerSecond;
+    const Ticks now = transport::Loop::wall() / kTicksPerSecond * kTicksPerSecond;
     if (!options.name.empty()) {
         const std::string path = public_path(options, options.name);
         Key key = read_key({path, read_file(path)});
@@ -107,13 +107,13 @@
         std::cout << key.name << ": gone\n";
     }
     Revocations revocations = read_revocations(options);
-    revocations.remove_expired(now, 3600 * kTenthsPerSecond, kMaxTokenLife);
+    revocations.remove_expired(now, 3600 * kTicksPerSecond, kMaxTokenLife);
     const bool member = !options.club.empty() || !options.member.empty();
     if (member && (options.club.empty() || options.member.empty()))
         throw AccessError("a member needs --club and --member");
     // Revokes tokens issued in the current second too: a new one must be signed in the next.
-    if (member) revocations.members[options.club + "/" + options.member] = now + kTenthsPerSecond;
-    if (!options.id.empty()) revocations.tokens[options.id] = now + options.ttl_s * kTenthsPerSecond;
+    if (member) revocations.members[options.club + "/" + options.member] = now + kTicksPerSecond;
+    if (!options.id.empty()) revocations.tokens[options.id] = now + options.ttl_s * kTicksPerSecond;
     if (!options.serial.empty()) {
         std::string serial = options.serial;
         std::erase(serial, ':');
@@ -132,14 +132,14 @@
 }
 
 int list(const Options& options) {
-    const Tenths now = transport::Loop::wall();
+    const Ticks now = transport::Loop::wall();
     const KeyRing ring = read_ring(options.folder);
     for (const auto& [name, key] : ring.keys()) {
         std::cout << name << " " << name_of(key.signing.algorithm()) << " " << name_of(key.times.at(now));
         if (key.times.at(now) == KeyState::kAnnounced)
-            std::cout << ", active in " << (key.times.active - now) / kTenthsPerSecond << " s";
+            std::cout << ", active in " << (key.times.active - now) / kTicksPerSecond << " s";
         if (key.times.gone != kNever && key.times.gone > now)
-            std::cout << ", gone in " << (key.times.gone - now) / kTenthsPerSecond << " s";
+            std::cout << ", gone in " << (key.times.gone - now) / kTicksPerSecond << " s";
         std::cout << (fs::exists(private_path(options, name)) ? "" : ", verifies only") << "\n";
     }
     const Revocations revocations = read_revocations(options);
@@ -149,7 +149,7 @@
 }
 
 int sign(const Options& options) {
-    const Tenths now = transport::Loop::wall();
+    const Ticks now = transport::Loop::wall();
     const KeyRing ring = read_ring(fs::path(options.folder) / "private");
     const Key* key = options.name.empty() ? ring.signer(now) : ring.find(options.name);
     if (key == nullptr)
@@ -157,7 +157,7 @@
                                                : "no key is named '" + options.name + "'");
     Claims claims;
     claims.issuer = options.issuer, claims.audience = {options.audience};
-    claims.issued = now, claims.expires = now + options.ttl_s * kTenthsPerSecond;
+    claims.issued = now, claims.expires = now + options.ttl_s * kTicksPerSecond;
     claims.id = base64url(random_bytes(12));
     claims.caller = {options.club, options.member, {}, options.own};
     claims.caller.rights.read = std::ranges::count(options.rights, "read") > 0;
@@ -178,7 +178,7 @@
         std::cout << nlohmann::json::parse(*read_base64url(part)).dump(2) << "\n";
     const KeyRing ring = fs::exists(options.folder) ? read_ring(options.folder) : KeyRing{};
     const Key* key = ring.find(token.claims.key);
-    const Tenths now = transport::Loop::wall();
+    const Ticks now = transport::Loop::wall();
     if (key == nullptr)
         std::cout << "signature: the key '" << token.claims.key << "' is not in the key folder\n";
     else
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool Lifecycle::enter(Phase next, Tenths now) {
+bool Lifecycle::enter(Phase next, Ticks now) {
     if (std::ranges::find(kTransitions, std::pair{phase_, next}) == kTransitions.end()) return false;
     phase_ = next, since_ = now;
     return true;
--- a/src/program/lifecycle.hpp
+++ b/src/program/lifecycle.hpp
@@ -17,13 +17,13 @@
 class Lifecycle {
   public:
     Phase phase() const { return phase_; }
-    Tenths since() const { return since_; }
-    bool enter(Phase next, Tenths now); // false, without any change, where the transition is not allowed
+    Ticks since() const { return since_; }
+    bool enter(Phase next, Ticks now); // false, without any change, where the transition is not allowed
     static std::string_view name(Phase phase);
 
   private:
     Phase phase_ = Phase::kStarting;
-    Tenths since_ = 0;
+    Ticks since_ = 0;
 };
 
 } // namespace ivyrill::program
--- a/src/program/machine_controller.cpp
+++ b/src/program/machine_controller.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 MachineController::MachineController(transport::Loop& loop, std::vector<std::string> command,
-                                     std::string address, Tenths timeout)
+                                     std::string address, Ticks timeout)
     : loop_(loop), command_(std::move(command)), address_(std::move(address)), timeout_(timeout) {}
 
 MachineController::~MachineController() {
@@ -35,7 +35,7 @@
         if (command.process > 0) kill(command.process, SIGKILL), waitpid(command.process, nullptr, 0);
 }
 
-void MachineController::execute(Tenths now, const maintenance::MachineCommand& act) {
+void MachineController::execute(Ticks now, const maintenance::MachineCommand& act) {
     if (pending_.size() >= kMaxPending) return; // dropped: the caller treats a missing reply as unknown
     PendingCommand& command = pending_.emplace_back();
     command.act = act, command.deadline = now + timeout_;
@@ -132,7 +132,7 @@
          maintenance::machine_status_from(state).value_or(maintenance::MachineStatus::kUnknown)});
 }
 
-void MachineController::step(Tenths now) {
+void MachineController::step(Ticks now) {
     for (auto next = pending_.begin(); next != pending_.end();) {
         PendingCommand& command = *next;
         if (!command.finished && now < command.deadline) {
@@ -149,11 +149,11 @@
     std::erase_if(exited_, [](pid_t process) { return waitpid(process, nullptr, WNOHANG) != 0; });
 }
 
-Tenths MachineController::next_step() const {
-    Tenths first = loop_.now() + kTenthsPerSecond * 60;
+Ticks MachineController::next_step() const {
+    Ticks first = loop_.now() + kTicksPerSecond * 60;
     for (const PendingCommand& command : pending_)
         first = std::min(first, command.finished ? loop_.now() : command.deadline);
-    if (!exited_.empty()) first = std::min(first, loop_.now() + kTenthsPerSecond / 20);
+    if (!exited_.empty()) first = std::min(first, loop_.now() + kTicksPerSecond / 20);
     return first;
 }
 
--- a/src/program/machine_controller.hpp
+++ b/src/program/machine_controller.hpp
@@ -21,17 +21,17 @@
         maintenance::MachineStatus status = maintenance::MachineStatus::kUnknown;
     };
     MachineController(transport::Loop& loop, std::vector<std::string> command, std::string address,
-                      Tenths timeout);
+                      Ticks timeout);
     ~MachineController();
-    void execute(Tenths now, const maintenance::MachineCommand& act);
-    void step(Tenths now);
-    Tenths next_step() const;
+    void execute(Ticks now, const maintenance::MachineCommand& act);
+    void step(Ticks now);
+    Ticks next_step() const;
     std::vector<Reply> take_replies() { return std::exchange(replies_, {}); }
 
   private:
     struct PendingCommand {
         maintenance::MachineCommand act;
-        Tenths deadline = 0;
+        Ticks deadline = 0;
         std::unique_ptr<transport::Stream> stream; // to the address
         std::unique_ptr<transport::Source> pipe;   // from the process
         pid_t process = -1;
@@ -47,7 +47,7 @@
     transport::Loop& loop_;
     std::vector<std::string> command_;
     std::string address_;
-    Tenths timeout_;
+    Ticks timeout_;
     std::list<PendingCommand> pending_;
     std::vector<pid_t> exited_; // ended or killed, still to be reaped
     std::vector<Reply> replies_;
--- a/src/program/maintenance_commands.cpp
+++ b/src/program/maintenance_commands.cpp
@@ -71,10 +71,10 @@
     query["request"] = request;
     query["by"] = options.by;
     transport::Loop clock;
-    const Tenths end = clock.now() + options.timeout_ms * (kTenthsPerSecond / 1000);
-    for (Tenths resend_at = 0; clock.now() < end;) {
+    const Ticks end = clock.now() + options.timeout_ms * (kTicksPerSecond / 1000);
+    for (Ticks resend_at = 0; clock.now() < end;) {
         if (clock.now() >= resend_at) {
-            resend_at = clock.now() + 2 * kTenthsPerSecond;
+            resend_at = clock.now() + 2 * kTicksPerSecond;
             query["wall"] = static_cast<std::uint64_t>(transport::Loop::wall());
             fragment_transport.send(clock.now(), node, MessageKind::kOperatorRequest,
                                     codec::pack_cbor(query));
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -26,9 +26,9 @@
 constexpr std::size_t kReadBuffer = 16 * 1024, kAnswerBuffer = 128 * 1024, kRequestBufferPerPart = 72 * 1024;
 constexpr std::size_t kSpareDescriptors = 24; // standard streams, epoll, signals, listener, discovery and log
 // Guaranteed by the platform: no request arrives later than this after the stop signal.
-constexpr Tenths kDrainDelay = kTenthsPerSecond * 7 / 10;
-constexpr Tenths kCountsInterval = 10 * kTenthsPerSecond;
-constexpr Tenths kShareReportInterval = 2 * kTenthsPerSecond;
+constexpr Ticks kDrainDelay = kTicksPerSecond * 7 / 10;
+constexpr Ticks kCountsInterval = 10 * kTicksPerSecond;
+constexpr Ticks kShareReportInterval = 2 * kTicksPerSecond;
 
 int open_signals() { return signalfd(-1, &block_signals(), SFD_NONBLOCK | SFD_CLOEXEC); }
 
@@ -97,7 +97,7 @@
                                                 configuration_.discovery, descriptors(configuration_.sockets),
                                                 loop_.now());
     if (operator_file_.empty()) return;
-    tickets_.emplace(loop_, Tenths{0});
+    tickets_.emplace(loop_, Ticks{0});
     operator_settings_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
     const operators::OperatorSettings& settings = operator_settings_->settings;
     check_names(settings, configuration_.terms.request_classes, configuration_.terms.tenants);
@@ -140,7 +140,7 @@
     for (auto& listener : listeners_) listener->task = accept_clients(*listener), listener->task.start();
     next_counts_at_ = loop_.now() + kCountsInterval;
     while (turn(), advance_phase(), lifecycle_.phase() != Phase::kStopped) {
-        Tenths deadline = std::min(next_counts_at_, next_stall_check_at_);
+        Ticks deadline = std::min(next_counts_at_, next_stall_check_at_);
         if (coordination_) deadline = std::min(deadline, next_share_report_at_);
         if (timer_at_ > 0) deadline = std::min(deadline, timer_at_);
         if (lifecycle_.phase() == Phase::kDraining)
--- a/src/program/node.hpp
+++ b/src/program/node.hpp
@@ -32,7 +32,7 @@
 // Random keys for TLS session tickets; access/ticket_keys.hpp describes their rotation.
 class TicketKeyStore : public transport::TicketStore {
   public:
-    TicketKeyStore(const transport::Loop& loop, Tenths lifetime) : loop_(loop), keys_(lifetime) {}
+    TicketKeyStore(const transport::Loop& loop, Ticks lifetime) : loop_(loop), keys_(lifetime) {}
     const transport::TicketSecret* encryption_key() override;
     const transport::TicketSecret* decryption_key(const unsigned char* name, bool& renew) override;
 
@@ -158,13 +158,13 @@
     std::unique_ptr<CoordinationThread> coordination_; // null without membership
     std::optional<transport::Source> member_count_source_;
     std::uint64_t reported_searches_ = 0, reported_rejections_ = 0;
-    Tenths next_share_report_at_ = 0;
+    Ticks next_share_report_at_ = 0;
     std::vector<std::unique_ptr<Listener>> listeners_; // the platform's listener first
     bool accepting_ = true, accept_failed_ = false;    // the latter: no descriptor was left for a client
     bool accept_pending_ = false;                      // clients are waiting for the router to make room
     std::uint64_t next_client_ = 1;
-    Tenths timer_at_ = 0, next_counts_at_ = 0, next_stall_check_at_ = 0;
-    Tenths stall_timeout_ = kTenthsPerSecond; // the longest deadline of any request class
+    Ticks timer_at_ = 0, next_counts_at_ = 0, next_stall_check_at_ = 0;
+    Ticks stall_timeout_ = kTicksPerSecond; // the longest deadline of any request class
     std::map<routing::ClientId, std::unique_ptr<Client>> clients_;
     std::set<routing::ClientId> clients_with_output_; // in this turn
     std::map<routing::ConnectionId, std::unique_ptr<Connection>> connections_;
--- a/src/program/operator_files.cpp
+++ b/src/program/operator_files.cpp
@@ -57,7 +57,7 @@
     return script::run_script(fs::path(path).filename().string(), read).result;
 }
 
-LoadedSettings load_operator_files(const std::string& path, const access::Policy* previous, Tenths wall,
+LoadedSettings load_operator_files(const std::string& path, const access::Policy* previous, Ticks wall,
                                    transport::TicketStore* tickets) {
     LoadedSettings result;
     result.settings = operators::read_operator_settings(evaluate(path));
--- a/src/program/operator_files.hpp
+++ b/src/program/operator_files.hpp
@@ -22,7 +22,7 @@
 std::string read_file(const std::string& path);           // throws std::runtime_error
 nlohmann::ordered_json evaluate(const std::string& path); // the script's result, not validated; throws
 // `wall`: the time for checking credentials; `previous`: the policy in force, or null.
-LoadedSettings load_operator_files(const std::string& path, const access::Policy* previous, Tenths wall,
+LoadedSettings load_operator_files(const std::string& path, const access::Policy* previous, Ticks wall,
                                    transport::TicketStore* tickets);
 // Throws if the access section names tenants or request classes that the configuration lacks, as they would
 // be ignored silently.
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -42,10 +42,10 @@
         const auto found = values_.find(path);
         return found == values_.end() ? default_value : std::string_view(found->second);
     }
-    Tenths duration_rounded_down(const std::string& path, std::int64_t default_value = 0) const {
-        return tenths_rounded_down(integer(path, default_value));
+    Ticks duration_rounded_down(const std::string& path, std::int64_t default_value = 0) const {
+        return ticks_rounded_down(integer(path, default_value));
     }
-    Tenths duration_rounded_up(const std::string& path) const { return tenths_rounded_up(integer(path, 0)); }
+    Ticks duration_rounded_up(const std::string& path) const { return ticks_rounded_up(integer(path, 0)); }
     std::size_t count(const std::string& path) const {
         const std::int64_t value = integer(path + ".count", 0);
         if (value > kMaxListItems) throw ProtocolError(path + ".count: too large");
@@ -147,7 +147,7 @@
     config.shards = reader.at_least_one("Specifics.Slabs", 1);
     config.idle_timeout = reader.duration_rounded_down("Limits.ConnIdleUs");
     config.watch_timeout =
-        reader.duration_rounded_down("Contract.AskWithinUs", 10 * kTenthsPerSecond * kMicrosPerTenth);
+        reader.duration_rounded_down("Contract.AskWithinUs", 10 * kTicksPerSecond * kMicrosPerTick);
     config.scheduler.list_mode = ListMode::kQueried; // over the network the server list is polled
     config.request_classes = reader.names_of_rows("Grades");
     config.tenants = reader.names_of_rows("Tenants");
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -19,8 +19,8 @@
     int batch = 1;                    // parts per call
     int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
-    Tenths idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
-    Tenths watch_timeout = 0; // list changes count as delivered to a node that has not polled for this long
+    Ticks idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
+    Ticks watch_timeout = 0; // list changes count as delivered to a node that has not polled for this long
     std::vector<std::string> request_classes, tenants, zones, kinds;
 };
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -144,7 +144,7 @@
         if (answer.retry_after > 0) {
             char seconds[32];
             std::snprintf(seconds, sizeof seconds, "%.4f",
-                          static_cast<double>(answer.retry_after) / kTenthsPerSecond);
+                          static_cast<double>(answer.retry_after) / kTicksPerSecond);
             reply.fields.emplace_back("Retry-After", seconds);
         }
         return reply;
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -45,7 +45,7 @@
     Verdict verdict = Verdict::kFailed;
     bool whole = false;
     std::vector<PartResult> results;
-    Tenths retry_after = 0; // 0: no Retry-After header
+    Ticks retry_after = 0; // 0: no Retry-After header
 };
 struct Reply { // an HTTP response, independent of the HTTP version
     int status = 200;
--- a/src/proxy/client_request.cpp
+++ b/src/proxy/client_request.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Tenths kTenthsPerMs = kTenthsPerSecond / 1000;
+constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
 constexpr std::int64_t kMaxPromptTokens = 1'000'000'000; // in total: far more than any server's memory
 
 // Hop-by-hop headers (RFC 9110, 7.6.1).
@@ -75,7 +75,7 @@
 
 } // namespace
 
-ClientRequest read_client_request(protocol::HttpMessage message, Tenths received) {
+ClientRequest read_client_request(protocol::HttpMessage message, Ticks received) {
     ClientRequest request;
     request.received = received;
     request.attempt_id = message.header("attempt-id");
@@ -86,7 +86,7 @@
     if (const std::size_t comma = counts.find(','); comma != std::string_view::npos)
         request.output_tokens = std::max<std::int64_t>(0, parse_number(counts.substr(comma + 1)).value_or(0));
     if (const auto span = parse_number(message.header("deadline-ms")); span && *span >= 0)
-        request.client_deadline = received + std::min<std::int64_t>(*span, 86'400'000) * kTenthsPerMs;
+        request.client_deadline = received + std::min<std::int64_t>(*span, 86'400'000) * kTicksPerMs;
     request.message = std::move(message);
     return request;
 }
@@ -103,7 +103,7 @@
         out.append(name).append(": ").append(value).append("\r\n");
     }
     out.append(fmt::format("target-instance: {}\r\ndeadline-ms: {}\r\n", forwarding.target_instance,
-                           std::max<Tenths>(1, forwarding.time_left / kTenthsPerMs)));
+                           std::max<Ticks>(1, forwarding.time_left / kTicksPerMs)));
     if (!forwarding.tenant.empty()) out.append("tenant: ").append(forwarding.tenant).append("\r\n");
     if (forwarding.prefill_only) out.append("serving-stage: prefill\r\n");
     if (!forwarding.kv_from.empty()) out.append("kv-from: ").append(forwarding.kv_from).append("\r\n");
--- a/src/proxy/client_request.hpp
+++ b/src/proxy/client_request.hpp
@@ -17,17 +17,17 @@
     std::string attempt_id, model, last_event_id;
     std::vector<replica_selection::PromptPart> prompt;
     std::int64_t output_tokens = 0; // maximum number of generated tokens
-    Tenths received = 0;
-    std::optional<Tenths> client_deadline; // from Deadline-Ms
+    Ticks received = 0;
+    std::optional<Ticks> client_deadline; // from Deadline-Ms
 };
 
-ClientRequest read_client_request(protocol::HttpMessage message, Tenths received);
+ClientRequest read_client_request(protocol::HttpMessage message, Ticks received);
 
 // Fields that the system adds to a forwarded request.
 struct Forwarding {
     std::string target_instance;
     std::string tenant; // of the client's key; empty: none
-    Tenths time_left = 0;
+    Ticks time_left = 0;
     bool prefill_only = false;
     std::string kv_from;       // empty: none
     std::string last_event_id; // empty: none
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kMaxUnread = 64 * 1024;
 constexpr std::size_t kMaxUnsent = 1024 * 1024;
-constexpr Tenths kTenthsPerMs = kTenthsPerSecond / 1000;
-constexpr Tenths kCloseTimeout = 20'000; // for the client to read the rest and close
-constexpr Tenths kBodyTimeout = 600'000; // for the whole body, from the start of the head
+constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
+constexpr Ticks kCloseTimeout = 20'000; // for the client to read the rest and close
+constexpr Ticks kBodyTimeout = 600'000; // for the whole body, from the start of the head
 
 protocol::HttpParser::Limits parser_limits(const model::ClientLimits& limits) {
     return {static_cast<std::size_t>(limits.max_header_bytes),
@@ -57,8 +57,8 @@
 }
 
 transport::Async<bool> ClientSession::read_request() {
-    const Tenths started_at = context_.reactor.now();
-    Tenths head_started_at = 0;
+    const Ticks started_at = context_.reactor.now();
+    Ticks head_started_at = 0;
     for (;;) {
         if (stream_.unread() && !parser_.complete() && parser_.broken() == 0) {
             stream_.feed(parser_);
@@ -75,11 +75,11 @@
         }
         if (stream_.ended() || closing_) co_return false;
         const model::ClientLimits limits = limits_of(context_);
-        Tenths until = started_at + limits.idle_timeout_ms * kTenthsPerMs;
+        Ticks until = started_at + limits.idle_timeout_ms * kTicksPerMs;
         if (parser_.head_complete())
             until = head_started_at + kBodyTimeout;
         else if (head_started_at > 0)
-            until = head_started_at + limits.header_timeout_ms * kTenthsPerMs;
+            until = head_started_at + limits.header_timeout_ms * kTicksPerMs;
         if (context_.reactor.now() >= until) {
             if (head_started_at > 0) {
                 send_error(408);
@@ -115,7 +115,7 @@
 
 // Closing with unread input would reset the connection, and the client might lose its answer.
 transport::Async<transport::Done> ClientSession::close_gracefully() {
-    const Tenths until = context_.reactor.now() + kCloseTimeout;
+    const Ticks until = context_.reactor.now() + kCloseTimeout;
     const transport::WakeAt timer(context_.reactor, until, wake_);
     while (stream_.unwritten() > 0 && !stream_.ended() && context_.reactor.now() < until) co_await wake_;
     stream_.finish();
--- a/src/proxy/connect_timeout.hpp
+++ b/src/proxy/connect_timeout.hpp
@@ -12,7 +12,7 @@
 
 class ConnectTimeout {
   public:
-    void connected(Tenths after) {
+    void connected(Ticks after) {
         const double took = static_cast<double>(after);
         if (!known_) {
             known_ = true;
@@ -25,19 +25,19 @@
     }
     void timed_out() { doublings_ = std::min(doublings_ + 1, kMaxDoublings); }
 
-    Tenths timeout(Tenths latency_target) const {
-        const Tenths bound = std::clamp(latency_target, kMinBound, kMaxBound);
+    Ticks timeout(Ticks latency_target) const {
+        const Ticks bound = std::clamp(latency_target, kMinBound, kMaxBound);
         using replica_selection::Mechanism;
         if (!known_ || !in_use(Mechanism::kConnectTimeout)) return bound;
-        const auto usual = static_cast<Tenths>(mean_ + kDeviations * deviation_);
+        const auto usual = static_cast<Ticks>(mean_ + kDeviations * deviation_);
         return std::min(bound, std::max(usual, kMinTimeout) << doublings_);
     }
 
   private:
     static constexpr double kMeanWeight = 0.125, kDeviationWeight = 0.25; // RFC 6298
     static constexpr double kDeviations = 8; // twice as many as there: an early timeout wastes a connection
-    static constexpr Tenths kMinTimeout = 200;
-    static constexpr Tenths kMinBound = 1000, kMaxBound = 5000; // of the upper bound, the latency target
+    static constexpr Ticks kMinTimeout = 200;
+    static constexpr Ticks kMinBound = 1000, kMaxBound = 5000; // of the upper bound, the latency target
     static constexpr int kMaxDoublings = 2;
 
     bool known_ = false;
--- a/src/proxy/context.hpp
+++ b/src/proxy/context.hpp
@@ -37,8 +37,8 @@
     Counters counters;
     DemandMeter demand;
     UsageMeter usage;
-    bool shutting_down = false;   // SIGTERM was received
-    Tenths shutdown_deadline = 0; // end of this process, once it is shutting down
+    bool shutting_down = false;  // SIGTERM was received
+    Ticks shutdown_deadline = 0; // end of this process, once it is shutting down
 };
 
 } // namespace ivyrill::proxy
--- a/src/proxy/demand_meter.hpp
+++ b/src/proxy/demand_meter.hpp
@@ -23,18 +23,18 @@
     void count_transfer(const std::string& service, double transfer_time) {
         windows_[service].transferred += transfer_time;
     }
-    void answer_started(const std::string& service, Tenths now) {
+    void answer_started(const std::string& service, Ticks now) {
         Window& window = windows_[service];
         window.add_answer_time(now);
         ++window.answers;
     }
-    void answer_ended(const std::string& service, Tenths now) {
+    void answer_ended(const std::string& service, Ticks now) {
         Window& window = windows_[service];
         window.add_answer_time(now);
         --window.answers;
     }
     // Demand since the last take, or since the start, without services that had none.
-    std::vector<model::ServiceDemand> take(Tenths now) {
+    std::vector<model::ServiceDemand> take(Ticks now) {
         const double elapsed = static_cast<double>(now - taken_at_);
         std::vector<model::ServiceDemand> demands;
         if (elapsed <= 0) return demands;
@@ -55,13 +55,13 @@
         double requested_transfer = 0, transferred = 0; // link time in tenths of a millisecond
         double answers = 0;                             // being generated now
         double answer_time = 0;                         // sum over all answers, up to answers_since
-        Tenths answers_since = 0;
-        void add_answer_time(Tenths now) {
+        Ticks answers_since = 0;
+        void add_answer_time(Ticks now) {
             answer_time += answers * static_cast<double>(now - answers_since);
             answers_since = now;
         }
         model::ServiceDemand demand(const std::string& service, double elapsed) const {
-            const double second = static_cast<double>(kTenthsPerSecond);
+            const double second = static_cast<double>(kTicksPerSecond);
             return {service,
                     requests / elapsed * second,
                     rejections / elapsed * second,
@@ -71,7 +71,7 @@
         }
     };
     std::map<std::string, Window> windows_; // by service
-    Tenths taken_at_ = 0;
+    Ticks taken_at_ = 0;
 };
 
 } // namespace ivyrill::proxy
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr std::size_t kMaxEventBytes = 1024 * 1024;
-constexpr Tenths kMinRetryAfter = 500; // 50 ms: minimum for a rejected client
-constexpr Tenths kNoServerRetryAfter = 3000;
+constexpr Ticks kMinRetryAfter = 500; // 50 ms: minimum for a rejected client
+constexpr Ticks kNoServerRetryAfter = 3000;
 constexpr int kMaxUnreachable = 6; // failed connects before giving up
-constexpr Tenths kTenthsPerMs = kTenthsPerSecond / 1000;
+constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
 
 } // namespace
 
@@ -31,7 +31,7 @@
     release_handle();
 }
 
-transport::Async<transport::Done> Exchange::wait(Tenths until) {
+transport::Async<transport::Done> Exchange::wait(Ticks until) {
     const transport::WakeAt timer(context_.reactor, until, wake_);
     co_await wake_;
     co_return transport::Done{};
@@ -52,8 +52,8 @@
     service_ = service ? routes_->service(*service) : nullptr;
     if (service_ == nullptr) co_return reject(kNoServerRetryAfter, "the route has no service");
     profile_ = {*service, request_.model, request_.prompt, request_.output_tokens,
-                route_->latency_target_ms * kTenthsPerMs};
-    deadline_ = request_.received + route_->timeout_ms * kTenthsPerMs;
+                route_->latency_target_ms * kTicksPerMs};
+    deadline_ = request_.received + route_->timeout_ms * kTicksPerMs;
     if (request_.client_deadline) deadline_ = std::min(deadline_, *request_.client_deadline);
     last_event_id_ = request_.last_event_id;
     if (may_outlast_shutdown()) {
@@ -276,7 +276,7 @@
     const std::string handle = std::exchange(handle_, {});
     const model::Instance* prefill_server = context_.selector.instance(prefill_server_);
     if (prefill_server == nullptr) return;
-    auto connection = context_.connections.take_idle(prefill_server_, kTenthsPerSecond);
+    auto connection = context_.connections.take_idle(prefill_server_, kTicksPerSecond);
     if (!connection) connection = context_.connections.open(prefill_server->address);
     if (!connection) return;
     connection->stream().send(
@@ -285,7 +285,7 @@
                     handle, prefill_server->address, prefill_server_));
     // The answer is ignored; the connection is freed after time to send the request.
     auto held = std::make_shared<std::unique_ptr<http::ClientConnection>>(std::move(connection));
-    context_.reactor.call_after(kTenthsPerSecond / 2, [held] { held->reset(); });
+    context_.reactor.call_after(kTicksPerSecond / 2, [held] { held->reset(); });
 }
 
 ExchangeResult Exchange::give_up() {
@@ -294,9 +294,9 @@
     return reject(kMinRetryAfter, "no server accepted the request");
 }
 
-ExchangeResult Exchange::reject(Tenths retry_after, std::string_view reason) {
+ExchangeResult Exchange::reject(Ticks retry_after, std::string_view reason) {
     ++context_.counters.rejected;
-    const double seconds = static_cast<double>(retry_after) * (1 + context_.random.unit()) / kTenthsPerSecond;
+    const double seconds = static_cast<double>(retry_after) * (1 + context_.random.unit()) / kTicksPerSecond;
     return send_own_answer(503, fmt::format("retry-after: {:.3f}\r\n", seconds), reason);
 }
 
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -59,14 +59,14 @@
                                       bool may_abandon);
     transport::Async<bool> connect(const std::string& instance, const model::Instance& record);
     transport::Async<CallResult> await_head(bool may_abandon);
-    Tenths silence_deadline() const; // when the current attempt counts as silent
+    Ticks silence_deadline() const; // when the current attempt counts as silent
     CallResult classify_head();
-    transport::Async<bool> await_whole_answer(Tenths until);
+    transport::Async<bool> await_whole_answer(Ticks until);
     transport::Async<RelayResult> relay();
     transport::Async<RelayResult> relay_events();
     transport::Async<RelayResult> relay_body();
     transport::Async<bool> await_client_room(std::size_t bytes);
-    transport::Async<transport::Done> wait(Tenths until);
+    transport::Async<transport::Done> wait(Ticks until);
 
     bool may_outlast_shutdown() const;
     // Looks up the client's key in the current configuration, unless already done for that configuration.
@@ -79,12 +79,12 @@
     bool may_abandon_attempt();
     void finish_call(bool reusable);
     void release_handle();
-    ExchangeResult reject(Tenths retry_after, std::string_view reason);
+    ExchangeResult reject(Ticks retry_after, std::string_view reason);
     ExchangeResult fail(int status, std::string_view reason);
     ExchangeResult give_up();
     ExchangeResult send_own_answer(int status, std::string fields, std::string_view reason);
     bool client_gone() const { return client_.hung_up(); }
-    Tenths now() const { return context_.reactor.now(); }
+    Ticks now() const { return context_.reactor.now(); }
 
     Context& context_;
     transport::Stream& client_;
@@ -99,7 +99,7 @@
     Caller caller_;
     std::string sent_tenant_; // to the server of the last call; empty: none
     replica_selection::Request profile_;
-    Tenths deadline_ = 0;
+    Ticks deadline_ = 0;
 
     std::set<std::string> tried_, sent_to_; // instances
     int sends_ = 0, unreachable_count_ = 0;
--- a/src/proxy/exchange_call.cpp
+++ b/src/proxy/exchange_call.cpp
@@ -11,20 +11,19 @@
 
 namespace {
 
-constexpr double kSilenceShare = 0.6;   // of the latency target: silence before another server is tried
-constexpr Tenths kSilenceResponses = 4; // ... and in expected response times
-constexpr Tenths kMaxIdleNonIdempotent =
-    20'000;                                   // a connection idle for longer may have been dropped silently
-constexpr Tenths kMaxIdleIdempotent = 60'000; // ... which is harmless if the request may be sent again
+constexpr double kSilenceShare = 0.6;  // of the latency target: silence before another server is tried
+constexpr Ticks kSilenceResponses = 4; // ... and in expected response times
+constexpr Ticks kMaxIdleNonIdempotent = 20'000; // a connection idle for longer may have been dropped silently
+constexpr Ticks kMaxIdleIdempotent = 60'000;    // ... which is harmless if the request may be sent again
 
 // Parses `timeout=N`, whole seconds.
-Tenths server_idle_timeout(std::string_view keep_alive) {
+Ticks server_idle_timeout(std::string_view keep_alive) {
     const std::size_t at = keep_alive.find("timeout=");
     if (at == std::string_view::npos) return 0;
     const std::string_view text = keep_alive.substr(at + 8);
     std::int64_t seconds = 0;
     std::from_chars(text.data(), text.data() + text.size(), seconds);
-    return std::max<Tenths>(seconds * kTenthsPerSecond, 1);
+    return std::max<Ticks>(seconds * kTicksPerSecond, 1);
 }
 
 } // namespace
@@ -41,8 +40,8 @@
     ++context_.counters.connections;
     if (!connection_) co_return false;
     connection_->stream().also_wake(&wake_);
-    const Tenths began = now();
-    const Tenths until =
+    const Ticks began = now();
+    const Ticks until =
         std::min(deadline_, began + context_.connect_timeout.timeout(profile_.latency_target));
     while (!connection_->stream().established()) {
         if (connection_->stream().ended() || client_gone()) co_return false;
@@ -118,9 +117,9 @@
     co_return end;
 }
 
-Tenths Exchange::silence_deadline() const {
-    const Tenths patience =
-        std::max(static_cast<Tenths>(kSilenceShare * static_cast<double>(profile_.latency_target)),
+Ticks Exchange::silence_deadline() const {
+    const Ticks patience =
+        std::max(static_cast<Ticks>(kSilenceShare * static_cast<double>(profile_.latency_target)),
                  kSilenceResponses * context_.selector.expected_response(attempt_));
     return context_.selector.last_activity(attempt_) + patience;
 }
@@ -171,7 +170,7 @@
     return CallResult::kAnswer;
 }
 
-transport::Async<bool> Exchange::await_whole_answer(Tenths until) {
+transport::Async<bool> Exchange::await_whole_answer(Ticks until) {
     for (;;) {
         connection_->read();
         if (connection_->parser().complete()) co_return true;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr std::size_t kMaxUnsent = 16 * 1024 * 1024; // one request with the largest configurable body
-constexpr Tenths kDeregistrationDelay =
+constexpr Ticks kDeregistrationDelay =
     26'000; // by then the platform, which checks readiness each second, has removed this node
-constexpr Tenths kShutdownMargin = 5000; // before SIGKILL
-constexpr Tenths kShutdownCheckInterval = 500;
-constexpr Tenths kLogInterval = 100'000;
-constexpr Tenths kDemandInterval = 10'000;
-constexpr Tenths kUsageInterval = 2500; // counts since the last one are lost if the process is killed
-constexpr Tenths kFlushDelay = 500;     // for the last message to be written
+constexpr Ticks kShutdownMargin = 5000; // before SIGKILL
+constexpr Ticks kShutdownCheckInterval = 500;
+constexpr Ticks kLogInterval = 100'000;
+constexpr Ticks kDemandInterval = 10'000;
+constexpr Ticks kUsageInterval = 2500; // counts since the last one are lost if the process is killed
+constexpr Ticks kFlushDelay = 500;     // for the last message to be written
 
 std::uint64_t random_seed() {
     std::random_device device;
@@ -28,7 +28,7 @@
 
 replica_selection::RetryBudget::Limits budget_terms(const settings::Bounds& bounds) {
     return {bounds.retry_budget_ratio, static_cast<double>(bounds.retry_slack),
-            static_cast<Tenths>(bounds.retry_window_s * kTenthsPerSecond)};
+            static_cast<Ticks>(bounds.retry_window_s * kTicksPerSecond)};
 }
 
 } // namespace
@@ -66,7 +66,7 @@
 void Proxy::open_feed() {
     feed::Subscriber::Options options;
     options.node = {settings_.node_name, settings_.zone, settings_.ip, random_seed()};
-    options.initial_backoff = kTenthsPerSecond / 10, options.max_backoff = kTenthsPerSecond / 4;
+    options.initial_backoff = kTicksPerSecond / 10, options.max_backoff = kTicksPerSecond / 4;
     feed::Subscriber::Callbacks callbacks;
     callbacks.publishers = [this] { return std::vector<std::string>{feed::local_feed_address(settings_)}; };
     callbacks.applied = [this](const feed::Tables::Applied& applied) { this->applied(applied); };
@@ -145,12 +145,12 @@
     stop_when_idle();
 }
 
-Tenths Proxy::grace() const { return static_cast<Tenths>(settings_.bounds.grace_s * kTenthsPerSecond); }
+Ticks Proxy::grace() const { return static_cast<Ticks>(settings_.bounds.grace_s * kTicksPerSecond); }
 
 // Accepts connections until the platform has removed this node, then waits for open requests, within the
 // grace period.
 void Proxy::stop_when_idle() {
-    const Tenths passed = reactor_.now() - shutdown_since_;
+    const Ticks passed = reactor_.now() - shutdown_since_;
     if (passed >= std::min(kDeregistrationDelay, grace() / 2)) {
         front_.reset();
         for (ClientSession& session : sessions_) session.close_if_idle();
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -30,7 +30,7 @@
     void applied(const feed::Tables::Applied& applied);
     bool ready() const { return context_.routes != nullptr && !context_.shutting_down; }
     void stop_when_idle();
-    Tenths grace() const; // from SIGTERM to SIGKILL by the platform
+    Ticks grace() const; // from SIGTERM to SIGKILL by the platform
     void log_counters();
     void send_demand(); // to the agent, which forwards it to all control nodes
     void send_usage();  // likewise
@@ -45,7 +45,7 @@
     std::unique_ptr<http::CallServer> ready_server_;
     std::list<ClientSession> sessions_;
     std::unique_ptr<transport::Listener> front_;
-    Tenths shutdown_since_ = 0;
+    Ticks shutdown_since_ = 0;
     std::uint64_t logged_requests_ = 0;
     transport::Reactor::TimerId timer_{}, log_timer_{}, demand_timer_{}, usage_timer_{};
 };
--- a/src/proxy/server_connections.cpp
+++ b/src/proxy/server_connections.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Tenths kCloseInterval = 5000;
-constexpr Tenths kMaxIdle = 60'000;    // if the server states no idle timeout
-constexpr Tenths kIdleMargin = 10'000; // before the server's own idle timeout, which is in whole seconds
+constexpr Ticks kCloseInterval = 5000;
+constexpr Ticks kMaxIdle = 60'000;    // if the server states no idle timeout
+constexpr Ticks kIdleMargin = 10'000; // before the server's own idle timeout, which is in whole seconds
 
-bool idle_too_long(const http::ClientConnection& connection, Tenths now) {
-    const Tenths bound = connection.server_idle_timeout > 0
-                             ? std::min(kMaxIdle, connection.server_idle_timeout - kIdleMargin)
-                             : kMaxIdle;
+bool idle_too_long(const http::ClientConnection& connection, Ticks now) {
+    const Ticks bound = connection.server_idle_timeout > 0
+                            ? std::min(kMaxIdle, connection.server_idle_timeout - kIdleMargin)
+                            : kMaxIdle;
     return now - connection.idle_since >= bound;
 }
 
@@ -25,7 +25,7 @@
 void ServerConnections::start() { close_idle(); }
 
 std::unique_ptr<http::ClientConnection> ServerConnections::take_idle(const std::string& instance,
-                                                                     Tenths max_idle) {
+                                                                     Ticks max_idle) {
     const auto found = idle_.find(instance);
     if (found == idle_.end()) return nullptr;
     auto& connections = found->second;
--- a/src/proxy/server_connections.hpp
+++ b/src/proxy/server_connections.hpp
@@ -19,7 +19,7 @@
     ~ServerConnections();
 
     // A connection that has been idle for at most `max_idle` and has no pending input; null if there is none.
-    std::unique_ptr<http::ClientConnection> take_idle(const std::string& instance, Tenths max_idle);
+    std::unique_ptr<http::ClientConnection> take_idle(const std::string& instance, Ticks max_idle);
     std::unique_ptr<http::ClientConnection> open(const std::string& address);
     void release(const std::string& instance, std::unique_ptr<http::ClientConnection> connection);
     // Closes a connection in use. A running coroutine may refer to it, so it is freed in a later turn.
--- a/src/proxy/usage_meter.hpp
+++ b/src/proxy/usage_meter.hpp
@@ -22,10 +22,10 @@
     UsageMeter(std::uint64_t process, std::int64_t window_ms) : process_(process), window_ms_(window_ms) {}
 
     bool is_enabled() const { return window_ms_ > 0; }
-    void update_fleet_time(const clock::FleetTime& time, Tenths now) { clock_.update(time, now); }
+    void update_fleet_time(const clock::FleetTime& time, Ticks now) { clock_.update(time, now); }
 
     // The first token of a request of that tenant has arrived; called once per request. Empty: no tenant.
-    void count_started(const std::string& tenant, Tenths now) {
+    void count_started(const std::string& tenant, Ticks now) {
         if (!is_enabled() || tenant.empty()) return;
         const auto time = clock_.at(now);
         if (!time) {
@@ -43,7 +43,7 @@
     // Updates to send now: tenants whose count has grown since the last take; each second also the time up to
     // which this process has counted, with the totals of the last two windows. `last`: this process stops
     // counting.
-    std::vector<model::ProcessUsage> take(Tenths now, bool last = false) {
+    std::vector<model::ProcessUsage> take(Ticks now, bool last = false) {
         std::vector<model::ProcessUsage> updates;
         const auto time = clock_.at(now);
         if (!is_enabled() || !time) return updates;
@@ -87,7 +87,7 @@
         std::vector<Counts::value_type*> changed;
         std::int64_t total = 0;
     };
-    static constexpr Tenths kProgressInterval = kTenthsPerSecond;
+    static constexpr Ticks kProgressInterval = kTicksPerSecond;
     static constexpr std::int64_t kRetentionMs = 20'000;
 
     static std::vector<model::TenantCount> changes(Window& window) {
@@ -109,7 +109,7 @@
     clock::SyncedClock clock_;
     std::map<std::int64_t, Window> windows_;
     std::int64_t counted_until_ms_ = 0; // as sent
-    Tenths progress_at_ = 0;
+    Ticks progress_at_ = 0;
     std::uint64_t without_time_ = 0;
 };
 
--- a/src/recovery/capacity_estimator.cpp
+++ b/src/recovery/capacity_estimator.cpp
@@ -5,7 +5,7 @@
 
 namespace ivyrill::recovery {
 
-void CapacityEstimator::add_rate(Tenths now, double power, double rate) {
+void CapacityEstimator::add_rate(Ticks now, double power, double rate) {
     const double elapsed = last_rate_at_ == 0 ? 0 : static_cast<double>(now - last_rate_at_);
     last_rate_at_ = now;
     observed_rate_ *= std::exp2(-elapsed / (kRateHalfLife * static_cast<double>(options_.latency_target)));
@@ -29,17 +29,17 @@
 
 double CapacityEstimator::estimate_from_reports() const {
     if (report_count_ < kMinSamples || saturation_parallelism_ < 1 || service_time_ <= 0) return 0;
-    return saturation_parallelism_ * static_cast<double>(kTenthsPerSecond) / service_time_;
+    return saturation_parallelism_ * static_cast<double>(kTicksPerSecond) / service_time_;
 }
 
 void CapacityEstimator::reset_correction() { correction_ = 1, in_time_ = missed_ = 0; }
 
-void CapacityEstimator::add_results(Tenths now, std::uint64_t in_time, std::uint64_t missed,
+void CapacityEstimator::add_results(Ticks now, std::uint64_t in_time, std::uint64_t missed,
                                     bool all_healthy) {
     in_time_ += in_time, missed_ += missed;
     if (in_time_ + missed_ < kMinSamples) return;
     if (now < last_correction_at_ +
-                  static_cast<Tenths>(kCorrectionInterval * static_cast<double>(options_.latency_target)))
+                  static_cast<Ticks>(kCorrectionInterval * static_cast<double>(options_.latency_target)))
         return;
     const double share = static_cast<double>(missed_) / static_cast<double>(in_time_ + missed_);
     const double excess = share - usual_miss_share_;
--- a/src/recovery/capacity_estimator.hpp
+++ b/src/recovery/capacity_estimator.hpp
@@ -9,8 +9,8 @@
 namespace ivyrill::recovery {
 
 struct CapacityOptions {
-    double configured = 0;     // parts per second of a server of power 1; 0: not configured
-    Tenths latency_target = 0; // the shortest of all request classes
+    double configured = 0;    // parts per second of a server of power 1; 0: not configured
+    Ticks latency_target = 0; // the shortest of all request classes
 };
 
 class CapacityEstimator {
@@ -19,12 +19,12 @@
 
     // Called once per check. `power`: sum over the servers in service; `rate`: parts per second answered by
     // the whole fleet, as far as known.
-    void add_rate(Tenths now, double power, double rate);
+    void add_rate(Ticks now, double power, double rate);
     // Counts of one server of that power.
     void add_reports(const ServerCounts& counts, double power);
     // Results of the searches admitted since the last call; `missed` are late, failed or rejected. While all
     // sites are healthy this only updates the usual share of misses, which does not indicate overload.
-    void add_results(Tenths now, std::uint64_t in_time, std::uint64_t missed, bool all_healthy);
+    void add_results(Ticks now, std::uint64_t in_time, std::uint64_t missed, bool all_healthy);
     // Called when a site becomes unavailable: a correction from a period of low load does not apply.
     void reset_correction();
 
@@ -38,7 +38,7 @@
     double observed_rate_ = 0, correction_ = 1, saturation_parallelism_ = 0, service_time_ = 0,
            usual_miss_share_ = 0;
     std::uint64_t report_count_ = 0;
-    Tenths last_rate_at_ = 0, last_correction_at_ = 0;
+    Ticks last_rate_at_ = 0, last_correction_at_ = 0;
     std::uint64_t in_time_ = 0, missed_ = 0;
 
     static constexpr double kIdleHeadroom =
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -66,29 +66,29 @@
     return true;
 }
 
-FailoverController::FailoverController(FailoverOptions options, Tenths now)
+FailoverController::FailoverController(FailoverOptions options, Ticks now)
     : options_(std::move(options)), now_(now), rng_(options_.seed ^ 0x51e5ULL),
       monitor_(monitor_options(options_)), peer_reports_(peer_report_options(options_)),
       capacity_({options_.configured_capacity, options_.latency_target}), next_check_(now),
       // A random offset, so that front nodes that start together don't send together.
-      next_report_(now + static_cast<Tenths>(rng_.unit() * static_cast<double>(options_.report_interval))),
+      next_report_(now + static_cast<Ticks>(rng_.unit() * static_cast<double>(options_.report_interval))),
       last_check_(now) {}
 
 void FailoverController::log_line(std::string event, std::vector<std::pair<std::string, std::string>> fields,
                                   bool is_error) {
-    fields.emplace_back("at_ms", std::to_string(wall_ * 1000 / kTenthsPerSecond));
+    fields.emplace_back("at_ms", std::to_string(wall_ * 1000 / kTicksPerSecond));
     effects_.emplace_back(SiteLogLine{is_error, std::move(event), std::move(fields)});
 }
 
 // ---- inputs
 
-void FailoverController::update_servers(Tenths now, const std::map<std::string, ListedServer>& servers) {
+void FailoverController::update_servers(Ticks now, const std::map<std::string, ListedServer>& servers) {
     now_ = std::max(now_, now);
     servers_ = servers;
     monitor_.update_servers(now_, servers);
 }
 
-void FailoverController::add_counts(Tenths now, const TrafficCounts& counts) {
+void FailoverController::add_counts(Ticks now, const TrafficCounts& counts) {
     now_ = std::max(now_, now);
     monitor_.add_counts(now_, counts);
     since_check_.add(counts), since_line_.add(counts);
@@ -101,7 +101,7 @@
     }
 }
 
-void FailoverController::receive_report(Tenths now, std::string_view bytes) {
+void FailoverController::receive_report(Ticks now, std::string_view bytes) {
     now_ = std::max(now_, now);
     auto report = decode_site_report(bytes);
     if (!report) return void(++counts_.malformed);
@@ -110,7 +110,7 @@
     peer_reports_.receive_report(now_, std::move(*report));
 }
 
-void FailoverController::set_peers(Tenths now, const std::set<std::string>& peers) {
+void FailoverController::set_peers(Ticks now, const std::set<std::string>& peers) {
     now_ = std::max(now_, now);
     peers_ = peers;
     peer_reports_.set_peers(now_, peers);
@@ -137,12 +137,12 @@
 
 // ---- periodic work
 
-void FailoverController::step(Tenths now, Tenths wall) {
+void FailoverController::step(Ticks now, Ticks wall) {
     now_ = std::max(now_, now), wall_ = wall;
     if (now_ >= next_check_) {
         next_check_ =
-            now_ + std::max<Tenths>(
-                       1, static_cast<Tenths>(kCheckInterval * static_cast<double>(options_.latency_target)));
+            now_ + std::max<Ticks>(
+                       1, static_cast<Ticks>(kCheckInterval * static_cast<double>(options_.latency_target)));
         update_estimates();
         for (const SiteTransition& transition : monitor_.evaluate(now_, peer_reports_.observations(now_))) {
             ++counts_.transitions;
@@ -161,7 +161,7 @@
 }
 
 void FailoverController::update_estimates() {
-    const double elapsed_s = static_cast<double>(now_ - last_check_) / static_cast<double>(kTenthsPerSecond);
+    const double elapsed_s = static_cast<double>(now_ - last_check_) / static_cast<double>(kTicksPerSecond);
     if (elapsed_s <= 0) return;
     last_check_ = now_;
     // A fixed number of checks enters the average, whatever the time between them.
@@ -214,16 +214,16 @@
 
 // Sends to a few randomly chosen peers, so the received reports are a fair sample of the fleet.
 void FailoverController::send_reports() {
-    next_report_ = now_ + static_cast<Tenths>(static_cast<double>(options_.report_interval) *
-                                              (0.75 + 0.5 * rng_.unit()));
+    next_report_ =
+        now_ + static_cast<Ticks>(static_cast<double>(options_.report_interval) * (0.75 + 0.5 * rng_.unit()));
     SiteReport report;
     report.from = options_.name, report.home_site = options_.home_site;
     report_serial_ = std::max(report_serial_ + 1, static_cast<std::uint64_t>(wall_));
     report.serial = report_serial_;
     for (const auto& [site, status] : monitor_.sites()) {
         const auto activity = site_activity_.find(site);
-        const Tenths answered = activity == site_activity_.end() ? 0 : activity->second.first;
-        const Tenths unanswered = activity == site_activity_.end() ? 0 : activity->second.second;
+        const Ticks answered = activity == site_activity_.end() ? 0 : activity->second.first;
+        const Ticks unanswered = activity == site_activity_.end() ? 0 : activity->second.second;
         report.rows.push_back(
             {site, status.state, answered > 0 && now_ <= answered + options_.report_interval,
              unanswered > 0 && now_ <= unanswered + options_.report_interval, site_share(site)});
@@ -354,8 +354,8 @@
     for (const auto& [site, status] : monitor_.sites()) shares[site] = site_share(site);
     if (!active_ || shares != planned_shares_ || now_ >= next_plan_) {
         next_plan_ =
-            now_ + static_cast<Tenths>(kReplanInterval * static_cast<double>(options_.latency_target) *
-                                       (0.75 + 0.5 * rng_.unit()));
+            now_ + static_cast<Ticks>(kReplanInterval * static_cast<double>(options_.latency_target) *
+                                      (0.75 + 0.5 * rng_.unit()));
         planned_shares_ = std::move(shares);
         plan_ = plan_without(plan_input(), unavailable_sites());
         ++counts_.plans;
@@ -368,7 +368,7 @@
     }
     if (now_ < next_load_line_) return;
     next_load_line_ =
-        now_ + static_cast<Tenths>(kLoadLineInterval * static_cast<double>(options_.latency_target));
+        now_ + static_cast<Ticks>(kLoadLineInterval * static_cast<double>(options_.latency_target));
     std::uint64_t asked = 0, delivered = 0, rejected = 0;
     for (const auto& [key, counts] : since_line_.classes)
         asked += counts.asked, delivered += counts.delivered, rejected += counts.rejected;
@@ -436,7 +436,7 @@
         if (!only.empty() && site != only) continue;
         Json row{{"site", site},
                  {"state", name_of(status.state)},
-                 {"for_ms", (now_ - status.state_since) * 1000 / kTenthsPerSecond},
+                 {"for_ms", (now_ - status.state_since) * 1000 / kTicksPerSecond},
                  {"servers", status.servers},
                  {"well", status.answering},
                  {"silent", status.silent},
@@ -448,7 +448,7 @@
             row["order"] = {{"kind", name_of(site_override->kind)},
                             {"by", site_override->by},
                             {"why", site_override->why},
-                            {"left_ms", (site_override->until - wall_) * 1000 / kTenthsPerSecond}};
+                            {"left_ms", (site_override->until - wall_) * 1000 / kTicksPerSecond}};
         Json others = Json::object();
         for (const auto& [name, other] : peer_reports_.latest())
             for (const auto& row_of_other : other.report.rows)
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -25,15 +25,15 @@
     std::vector<std::string> request_classes, tenants, zones; // in the search scheduler's order
     std::map<std::string, RequestClassInfo> request_class_info;
     std::map<std::string, double> quotas;
-    Tenths latency_target = 0; // the shortest of all request classes
-    Tenths warm_up_time = 0;   // after a server's start
+    Ticks latency_target = 0; // the shortest of all request classes
+    Ticks warm_up_time = 0;   // after a server's start
     double cold_capacity_ratio = 1;
-    Tenths max_retry_after = 0;
+    Ticks max_retry_after = 0;
     int configured_nodes = 1;
     int shards = 1;
-    Tenths report_interval = kTenthsPerSecond; // between two reports
-    int report_fanout = 3;                     // peers that each report is sent to
-    double configured_capacity = 0;            // parts per second of a warm server of power 1; 0: estimated
+    Ticks report_interval = kTicksPerSecond; // between two reports
+    int report_fanout = 3;                   // peers that each report is sent to
+    double configured_capacity = 0;          // parts per second of a warm server of power 1; 0: estimated
     double headroom = 0.9;
     std::map<std::pair<SiteName, SiteName>, double> costs, links;
 };
@@ -55,17 +55,17 @@
 
 class FailoverController {
   public:
-    FailoverController(FailoverOptions options, Tenths now);
+    FailoverController(FailoverOptions options, Ticks now);
 
-    void update_servers(Tenths now, const std::map<std::string, ListedServer>& servers);
-    void add_counts(Tenths now, const TrafficCounts& counts);
-    void receive_report(Tenths now, std::string_view bytes); // the sender must be a member
-    void set_peers(Tenths now, const std::set<std::string>& peers);
+    void update_servers(Ticks now, const std::map<std::string, ListedServer>& servers);
+    void add_counts(Ticks now, const TrafficCounts& counts);
+    void receive_report(Ticks now, std::string_view bytes); // the sender must be a member
+    void set_peers(Ticks now, const std::set<std::string>& peers);
     void set_planned_absences(const std::set<std::string>& servers);
     // Returns why the override was refused, or an empty text.
     std::string apply_override(const SiteOverride& site_override);
-    void step(Tenths now, Tenths wall);
-    Tenths next_step() const { return std::min(next_check_, next_report_); }
+    void step(Ticks now, Ticks wall);
+    Ticks next_step() const { return std::min(next_check_, next_report_); }
     std::vector<FailoverEffect> take_effects() { return std::exchange(effects_, {}); }
 
     // Answers an operator's query; `verb` is show, plan or explain.
@@ -105,7 +105,7 @@
     static constexpr double kMinChange = 0.02; // smaller changes don't update the policy
 
     FailoverOptions options_;
-    Tenths now_, wall_ = 0;
+    Ticks now_, wall_ = 0;
     Pcg rng_;
     SiteMonitor monitor_;
     PeerReports peer_reports_;
@@ -113,15 +113,15 @@
     std::map<std::string, ListedServer> servers_;
     TrafficCounts since_check_;
     Demand own_demand_;
-    std::map<int, double> own_shard_rates_;                       // parts per second
-    double own_answer_rate_ = 0;                                  // answered parts per second
-    std::map<SiteName, std::pair<Tenths, Tenths>> site_activity_; // last answered, last unanswered
+    std::map<int, double> own_shard_rates_;                     // parts per second
+    double own_answer_rate_ = 0;                                // answered parts per second
+    std::map<SiteName, std::pair<Ticks, Ticks>> site_activity_; // last answered, last unanswered
     std::set<std::string> peers_;
-    Tenths next_check_, next_report_, last_check_, next_load_line_ = 0;
+    Ticks next_check_, next_report_, last_check_, next_load_line_ = 0;
     std::uint64_t report_serial_ = 0;
     Plan plan_;
     std::map<SiteName, double> planned_shares_; // for which plan_ was made
-    Tenths next_plan_ = 0;
+    Ticks next_plan_ = 0;
     FailoverPolicyUpdate policy_;
     bool active_ = false;
     TrafficCounts since_line_;
--- a/src/recovery/failover_policy.cpp
+++ b/src/recovery/failover_policy.cpp
@@ -11,7 +11,7 @@
     for (const auto& row : policy_update.rows) admission_rows_[{row.request_class, row.tenant}] = row;
     for (const auto& [shard, share] : policy_update.capacity_shares) capacity_share_[shard] = share;
     attempt_budget_share_ = std::clamp(policy_update.attempt_budget_share, 0.0, 1.0);
-    max_retry_after_ = std::max<Tenths>(0, policy_update.retry_after);
+    max_retry_after_ = std::max<Ticks>(0, policy_update.retry_after);
 }
 
 double FailoverPolicy::site_share(ZoneNo zone) const {
@@ -60,9 +60,9 @@
     }
 }
 
-Tenths FailoverPolicy::retry_after(Tenths usual, Pcg& rng) const {
+Ticks FailoverPolicy::retry_after(Ticks usual, Pcg& rng) const {
     if (max_retry_after_ <= usual) return usual;
-    return usual + static_cast<Tenths>(rng.unit() * static_cast<double>(max_retry_after_ - usual));
+    return usual + static_cast<Ticks>(rng.unit() * static_cast<double>(max_retry_after_ - usual));
 }
 
 } // namespace ivyrill::recovery
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -34,7 +34,7 @@
     // Share of the budget for further attempts that may be used.
     double attempt_budget_share() const { return attempt_budget_share_; }
     // Delay to advise to a rejected client: random, so that clients don't return at the same time.
-    Tenths retry_after(Tenths usual, Pcg& rng) const;
+    Ticks retry_after(Ticks usual, Pcg& rng) const;
 
   private:
     double site_share(ZoneNo zone) const;
@@ -45,7 +45,7 @@
     std::map<std::pair<RequestClassNo, TenantNo>, FailoverPolicyUpdate::Row> admission_rows_;
     std::map<ShardNo, double> capacity_share_;
     double attempt_budget_share_ = 1;
-    Tenths max_retry_after_ = 0;
+    Ticks max_retry_after_ = 0;
 };
 
 } // namespace ivyrill::recovery
--- a/src/recovery/peer_reports.cpp
+++ b/src/recovery/peer_reports.cpp
@@ -4,7 +4,7 @@
 
 namespace ivyrill::recovery {
 
-void PeerReports::receive_report(Tenths now, SiteReport report) {
+void PeerReports::receive_report(Ticks now, SiteReport report) {
     if (report.from == options_.name || report.from.empty()) return;
     if (reports_.size() >= kMaxReports && !reports_.contains(report.from)) return;
     ReceivedReport& other = reports_[report.from];
@@ -15,7 +15,7 @@
     other = {std::move(report), now};
 }
 
-void PeerReports::set_peers(Tenths now, const std::set<std::string>& names) {
+void PeerReports::set_peers(Ticks now, const std::set<std::string>& names) {
     peers_ = names;
     if (!names.empty()) had_peers_ = true;
     // Without any peer this node may itself be cut off: it keeps the last known number.
@@ -27,12 +27,12 @@
     });
 }
 
-std::size_t PeerReports::fresh_reports(Tenths now) const {
+std::size_t PeerReports::fresh_reports(Ticks now) const {
     return static_cast<std::size_t>(std::ranges::count_if(
         reports_, [&](const auto& entry) { return is_fresh(entry.second, now, kObservationLifetime); }));
 }
 
-std::map<SiteName, PeerObservations> PeerReports::observations(Tenths now) const {
+std::map<SiteName, PeerObservations> PeerReports::observations(Ticks now) const {
     std::map<SiteName, PeerObservations> result;
     for (const auto& [name, other] : reports_) {
         if (!is_fresh(other, now, kObservationLifetime)) continue;
@@ -48,14 +48,14 @@
     return result;
 }
 
-double PeerReports::answer_rate(Tenths now, double own) const {
+double PeerReports::answer_rate(Ticks now, double own) const {
     double sum = 0, count = 0;
     for (const auto& [name, other] : reports_)
         if (is_fresh(other, now, kDemandLifetime)) sum += other.report.answer_rate, ++count;
     return own + (count > 0 ? sum / count : own) * (node_count_ - 1);
 }
 
-Demand PeerReports::demand(Tenths now, const Demand& own) const {
+Demand PeerReports::demand(Ticks now, const Demand& own) const {
     struct Sum {
         double searches = 0, parts = 0;
     };
@@ -97,7 +97,7 @@
     return result;
 }
 
-std::map<SiteName, double> PeerReports::origins(Tenths now) const {
+std::map<SiteName, double> PeerReports::origins(Ticks now) const {
     std::map<SiteName, double> result;
     if (!options_.home_site.empty()) result[options_.home_site] += 1;
     for (const auto& [name, other] : reports_)
@@ -109,7 +109,7 @@
     return result;
 }
 
-bool PeerReports::apply_override(Tenths wall, const SiteOverride& site_override) {
+bool PeerReports::apply_override(Ticks wall, const SiteOverride& site_override) {
     if (site_override.site.empty() ||
         (site_override.kind != SiteOverride::Kind::kNone && site_override.until <= wall))
         return false;
@@ -120,13 +120,13 @@
     return true;
 }
 
-const SiteOverride* PeerReports::override_for(const SiteName& site, Tenths wall) const {
+const SiteOverride* PeerReports::override_for(const SiteName& site, Ticks wall) const {
     const auto found = overrides_.find(site);
     if (found == overrides_.end() || found->second.kind == SiteOverride::Kind::kNone) return nullptr;
     return found->second.until > wall ? &found->second : nullptr;
 }
 
-std::vector<SiteOverride> PeerReports::overrides(Tenths wall) const {
+std::vector<SiteOverride> PeerReports::overrides(Ticks wall) const {
     std::vector<SiteOverride> result;
     for (const auto& [site, site_override] : overrides_)
         if (site_override.kind == SiteOverride::Kind::kNone ? wall < site_override.until + kReleaseLifetime
--- a/src/recovery/site_monitor.cpp
+++ b/src/recovery/site_monitor.cpp
@@ -12,7 +12,7 @@
 
 // ---- inputs
 
-void SiteMonitor::update_servers(Tenths now, const std::map<std::string, ListedServer>& servers) {
+void SiteMonitor::update_servers(Ticks now, const std::map<std::string, ListedServer>& servers) {
     for (const auto& [name, listed] : servers) {
         Server& server = servers_[name];
         const bool was_live = server.listed.live && server.listed_since != 0;
@@ -48,7 +48,7 @@
     });
 }
 
-void SiteMonitor::add_counts(Tenths now, const TrafficCounts& traffic) {
+void SiteMonitor::add_counts(Ticks now, const TrafficCounts& traffic) {
     for (const auto& [name, counts] : traffic.servers) {
         const auto found = servers_.find(name);
         if (found == servers_.end()) continue;
@@ -75,7 +75,7 @@
     }
 }
 
-bool SiteMonitor::is_silent(const std::string& name, Tenths now) const {
+bool SiteMonitor::is_silent(const std::string& name, Ticks now) const {
     const auto found = servers_.find(name);
     if (found == servers_.end()) return false;
     return found->second.unanswered >= 2 && now >= found->second.answered_at + silence_threshold();
@@ -88,16 +88,16 @@
 
 // ---- states
 
-Tenths SiteMonitor::min_step_duration() const {
+Ticks SiteMonitor::min_step_duration() const {
     return std::max(fraction_of_target(0.5),
-                    static_cast<Tenths>(static_cast<double>(options_.warm_up_time) * kStepShareOfColdSpan));
+                    static_cast<Ticks>(static_cast<double>(options_.warm_up_time) * kStepShareOfColdSpan));
 }
 
-Tenths SiteMonitor::return_delay(int relapses) const {
+Ticks SiteMonitor::return_delay(int relapses) const {
     return fraction_of_target(kReturnDelay) << std::min(relapses, kMaxRelapses);
 }
 
-double SiteMonitor::traffic_share(const SiteName& name, Tenths now) const {
+double SiteMonitor::traffic_share(const SiteName& name, Ticks now) const {
     const auto found = sites_.find(name);
     if (found == sites_.end()) return 1;
     const SiteStatus& status = found->second;
@@ -108,7 +108,7 @@
     case SiteState::kPartitioned:
     case SiteState::kLost: {
         // Periodic trial attempts, as a recovery might not be noticed otherwise.
-        const Tenths period = fraction_of_target(kTrialInterval);
+        const Ticks period = fraction_of_target(kTrialInterval);
         return (now - status.state_since) % period >= period - fraction_of_target(0.25) ? kTrialShare : 0;
     }
     case SiteState::kRecovering:
@@ -119,7 +119,7 @@
     return 1;
 }
 
-void SiteMonitor::count_servers(Tenths now) {
+void SiteMonitor::count_servers(Ticks now) {
     for (auto& [name, status] : sites_)
         status.servers = status.answering = status.silent = status.missing = 0;
     for (const auto& [name, server] : servers_) {
@@ -135,7 +135,7 @@
     }
 }
 
-std::vector<SiteTransition> SiteMonitor::evaluate(Tenths now,
+std::vector<SiteTransition> SiteMonitor::evaluate(Ticks now,
                                                   const std::map<SiteName, PeerObservations>& peers) {
     count_servers(now);
     std::vector<SiteTransition> transitions;
@@ -159,7 +159,7 @@
     });
 }
 
-void SiteMonitor::update_state(Tenths now, const SiteName& name, SiteStatus& status,
+void SiteMonitor::update_state(Ticks now, const SiteName& name, SiteStatus& status,
                                const PeerObservations& peers, std::vector<SiteTransition>& transitions) {
     SiteActivity& activity = activity_[name];
     const double servers = std::max(1, status.servers), failing = (status.silent + status.missing) / servers;
@@ -216,7 +216,7 @@
                                                  : "its servers are listed again",
                                 transitions);
         if (reached_by_peers != (status.state == SiteState::kPartitioned)) {
-            const Tenths state_since = status.state_since;
+            const Ticks state_since = status.state_since;
             change_state(now, name, status, reached_by_peers ? SiteState::kPartitioned : SiteState::kLost,
                          evidence, transitions);
             status.state_since = state_since; // unavailable since the same time
@@ -261,7 +261,7 @@
     }
 }
 
-void SiteMonitor::change_state(Tenths now, const SiteName& name, SiteStatus& status, SiteState to,
+void SiteMonitor::change_state(Ticks now, const SiteName& name, SiteStatus& status, SiteState to,
                                std::string evidence, std::vector<SiteTransition>& transitions) {
     SiteActivity& activity = activity_[name];
     transitions.push_back({name, status.state, to, evidence});
--- a/src/recovery/site_monitor.hpp
+++ b/src/recovery/site_monitor.hpp
@@ -15,8 +15,8 @@
 
 struct SiteMonitorOptions {
     SiteName home_site;
-    Tenths latency_target = 0; // the shortest of all request classes
-    Tenths warm_up_time = 0;   // after a server's start
+    Ticks latency_target = 0; // the shortest of all request classes
+    Ticks warm_up_time = 0;   // after a server's start
 };
 
 // What front nodes of other sites recently reported about one site.
@@ -33,12 +33,12 @@
 
 struct SiteStatus {
     SiteState state = SiteState::kHealthy;
-    Tenths state_since = 0;
+    Ticks state_since = 0;
     int servers = 0, answering = 0, silent = 0, missing = 0; // at the last check
     int relapses = 0;
-    Tenths ramp_allowed_at = 0; // end of the return delay
-    int ramp_step = 0;          // from 0 to kReturnSteps - 1
-    Tenths ramp_step_since = 0;
+    Ticks ramp_allowed_at = 0; // end of the return delay
+    int ramp_step = 0;         // from 0 to kReturnSteps - 1
+    Ticks ramp_step_since = 0;
     std::string evidence;
 };
 
@@ -46,18 +46,18 @@
   public:
     explicit SiteMonitor(SiteMonitorOptions options) : options_(std::move(options)) {}
 
-    void update_servers(Tenths now, const std::map<std::string, ListedServer>& servers);
-    void add_counts(Tenths now, const TrafficCounts& traffic);
+    void update_servers(Ticks now, const std::map<std::string, ListedServer>& servers);
+    void add_counts(Ticks now, const TrafficCounts& traffic);
     // Servers under maintenance are ignored.
     void set_planned_absences(std::set<std::string> names) { planned_absences_ = std::move(names); }
-    std::vector<SiteTransition> evaluate(Tenths now, const std::map<SiteName, PeerObservations>& peers);
+    std::vector<SiteTransition> evaluate(Ticks now, const std::map<SiteName, PeerObservations>& peers);
 
     const std::map<SiteName, SiteStatus>& sites() const { return sites_; }
     SiteState state(const SiteName& site) const;
     // Share of the replica selections in which the site's servers take part.
-    double traffic_share(const SiteName& site, Tenths now) const;
-    bool is_silent(const std::string& server, Tenths now) const;
-    Tenths next_check(Tenths now) const { return now + options_.latency_target / 8; }
+    double traffic_share(const SiteName& site, Ticks now) const;
+    bool is_silent(const std::string& server, Ticks now) const;
+    Ticks next_check(Ticks now) const { return now + options_.latency_target / 8; }
     const SiteMonitorOptions& options() const { return options_; }
 
     static constexpr int kReturnSteps = 4; // shares 1/8, 1/4, 1/2, 1
@@ -66,28 +66,28 @@
     struct Server {
         ListedServer listed;
         bool missing = false; // left the list without having drained
-        Tenths missing_since = 0, listed_since = 0, answered_at = 0, last_counted_launch = 0;
+        Ticks missing_since = 0, listed_since = 0, answered_at = 0, last_counted_launch = 0;
         std::uint32_t unanswered = 0; // attempts since its last answer
     };
     struct SiteActivity {
-        Tenths answered_at = 0, run_began_at = 0;
+        Ticks answered_at = 0, run_began_at = 0;
         std::uint32_t consecutive_unanswered = 0; // since the last answer of any of its servers
         std::set<std::string> run_servers;        // servers of these attempts
         std::uint32_t good = 0, bad = 0;          // since the last state or step change
-        Tenths healthy_since = 0;
+        Ticks healthy_since = 0;
     };
-    Tenths silence_threshold() const { return fraction_of_target(kSilenceThreshold); }
-    Tenths fraction_of_target(double share) const {
-        return static_cast<Tenths>(static_cast<double>(options_.latency_target) * share);
+    Ticks silence_threshold() const { return fraction_of_target(kSilenceThreshold); }
+    Ticks fraction_of_target(double share) const {
+        return static_cast<Ticks>(static_cast<double>(options_.latency_target) * share);
     }
-    Tenths min_step_duration() const;
-    Tenths return_delay(int relapses) const;
+    Ticks min_step_duration() const;
+    Ticks return_delay(int relapses) const;
     bool shows_activity(const SiteName& name, const SiteStatus& status, const PeerObservations& peers) const;
-    void count_servers(Tenths now);
-    void update_state(Tenths now, const SiteName& name, SiteStatus& status, const PeerObservations& peers,
+    void count_servers(Ticks now);
+    void update_state(Ticks now, const SiteName& name, SiteStatus& status, const PeerObservations& peers,
+                      std::vector<SiteTransition>& transitions);
+    void change_state(Ticks now, const SiteName& name, SiteStatus& status, SiteState to, std::string evidence,
                       std::vector<SiteTransition>& transitions);
-    void change_state(Tenths now, const SiteName& name, SiteStatus& status, SiteState to,
-                      std::string evidence, std::vector<SiteTransition>& transitions);
 
     // Times are in latency targets unless stated otherwise.
     static constexpr double kSilenceThreshold = 0.35; // without an answer until a server counts as silent
--- a/src/recovery/site_report.cpp
+++ b/src/recovery/site_report.cpp
@@ -78,7 +78,7 @@
             const auto kind = row.at(1).get<unsigned>();
             if (kind > static_cast<unsigned>(SiteOverride::Kind::kKeptOut)) return {};
             report.overrides.push_back({read_text(row.at(0)), static_cast<SiteOverride::Kind>(kind),
-                                        row.at(2).get<std::uint64_t>(), row.at(3).get<Tenths>(),
+                                        row.at(2).get<std::uint64_t>(), row.at(3).get<Ticks>(),
                                         read_text(row.at(4)), read_text(row.at(5))});
         }
         return report;
--- a/src/recovery/site_report.hpp
+++ b/src/recovery/site_report.hpp
@@ -16,7 +16,7 @@
     SiteName site;
     Kind kind = Kind::kNone; // kNone: released
     std::uint64_t stamp = 0; // wall time at which it was issued, with random low digits
-    Tenths until = 0;        // wall time of expiry
+    Ticks until = 0;         // wall time of expiry
     std::string by, why;
     bool operator==(const SiteOverride&) const = default;
 };
--- a/src/recovery/traffic_counter.hpp
+++ b/src/recovery/traffic_counter.hpp
@@ -10,8 +10,8 @@
 
 class TrafficCounter {
   public:
-    explicit TrafficCounter(Tenths latency_target = 0)
-        : silence_threshold_(static_cast<Tenths>(kSilenceShare * static_cast<double>(latency_target))) {}
+    explicit TrafficCounter(Ticks latency_target = 0)
+        : silence_threshold_(static_cast<Ticks>(kSilenceShare * static_cast<double>(latency_target))) {}
     void count_search(const TrafficClass& key) { ++counts_.classes[key].asked, ++counts_.searches; }
     void count_part(const TrafficClass& key, int shard) {
         ++counts_.classes[key].parts, ++counts_.shards[shard];
@@ -25,7 +25,7 @@
         row.rejected += end == SearchEnd::kRejected ? 1 : 0;
         row.failed += end == SearchEnd::kFailed ? 1 : 0;
     }
-    void count_attempt(const std::string& server, Outcome outcome, Tenths response_time,
+    void count_attempt(const std::string& server, Outcome outcome, Ticks response_time,
                        const LoadReport& report) {
         ServerCounts& row = counts_.servers[server];
         switch (outcome) {
@@ -59,8 +59,8 @@
         passed ? ++row.answered : ++row.unanswered;
     }
     // An attempt sent at `sent_at` has no reply yet.
-    void note_outstanding(const std::string& server, Tenths sent_at) {
-        Tenths& oldest = counts_.servers[server].oldest_outstanding;
+    void note_outstanding(const std::string& server, Ticks sent_at) {
+        Ticks& oldest = counts_.servers[server].oldest_outstanding;
         oldest = oldest == 0 ? sent_at : std::min(oldest, sent_at);
     }
     // Returns the counts and resets them.
@@ -68,7 +68,7 @@
 
   private:
     static constexpr double kSilenceShare = 0.25; // of the latency target
-    Tenths silence_threshold_;
+    Ticks silence_threshold_;
     TrafficCounts counts_;
 };
 
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -37,7 +37,7 @@
     std::vector<int> shards;
     double power = 1; // relative capacity (the list's weight)
     bool live = true, draining = false;
-    Tenths started = 0; // start of the server, wall time; 0: unknown or long ago
+    Ticks started = 0; // start of the server, wall time; 0: unknown or long ago
 };
 
 // Request class and tenant; the tenant is empty where it is unknown.
@@ -48,21 +48,21 @@
     double floor = 1;              // least weight of a partial answer
     double need = 1;               // weight of a complete answer
     double late_utility_ratio = 0; // share of the utility that a late answer earns
-    Tenths latency_target = 0;
+    Ticks latency_target = 0;
     bool at_most_once = false; // must not be executed twice
 };
 
 // What a front node counted about one index server since the last read.
 struct ServerCounts {
-    std::uint32_t answered = 0;    // attempts and probes with any reply, including errors
-    std::uint32_t unanswered = 0;  // timed out, not connected or connection broken
-    std::uint32_t good = 0;        // successful attempts
-    Tenths response_time = 0;      // sum over the successful attempts
-    Tenths oldest_outstanding = 0; // send time of the oldest attempt without a reply; 0: none
+    std::uint32_t answered = 0;   // attempts and probes with any reply, including errors
+    std::uint32_t unanswered = 0; // timed out, not connected or connection broken
+    std::uint32_t good = 0;       // successful attempts
+    Ticks response_time = 0;      // sum over the successful attempts
+    Ticks oldest_outstanding = 0; // send time of the oldest attempt without a reply; 0: none
     // From the server's load reports.
     double max_busy = 0;            // most parts in progress while others were queued
     std::uint32_t idle_answers = 0; // answers while nothing was queued
-    Tenths idle_response_time = 0;  // sum over these answers
+    Ticks idle_response_time = 0;   // sum over these answers
 };
 struct RequestClassCounts {
     std::uint32_t asked = 0, delivered = 0, in_time = 0, rejected = 0, failed = 0;
--- a/src/replica_selection/c3.hpp
+++ b/src/replica_selection/c3.hpp
@@ -9,7 +9,7 @@
 namespace ivyrill::replica_selection {
 
 // Parameters of C3, from the paper and docs/design.md; limits are in requests per window.
-inline constexpr Tenths kWindow = 200;                   // 20 ms
+inline constexpr Ticks kWindow = 200;                    // 20 ms
 inline constexpr double kStartLimit = 10, kStepCap = 10; // ... and smax
 inline constexpr double kMinLimit = 2,
                         kRecentMultiple = 2; // floors: itself, and a multiple of the recent sends
@@ -26,18 +26,18 @@
 class SendRateLimiter {
   public:
     double limit() const { return limit_; }
-    bool has_room(Tenths now) { return advance(now), sent_ < limit_; }
-    void sent(Tenths now) { advance(now), ++sent_; }
-    void answered(Tenths now) { advance(now), ++answers_; }
-    void advance(Tenths now) {
-        const Tenths window = now / kWindow;
+    bool has_room(Ticks now) { return advance(now), sent_ < limit_; }
+    void sent(Ticks now) { advance(now), ++sent_; }
+    void answered(Ticks now) { advance(now), ++answers_; }
+    void advance(Ticks now) {
+        const Ticks window = now / kWindow;
         if (window == window_) return;
         const bool next = window == window_ + 1;
         recent_sends_ += kRecentWeight * ((next ? sent_ : 0) - recent_sends_);
         last_answers_ = next ? answers_ : 0, window_ = window, sent_ = answers_ = 0;
     }
     // After an answer: raises the limit along the cubic curve, or cuts it while requests wait (`backlogged`).
-    void adapt(Tenths now, int outstanding, bool backlogged) {
+    void adapt(Ticks now, int outstanding, bool backlogged) {
         const double answers = std::max(answers_, last_answers_);
         // A full window with nothing outstanding was too small, though answers did not exceed the limit.
         if (answers > limit_ || (sent_ >= limit_ && outstanding == 0)) {
@@ -52,7 +52,7 @@
 
   private:
     double limit_ = kStartLimit, saturation_ = kStartLimit, recent_sends_ = 0;
-    Tenths last_cut_ = 0, last_rise_ = 0, window_ = 0;
+    Ticks last_cut_ = 0, last_rise_ = 0, window_ = 0;
     int sent_ = 0, answers_ = 0, last_answers_ = 0;
 };
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/candidates.cpp
+++ b/src/replica_selection/candidates.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kPrefillWeight = 1, kDecodeWeight = 0.5; // as owners of prompts: relative prefill speed
-constexpr double kDecayTime = 4.0 * kTenthsPerSecond;     // time constant, without answers
+constexpr double kDecayTime = 4.0 * kTicksPerSecond;      // time constant, without answers
 constexpr double kMaxHandleLoss = 0.4;                    // above it a prefill server is avoided
 constexpr double kMaxBreakRate = 0.3;
 constexpr std::size_t kOwnersPerKind =
@@ -34,7 +34,7 @@
 } // namespace
 
 PairSelector::Rank PairSelector::rank(const Server& server, const std::set<std::string>& tried,
-                                      Tenths now) const {
+                                      Ticks now) const {
     if (now < server.changing_until) return Rank::kChanging;
     if (tried.contains(server.instance.id)) return Rank::kTried;
     if (server.instance.state == model::InstanceState::kSilent) return Rank::kSilent;
@@ -43,7 +43,7 @@
 }
 
 PairSelector::Candidates PairSelector::candidates(const Request& request, const std::set<std::string>& tried,
-                                                  Tenths now) {
+                                                  Ticks now) {
     Candidates found;
     std::array<Rank, 3> best{Rank::kChanging, Rank::kChanging, Rank::kChanging}; // by stage
     for (auto& [id, server] : servers_) {
@@ -76,7 +76,7 @@
 
 // Every node computes the same partition, as all have the same reports and similar shares of the transfers.
 void PairSelector::partition_decode_servers(const std::vector<Server*>& decode_servers,
-                                            const Request& request, Candidates& found, Tenths now) {
+                                            const Request& request, Candidates& found, Ticks now) {
     std::vector<const model::Instance*> instances;
     for (const Server* server : decode_servers) instances.push_back(&server->instance);
     std::vector<Server*> ordered;
@@ -127,7 +127,7 @@
 }
 
 // By the time until the prompt is prefilled, and at a prefill server until its KV transfer begins.
-bool PairSelector::slow(const Server& owner, const Request& request, Tenths now) const {
+bool PairSelector::slow(const Server& owner, const Request& request, Ticks now) const {
     const bool only_reads = owner.instance.stage == model::Stage::kPrefill;
     const Work work = only_reads ? Work::kPrefillOnly : Work::kPrefillAndDecode;
     const double usual =
@@ -139,7 +139,7 @@
 }
 
 // By the load from the prefill servers and the recent transfer times.
-bool PairSelector::links_are_free(const Request& request, Tenths now) const {
+bool PairSelector::links_are_free(const Request& request, Ticks now) const {
     const auto found = services_.find(request.service);
     if (!in_use(Mechanism::kLinkLoad) || found == services_.end()) return true;
     const ServiceState& view = found->second;
@@ -153,7 +153,7 @@
 // without cached parts costs three times the work, just when load is too high. The causes of a slow owner
 // (queues of prefill servers, links, decode servers that prefill at half the speed) affect all servers of its
 // kind, so the second owner is of the other kind.
-void PairSelector::keep_prompt_owners(const Request& request, Candidates& candidates, Tenths now) const {
+void PairSelector::keep_prompt_owners(const Request& request, Candidates& candidates, Ticks now) const {
     if (!in_use(Mechanism::kPromptOwners) || request.prompt.size() < 2 || is_streaming(request)) return;
     const std::string& shared = request.prompt[request.prompt.size() - 2].id;
     const auto view = services_.find(request.service);
@@ -189,7 +189,7 @@
     std::erase_if(candidates.mixed_servers, is_other);
 }
 
-void PairSelector::decay(Server& server, Tenths now) {
+void PairSelector::decay(Server& server, Ticks now) {
     const double passed = static_cast<double>(now - server.decayed_at);
     server.decayed_at = now;
     if (passed <= 0 || !server.unanswered.empty()) return;
--- a/src/replica_selection/decode_partition.cpp
+++ b/src/replica_selection/decode_partition.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Tenths kReleaseDelay = 4 * kTenthsPerSecond; // before a dedicated server is released
-constexpr double kTargetFill = 0.75;                   // share of a server's slots that long answers may fill
+constexpr Ticks kReleaseDelay = 4 * kTicksPerSecond; // before a dedicated server is released
+constexpr double kTargetFill = 0.75;                 // share of a server's slots that long answers may fill
 // Free slots for long answers, as a share of one server's: below the first a server is added, above the
 // second one is released.
 constexpr double kMinFreeShare = 0.1, kMostFreeShare = 0.3;
@@ -41,7 +41,7 @@
 } // namespace
 
 std::size_t DecodePartition::dedicated_count(const std::vector<DecodeServerLoad>& servers, double busy_links,
-                                             Tenths now) {
+                                             Ticks now) {
     const std::size_t least =
         std::min(servers.size(), std::max(needed_for_answers(servers, kMinFreeShare),
                                           needed_for_transfers(busy_links, kMaxLinkUtilization)));
--- a/src/replica_selection/decode_partition.hpp
+++ b/src/replica_selection/decode_partition.hpp
@@ -25,11 +25,11 @@
   public:
     // `servers` in the order of `decode_server_order`; `busy_links`: links occupied by the transfers of all
     // nodes. Returns how many of the first servers are dedicated.
-    std::size_t dedicated_count(const std::vector<DecodeServerLoad>& servers, double busy_links, Tenths now);
+    std::size_t dedicated_count(const std::vector<DecodeServerLoad>& servers, double busy_links, Ticks now);
 
   private:
     std::size_t dedicated_ = 0;
-    Tenths changed_at_ = 0; // time of the last change of dedicated_
+    Ticks changed_at_ = 0; // time of the last change of dedicated_
 };
 
 // An order that every node computes independently: by hash, alternating between zones, so that the first few
--- a/src/replica_selection/kv_transfer_load.hpp
+++ b/src/replica_selection/kv_transfer_load.hpp
@@ -39,12 +39,12 @@
         return transfer_time_ * bounded / (2 * (1 - bounded));
     }
     // Time a decode server took to fetch a prompt and answer, in tenths of a millisecond.
-    void add_fetch(double took, Tenths now) {
+    void add_fetch(double took, Ticks now) {
         const double known = fetch_time(now);
         fetch_time_ = known + (known > 0 ? kFetchWeight : 1) * (took - known), fetched_at_ = now;
     }
     // Mean of the recent fetch times; decays to 0 without fetches.
-    double fetch_time(Tenths now) const {
+    double fetch_time(Ticks now) const {
         return fetch_time_ * std::exp(-static_cast<double>(now - fetched_at_) / kFetchDecay);
     }
 
@@ -55,7 +55,7 @@
     static constexpr double kDefaultRatio = 0.35;   // before the first sample: two thirds of a prompt cached
     static constexpr double kMaxLinks = 1;          // a prefill server has one link
     static constexpr double kMaxUtilization = 0.98; // keeps the wait finite
-    static constexpr double kFetchWeight = 0.2, kFetchDecay = 4.0 * kTenthsPerSecond;
+    static constexpr double kFetchWeight = 0.2, kFetchDecay = 4.0 * kTicksPerSecond;
 
     double transfer_per_prefill() const {
         const double prefill_time = time_per_token_ * prefilled_tokens_;
@@ -64,7 +64,7 @@
     double samples_ = 0, transfer_time_ = 0, prefilled_tokens_ = 0;
     double time_per_token_ = 0; // tenths of a millisecond
     double fetch_time_ = 0;
-    Tenths fetched_at_ = 0;
+    Ticks fetched_at_ = 0;
 };
 
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -18,12 +18,12 @@
 constexpr double kDecodeServerSlowdown =
     2;                            // a decode server prefills at half the speed (PROTOCOL, prefill and decode)
 constexpr double kZoneFactor = 2; // of a transfer between zones (PROTOCOL)
-constexpr double kRemoteFactor = 1.5;     // a decode server in another zone must be better by this factor
-constexpr Tenths kRejectionBackoff = 200; // doubled for each rejection in a row
-constexpr Tenths kUnreachableBackoff = 2500;
-constexpr Tenths kMisdirectedBackoff = 100'000; // until the server list drops it
+constexpr double kRemoteFactor = 1.5;    // a decode server in another zone must be better by this factor
+constexpr Ticks kRejectionBackoff = 200; // doubled for each rejection in a row
+constexpr Ticks kUnreachableBackoff = 2500;
+constexpr Ticks kMisdirectedBackoff = 100'000; // until the server list drops it
 constexpr int kMaxDoublings = 4;
-constexpr Tenths kMaxStageChange = 100'000; // running requests are completed first
+constexpr Ticks kMaxStageChange = 100'000; // running requests are completed first
 constexpr double kMaxTargets =
     0.8; // expected prefill time, in latency targets, above which requests are rejected
 constexpr std::size_t kSampled = 2,
@@ -34,7 +34,7 @@
 
 std::size_t index(Work work) { return static_cast<std::size_t>(work); }
 
-Tenths doubled(Tenths backoff, int times) { return backoff << std::min(times, kMaxDoublings); }
+Ticks doubled(Ticks backoff, int times) { return backoff << std::min(times, kMaxDoublings); }
 
 } // namespace
 
@@ -44,7 +44,7 @@
     return tokens;
 }
 
-void PairSelector::set_instances(const std::map<std::string, model::Instance>& instances, Tenths now) {
+void PairSelector::set_instances(const std::map<std::string, model::Instance>& instances, Ticks now) {
     std::erase_if(servers_, [&](const auto& known) {
         const auto found = instances.find(known.first);
         return found == instances.end() || found->second.state == model::InstanceState::kGone;
@@ -87,7 +87,7 @@
     services_ = std::move(states);
 }
 
-void PairSelector::set_load(const model::Load& load, Tenths now) {
+void PairSelector::set_load(const model::Load& load, Ticks now) {
     Server* server = find(load.instance);
     if (server == nullptr || load.orders_accepted < server->orders_accepted) return;
     server->orders_accepted = load.orders_accepted;
@@ -100,7 +100,7 @@
     mix(server->prefill_share, load.running > 0 ? 1 : 0, kReportWeight);
 }
 
-void PairSelector::record_stage_order(const std::string& instance, std::int64_t orders_accepted, Tenths now) {
+void PairSelector::record_stage_order(const std::string& instance, std::int64_t orders_accepted, Ticks now) {
     Server* server = find(instance);
     if (server == nullptr || orders_accepted <= server->orders_accepted) return;
     server->orders_accepted = orders_accepted;
@@ -124,7 +124,7 @@
 }
 
 Choice PairSelector::choose(const Request& request, const std::set<std::string>& tried, bool may_split,
-                            bool may_reject, Tenths now) {
+                            bool may_reject, Ticks now) {
     const Candidates found = candidates(request, tried, now);
     if (const auto pair = best_pair(request, found, may_split, now)) {
         if (may_reject)
@@ -139,7 +139,7 @@
 // When more arrives than can be prefilled, a queue makes everything late. Rejects as large a share as is
 // needed for the rest to be in time; admitted requests measure the current time. So one is always admitted:
 // if this node waits for no other prefill, an earlier late answer does not imply a queue.
-std::optional<Overloaded> PairSelector::overloaded(const Request& request, const Pair& pair, Tenths now) {
+std::optional<Overloaded> PairSelector::overloaded(const Request& request, const Pair& pair, Ticks now) {
     if (!in_use(Mechanism::kRejection)) return std::nullopt;
     if (pair.prefill_server.empty() && is_streaming(request)) return std::nullopt;
     if (!has_pending_prefill(request.service)) return std::nullopt;
@@ -150,7 +150,7 @@
     const double expected = response_of(prefill_server, work, usual, now);
     const double most = kMaxTargets * static_cast<double>(request.latency_target);
     if (expected <= most || random_.unit() < most / expected) return std::nullopt;
-    return Overloaded{static_cast<Tenths>(std::min(expected - most, kMaxRetryAfter))};
+    return Overloaded{static_cast<Ticks>(std::min(expected - most, kMaxRetryAfter))};
 }
 
 // Whether this node has an unanswered prefill at that service.
@@ -170,7 +170,7 @@
 // A pair of servers competes with each decode server that could prefill the prompt itself: a transfer must
 // pay off.
 std::optional<Pair> PairSelector::best_pair(const Request& request, const Candidates& candidates,
-                                            bool may_split, Tenths now) {
+                                            bool may_split, Ticks now) {
     const bool separate = !is_streaming(request);
     const auto& decode_servers =
         candidates.dedicated_servers.empty() ? candidates.mixed_servers : candidates.dedicated_servers;
@@ -229,7 +229,7 @@
 
 std::optional<PairSelector::Scored> PairSelector::best_of(const std::vector<Server*>& servers,
                                                           const Request& request, Work work,
-                                                          const Server* owner, Tenths now) {
+                                                          const Server* owner, Ticks now) {
     std::optional<Scored> best;
     int ties = 1;
     for (Server* server : servers) {
@@ -245,7 +245,7 @@
 }
 
 double PairSelector::missing_tokens(const Server& server, const Request& request, Work work, bool is_owner,
-                                    Tenths now) const {
+                                    Ticks now) const {
     if (work == Work::kFetchAndDecode || work == Work::kUnstaged || request.prompt.empty()) return 0;
     const std::int64_t all = request.prompt_tokens();
     std::int64_t held = server.cache.cached_tokens(request.prompt, now);
@@ -254,7 +254,7 @@
 }
 
 // Before the first answer to such work, a long prompt is assumed to take a tenth of its latency target.
-double PairSelector::typical_time(Work work, double tokens, bool is_streaming, Tenths latency_target) const {
+double PairSelector::typical_time(Work work, double tokens, bool is_streaming, Ticks latency_target) const {
     const LatencyModel& model = times_[is_streaming ? 1 : 0][index(work)];
     if (model.known()) return std::max(1.0, model.time(tokens));
     const double pace = work == Work::kPrefillAndDecode ? kDecodeServerSlowdown : 1;
@@ -263,10 +263,10 @@
 }
 
 // Silence counts as a response of that length.
-double PairSelector::response_of(const Server& server, Work work, double usual, Tenths now) const {
+double PairSelector::response_of(const Server& server, Work work, double usual, Ticks now) const {
     const double known = server.estimates[index(work)].response * usual;
     if (!in_use(Mechanism::kSilenceCounts) || server.unanswered.empty()) return known;
-    const Tenths oldest = server.unanswered.begin()->second; // attempts are numbered in send order
+    const Ticks oldest = server.unanswered.begin()->second; // attempts are numbered in send order
     return std::max(known, static_cast<double>(now - std::max(oldest, server.last_answer)));
 }
 
@@ -277,7 +277,7 @@
 }
 
 double PairSelector::score(const Server& server, const Request& request, Work work, double tokens,
-                           Tenths now) const {
+                           Ticks now) const {
     const double usual = typical_time(work, tokens, work != Work::kPrefillOnly && is_streaming(request),
                                       request.latency_target);
     const double service = server.estimates[index(work)].service * usual;
@@ -289,7 +289,7 @@
     const model::Engine* engine = this->engine(request.service);
     if (engine == nullptr || engine->link_mbps <= 0) return 0;
     const double bits = static_cast<double>(request.prompt_tokens()) * engine->token_bytes * 8;
-    return bits / (engine->link_mbps * 1e6) * kTenthsPerSecond;
+    return bits / (engine->link_mbps * 1e6) * kTicksPerSecond;
 }
 
 double PairSelector::transfer_time(const Server& prefill_server, const Server& decode_server,
@@ -305,7 +305,7 @@
 }
 
 AttemptNo PairSelector::sent(const std::string& instance, const Request& request, Work work,
-                             std::optional<double> tokens_to_prefill, Tenths now) {
+                             std::optional<double> tokens_to_prefill, Ticks now) {
     const AttemptNo number{++count_};
     Server* server = find(instance);
     if (server == nullptr) return number;
@@ -330,7 +330,7 @@
     return found == attempts_.end() ? nullptr : &found->second;
 }
 
-void PairSelector::answered(AttemptNo number, Tenths now) {
+void PairSelector::answered(AttemptNo number, Ticks now) {
     Attempt* attempt = find_attempt(number);
     if (attempt == nullptr || std::exchange(attempt->answered, true)) return;
     Server* server = find(attempt->server);
@@ -364,7 +364,7 @@
     attempts_.erase(number);
 }
 
-void PairSelector::ended(AttemptNo number, Tenths now) {
+void PairSelector::ended(AttemptNo number, Ticks now) {
     Attempt* attempt = find_attempt(number);
     // Abandoned without an answer: the elapsed time is a lower bound of its response time.
     if (attempt != nullptr && !attempt->answered) {
@@ -382,14 +382,14 @@
 }
 
 // A fast rejection must not look like a fast server with an empty queue, so it does not update the means.
-void PairSelector::rejected(AttemptNo number, Tenths now) {
+void PairSelector::rejected(AttemptNo number, Ticks now) {
     if (Attempt* attempt = find_attempt(number))
         if (Server* server = find(attempt->server))
             server->avoided_until = now + doubled(kRejectionBackoff, server->rejections++);
     remove_attempt(number);
 }
 
-void PairSelector::failed(AttemptNo number, Tenths now) {
+void PairSelector::failed(AttemptNo number, Ticks now) {
     if (Attempt* attempt = find_attempt(number))
         if (Server* server = find(attempt->server)) {
             mix(server->break_rate, 1, kAnswerWeight);
@@ -398,12 +398,12 @@
     remove_attempt(number);
 }
 
-void PairSelector::unreachable(const std::string& instance, Tenths now) {
+void PairSelector::unreachable(const std::string& instance, Ticks now) {
     if (Server* server = find(instance))
         server->avoided_until = now + doubled(kUnreachableBackoff, server->connect_failures++);
 }
 
-Tenths PairSelector::last_activity(AttemptNo number) const {
+Ticks PairSelector::last_activity(AttemptNo number) const {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return 0;
     const auto server = servers_.find(found->second.server);
@@ -411,18 +411,18 @@
                                     : std::max(found->second.sent, server->second.last_answer);
 }
 
-Tenths PairSelector::expected_response(AttemptNo number) const {
+Ticks PairSelector::expected_response(AttemptNo number) const {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return 0;
     const Attempt& attempt = found->second;
     const double usual =
         typical_time(attempt.work, attempt.tokens, attempt.is_streaming, attempt.latency_target);
     const auto server = servers_.find(attempt.server);
-    if (server == servers_.end()) return static_cast<Tenths>(usual);
-    return static_cast<Tenths>(usual * std::max(1.0, server->second.estimates[index(attempt.work)].response));
+    if (server == servers_.end()) return static_cast<Ticks>(usual);
+    return static_cast<Ticks>(usual * std::max(1.0, server->second.estimates[index(attempt.work)].response));
 }
 
-void PairSelector::misdirected(const std::string& instance, Tenths now) {
+void PairSelector::misdirected(const std::string& instance, Ticks now) {
     if (Server* server = find(instance)) server->avoided_until = now + kMisdirectedBackoff;
 }
 
--- a/src/replica_selection/prompt_cache_view.hpp
+++ b/src/replica_selection/prompt_cache_view.hpp
@@ -20,17 +20,17 @@
   public:
     // `senders`: number of nodes that are assumed to send as much as this one.
     void record_use(const std::vector<PromptPart>& prompt, std::int64_t memory_tokens, double senders,
-                    Tenths now);
+                    Ticks now);
     // Tokens of the leading parts that are believed to be cached.
-    std::int64_t cached_tokens(const std::vector<PromptPart>& prompt, Tenths now) const;
+    std::int64_t cached_tokens(const std::vector<PromptPart>& prompt, Ticks now) const;
     void clear() { last_used_.clear(); }
 
   private:
-    void evict_old(Tenths now);
+    void evict_old(Ticks now);
 
-    std::unordered_map<std::string, Tenths> last_used_;
+    std::unordered_map<std::string, Ticks> last_used_;
     double tokens_per_second_ = 0; // into the server, from all senders
-    Tenths last_use_ = 0, retention_ = 0, evicted_at_ = 0;
+    Ticks last_use_ = 0, retention_ = 0, evicted_at_ = 0;
 };
 
 } // namespace ivyrill::replica_selection
--- a/src/replica_selection/retry_budget.hpp
+++ b/src/replica_selection/retry_budget.hpp
@@ -15,19 +15,19 @@
 class RetryBudget {
   public:
     struct Limits {
-        double ratio = 0;  // of requests
-        double slack = 0;  // retries beyond the ratio, over all nodes
-        Tenths window = 0; // in which both are counted
+        double ratio = 0; // of requests
+        double slack = 0; // retries beyond the ratio, over all nodes
+        Ticks window = 0; // in which both are counted
     };
     explicit RetryBudget(Limits limits) : limits_(limits) {}
 
-    void set_edge_nodes(std::size_t count, Tenths now) {
+    void set_edge_nodes(std::size_t count, Ticks now) {
         if (count >= nodes_ || now - nodes_at_ > 3 * limits_.window)
             nodes_ = std::max<std::size_t>(count, 1), nodes_at_ = now;
     }
-    void count_request(Tenths now) { add(requests_, now); }
+    void count_request(Ticks now) { add(requests_, now); }
     // Whether one more retry is allowed.
-    bool has_room(Tenths now) {
+    bool has_room(Ticks now) {
         expire(requests_, now), expire(retries_, now);
         // Nodes lose their count when they restart: leaves room for some of them.
         const double share = limits_.slack / static_cast<double>(nodes_ + 1 + nodes_ / 4);
@@ -36,9 +36,9 @@
         return static_cast<double>(retries_.size() + 1) <= allowed;
     }
     // Counts a retry that could not be checked beforehand, such as a rejected prefill.
-    void count_retry(Tenths now) { add(retries_, now); }
+    void count_retry(Ticks now) { add(retries_, now); }
     // Counts one more retry if it is allowed.
-    bool try_retry(Tenths now) {
+    bool try_retry(Ticks now) {
         if (!has_room(now)) return false;
         count_retry(now);
         return true;
@@ -46,14 +46,14 @@
 
   private:
     static constexpr double kSafety = 0.8; // the benchmark's windows are aligned differently
-    void add(std::deque<Tenths>& times, Tenths now) { expire(times, now), times.push_back(now); }
-    void expire(std::deque<Tenths>& times, Tenths now) const {
+    void add(std::deque<Ticks>& times, Ticks now) { expire(times, now), times.push_back(now); }
+    void expire(std::deque<Ticks>& times, Ticks now) const {
         while (!times.empty() && times.front() <= now - limits_.window) times.pop_front();
     }
     Limits limits_;
     std::size_t nodes_ = 1;
-    Tenths nodes_at_ = 0;
-    std::deque<Tenths> requests_, retries_;
+    Ticks nodes_at_ = 0;
+    std::deque<Ticks> requests_, retries_;
 };
 
 // One budget per service: requests of one service do not allow retries at another.
@@ -66,7 +66,7 @@
         if (is_new) entry->second.set_edge_nodes(nodes_, nodes_at_);
         return entry->second;
     }
-    void set_edge_nodes(std::size_t count, Tenths now) {
+    void set_edge_nodes(std::size_t count, Ticks now) {
         nodes_ = count, nodes_at_ = now;
         for (auto& [service, budget] : budgets_) budget.set_edge_nodes(count, now);
     }
@@ -78,7 +78,7 @@
   private:
     RetryBudget::Limits limits_;
     std::size_t nodes_ = 1;
-    Tenths nodes_at_ = 0;
+    Ticks nodes_at_ = 0;
     std::map<std::string, RetryBudget> budgets_;
 };
 
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -6,8 +6,8 @@
 
 namespace ivyrill::routing {
 
-void Router::enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query,
-                                   Tenths now, Tenths wall) {
+void Router::enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Ticks now,
+                                   Ticks wall) {
     clock_ = access::TrustedClock(policy->options.skew, policy->options.settle);
     clock_.observe(now, wall);
     authorizer_.emplace(std::move(policy));
@@ -15,9 +15,7 @@
     schedule_access_change();
 }
 
-void Router::limit_handshakes(access::HandshakeLimits limits, Tenths now) {
-    handshakes_.emplace(limits, now);
-}
+void Router::limit_handshakes(access::HandshakeLimits limits, Ticks now) { handshakes_.emplace(limits, now); }
 
 std::optional<access::Decision> Router::admit(const Client& client, const SearchReceived& event) {
     if (!authorizer_ || !client.requires_credential) return {};
@@ -76,7 +74,7 @@
 // with a certificate against the current policy. All in this turn, so that no revocation waits for a client.
 void Router::recheck_access() {
     if (!authorizer_) return;
-    const Tenths now = access_now();
+    const Ticks now = access_now();
     for (auto& [id, client] : clients_) {
         if (!client.chain || client.certificate_revoked) continue;
         const access::Reason reason = authorizer_->recheck(*client.chain, now);
@@ -101,9 +99,9 @@
 }
 
 void Router::schedule_access_change() {
-    const Tenths next = authorizer_->next_change(access_now());
+    const Ticks next = authorizer_->next_change(access_now());
     if (next == access::kNever) return;
-    const Tenths when = now_ + (next - access_now());
+    const Ticks when = now_ + (next - access_now());
     if (access_timer_ != 0 && access_timer_ <= when) return;
     schedule(access_timer_ = when, AccessTimer{});
 }
@@ -124,7 +122,7 @@
 // The clock for credentials may have been corrected, so expiry times may have passed already.
 void Router::apply(const WallClockRead& event) {
     if (!authorizer_) return;
-    const Tenths before = access_now();
+    const Ticks before = access_now();
     clock_.observe(now_, event.wall);
     if (std::abs(access_now() - before) <= authorizer_->policy().options.skew) return;
     access_timer_ = 0;
--- a/src/routing/events.hpp
+++ b/src/routing/events.hpp
@@ -33,7 +33,7 @@
 struct SearchReceived {
     ClientId client;
     protocol::SearchRequest request;
-    Tenths age = 0; // time since it reached this machine
+    Ticks age = 0; // time since it reached this machine
     StreamId stream = 0;
 };
 struct SearchCancelled { // by its client, which keeps its connection
@@ -72,7 +72,7 @@
 struct PartAnswered {
     ConnectionId connection;
     protocol::PartResponse answer;
-    Tenths age = 0;
+    Ticks age = 0;
 };
 struct LoadReceived {
     ConnectionId connection;
@@ -95,7 +95,7 @@
     std::shared_ptr<const access::Policy> policy;
 };
 struct WallClockRead {
-    Tenths wall = 0;
+    Ticks wall = 0;
 };
 struct FrontNodesCounted { // live front nodes, including this one
     std::size_t present = 1;
@@ -168,7 +168,7 @@
     std::string reason;
 };
 struct ArmTimer {
-    Tenths at = 0;
+    Ticks at = 0;
 };
 using Effect = std::variant<OpenConnection, WriteConnection, CloseConnection, AnswerClient, RejectClient,
                             ContinueHandshake, Audit, DrainClient, CloseClient, HalfCloseClient,
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -10,23 +10,23 @@
 
 // By the platform's contract a connection without an open request may be closed after this time; a client
 // that sends nothing usable must get an error or a close within 1.5 times as long.
-constexpr Tenths kClientTimeout = 2 * kTenthsPerSecond;
+constexpr Ticks kClientTimeout = 2 * kTicksPerSecond;
 
 } // namespace
 
 Router::Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
-               std::size_t descriptors, Tenths now)
+               std::size_t descriptors, Ticks now)
     : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.scheduler)),
       descriptors_(descriptors), now_(now), discovery_(std::move(discovery)) {
     apply_list(known, ListKind::kSaved);
 }
 
-void Router::handle(Tenths now, Event event) {
+void Router::handle(Ticks now, Event event) {
     now_ = std::max(now_, now);
     std::visit([this](const auto& what) { apply(what); }, event);
 }
 
-std::vector<Effect> Router::turn(Tenths now) {
+std::vector<Effect> Router::turn(Ticks now) {
     now_ = std::max(now_, now);
     run_handshakes();
     while (!timers_.empty() && timers_.begin()->first <= now_) {
@@ -38,7 +38,7 @@
         scheduler_->decide(now_, *this);
         send_calls();
     }
-    const Tenths next = timers_.empty() ? 0 : timers_.begin()->first;
+    const Ticks next = timers_.empty() ? 0 : timers_.begin()->first;
     if (next != armed_) effects_.push_back(ArmTimer{armed_ = next});
     return std::exchange(effects_, {});
 }
@@ -120,9 +120,9 @@
 void Router::evict_clients(std::optional<ClientId> newest) {
     const std::size_t most = max_clients(), max_searched = descriptors_ / 3 / 2;
     if (clients_.size() <= std::min(most, max_searched)) return;
-    using Rank = std::pair<bool, Tenths>;
+    using Rank = std::pair<bool, Ticks>;
     std::optional<std::pair<Rank, ClientId>> candidate, idle_searcher;
-    std::optional<std::pair<Tenths, ClientId>> oldest_half_closed;
+    std::optional<std::pair<Ticks, ClientId>> oldest_half_closed;
     std::size_t searched = 0, half_closed = 0;
     for (const auto& [id, client] : clients_) {
         if (client.closing) {
@@ -181,7 +181,7 @@
         return reject(400, "unknown partition");
     if (open_ids_.contains(request.id)) return reject(409, "a search with this id is already open");
     ++counts_.searches;
-    const Tenths left = tenths_rounded_down(request.timeout_us) - event.age;
+    const Ticks left = ticks_rounded_down(request.timeout_us) - event.age;
     const bool full =
         terms_.max_open > 0 && searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.max_open);
     if (full || left <= 0 || over_fair_share(event.client, found->second)) {
@@ -257,7 +257,7 @@
     counts_.delivered += finish(search, {protocol::Verdict::kDelivered, whole, {}, 0});
 }
 
-void Router::reject(SearchId search, Tenths retry_after) {
+void Router::reject(SearchId search, Ticks retry_after) {
     counts_.rejected += finish(search, {protocol::Verdict::kRejected, false, {}, retry_after});
 }
 
@@ -303,7 +303,7 @@
 
 // ---- attempts
 
-void Router::attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) {
+void Router::attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) {
     const auto found = parts_.find(part);
     if (found == parts_.end()) return;
     Part& state = found->second;
@@ -362,7 +362,7 @@
 void Router::on_timer(const DeferredAttemptEnd& what) { end_attempt(what.attempt, what.outcome); }
 
 // The only place where an attempt ends: the scheduler gets exactly one end for each.
-void Router::end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report, Tenths age) {
+void Router::end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report, Ticks age) {
     const auto found = attempts_.find(key);
     if (found == attempts_.end()) return;
     const Attempt attempt = std::move(found->second);
@@ -373,7 +373,7 @@
         at_connection->second.in_flight.erase(attempt.wire_id);
     }
     check_idle(attempt.connection);
-    const Tenths took = std::max<Tenths>(0, now_ - age - attempt.created_at);
+    const Ticks took = std::max<Ticks>(0, now_ - age - attempt.created_at);
     notify(AttemptEnded{key.first, key.second, attempt.server, outcome, took, report});
 }
 
@@ -486,7 +486,7 @@
 }
 
 // Closes before the index server does: a request written to a connection that it is closing is lost.
-Tenths Router::idle_limit() const {
+Ticks Router::idle_limit() const {
     return std::max(terms_.idle_timeout / 2, terms_.idle_timeout - 2 * terms_.scheduler.connect_timeout);
 }
 
@@ -599,9 +599,9 @@
                 Attempt& attempt = attempts_.at(key);
                 attempt.send_state = SendState::kWriting;
                 connection.in_flight[attempt.wire_id] = key;
-                const Tenths left = attempt.expires_at - now_;
+                const Ticks left = attempt.expires_at - now_;
                 parts.push_back(
-                    {attempt.wire_id, attempt.shard, std::max<Tenths>(1, left / 10), attempt.query});
+                    {attempt.wire_id, attempt.shard, std::max<Ticks>(1, left / 10), attempt.query});
             }
             bytes = protocol::part_request_frame(parts);
         }
@@ -617,7 +617,7 @@
 // is closed; without its last byte it never ran.
 void Router::arm_send_timeout(ConnectionId id, const Connection& connection) {
     if (!connection.write_queue.empty())
-        schedule(now_ + std::max<Tenths>(1, terms_.scheduler.decision_interval), SendTimeout{id});
+        schedule(now_ + std::max<Ticks>(1, terms_.scheduler.decision_interval), SendTimeout{id});
 }
 
 void Router::on_timer(const SendTimeout& what) {
@@ -856,7 +856,7 @@
         entry.kind = KindNo{index_of(terms_.kinds, row.kind)};
         entry.cell = cell;
         entry.listed = row.listed, entry.weight = row.weight;
-        entry.started = std::max<Tenths>(0, row.started_ms) * (kTenthsPerSecond / 1000);
+        entry.started = std::max<Ticks>(0, row.started_ms) * (kTicksPerSecond / 1000);
         update.entries.push_back(entry);
     }
     for (auto& [id, server] : servers_) {
@@ -877,7 +877,7 @@
 // two more calls.
 void Router::query_discovery() {
     discovery_call_ = DiscoveryCallId{next_call_++}, discovery_connected_ = false;
-    const Tenths wait = std::min(terms_.watch_timeout, terms_.scheduler.list_propagation) / 2;
+    const Ticks wait = std::min(terms_.watch_timeout, terms_.scheduler.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
     schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
     schedule(now_ + wait + wait / 5, DiscoveryTimeout{*discovery_call_});
@@ -918,7 +918,7 @@
     query_discovery();
 }
 
-void Router::schedule_wakeup(Tenths in) { schedule(now_ + std::max<Tenths>(1, in), Wakeup{}); }
+void Router::schedule_wakeup(Ticks in) { schedule(now_ + std::max<Ticks>(1, in), Wakeup{}); }
 void Router::on_timer(const Wakeup&) { decision_due_ = true; }
 
 } // namespace ivyrill::routing
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -32,15 +32,15 @@
   public:
     // `descriptors`: limit on connections to clients and index servers together.
     Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
-           std::size_t descriptors, Tenths now);
+           std::size_t descriptors, Ticks now);
 
     // From here on searches need a credential, on the listeners that require one.
-    void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Tenths now,
-                               Tenths wall);
-    void limit_handshakes(access::HandshakeLimits terms, Tenths now);
+    void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Ticks now,
+                               Ticks wall);
+    void limit_handshakes(access::HandshakeLimits terms, Ticks now);
 
-    void handle(Tenths now, Event event); // one event
-    std::vector<Effect> turn(Tenths now); // expired timers, one decision, and all resulting effects
+    void handle(Ticks now, Event event); // one event
+    std::vector<Effect> turn(Ticks now); // expired timers, one decision, and all resulting effects
 
     std::size_t open_searches() const { return searches_.size(); }
     std::size_t open_clients() const { return clients_.size(); }
@@ -58,8 +58,8 @@
 
     struct Client {
         std::map<StreamId, SearchId> searches; // open ones
-        Tenths idle_since = 0;
-        Tenths deadline = 0;          // for its complete request, or for its close
+        Ticks idle_since = 0;
+        Ticks deadline = 0;           // for its complete request, or for its close
         bool has_searched = false;    // at least once
         bool request_started = false; // and not complete
         bool closing = false;         // its last answer has been given
@@ -90,14 +90,14 @@
         ConnectionId connection;
         std::string wire_id, query;
         int shard = 0;
-        Tenths created_at = 0, expires_at = 0, send_by = 0; // if not sent by then, it is never sent
+        Ticks created_at = 0, expires_at = 0, send_by = 0; // if not sent by then, it is never sent
         SendState send_state = SendState::kWaiting;
         bool withdrawn = false; // cancelled: its end will be reported
     };
     using Call = std::vector<AttemptKey>; // the attempts of one frame; empty: a probe
     struct PendingProbe {
         std::uint64_t serial = 0;
-        Tenths created_at = 0;
+        Ticks created_at = 0;
         bool timed_out = false; // its answer may still come
     };
     struct QueuedFrame { // in the write queue, not yet with the system
@@ -111,12 +111,12 @@
         std::deque<Call> waiting;
         std::deque<QueuedFrame> write_queue;
         std::map<std::string, AttemptKey> in_flight; // by wire id
-        std::map<std::string, Tenths> withdrawn;     // an answer may still come until then
+        std::map<std::string, Ticks> withdrawn;      // an answer may still come until then
         std::deque<PendingProbe> probes;             // in the order of their answers
         int parts = 0;                               // waiting, queued or in flight, without withdrawn ones
         std::string last_answered;                   // part
-        Tenths frame_started_at = 0;                 // of an incomplete frame
-        Tenths last_used = 0, last_received = 0;
+        Ticks frame_started_at = 0;                  // of an incomplete frame
+        Ticks last_used = 0, last_received = 0;
         bool unanswered = false; // an attempt was withdrawn without anything received since it was created
         bool suspect = false;    // ... and another one: other connections are preferred
         bool idle_armed = false;
@@ -173,14 +173,14 @@
                                ProbeTimeout, DeferredProbeEnd, DiscoveryTimeout, Wakeup>;
 
     // SchedulerHost
-    void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
+    void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) override;
     void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
-    void reject(SearchId search, Tenths retry_after) override;
+    void reject(SearchId search, Ticks retry_after) override;
     void fail(SearchId search) override;
     void probe(ServerId server) override;
     void close_idle_connections(ServerId server) override;
-    void schedule_wakeup(Tenths in) override;
+    void schedule_wakeup(Ticks in) override;
     void subscribe() override;
 
     void apply(const ClientOpened& event);
@@ -225,7 +225,7 @@
     void on_timer(const Wakeup& what);
 
     void notify(const ivyrill::Event& event) { scheduler_->handle(now_, event), decision_due_ = true; }
-    void schedule(Tenths when, Timer timer) { timers_.emplace(when, std::move(timer)); }
+    void schedule(Ticks when, Timer timer) { timers_.emplace(when, std::move(timer)); }
     bool finish(SearchId id, protocol::FinalAnswer answer); // false: it has already ended
     void abandon(SearchId id);
     std::optional<access::Decision> admit(const Client& client, const SearchReceived& event);
@@ -235,9 +235,9 @@
     bool over_fair_share(ClientId id, const Client& client) const;
     void run_handshakes();
     void schedule_access_change();
-    Tenths access_now() const { return clock_.at(now_); }
+    Ticks access_now() const { return clock_.at(now_); }
     void resume_accepting();
-    void end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report = {}, Tenths age = 0);
+    void end_attempt(const AttemptKey& key, Outcome outcome, const LoadReport& report = {}, Ticks age = 0);
     void end_attempt_later(const AttemptKey& key, Outcome outcome);
     void send_calls();
     void enqueue_call(ServerId server, Call call);
@@ -251,7 +251,7 @@
     void record_activity(Connection& connection);
     int occupied_slots(const Connection& connection) const;
     int max_occupied_slots() const { return std::max(1, terms_.max_calls_per_connection - 1); }
-    Tenths idle_limit() const;
+    Ticks idle_limit() const;
     void close_connection(ConnectionId id, bool malformed = false);
     void check_idle(ConnectionId id);
     void retire_connections(Server& server);
@@ -279,7 +279,7 @@
     protocol::FrontNodeConfig terms_;
     std::unique_ptr<SearchScheduler> scheduler_;
     std::size_t descriptors_;
-    Tenths now_ = 0, armed_ = 0;
+    Ticks now_ = 0, armed_ = 0;
     std::uint32_t next_id_ = 1; // of searches and parts
     std::uint64_t next_connection_ = 1, next_call_ = 1, next_probe_ = 1;
     std::map<ClientId, Client> clients_;
@@ -291,7 +291,7 @@
     std::map<ServerId, Server> servers_;
     std::map<std::string, ServerId> server_ids_;
     std::map<ServerId, std::vector<AttemptKey>> new_attempts_; // attempts of this turn
-    std::multimap<Tenths, Timer> timers_;
+    std::multimap<Ticks, Timer> timers_;
     std::string discovery_; // address
     std::optional<DiscoveryCallId> discovery_call_;
     bool discovery_connected_ = false;
@@ -302,7 +302,7 @@
     access::TrustedClock clock_{0, 0};
     bool key_is_query_ = false;
     std::optional<access::HandshakeLimiter<ClientId>> handshakes_;
-    Tenths handshake_timer_ = 0, access_timer_ = 0; // armed for; 0: not armed
+    Ticks handshake_timer_ = 0, access_timer_ = 0; // armed for; 0: not armed
     Counts counts_;
     std::vector<Effect> effects_;
 };
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -66,12 +66,12 @@
         }
     }
 
-    void handle(Tenths now, const Event& event) override {
+    void handle(Ticks now, const Event& event) override {
         now_ = now;
         std::visit([this](auto& what) { apply(what); }, event);
     }
 
-    void decide(Tenths now, SchedulerHost& host) override {
+    void decide(Ticks now, SchedulerHost& host) override {
         now_ = now;
         wakeup_ = kNever;
         if (subscribe_wanted_) wake_by(subscribe_at_);
@@ -95,7 +95,7 @@
         search.utility = request_class.config.utility;
         // The latency target counts from the first try; a retry carries the time left of the deadline.
         // Unmarked retries are recognized by a time left that differs from the usual one (a majority vote).
-        const Tenths difference = std::abs(event.time_left - request_class.usual_time_left);
+        const Ticks difference = std::abs(event.time_left - request_class.usual_time_left);
         const bool usual = difference < kSameTime * request_class.usual_time_left;
         const bool retry = config_.retries_marked ? event.is_retry : !usual && request_class.votes > 0;
         request_class.votes += usual ? 1 : -1;
@@ -103,8 +103,8 @@
         // A time left far below the latency target is a hasty client, not a late retry.
         const bool hasty =
             !config_.retries_marked && event.time_left < kShortTime * request_class.config.latency_target;
-        const Tenths spent =
-            retry && !hasty ? std::max<Tenths>(0, request_class.config.deadline - event.time_left) : 0;
+        const Ticks spent =
+            retry && !hasty ? std::max<Ticks>(0, request_class.config.deadline - event.time_left) : 0;
         search.due = now_ + request_class.config.latency_target - spent;
         search.expiry = now_ + event.time_left;
         if (search.due <= now_) search.utility *= request_class.config.late_utility_ratio;
@@ -134,7 +134,7 @@
             subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
             // Backs off, but notices in time that discovery has recovered.
             const double wait = std::min(++failed_queries_ * target_, kQueryWait * config_.list_propagation);
-            subscribe_at_ = now_ + static_cast<Tenths>(wait * (0.5 + random_.unit() / 2));
+            subscribe_at_ = now_ + static_cast<Ticks>(wait * (0.5 + random_.unit() / 2));
             return;
         }
         if (update.kind != ListKind::kSaved) failed_queries_ = 0, subscribe_wanted_ = false;
@@ -254,7 +254,7 @@
         if (event.outcome == Outcome::kRejected) {
             const double backoff =
                 std::max(target_, answer_interval_) * (1 << std::min(server.rejections++, kMaxDoublings));
-            server.backoff_until = now_ + static_cast<Tenths>(backoff * (0.75 + 0.5 * random_.unit()));
+            server.backoff_until = now_ + static_cast<Ticks>(backoff * (0.75 + 0.5 * random_.unit()));
             return;
         }
         const bool refused = unconnected(event.outcome);
@@ -340,8 +340,8 @@
             if (target != nullptr) target->probe_wanted = true, watch(*target);
         }
     }
-    Tenths silence_limit(const IndexServer& server) const {
-        return static_cast<Tenths>(std::clamp(2 * response_mean(server), target_ * kSilenceLimit, target_));
+    Ticks silence_limit(const IndexServer& server) const {
+        return static_cast<Ticks>(std::clamp(2 * response_mean(server), target_ * kSilenceLimit, target_));
     }
 
     void eject(IndexServer& server) {
@@ -353,9 +353,9 @@
     }
 
     // At least the interval between answers: 300 front nodes probing each latency target would be a load.
-    Tenths probe_interval(int setbacks) {
+    Ticks probe_interval(int setbacks) {
         const double base = std::max(target_, answer_interval_);
-        return static_cast<Tenths>(base * kProbeInterval * (1 << setbacks) * (0.75 + 0.5 * random_.unit()));
+        return static_cast<Ticks>(base * kProbeInterval * (1 << setbacks) * (0.75 + 0.5 * random_.unit()));
     }
     bool backlogged(const IndexServer& server) const {
         return std::ranges::any_of(
@@ -395,7 +395,7 @@
     // C3 expects steady feedback. Where it is sparse, silence counts as a response of that length.
     double response_of(const IndexServer& server) const {
         const double known = response_mean(server);
-        const Tenths oldest = server.oldest();
+        const Ticks oldest = server.oldest();
         if (oldest == kNever) return known;
         return std::max(known, static_cast<double>(now_ - std::max(oldest, server.last_answer)));
     }
@@ -435,7 +435,7 @@
         if (now_ >= server.silent_at + of_target(2)) server.silent = 0;
         for (auto& [attempt, sent] : server.sent_at) {
             if (sent.at < server.last_answer) continue;
-            const Tenths limit = sent.at + silence_limit(server);
+            const Ticks limit = sent.at + silence_limit(server);
             wake_by(limit);
             if (now_ < limit || sent.overdue) continue;
             sent.overdue = true, ++server.silent, server.silent_at = now_;
@@ -451,15 +451,15 @@
 
     // Rule 4: attempts to a recently started server are spaced so that all front nodes together stay within
     // its budget (limits/slow_start.hpp). Its full capacity is estimated from warm servers.
-    Tenths cold_attempt_time(const IndexServer& server, double attempts) const {
-        const Tenths age = now_ - server.started_at; // its service time is longer while it is cold
+    Ticks cold_attempt_time(const IndexServer& server, double attempts) const {
+        const Ticks age = now_ - server.started_at; // its service time is longer while it is cold
         const double slow = std::max(service_time(server) * slow_start_.share(age), kSlower * mean_service());
         const double nodes = std::max<double>(front_nodes_, config_.front_nodes); // fewer may be a partition
         return now_ + slow_start_.gap(age, slow_start_.full(kConcurrency, slow), nodes, attempts);
     }
 
     // All front nodes learn of a start at about the same time, so each picks a random point of the first gap.
-    void start_warm_up(IndexServer& server, Tenths from) {
+    void start_warm_up(IndexServer& server, Ticks from) {
         server.started_at = from, server.cold_next = cold_attempt_time(server, random_.unit());
     }
     bool is_cold(const IndexServer& server) const {
@@ -520,17 +520,17 @@
         if (tenant.value < 0 || static_cast<std::size_t>(tenant.value) >= tenants_.size()) return true;
         TenantState& view = tenants_[tenant.value];
         const double rate = config_.tenants[tenant.value].quota_per_s / config_.front_nodes;
-        view.tokens = std::min(rate * 2, view.tokens + rate * (now_ - view.filled_at) / kTenthsPerSecond);
+        view.tokens = std::min(rate * 2, view.tokens + rate * (now_ - view.filled_at) / kTicksPerSecond);
         view.filled_at = now_;
         return view.tokens >= 1 ? (view.tokens -= 1, true) : false;
     }
 
-    Tenths margin() const { return 4 * config_.decision_interval; }
-    Tenths hedge_delay(const RequestClassState& request_class) const {
+    Ticks margin() const { return 4 * config_.decision_interval; }
+    Ticks hedge_delay(const RequestClassState& request_class) const {
         const double due = static_cast<double>(request_class.config.latency_target);
         const double usual =
             request_class.measured ? request_class.response + kDeviations * request_class.deviation : due;
-        return static_cast<Tenths>(std::clamp(usual, due * kMinHedgeDelay, due * kMaxHedgeDelay));
+        return static_cast<Ticks>(std::clamp(usual, due * kMinHedgeDelay, due * kMaxHedgeDelay));
     }
 
     // Ends a search that is complete, out of time, or can no longer succeed.
@@ -573,7 +573,7 @@
         search.status = harmless ? Status::kRejected : Status::kFailed;
         const double wait = std::min(target_ * kSilenceLimit, static_cast<double>(config_.max_retry_after));
         const auto usual =
-            static_cast<Tenths>(wait * (0.5 + (config_.may_send_retry_after ? random_.unit() : 0) / 2));
+            static_cast<Ticks>(wait * (0.5 + (config_.may_send_retry_after ? random_.unit() : 0) / 2));
         search.retry_after = config_.may_send_retry_after ? failover_policy_.retry_after(usual, random_) : 0;
     }
     bool is_omitted(const Part& part) const {
@@ -591,9 +591,9 @@
     }
 
     // Servers' deduplication window counts from the first attempt that may have run.
-    Tenths dedup_deadline(const Part& part, const RequestClassState& request_class) const {
+    Ticks dedup_deadline(const Part& part, const RequestClassState& request_class) const {
         if (request_class.config.idempotency != Idempotency::kIdempotencyKey) return kNever;
-        Tenths first = kNever;
+        Ticks first = kNever;
         for (const Attempt& attempt : part.attempts)
             if (attempt.may_have_run && attempt.state != AttemptState::kPlanned)
                 first = std::min(first, attempt.sent);
@@ -645,7 +645,7 @@
             ahead + queue_of(server) + std::max(0, server.in_flight() - server.in_flight_at_report);
         const Group zone_group = server.groups()[0];
         const double zone = stale(server) && degraded(zone_group) ? groups_.at(zone_group).response : 0;
-        const double full = static_cast<double>(std::max<Tenths>(0, server.backoff_until - now_));
+        const double full = static_cast<double>(std::max<Ticks>(0, server.backoff_until - now_));
         return full + std::max({zone, response_of(server), service_time(server) * (1 + waiting)});
     }
 
@@ -659,7 +659,7 @@
             best = std::max(best, other.config.utility / other.parts);
         const double value = std::sqrt(std::min(1.0, search.utility / search.parts.size() / best));
         const int steps = request_class.config.follow_up_parts > 0 ? 2 : 1;
-        const Tenths left = (search.due > now_ ? search.due : search.expiry) - now_;
+        const Ticks left = (search.due > now_ ? search.due : search.expiry) - now_;
         const double wait_share = kMinWaitShare + (kMaxWaitShare - kMinWaitShare) * value;
         // Where a partial answer is allowed, the parts' mean wait decides, else that of each part.
         const bool whole = request_class.config.floor >= request_class.config.need;
@@ -720,7 +720,7 @@
             last = &attempt, ++copies, alive += servers_[attempt.server].silent == 0 ? 1 : 0;
         }
         const bool ejected = servers_[last->server].health == Health::kEjected;
-        const Tenths overdue = last->sent + hedge_delay(request_class);
+        const Ticks overdue = last->sent + hedge_delay(request_class);
         if (!ejected && now_ < overdue) return wake_by(overdue);
         if (copies > 1 && alive > 0) return wake_by(overdue + of_target(kMinHedgeDelay));
         if (now_ >= search.due || !retry_budget_left() || !may_attempt(part, request_class)) return;
@@ -765,8 +765,8 @@
 
     // How long a server's means stay valid: a latency target, or several intervals between its answers.
     double retention() const { return std::max(target_, kRetentionAnswers * answer_interval_); }
-    Tenths of_target(double share) const { return static_cast<Tenths>(target_ * share); }
-    void wake_by(Tenths at) { wakeup_ = std::min(wakeup_, std::max(at, now_ + config_.decision_interval)); }
+    Ticks of_target(double share) const { return static_cast<Ticks>(target_ * share); }
+    void wake_by(Ticks at) { wakeup_ = std::min(wakeup_, std::max(at, now_ + config_.decision_interval)); }
 
     void emit(SchedulerHost& host) {
         if (subscribe_wanted_ && now_ >= subscribe_at_) host.subscribe(), subscribe_wanted_ = false;
@@ -790,7 +790,7 @@
                     if (attempt.state == AttemptState::kPlanned) {
                         IndexServer& server = servers_.at(attempt.server);
                         if (server.renew) host.close_idle_connections(attempt.server), server.renew = false;
-                        const Tenths by = dedup_deadline(part, request_classes_[search.request_class.value]);
+                        const Ticks by = dedup_deadline(part, request_classes_[search.request_class.value]);
                         host.attempt(part.id, attempt.server, search.expiry - now_,
                                      std::min(search.expiry, by) - now_);
                         attempt.state = AttemptState::kInFlight;
@@ -830,7 +830,7 @@
     recovery::FailoverPolicy failover_policy_;
     double front_nodes_ = config_.front_nodes, target_ = 1e9; // target_: the shortest latency target
     double overload_ = 0;                                     // at the start of this decision
-    Tenths now_ = 0, wakeup_ = kNever, armed_ = 0;            // armed_: the wake-up last scheduled
+    Ticks now_ = 0, wakeup_ = kNever, armed_ = 0;             // armed_: the wake-up last scheduled
     std::vector<RequestClassState> request_classes_;
     std::vector<TenantState> tenants_;
     std::map<JobNo, Search> searches_; // in order of arrival
@@ -840,14 +840,14 @@
     std::map<Group, GroupStats> groups_;
     std::map<ServerId, IndexServer*> watched_;
     std::map<ShardNo, std::vector<IndexServer*>> replicas_;             // by shard, in order of their ids
-    mutable Tenths fleet_service_until_ = 0;                            // expiry of the cached value below
+    mutable Ticks fleet_service_until_ = 0;                             // expiry of the cached value below
     mutable double fleet_service_ = 0;                                  // mean service time
     double fleet_queue_ = 0, fleet_response_ = 0, answer_interval_ = 0; // means over all servers
     std::map<ShardNo, int> backlog_; // parts that wait for room under a replica's sending limit
     double idle_loss_ = 0, busy_loss_ = 0, new_loss_ = 0; // unanswered over idle, other, new connections
     double crash_count_ = 0;                              // decaying, as of crash_count_at_
-    Tenths fleet_means_at_ = 0, crash_count_at_ = 0, renew_until_ = 0, subscribe_at_ = 0;
-    std::deque<Tenths> arrivals_, retries_;
+    Ticks fleet_means_at_ = 0, crash_count_at_ = 0, renew_until_ = 0, subscribe_at_ = 0;
+    std::deque<Ticks> arrivals_, retries_;
     bool subscribe_wanted_ = false; // to the server list
     int failed_queries_ = 0;        // in a row
 };
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -17,9 +17,9 @@
 enum class ListMode { kPushed, kQueried };
 
 struct RequestClassConfig {
-    Tenths latency_target = 0; // an answer within this earns the full utility
-    Tenths deadline = 0;       // how long the client waits in total, including retries
-    Tenths dedup_window = 0;   // in which servers drop a repeated idempotency key
+    Ticks latency_target = 0; // an answer within this earns the full utility
+    Ticks deadline = 0;       // how long the client waits in total, including retries
+    Ticks dedup_window = 0;   // in which servers drop a repeated idempotency key
     Idempotency idempotency = Idempotency::kIdempotent;
     double utility = 1;
     double late_utility_ratio = 0; // share of the utility that a late answer earns
@@ -37,18 +37,18 @@
     std::vector<RequestClassConfig> request_classes;
     std::vector<TenantConfig> tenants;
     int front_nodes = 1;
-    Tenths decision_interval = 0;   // minimum time between two decisions
-    Tenths warm_up_time = 0;        // until a started server has its full capacity
+    Ticks decision_interval = 0;    // minimum time between two decisions
+    Ticks warm_up_time = 0;         // until a started server has its full capacity
     double cold_capacity_ratio = 1; // capacity at its start
-    Tenths overload_window = 0;     // in which a cold server's load is limited
+    Ticks overload_window = 0;      // in which a cold server's load is limited
     double overload_factor = 1;     // limit of that load, as a multiple of its capacity
     bool has_retry_budget = false;
     double retry_slack = 0; // retries beyond the ratio, in one window
     double retry_ratio = 0; // retries to requests, in one window
-    Tenths retry_window = 0;
-    Tenths max_retry_after = 0;
-    int max_attempts = 1;       // of one part
-    Tenths connect_timeout = 0; // a connection not established by then never is
+    Ticks retry_window = 0;
+    Ticks max_retry_after = 0;
+    int max_attempts = 1;      // of one part
+    Ticks connect_timeout = 0; // a connection not established by then never is
     bool may_cancel = false;
     bool may_probe = false;
     bool may_send_retry_after = false;
@@ -57,10 +57,10 @@
     double over_quota_utility_ratio = 1;
     ListMode list_mode = ListMode::kPushed;
     // From the protocol: a change of the server list counts as known to all this long after it was published.
-    Tenths list_propagation = 6 * kTenthsPerSecond;
+    Ticks list_propagation = 6 * kTicksPerSecond;
     int cells = 1; // shard s is held by cells (s + j) mod this, j from 0 to span - 1
     int span = 1;
-    Tenths call_work = 0; // server time of a call in addition to its parts
+    Ticks call_work = 0; // server time of a call in addition to its parts
     bool holds(CellNo cell, ShardNo shard) const {
         return (cell.value - shard.value % cells + cells) % cells < span;
     }
@@ -90,7 +90,7 @@
     JobNo job;
     RequestClassNo request_class;
     TenantNo tenant;
-    Tenths time_left = 0; // until this try expires
+    Ticks time_left = 0; // until this try expires
     bool is_retry = false;
 };
 struct PartAdded {
@@ -104,13 +104,13 @@
     AttemptNo attempt;
     ServerId server;
     Outcome outcome = Outcome::kError;
-    Tenths took = 0;
+    Ticks took = 0;
     LoadReport report;
 };
 struct ProbeEnded {
     ServerId server;
     bool passed = false;
-    Tenths took = 0;
+    Ticks took = 0;
     LoadReport report;
 };
 struct SearchAbandoned { // expired, or given up by its client
@@ -127,7 +127,7 @@
     CellNo cell;
     ListedState listed = ListedState::kLive;
     double weight = 1;
-    Tenths started = 0; // 0: long ago
+    Ticks started = 0; // 0: long ago
 };
 struct ServerListUpdate {
     ListKind kind = ListKind::kChanges;
@@ -156,7 +156,7 @@
     // Shards short of capacity: share of the demand that fits.
     std::vector<std::pair<ShardNo, double>> capacity_shares;
     double attempt_budget_share = 1; // of the retry budget that may be used
-    Tenths retry_after = 0;          // maximum for rejected searches; 0: no change
+    Ticks retry_after = 0;           // maximum for rejected searches; 0: no change
 };
 
 using Event = std::variant<SearchAccepted, PartAdded, AttemptEnded, ProbeEnded, SearchAbandoned,
@@ -167,22 +167,22 @@
   public:
     virtual ~SchedulerHost() = default;
     // An attempt that has not been sent after `send_within` must not be sent any more.
-    virtual void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) = 0;
+    virtual void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) = 0;
     virtual void cancel_attempt(PartId part, AttemptNo attempt) = 0;
     virtual void answer(SearchId search, bool whole) = 0;
-    virtual void reject(SearchId search, Tenths retry_after) = 0; // retry_after 0: no advice
+    virtual void reject(SearchId search, Ticks retry_after) = 0; // retry_after 0: no advice
     virtual void fail(SearchId search) = 0;
     virtual void probe(ServerId server) = 0;
     virtual void close_idle_connections(ServerId server) = 0;
-    virtual void schedule_wakeup(Tenths in) = 0;
+    virtual void schedule_wakeup(Ticks in) = 0;
     virtual void subscribe() = 0; // to the server list
 };
 
 class SearchScheduler {
   public:
     virtual ~SearchScheduler() = default;
-    virtual void handle(Tenths now, const Event& event) = 0;
-    virtual void decide(Tenths now, SchedulerHost& host) = 0;
+    virtual void handle(Ticks now, const Event& event) = 0;
+    virtual void decide(Ticks now, SchedulerHost& host) = 0;
 };
 
 std::unique_ptr<SearchScheduler> make_search_scheduler(SchedulerConfig config);
--- a/src/search_scheduler_state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -14,7 +14,7 @@
 
 namespace ivyrill {
 
-constexpr Tenths kNever = std::numeric_limits<Tenths>::max();
+constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
 
 enum class Health { kInService, kEjected, kTrial };
 enum class AttemptState { kPlanned, kInFlight, kEnded };
@@ -35,7 +35,7 @@
     AttemptState state = AttemptState::kPlanned;
     bool wanted = true, cancelled = false, may_have_run = true;
     bool alone = false; // its search's only attempt, sent to learn whether the search crashes servers
-    Tenths sent = 0;
+    Ticks sent = 0;
 };
 
 struct Part {
@@ -45,7 +45,7 @@
     bool answered = false, backlogged = false;
     bool slow = false;     // overdue at a server that answers others
     bool left_out = false; // omitted from the answer while its shard lacks capacity
-    Tenths not_before = 0; // no attempt until then
+    Ticks not_before = 0;  // no attempt until then
     std::vector<Attempt> attempts{};
     bool in_flight() const {
         return std::ranges::any_of(attempts, [](auto& l) { return l.state != AttemptState::kEnded; });
@@ -57,7 +57,7 @@
     SearchId id;
     RequestClassNo request_class;
     TenantNo tenant;
-    Tenths due = 0, expiry = 0, retry_after = 0;
+    Ticks due = 0, expiry = 0, retry_after = 0;
     double utility = 0;
     int step = 1;
     bool complete = true; // so far
@@ -74,7 +74,7 @@
 };
 
 struct SentAttempt { // an attempt, in its server's records
-    Tenths at = 0;
+    Ticks at = 0;
     bool was_idle = false; // sent over a connection that had been idle for long
     bool overdue = false;
     bool is_new = false;
@@ -94,18 +94,18 @@
     double failure_rate = 0;
     int setbacks = 0, passes = 0, trial_limit = 0; // failed trials; passed probes; attempts during a trial
     int silent = 0;                                // overdue attempts since its last answer
-    Tenths silent_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, lost_at = 0;
-    Tenths watched_at = 0, used = 0;      // used: traffic on a connection to it
-    Tenths started_at = 0, cold_next = 0; // last start, listed or inferred; next attempt while cold
-    int rejections = 0;                   // in a row
-    Tenths backoff_until = 0;             // after rejections
+    Ticks silent_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, lost_at = 0;
+    Ticks watched_at = 0, used = 0;      // used: traffic on a connection to it
+    Ticks started_at = 0, cold_next = 0; // last start, listed or inferred; next attempt while cold
+    int rejections = 0;                  // in a row
+    Ticks backoff_until = 0;             // after rejections
     bool known = false, unreachable = false, refused = false, probe_wanted = false, probe_out = false;
     bool renew = false; // idle connections are to be closed before the next attempt
 
     std::array<Group, 2> groups() const { return {Group{0, entry.zone.value}, Group{1, entry.kind.value}}; }
     int in_flight() const { return static_cast<int>(sent_at.size()); }
-    Tenths oldest() const {
-        Tenths first = kNever;
+    Ticks oldest() const {
+        Ticks first = kNever;
         for (const auto& [attempt, sent] : sent_at) first = std::min(first, sent.at);
         return first;
     }
@@ -114,7 +114,7 @@
 struct GroupStats {
     double failure_rate = 0; // mean over attempts and probes
     double response = 0;     // mean, losses counted as a latency target
-    Tenths next_probe = 0;
+    Ticks next_probe = 0;
     void record(bool failed, double took, double weight) {
         mix(failure_rate, failed ? 1 : 0, weight), mix(response, took, weight);
     }
@@ -124,14 +124,14 @@
     RequestClassConfig config;
     double response = 0, deviation = 0; // of answered attempts, fleet-wide
     bool measured = false;
-    double parts = 1;           // mean number for one search
-    Tenths usual_time_left = 0; // of first tries
+    double parts = 1;          // mean number for one search
+    Ticks usual_time_left = 0; // of first tries
     int votes = 0;
 };
 
 struct TenantState { // token bucket of its quota
     double tokens = 0;
-    Tenths filled_at = 0;
+    Ticks filled_at = 0;
 };
 
 } // namespace ivyrill
--- a/src/sessions/session.hpp
+++ b/src/sessions/session.hpp
@@ -32,7 +32,7 @@
 
 struct NodeStatus { // front node state that sessions use; kept up to date by the owner
     bool ready = false;
-    Tenths now = 0;
+    Ticks now = 0;
 };
 
 class Session {
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -30,7 +30,7 @@
     return id;
 }
 
-void Instance::apply(Tenths now, const Message& message) {
+void Instance::apply(Ticks now, const Message& message) {
     if (message.name() == "ACCEPT") {
         const JobNo job{static_cast<std::uint64_t>(message.integer_within("JobNo", 0, kMaxJob))};
         const std::int64_t shard = message.integer_within("SegmentNo", -kMaxIndex, kMaxIndex);
@@ -38,14 +38,14 @@
             scheduler_->handle(
                 now, SearchAccepted{SearchId{request_id(message)}, job,
                                     RequestClassNo{index(message, "Kind")}, TenantNo{index(message, "Realm")},
-                                    tenths_rounded_down(message.integer("TtlUs")), message.flag("IsRetry")});
+                                    ticks_rounded_down(message.integer("TtlUs")), message.flag("IsRetry")});
         else
             scheduler_->handle(now, PartAdded{PartId{request_id(message)}, job,
                                               ShardNo{static_cast<std::int32_t>(shard)},
                                               message.number("SizeOrWeight", 0)});
     } else if (message.name() == "RETURNED") {
         const AttemptNo attempt{static_cast<std::uint32_t>(message.integer_within("Copy", 0, kMaxId))};
-        const Tenths elapsed = tenths_rounded_down(message.integer("DelaySeenUs", 0));
+        const Ticks elapsed = ticks_rounded_down(message.integer("DelaySeenUs", 0));
         Outcome outcome = read_outcome(message.text("How"));
         // The wire has one value for both outcomes: an attempt that took less than the time-out was refused.
         if (outcome == Outcome::kConnectTimeout && elapsed < connect_timeout_)
@@ -55,7 +55,7 @@
                                              read_report(message)});
     } else if (message.name() == "CHECKED") {
         scheduler_->handle(now, ProbeEnded{server_of(message.text("Server")), message.text("How") == "pass",
-                                           tenths_rounded_down(message.integer("DelaySeenUs", 0)),
+                                           ticks_rounded_down(message.integer("DelaySeenUs", 0)),
                                            read_report(message)});
     } else if (message.name() == "LAPSED") {
         scheduler_->handle(now, SearchAbandoned{SearchId{request_id(message)}});
@@ -63,7 +63,7 @@
     // RING only triggers the decision that follows every event. Other messages are ignored.
 }
 
-void Instance::apply_list(Tenths now, ListKind kind, const EndpointList& endpoints) {
+void Instance::apply_list(Ticks now, ListKind kind, const EndpointList& endpoints) {
     ServerListUpdate update{kind, {}};
     for (const ListedEndpoint& row : endpoints) {
         update.entries.push_back(row.entry);
@@ -72,14 +72,14 @@
     scheduler_->handle(now, update);
 }
 
-std::string Instance::decide(Tenths now) {
+std::string Instance::decide(Ticks now) {
     actions_.clear();
     scheduler_->decide(now, *this);
     return std::move(actions_);
 }
 
 // The simulator sends at once, so there is no send deadline.
-void Instance::attempt(PartId part, ServerId server, Tenths time_out, Tenths) {
+void Instance::attempt(PartId part, ServerId server, Ticks time_out, Ticks) {
     actions_ += "ISSUE Id=" + number(part.value) + " TimeoutUs=" + std::to_string(to_micros(time_out)) +
                 " Server=" + names_.at(server.value) + "\n";
 }
@@ -92,7 +92,7 @@
     actions_ += "SETTLE_QUERY Id=" + number(search.value) + " On=" + (whole ? "1" : "0") + "\n";
 }
 
-void Instance::reject(SearchId search, Tenths retry_after) {
+void Instance::reject(SearchId search, Ticks retry_after) {
     actions_ += "REJECT Id=" + number(search.value);
     if (retry_after > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(retry_after));
     actions_ += "\n";
@@ -106,7 +106,7 @@
     actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n";
 }
 
-void Instance::schedule_wakeup(Tenths in) {
+void Instance::schedule_wakeup(Ticks in) {
     actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n";
 }
 
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -21,24 +21,24 @@
     explicit Instance(SchedulerConfig terms)
         : connect_timeout_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
-    void apply(Tenths now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
-    void apply_list(Tenths now, ListKind kind, const EndpointList& endpoints);
-    std::string decide(Tenths now); // the actions, one line each
+    void apply(Ticks now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
+    void apply_list(Ticks now, ListKind kind, const EndpointList& endpoints);
+    std::string decide(Ticks now); // the actions, one line each
 
-    void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override;
+    void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) override;
     void cancel_attempt(PartId part, AttemptNo attempt) override;
     void answer(SearchId search, bool whole) override;
-    void reject(SearchId search, Tenths retry_after) override;
+    void reject(SearchId search, Ticks retry_after) override;
     void fail(SearchId search) override;
     void probe(ServerId server) override;
     void close_idle_connections(ServerId server) override;
-    void schedule_wakeup(Tenths in) override;
+    void schedule_wakeup(Ticks in) override;
     void subscribe() override;
 
   private:
     ServerId server_of(std::string_view name);
 
-    Tenths connect_timeout_;
+    Ticks connect_timeout_;
     std::unique_ptr<SearchScheduler> scheduler_;
     std::map<std::string, ServerId, std::less<>> ids_;
     std::vector<std::string> names_;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -23,7 +23,7 @@
     std::string process_batch(const std::string& opening, std::istream& in) {
         const Message begin(opening);
         if (begin.name() != "BEGIN_BATCH") throw WireError("expected BEGIN_BATCH: " + opening.substr(0, 80));
-        now_ = tenths_rounded_down(begin.integer_within("TimeUs", 0, kMaxInteger));
+        now_ = ticks_rounded_down(begin.integer_within("TimeUs", 0, kMaxInteger));
         addressed_nodes_.clear();
         current_node_ = nullptr;
         for (std::string text;;) {
@@ -105,11 +105,11 @@
         entry.weight = row.number("Weight", 1);
         // Rounded up: a later start treats the server as cold for longer, which is safe.
         entry.started =
-            row.has("BornUs") ? tenths_rounded_up(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
+            row.has("BornUs") ? ticks_rounded_up(row.integer_within("BornUs", 0, kMaxInteger)) : 0;
         return entry;
     }
 
-    Tenths now_ = 0;
+    Ticks now_ = 0;
     std::map<std::string, Instance> instances_;
     std::set<std::string, std::less<>> names_;
     std::vector<std::string> addressed_nodes_; // in this batch, in order of appearance
--- a/src/transport/channel.hpp
+++ b/src/transport/channel.hpp
@@ -45,7 +45,7 @@
         return session_ ? stream_.room() - std::min(stream_.room(), kTlsOverheadBytes) : stream_.room();
     }
     std::string protocol() const { return session_ ? session_->protocol() : std::string(); }
-    Tenths last_receive_age() const { return stream_.last_receive_age(); }
+    Ticks last_receive_age() const { return stream_.last_receive_age(); }
 
   private:
     // What TLS adds to a ring buffer full of answers.
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -62,16 +62,16 @@
 
 Loop::~Loop() { close(epoll_); }
 
-Tenths Loop::now() const { return tenths_rounded_down(steady_us() + steady_to_unix_us_); }
+Ticks Loop::now() const { return ticks_rounded_down(steady_us() + steady_to_unix_us_); }
 
-Tenths Loop::wall() { return tenths_rounded_down(unix_us()); }
+Ticks Loop::wall() { return ticks_rounded_down(unix_us()); }
 
-void Loop::wait(std::optional<Tenths> until) {
+void Loop::wait(std::optional<Ticks> until) {
     wait_for_events(until);
     run_ready();
 }
 
-void Loop::wait_for_events(std::optional<Tenths> until) {
+void Loop::wait_for_events(std::optional<Ticks> until) {
     std::array<epoll_event, 256> events;
     timespec timeout{};
     timespec* limit = nullptr;
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -62,14 +62,14 @@
     Loop& operator=(const Loop&) = delete;
 
     // Waits for events or until the given time, then runs all ready coroutines until they wait again.
-    void wait(std::optional<Tenths> until);
+    void wait(std::optional<Ticks> until);
     // The two halves of `wait`: waits for events and queues the coroutines they wake; runs the queue.
-    void wait_for_events(std::optional<Tenths> until);
+    void wait_for_events(std::optional<Ticks> until);
     void run_ready();
     bool has_ready() const { return !ready_.empty(); }
     // Unix time at startup, advanced by the monotonic clock: never goes back.
-    Tenths now() const;
-    static Tenths wall(); // the system's real-time clock, which may jump
+    Ticks now() const;
+    static Ticks wall(); // the system's real-time clock, which may jump
 
   private:
     friend class Slot;
--- a/src/transport/pending.hpp
+++ b/src/transport/pending.hpp
@@ -20,7 +20,7 @@
     }
     bool resolved() const { return value_.has_value(); }
     // nullopt if the result has not arrived by `until`.
-    static Async<std::optional<Value>> wait(std::shared_ptr<Pending> pending, Tenths until) {
+    static Async<std::optional<Value>> wait(std::shared_ptr<Pending> pending, Ticks until) {
         Pending& self = *pending;
         const WakeAt timer(self.reactor_, until, self.slot_);
         while (!self.value_ && self.reactor_.now() < until) co_await self.slot_;
