--- a/src/transport/reactor.cpp
+++ b/src/transport/reactor.cpp
@@ -26,7 +26,7 @@
 
 Reactor::Reactor() : now_(loop_.now()) { start_pipe(); }
 
-Reactor::Reactor(Tenths start) : now_(start) {}
+Reactor::Reactor(Ticks start) : now_(start) {}
 
 void Reactor::start_pipe() {
     std::array<int, 2> ends{};
@@ -44,7 +44,7 @@
     close(pipe_write_);
 }
 
-Reactor::TimerId Reactor::call_at(Tenths at, std::function<void()> call) {
+Reactor::TimerId Reactor::call_at(Ticks at, std::function<void()> call) {
     const TimerId id{at, ++timer_count_};
     timers_.emplace(id, std::move(call));
     return id;
@@ -117,22 +117,22 @@
 
 void Reactor::run() {
     while (!stopped_) {
-        std::optional<Tenths> until;
+        std::optional<Ticks> until;
         if (!timers_.empty()) until = timers_.begin()->first.first;
         loop_.wait_for_events(until);
-        const Tenths woken = loop_.now();
-        turn(woken, until ? std::max<Tenths>(0, woken - std::max(*until, now_)) : 0);
+        const Ticks woken = loop_.now();
+        turn(woken, until ? std::max<Ticks>(0, woken - std::max(*until, now_)) : 0);
     }
 }
 
-void Reactor::turn(Tenths now, Tenths stalled_for) {
+void Reactor::turn(Ticks now, Ticks stalled_for) {
     now_ = now, stalled_for_ = stalled_for;
     run_due_timers();
     loop_.run_ready();
     free_ended();
 }
 
-Tenths Reactor::next_turn() const {
+Ticks Reactor::next_turn() const {
     if (loop_.has_ready() || !freed_later_.empty()) return now_;
     return timers_.empty() ? kNever : timers_.begin()->first.first;
 }
--- a/src/transport/reactor.hpp
+++ b/src/transport/reactor.hpp
@@ -17,23 +17,23 @@
 
 class Reactor {
   public:
-    using TimerId = std::pair<Tenths, std::uint64_t>;
+    using TimerId = std::pair<Ticks, std::uint64_t>;
 
     Reactor();
     // For simulations: time is given by `turn`. Nothing waits, and `run` must not be called.
-    explicit Reactor(Tenths start);
+    explicit Reactor(Ticks start);
     ~Reactor();
     Reactor(const Reactor&) = delete;
     Reactor& operator=(const Reactor&) = delete;
 
     Loop& loop() { return loop_; }
-    Tenths now() const { return now_; } // of the current turn
+    Ticks now() const { return now_; } // of the current turn
     // How long this turn was delayed beyond the requested wakeup time, since the process was suspended or
     // starved.
-    Tenths stalled_for() const { return stalled_for_; }
+    Ticks stalled_for() const { return stalled_for_; }
 
-    TimerId call_at(Tenths at, std::function<void()> call);
-    TimerId call_after(Tenths span, std::function<void()> call) {
+    TimerId call_at(Ticks at, std::function<void()> call);
+    TimerId call_after(Ticks span, std::function<void()> call) {
         return call_at(now_ + span, std::move(call));
     }
     void cancel(TimerId id) { timers_.erase(id); }
@@ -47,10 +47,10 @@
     void stop() { stopped_ = true; }
     bool stopped() const { return stopped_; }
     // Runs one turn at the given time: due timers, then all ready coroutines, then destroys what has ended.
-    void turn(Tenths now, Tenths stalled_for);
+    void turn(Ticks now, Ticks stalled_for);
     // When the next turn has work: `now` if a coroutine is ready, kNever if there are no timers.
-    Tenths next_turn() const;
-    static constexpr Tenths kNever = INT64_MAX;
+    Ticks next_turn() const;
+    static constexpr Ticks kNever = INT64_MAX;
     // Defers destroying an object that a running coroutine uses to the end of the turn.
     void free_later(std::function<void()> call) { freed_later_.push_back(std::move(call)); }
 
@@ -61,7 +61,7 @@
     void start_pipe();
 
     Loop loop_;
-    Tenths now_, stalled_for_ = 0;
+    Ticks now_, stalled_for_ = 0;
     std::uint64_t timer_count_ = 0;
     std::map<TimerId, std::function<void()>> timers_;
     std::list<Task> tasks_;
@@ -78,7 +78,7 @@
 // A timer that wakes a slot; cancelled when it goes out of scope.
 class WakeAt {
   public:
-    WakeAt(Reactor& reactor, Tenths at, Slot& slot)
+    WakeAt(Reactor& reactor, Ticks at, Slot& slot)
         : reactor_(reactor), id_(reactor.call_at(at, [&slot] { slot.wake(); })) {}
     ~WakeAt() { reactor_.cancel(id_); }
     WakeAt(const WakeAt&) = delete;
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -81,8 +81,8 @@
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-void set_delivery_timeout(int descriptor, Tenths span) {
-    const auto milliseconds = static_cast<unsigned>(span / (kTenthsPerSecond / 1000));
+void set_delivery_timeout(int descriptor, Ticks span) {
+    const auto milliseconds = static_cast<unsigned>(span / (kTicksPerSecond / 1000));
     setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
 }
 
@@ -115,11 +115,11 @@
 }
 
 // Taken from the system, so that data received while the process was suspended counts from its arrival.
-Tenths Stream::last_receive_age() const {
+Ticks Stream::last_receive_age() const {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (getsockopt(source_.descriptor(), IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
-    return static_cast<Tenths>(info.tcpi_last_data_recv) * (kTenthsPerSecond / 1000);
+    return static_cast<Ticks>(info.tcpi_last_data_recv) * (kTicksPerSecond / 1000);
 }
 
 void Stream::finish() { shutdown(source_.descriptor(), SHUT_WR); }
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -20,7 +20,7 @@
 void reset_on_close(int descriptor);
 // The system drops the connection, with its unacknowledged data, if data stays unacknowledged for this long,
 // even while this process does not run.
-void set_delivery_timeout(int descriptor, Tenths span);
+void set_delivery_timeout(int descriptor, Ticks span);
 int accept_from(int listener);  // negative if there is none, see errno
 bool connected(int descriptor); // after the descriptor became writable
 
@@ -45,7 +45,7 @@
     std::uint64_t transferred_bytes() const { return received_ + written_; }
     std::size_t unwritten() const { return out_.size(); }
     std::size_t room() const { return out_.room(); }
-    Tenths last_receive_age() const;          // time since the last bytes reached this machine, read or not
+    Ticks last_receive_age() const;           // time since the last bytes reached this machine, read or not
     bool send(std::string_view bytes);        // false if the buffer has no room for them
     void finish();                            // closes the sending side of the connection
     void abandon() { output_closed_ = true; } // writes nothing more, not even what is buffered
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-constexpr Tenths s(std::int64_t count) { return count * kTenthsPerSecond; }
-constexpr Tenths kNow = s(1'800'000'000);
+constexpr Ticks s(std::int64_t count) { return count * kTicksPerSecond; }
+constexpr Ticks kNow = s(1'800'000'000);
 
 AccessOptions default_access() {
     AccessOptions terms;
@@ -36,7 +36,7 @@
 
 NamedText file_of(const Key& key) { return {key.name + ".jwk", write_key(key, false)}; }
 
-Claims claims_for(const std::string& member = "anna", Tenths now = kNow) {
+Claims claims_for(const std::string& member = "anna", Ticks now = kNow) {
     Claims claims;
     claims.issuer = "trinacria", claims.audience = {"archive"}, claims.id = "t1";
     claims.issued = now, claims.expires = now + s(600);
@@ -49,7 +49,7 @@
     explicit Fixture(std::vector<Key> ring_keys = {make_key("ed"), make_key("ec", Algorithm::kEs256),
                                                    make_key("hs", Algorithm::kHs256)})
         : keys(std::move(ring_keys)), authorizer(policy()) {}
-    std::shared_ptr<const Policy> policy(const Policy* before = nullptr, Tenths now = kNow) const {
+    std::shared_ptr<const Policy> policy(const Policy* before = nullptr, Ticks now = kNow) const {
         AccessFiles files;
         for (const Key& key : keys) files.keys.push_back(file_of(key));
         if (!revoked.tokens.empty() || !revoked.members.empty() || !revoked.certificates.empty())
@@ -57,25 +57,24 @@
         files.authorities = authorities, files.crls = crls;
         return read_policy(default_access(), files, before, now);
     }
-    std::string reload(Tenths now = kNow) { // returns the error; empty on success
+    std::string reload(Ticks now = kNow) { // returns the error; empty on success
         try {
             authorizer.replace_policy(policy(&authorizer.policy(), now));
         } catch (const AccessError& error) { return error.what(); }
         return {};
     }
     Decision admit(const std::string& token, const AccessRequest& asked = {"find", "", ""},
-                   Tenths now = kNow) {
+                   Ticks now = kNow) {
         return authorizer.admit({token, false, nullptr}, asked, now);
     }
-    Reason reason(const std::string& token, const AccessRequest& asked = {"find", "", ""},
-                  Tenths now = kNow) {
+    Reason reason(const std::string& token, const AccessRequest& asked = {"find", "", ""}, Ticks now = kNow) {
         return admit(token, asked, now).reason;
     }
-    Reason reason(const Claims& claims, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
+    Reason reason(const Claims& claims, const AccessRequest& asked = {"find", "", ""}, Ticks now = kNow) {
         return reason(sign_token(claims, keys[0]), asked, now);
     }
     Reason certificate_reason(const Chain& chain, const AccessRequest& asked = {"find", "", ""},
-                              Tenths now = kNow) {
+                              Ticks now = kNow) {
         return authorizer.admit({"", false, std::make_shared<const Chain>(chain)}, asked, now).reason;
     }
     std::vector<Key> keys;
@@ -244,7 +243,7 @@
     Fixture fixture({make_key("old", Algorithm::kEdDsa, {0, s(1), kNow, kNow + s(60)}),
                      make_key("new", Algorithm::kEdDsa, {kNow - s(100), kNow, kNever, kNever}),
                      make_key("next", Algorithm::kEdDsa, {kNow - s(100), kNow + s(30), kNever, kNever})});
-    const auto with = [&](std::size_t key, Tenths now) {
+    const auto with = [&](std::size_t key, Ticks now) {
         return fixture.reason(sign_token(claims_for("anna", kNow), fixture.keys[key]), {"find", "", ""}, now);
     };
     assert(fixture.keys[0].times.at(kNow) == KeyState::kOutgoing &&
@@ -267,7 +266,7 @@
            read_back.signing.fingerprint() == rotation.new_key.signing.fingerprint());
     const KeyRing after =
         KeyRing::read({file_of(rotation.new_key), file_of(rotation.changed_keys[0])}, &before);
-    for (Tenths now = kNow; now < kNow + s(200); now += s(1)) {
+    for (Ticks now = kNow; now < kNow + s(200); now += s(1)) {
         const Key* signer = after.signer(now);
         assert(signer != nullptr && signer->verifies(now, 0));
         if (now < kNow + s(31)) assert(signer->name == "k1");
@@ -479,7 +478,7 @@
 
 void clock_jump_is_accepted_only_after_settling() {
     TrustedClock clock(s(5), s(10));
-    Tenths steady = s(1000);
+    Ticks steady = s(1000);
     assert(clock.observe(steady, kNow) == kNow);
     steady += s(1);
     assert(clock.observe(steady, kNow + s(1) + 300) ==
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -9,8 +9,8 @@
 
 using namespace access;
 
-constexpr Tenths s(std::int64_t count) { return count * kTenthsPerSecond; }
-constexpr Tenths kWall = s(1'800'000'000);
+constexpr Ticks s(std::int64_t count) { return count * kTicksPerSecond; }
+constexpr Ticks kWall = s(1'800'000'000);
 
 AccessOptions terms_of_access() {
     AccessOptions terms;
@@ -298,8 +298,8 @@
     fixture.key.times.outgoing = kWall, fixture.key.times.gone = kWall + s(3600);
     fixture.reload();
     fixture.send_search(fixture.token("anna"));
-    const Tenths start = fixture.now;
-    const auto set_wall_clock = [&](Tenths ahead) {
+    const Ticks start = fixture.now;
+    const auto set_wall_clock = [&](Ticks ahead) {
         fixture.handle(WallClockRead{kWall + (fixture.now - start) + ahead});
     };
     set_wall_clock(s(86'400));
--- a/tests/autoscaler_tests.cpp
+++ b/tests/autoscaler_tests.cpp
@@ -14,7 +14,7 @@
 using namespace ivyrill::duties;
 using model::Stage;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kStart = 1'000'000;
+constexpr Ticks kSecond = kTicksPerSecond, kStart = 1'000'000;
 const model::Scaling kScaling{2, 24, 4};
 const std::vector<std::string> kZones{"a", "b", "c", "d"};
 
@@ -66,11 +66,11 @@
 // immediately; new servers serve after the boot time.
 struct ScalingLoop {
     Autoscaler controller;
-    Tenths now = kStart, ready_at = 0;
+    Ticks now = kStart, ready_at = 0;
     int changes = 0, reversals = 0;
     std::int64_t last_step = 0;
-    void run(Fleet& fleet, Tenths span, double load_servers, const std::string& lost_zone = {}) {
-        for (const Tenths end = now + span; now < end; now += Autoscaler::kInterval) {
+    void run(Fleet& fleet, Ticks span, double load_servers, const std::string& lost_zone = {}) {
+        for (const Ticks end = now + span; now < end; now += Autoscaler::kInterval) {
             if (now >= ready_at) fleet.start_all();
             if (!lost_zone.empty()) fleet.lose(lost_zone);
             fleet.load(load_servers / static_cast<double>(fleet.input.servers.size()));
@@ -189,7 +189,7 @@
     ScalingInput unreported = fleet.input, without_demand = fleet.input;
     for (std::size_t i = 0; i < unreported.servers.size() / 2; ++i) unreported.servers[i].reported = false;
     without_demand.demand.reset();
-    for (Tenths at = kStart; at < kStart + 20 * kSecond; at += Autoscaler::kInterval) {
+    for (Ticks at = kStart; at < kStart + 20 * kSecond; at += Autoscaler::kInterval) {
         BOOST_TEST(controller.plan(unreported, kScaling, at).empty());
         BOOST_TEST(controller.plan(without_demand, kScaling, at).empty());
         BOOST_TEST(controller.plan(ScalingInput{}, kScaling, at).empty());
@@ -201,7 +201,7 @@
 BOOST_AUTO_TEST_CASE(constant_utilization_does_not_cause_unbounded_growth) {
     Autoscaler controller;
     Fleet busy(8);
-    for (Tenths at = kStart; at < kStart + 200 * kSecond; at += Autoscaler::kInterval) {
+    for (Ticks at = kStart; at < kStart + 200 * kSecond; at += Autoscaler::kInterval) {
         busy.start_all(), busy.load(0.7);
         busy.apply(controller.plan(busy.input, kScaling, at));
     }
@@ -227,12 +227,12 @@
     for (const auto outcome : {PlatformOutcome::kBusy, PlatformOutcome::kFailed, PlatformOutcome::kUnanswered,
                                PlatformOutcome::kNotSent}) {
         ScaleOrder order(7);
-        Tenths now = kStart, last_backoff = 0;
+        Ticks now = kStart, last_backoff = 0;
         for (int tries = 0; tries < 3; ++tries) {
             order.request(12, now);
             order.sent();
             order.answered(12, outcome, now);
-            const Tenths sent_at = now;
+            const Ticks sent_at = now;
             while (!order.due(now)) now += 100;
             BOOST_TEST(now - sent_at > last_backoff);
             last_backoff = now - sent_at;
@@ -327,8 +327,8 @@
         record.stage = server.stage, record.revision = 1;
         table.merge(record, kStart);
     }
-    void run(Tenths span) {
-        for (const Tenths end = reactor.now() + span; reactor.now() < end;)
+    void run(Ticks span) {
+        for (const Ticks end = reactor.now() + span; reactor.now() < end;)
             reactor.turn(reactor.now() + Autoscaler::kInterval, 0);
     }
     void answer_all(PlatformOutcome outcome) {
--- a/tests/c3_tests.cpp
+++ b/tests/c3_tests.cpp
@@ -6,28 +6,28 @@
 #include "replica_selection/c3.hpp"
 
 using ivyrill::Pcg;
-using ivyrill::Tenths;
+using ivyrill::Ticks;
 using namespace ivyrill::replica_selection;
 
 namespace {
 
 // Sends or answers `count` times in the window of `now`.
-void send(SendRateLimiter& limit, Tenths now, int count) {
+void send(SendRateLimiter& limit, Ticks now, int count) {
     for (int i = 0; i < count; ++i) limit.sent(now);
 }
 
-void answer(SendRateLimiter& limit, Tenths now, int count) {
+void answer(SendRateLimiter& limit, Ticks now, int count) {
     for (int i = 0; i < count; ++i) limit.answered(now);
 }
 
 // An earlier, independent implementation.
 struct EarlierLimiter {
     double limit = 10, saturation = 10, recent_sends = 0;
-    Tenths last_cut = 0, last_rise = 0, window = 0;
+    Ticks last_cut = 0, last_rise = 0, window = 0;
     int sent = 0, answers = 0, last_answers = 0;
 
-    void roll_window(Tenths now) {
-        const Tenths fresh = now / 200;
+    void roll_window(Ticks now) {
+        const Ticks fresh = now / 200;
         if (fresh == window) return;
         recent_sends += 0.3 * ((fresh == window + 1 ? sent : 0) - recent_sends);
         last_answers = fresh == window + 1 ? answers : 0;
@@ -35,7 +35,7 @@
         sent = answers = 0;
     }
 
-    void adapt(Tenths now, int outstanding, bool backlogged) {
+    void adapt(Ticks now, int outstanding, bool backlogged) {
         constexpr double kEarlierGamma = 0.2 * 10.0 / (1000.0 * 1000.0 * 1000.0);
         const double most = std::max(answers, last_answers);
         if (most > limit || (sent >= limit && outstanding == 0)) {
@@ -207,9 +207,9 @@
     for (int run = 0; run < 200; ++run) {
         SendRateLimiter limit;
         EarlierLimiter earlier;
-        Tenths now = static_cast<Tenths>(random.unit() * 1000);
+        Ticks now = static_cast<Ticks>(random.unit() * 1000);
         for (int step = 0; step < 2000; ++step) {
-            if (random.unit() < 0.2) now += static_cast<Tenths>(random.unit() * 300);
+            if (random.unit() < 0.2) now += static_cast<Ticks>(random.unit() * 300);
             earlier.roll_window(now);
             BOOST_REQUIRE_EQUAL(limit.has_room(now), !(earlier.sent >= earlier.limit));
             const double before = earlier.limit;
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -21,7 +21,7 @@
     return status(client, request);
 }
 
-constexpr Tenths kHour = 3600 * kTenthsPerSecond;
+constexpr Ticks kHour = 3600 * kTicksPerSecond;
 
 void token_opens_the_plain_port_and_the_sealed_one() {
     FrontNodeFixture fixture({});
@@ -56,9 +56,9 @@
     Client none(fixture.client_certificate_address(), TlsWish{}); // optional there: a token does
     assert(status(none, {"b1"}) == 401 &&
            status(none, {"b2", "find", "", fixture.token("anna", fixture.key())}) == 200);
-    const Authority strange("root", 0, 4'000'000'000 * kTenthsPerSecond);
+    const Authority strange("root", 0, 4'000'000'000 * kTicksPerSecond);
     const Issued stranger = strange.issue(
-        {"x", {"spiffe://trinacria.example/etna/anna"}, {}, 0, 4'000'000'000 * kTenthsPerSecond, false});
+        {"x", {"spiffe://trinacria.example/etna/anna"}, {}, 0, 4'000'000'000 * kTicksPerSecond, false});
     Client other(fixture.client_certificate_address(),
                  TlsWish{stranger.certificate, stranger.key, false, {}});
     assert(status(other, {"c1"}) == 401 && fixture.fleet.attempts("c1.0") == 0);
@@ -75,7 +75,7 @@
     assert(status(client, {"a2", "find", "", old}) == 200);
     assert(status(client, {"a3", "find", "", fixture.token("anna", fixture.key())}) == 200);
     access::Key gone = first;
-    gone.times.outgoing = gone.times.gone = transport::Loop::wall() / kTenthsPerSecond * kTenthsPerSecond;
+    gone.times.outgoing = gone.times.gone = transport::Loop::wall() / kTicksPerSecond * kTicksPerSecond;
     const std::size_t swaps = fixture.count_audit_lines("swapped");
     fixture.write_key(gone);
     assert(fixture.await_audit("swapped", swaps + 1));
--- a/tests/client_request_tests.cpp
+++ b/tests/client_request_tests.cpp
@@ -12,7 +12,7 @@
 using protocol::HttpMessage;
 using protocol::HttpParser;
 
-constexpr Tenths kReceived = 5'000'000, kMs = 10;
+constexpr Ticks kReceived = 5'000'000, kMs = 10;
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
@@ -143,7 +143,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(time_left_rounds_down_to_at_least_a_millisecond) {
-    for (const auto& [left, expected] : {std::pair<Tenths, const char*>{1, "1"},
+    for (const auto& [left, expected] : {std::pair<Ticks, const char*>{1, "1"},
                                          {0, "1"},
                                          {-50, "1"},
                                          {19, "1"},
@@ -172,8 +172,8 @@
         BOOST_TEST(!request({{"deadline-ms", text}}).client_deadline.has_value(), text);
     BOOST_TEST(!request({}).client_deadline.has_value());
     BOOST_TEST(*request({{"deadline-ms", "0"}}).client_deadline == kReceived);
-    const Tenths huge = *request({{"deadline-ms", "9223372036854775807"}}).client_deadline;
-    BOOST_TEST((huge > kReceived && huge <= kReceived + 2 * 86'400 * kTenthsPerSecond));
+    const Ticks huge = *request({{"deadline-ms", "9223372036854775807"}}).client_deadline;
+    BOOST_TEST((huge > kReceived && huge <= kReceived + 2 * 86'400 * kTicksPerSecond));
 }
 
 BOOST_AUTO_TEST_CASE(malformed_token_counts_are_no_tokens) {
--- a/tests/connect_timeout_tests.cpp
+++ b/tests/connect_timeout_tests.cpp
@@ -9,9 +9,9 @@
 using namespace ivyrill;
 using ivyrill::proxy::ConnectTimeout;
 
-constexpr Tenths kTarget = 2500, kMillisecond = kTenthsPerSecond / 1000;
+constexpr Ticks kTarget = 2500, kMillisecond = kTicksPerSecond / 1000;
 
-ConnectTimeout after(Tenths took, int times) {
+ConnectTimeout after(Ticks took, int times) {
     ConnectTimeout timeout;
     for (int i = 0; i < times; ++i) timeout.connected(took + i % 2);
     return timeout;
@@ -32,7 +32,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(it_follows_connect_times_up_to_the_target) {
-    const Tenths slow = after(60 * kMillisecond, 50).timeout(kTarget);
+    const Ticks slow = after(60 * kMillisecond, 50).timeout(kTarget);
     BOOST_TEST(slow > 60 * kMillisecond);
     BOOST_TEST(after(5000 * kMillisecond, 50).timeout(kTarget) == kTarget);
     ConnectTimeout slowed = after(5 * kMillisecond, 50);
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_CASE(it_doubles_on_timeouts_and_is_bounded) {
     ConnectTimeout timeout = after(5 * kMillisecond, 50);
-    const Tenths usual = timeout.timeout(kTarget);
+    const Ticks usual = timeout.timeout(kTarget);
     timeout.timed_out();
     BOOST_TEST(timeout.timeout(kTarget) == 2 * usual);
     for (int i = 0; i < 100; ++i) timeout.timed_out();
--- a/tests/consensus_guard_tests.cpp
+++ b/tests/consensus_guard_tests.cpp
@@ -11,13 +11,13 @@
 using namespace ivyrill;
 using namespace ivyrill::consensus;
 
-constexpr Tenths kStart = 1'000'000;
+constexpr Ticks kStart = 1'000'000;
 
 // One of three initial voters; the test plays the other two. Its disk completes writes while `disk_answers`.
 struct TestMember {
     const Member self{MemberId{1}, "a", "z"}, second{MemberId{2}, "b", "z"}, third{MemberId{3}, "c", "z"};
     Replica replica{options(), {}, kStart};
-    Tenths now = kStart;
+    Ticks now = kStart;
     bool disk_answers = true;
     std::vector<StoreTicket> pending_stores;
     std::vector<Message> sent;
@@ -172,7 +172,7 @@
 BOOST_AUTO_TEST_CASE(only_echoes_of_past_tokens_of_this_process_count_as_contact) {
     TestMember member;
     member.now += 5'000;
-    const auto echoed = [&](std::uint64_t process, Tenths at) {
+    const auto echoed = [&](std::uint64_t process, Ticks at) {
         Append append;
         append.term = 4, append.round = 1, append.newest = member.newest();
         append.echo = ContactToken{process, at};
--- a/tests/consensus_tests.cpp
+++ b/tests/consensus_tests.cpp
@@ -10,7 +10,7 @@
 using namespace ivyrill::consensus;
 using namespace ivyrill::lab;
 
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kSecond = kTicksPerSecond;
 
 ConsensusPlan plan(int members, std::uint64_t seed = 1) {
     return {seed, members, 0, static_cast<std::size_t>(members) / 2 + 1, true};
@@ -28,7 +28,7 @@
     return *world.leader();
 }
 
-bool acknowledged(ConsensusWorld& world, std::size_t write, Tenths limit = kSecond) {
+bool acknowledged(ConsensusWorld& world, std::size_t write, Ticks limit = kSecond) {
     return world.run_until([&] { return world.state_of(write) == WriteState::kAcknowledged; }, limit);
 }
 
@@ -228,7 +228,7 @@
 // Cuts the power at each moment of a write and once more after the following election; each write in progress
 // is either durable or lost.
 BOOST_AUTO_TEST_CASE(power_failures_at_each_moment_of_a_write) {
-    for (Tenths moment = 0; moment < 60; ++moment)
+    for (Ticks moment = 0; moment < 60; ++moment)
         for (unsigned kept = 0; kept < 8; ++kept) {
             ConsensusWorld world(plan(3, 7));
             const int leader = elect_leader(world);
@@ -466,10 +466,10 @@
 
 // A member with an instant disk, and a simulated peer that grants each vote and stores nothing.
 struct SingleMember {
-    static constexpr Tenths kStart = 1'000'000;
+    static constexpr Ticks kStart = 1'000'000;
     const Member self{MemberId{1}, "a", "z"}, other{MemberId{2}, "b", "z"};
     Replica replica{options(), {}, kStart};
-    Tenths now = kStart;
+    Ticks now = kStart;
     std::vector<Append> sent; // to the peer, since the test last cleared it
     Options options() const {
         Options options;
--- a/tests/control_history_tests.cpp
+++ b/tests/control_history_tests.cpp
@@ -69,16 +69,16 @@
     plan.control_machines = 6, plan.tolerance = 2;
     ControlWorld world(plan);
     world.start_all();
-    BOOST_REQUIRE(world.settle(8 * ivyrill::kTenthsPerSecond));
+    BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
     world.replace(5, 1500);
     world.replace(4, 1500);
-    world.run_for(4 * ivyrill::kTenthsPerSecond);
-    world.wipe(0, 60 * ivyrill::kTenthsPerSecond);
-    world.wipe(1, 60 * ivyrill::kTenthsPerSecond);
-    world.run_for(ivyrill::kTenthsPerSecond);
+    world.run_for(4 * ivyrill::kTicksPerSecond);
+    world.wipe(0, 60 * ivyrill::kTicksPerSecond);
+    world.wipe(1, 60 * ivyrill::kTicksPerSecond);
+    world.run_for(ivyrill::kTicksPerSecond);
     int status = 0;
     world.send_order(world.new_order(0, 1), 2, [&](int answered) { status = answered; });
-    world.run_for(ivyrill::kTenthsPerSecond);
+    world.run_for(ivyrill::kTicksPerSecond);
     BOOST_TEST(status == 200);
 }
 
@@ -87,7 +87,7 @@
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
-    BOOST_REQUIRE(world.settle(8 * ivyrill::kTenthsPerSecond));
+    BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
     world.wipe(0, 3000);
     world.restart(1, 2000, true);
     world.restart(2, 2000, true);
@@ -108,7 +108,7 @@
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
-    BOOST_REQUIRE(world.settle(8 * ivyrill::kTenthsPerSecond));
+    BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
     const auto lost = world.node(0)->group().self();
     world.set_first_start(true);
     world.wipe(0, 100);
@@ -116,17 +116,17 @@
     BOOST_REQUIRE(world.node(0) != nullptr);
     BOOST_TEST(world.run_until([&] { return !world.node(0)->group().is_bootstrapping(); }, 30'000));
     BOOST_TEST((world.node(0)->group().self() != lost));
-    BOOST_TEST(world.settle(4 * ivyrill::kTenthsPerSecond));
+    BOOST_TEST(world.settle(4 * ivyrill::kTicksPerSecond));
 }
 
 BOOST_AUTO_TEST_CASE(a_disk_that_lost_its_newest_state_becomes_a_new_member) {
     ControlPlan plan;
     ControlWorld world(plan);
     world.start_all();
-    BOOST_REQUIRE(world.settle(8 * ivyrill::kTenthsPerSecond));
+    BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
     const auto lost = world.node(1)->group().self();
     world.spoil(1, 100);
-    BOOST_TEST(world.settle(4 * ivyrill::kTenthsPerSecond));
+    BOOST_TEST(world.settle(4 * ivyrill::kTicksPerSecond));
     BOOST_TEST((world.node(1)->group().self() != lost));
 }
 
@@ -140,7 +140,7 @@
         plan.seed = seed;
         ControlWorld world(plan);
         world.start_all();
-        BOOST_REQUIRE(world.settle(8 * ivyrill::kTenthsPerSecond));
+        BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
         const MachineNumber leader = *world.leader();
         const MachineNumber asked = (leader + 1) % 3;
         world.restart(leader, 50'000, true);
--- a/tests/control_parts_tests.cpp
+++ b/tests/control_parts_tests.cpp
@@ -16,7 +16,7 @@
 using namespace ivyrill;
 using namespace ivyrill::control;
 
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kSecond = kTicksPerSecond;
 constexpr std::uint64_t kIncarnation = 77;
 const std::string kSelf = "10.0.0.1:7300", kLeader = "10.0.0.2:7300", kThird = "10.0.0.3:7300";
 
@@ -65,8 +65,8 @@
                                                    std::move(options), std::move(callbacks))
                               .value());
     }
-    void advance(Tenths span) {
-        const Tenths until = reactor.now() + span;
+    void advance(Ticks span) {
+        const Ticks until = reactor.now() + span;
         while (reactor.next_turn() <= until) reactor.turn(std::max(reactor.next_turn(), reactor.now()), 0);
         reactor.turn(until, 0);
     }
@@ -168,8 +168,7 @@
 
 class ControlledNetwork : public feed::LinkNetwork {
   public:
-    std::unique_ptr<feed::Link> connect(const std::string&, Tenths,
-                                        feed::Link::Callbacks callbacks) override {
+    std::unique_ptr<feed::Link> connect(const std::string&, Ticks, feed::Link::Callbacks callbacks) override {
         return make_link(std::move(callbacks));
     }
     std::unique_ptr<feed::LinkListener> listen(const std::string&,
@@ -178,7 +177,7 @@
     }
     ControlledLink::Side& accept(PeerMesh& mesh) {
         mesh.accept(
-            [this](Tenths, feed::Link::Callbacks callbacks) { return make_link(std::move(callbacks)); });
+            [this](Ticks, feed::Link::Callbacks callbacks) { return make_link(std::move(callbacks)); });
         return *sides.back();
     }
 
@@ -408,7 +407,7 @@
 
 BOOST_AUTO_TEST_CASE(the_feed_gate_opens_when_up_to_date_and_closes_after_a_long_partition) {
     FeedGate gate;
-    const auto update = [&](Tenths out, bool caught_up, bool has_server_records, bool ending = false) {
+    const auto update = [&](Ticks out, bool caught_up, bool has_server_records, bool ending = false) {
         gate.update({out, caught_up, has_server_records, ending});
         return gate.is_open();
     };
@@ -529,8 +528,8 @@
                                options, [](std::size_t, const consensus::Send&) {})
                                .value());
     parts->join(self);
-    const auto advance = [&](Tenths span) {
-        for (const Tenths until = reactor.now() + span; reactor.now() < until;)
+    const auto advance = [&](Ticks span) {
+        for (const Ticks until = reactor.now() + span; reactor.now() < until;)
             reactor.turn(reactor.now() + 500, 0);
     };
     const duties::Duty duty = duties::usage_report_duty();
--- a/tests/decode_partition_tests.cpp
+++ b/tests/decode_partition_tests.cpp
@@ -11,7 +11,7 @@
 using namespace ivyrill;
 using namespace ivyrill::replica_selection;
 
-constexpr Tenths kStart = 1000, kLong = 60 * kTenthsPerSecond;
+constexpr Ticks kStart = 1000, kLong = 60 * kTicksPerSecond;
 
 std::vector<DecodeServerLoad> idle_servers(std::size_t count) {
     return std::vector<DecodeServerLoad>(count, DecodeServerLoad{24, 0.0});
@@ -40,17 +40,17 @@
 BOOST_AUTO_TEST_CASE(servers_are_dedicated_at_once_and_released_one_by_one) {
     DecodePartition partition;
     const std::size_t many = partition.dedicated_count(idle_servers(20), 6, kStart);
-    BOOST_TEST(partition.dedicated_count(idle_servers(20), 0, kStart + kTenthsPerSecond) == many);
-    Tenths now = kStart;
+    BOOST_TEST(partition.dedicated_count(idle_servers(20), 0, kStart + kTicksPerSecond) == many);
+    Ticks now = kStart;
     std::size_t dedicated = many;
     while (dedicated > 1 && now < kStart + 100 * kLong) {
-        now += kTenthsPerSecond;
+        now += kTicksPerSecond;
         const std::size_t next = partition.dedicated_count(idle_servers(20), 0, now);
         BOOST_REQUIRE((next == dedicated || next + 1 == dedicated));
         dedicated = next;
     }
     BOOST_TEST(dedicated == 1U);
-    BOOST_TEST(now - kStart > static_cast<Tenths>(many) * 2 * kTenthsPerSecond);
+    BOOST_TEST(now - kStart > static_cast<Ticks>(many) * 2 * kTicksPerSecond);
 }
 
 BOOST_AUTO_TEST_CASE(burst_of_link_load_is_bounded_by_the_server_count) {
--- a/tests/demand_meter_tests.cpp
+++ b/tests/demand_meter_tests.cpp
@@ -8,7 +8,7 @@
 using proxy::DemandMeter;
 
 namespace {
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kSecond = kTicksPerSecond;
 }
 
 BOOST_AUTO_TEST_CASE(rates_and_shares_cover_the_time_since_the_last_take) {
--- a/tests/duty_tests.cpp
+++ b/tests/duty_tests.cpp
@@ -19,7 +19,7 @@
 using namespace ivyrill::duties;
 using model::Stage;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kStart = 1'000'000;
+constexpr Ticks kSecond = kTicksPerSecond, kStart = 1'000'000;
 constexpr Lease::Timing kTiming{3 * kSecond, kSecond, kSecond / 2};
 
 // ---- a service's servers, spread over four zones
@@ -50,13 +50,13 @@
 
 struct ControlLoop {
     StageController controller{kSecond / 2};
-    Tenths now = kStart;
+    Ticks now = kStart;
     model::ServiceDemand demand{"model", 100, 0, 2, 0, 0.2};
     int orders = 0, reversals = 0;
     Stage last = Stage::kNone; // stage of the last order
     // Runs the controller for `span`; orders take effect immediately.
-    void run(Servers& servers, Tenths span, const std::function<void(Servers&)>& load = {}) {
-        for (const Tenths end = now + span; now < end; now += StageController::kInterval) {
+    void run(Servers& servers, Ticks span, const std::function<void(Servers&)>& load = {}) {
+        for (const Ticks end = now + span; now < end; now += StageController::kInterval) {
             if (load) load(servers);
             const auto changes = controller.plan(servers.list, demand, now);
             orders += static_cast<int>(changes.size());
@@ -102,7 +102,7 @@
 BOOST_AUTO_TEST_CASE(graceful_handover_waits_only_for_calls_in_flight) {
     Lease lease(kTiming, kStart - 10 * kSecond);
     lease.begin(true, kStart);
-    const Tenths may_act_from = kStart + kTiming.max_in_flight;
+    const Ticks may_act_from = kStart + kTiming.max_in_flight;
     BOOST_TEST(!lease.may_act(may_act_from - 1, may_act_from - 1));
     BOOST_TEST(lease.may_act(may_act_from, may_act_from));
 }
@@ -114,7 +114,7 @@
     lease.end(kStart + kSecond);
     lease.begin(true, kStart + 2 * kSecond);
     BOOST_TEST(!lease.may_act(kStart + 2 * kSecond, kStart + 2 * kSecond));
-    const Tenths later = kStart + kSecond + kTiming.duration + kTiming.max_in_flight;
+    const Ticks later = kStart + kSecond + kTiming.duration + kTiming.max_in_flight;
     BOOST_TEST(lease.may_act(later, later));
     Lease new_process_lease(kTiming, kStart); // the previous process may have held the duty until just now
     new_process_lease.begin(true, kStart + kSecond);
@@ -127,12 +127,12 @@
     lease.begin(true, kStart);
     lease.end(kStart + kSecond);
     lease.begin(true, kStart + 2 * kSecond);
-    const Tenths may_act_from = kStart + kSecond + kTiming.duration + kTiming.max_in_flight;
+    const Ticks may_act_from = kStart + kSecond + kTiming.duration + kTiming.max_in_flight;
     BOOST_TEST(!lease.may_act(may_act_from - 1, may_act_from - 1));
     BOOST_TEST(lease.may_act(may_act_from, may_act_from));
     Lease new_process_lease(kTiming, kStart);
     new_process_lease.begin(true, kStart + kSecond);
-    const Tenths first = kStart + kTiming.duration + kTiming.max_in_flight;
+    const Ticks first = kStart + kTiming.duration + kTiming.max_in_flight;
     BOOST_TEST(!new_process_lease.may_act(first - 1, first - 1));
     BOOST_TEST(new_process_lease.may_act(first, first));
 }
@@ -141,7 +141,7 @@
     Lease lease(kTiming, kStart - 10 * kSecond);
     lease.end(kStart);
     lease.begin(true, kStart);
-    const Tenths may_act_from = kStart + kTiming.max_in_flight;
+    const Ticks may_act_from = kStart + kTiming.max_in_flight;
     BOOST_TEST(lease.may_act(may_act_from, may_act_from));
 }
 
@@ -278,7 +278,7 @@
     loop.run(servers, 20 * kSecond);
     BOOST_TEST(loop.orders == 0);
     for (StagedServer& server : servers.list) server.reported = true;
-    for (Tenths at = kStart; at < kStart + 20 * kSecond; at += StageController::kInterval)
+    for (Ticks at = kStart; at < kStart + 20 * kSecond; at += StageController::kInterval)
         BOOST_TEST(loop.controller.plan(servers.list, std::nullopt, at).empty());
     loop.run(servers, 20 * kSecond);
     BOOST_TEST(loop.orders > 0);
--- a/tests/fake_host.hpp
+++ b/tests/fake_host.hpp
@@ -31,13 +31,13 @@
     return 1;
 }
 
-constexpr Tenths ms(double count) { return static_cast<Tenths>(count * 10); }
+constexpr Ticks ms(double count) { return static_cast<Ticks>(count * 10); }
 
 struct Sent {
     PartId part;
     AttemptNo attempt;
     ServerId server;
-    Tenths send_within = 0, at = 0;
+    Ticks send_within = 0, at = 0;
     bool ended = false, cancelled = false;
 };
 enum class End { kNone, kComplete, kPartial, kRejected, kFailed };
@@ -71,18 +71,18 @@
         handle(update);
     }
 
-    static ListEntry entry(int server, ListedState listed = ListedState::kLive, Tenths started = 0) {
+    static ListEntry entry(int server, ListedState listed = ListedState::kLive, Ticks started = 0) {
         return {ServerId{static_cast<std::uint32_t>(server)}, {}, {}, {}, listed, 1, started};
     }
 
     void handle(const Event& event) { scheduler->handle(now, event); }
     void turn() { scheduler->decide(now, *this); }
-    void pass(Tenths span) { // advances the clock, with a turn every 5 ms
-        for (const Tenths end = now + span; now < end;) now += ms(5), turn();
+    void pass(Ticks span) { // advances the clock, with a turn every 5 ms
+        for (const Ticks end = now + span; now < end;) now += ms(5), turn();
     }
 
     // Starts a search with a part at each of these shards, then decides.
-    SearchId search(std::vector<int> shards, Tenths left = ms(2000), int request_class = 0) {
+    SearchId search(std::vector<int> shards, Ticks left = ms(2000), int request_class = 0) {
         const SearchId id{next_id++};
         const JobNo job{next_job++};
         handle(SearchAccepted{id, job, RequestClassNo{request_class}, {}, left, false});
@@ -96,13 +96,13 @@
                 PartAdded{PartId{next_id++}, job, ShardNo{shard}, 1.0 / static_cast<double>(shards.size())});
     }
 
-    void end(std::size_t at, Outcome outcome, Tenths took, LoadReport report = {}) {
+    void end(std::size_t at, Outcome outcome, Ticks took, LoadReport report = {}) {
         assert(!sent.at(at).ended);
         sent[at].ended = true;
         handle(AttemptEnded{sent[at].part, sent[at].attempt, sent[at].server, outcome, took, report});
     }
     // Ends all attempts in flight at this server, or at any.
-    void end_all(Outcome outcome, Tenths took, int server = -1, LoadReport report = {}) {
+    void end_all(Outcome outcome, Ticks took, int server = -1, LoadReport report = {}) {
         for (std::size_t i = 0; i < sent.size(); ++i)
             if (!sent[i].ended &&
                 (server < 0 || sent[i].server == ServerId{static_cast<std::uint32_t>(server)}))
@@ -110,7 +110,7 @@
         turn();
     }
     // Gives the scheduler means: servers that take this long, with such a queue.
-    void warm(int servers, Tenths took = ms(50), double queued = 0) {
+    void warm(int servers, Ticks took = ms(50), double queued = 0) {
         for (int round = 0; round < 12 * servers; ++round) {
             search({0});
             pass(took);
@@ -128,7 +128,7 @@
         return found == ends.end() ? End::kNone : found->second;
     }
 
-    void attempt(PartId part, ServerId server, Tenths time_out, Tenths send_within) override {
+    void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) override {
         assert(time_out > 0 && send_within > 0);
         const auto earlier = std::count_if(sent.begin(), sent.end(), [&](auto& l) { return l.part == part; });
         sent.push_back({part, AttemptNo{static_cast<std::uint32_t>(earlier)}, server, send_within, now});
@@ -138,23 +138,23 @@
             if (attempt.part == part && attempt.attempt == number) attempt.cancelled = true;
     }
     void answer(SearchId id, bool whole) override { finish(id, whole ? End::kComplete : End::kPartial); }
-    void reject(SearchId id, Tenths retry_after) override {
+    void reject(SearchId id, Ticks retry_after) override {
         finish(id, End::kRejected);
         retry_advice = retry_after;
     }
     void fail(SearchId id) override { finish(id, End::kFailed); }
     void probe(ServerId server) override { probes.push_back(server); }
     void close_idle_connections(ServerId server) override { idle_closed.push_back(server); }
-    void schedule_wakeup(Tenths in) override { assert(in > 0); }
+    void schedule_wakeup(Ticks in) override { assert(in > 0); }
     void subscribe() override { ++subscribed; }
 
     std::unique_ptr<SearchScheduler> scheduler;
-    Tenths now = ms(1000);
+    Ticks now = ms(1000);
     std::vector<Sent> sent;
     std::map<SearchId, End> ends;
     std::vector<ServerId> probes, idle_closed;
     int subscribed = 0, answers = 0;
-    Tenths retry_advice = 0;
+    Ticks retry_advice = 0;
     std::uint32_t next_id = 1;
     std::uint64_t next_job = 1;
 
--- a/tests/feed_tests.cpp
+++ b/tests/feed_tests.cpp
@@ -308,10 +308,10 @@
 BOOST_AUTO_TEST_CASE(gone_instances_are_kept_for_a_minute) {
     Tables tables;
     tables.apply(batch(1, {instance("i-1", 7, InstanceState::kGone), load("i-1", 2)}, true), 0);
-    tables.apply(batch(2, {instance("i-1", 6)}), 60 * kTenthsPerSecond - 1);
+    tables.apply(batch(2, {instance("i-1", 6)}), 60 * kTicksPerSecond - 1);
     BOOST_REQUIRE(tables.instances().find("i-1") != nullptr);
     BOOST_TEST((tables.instances().find("i-1")->state == InstanceState::kGone));
-    tables.apply(batch(3, {}), 60 * kTenthsPerSecond);
+    tables.apply(batch(3, {}), 60 * kTicksPerSecond);
     BOOST_TEST(tables.instances().find("i-1") == nullptr);
     BOOST_TEST(tables.loads().empty());
 }
@@ -359,7 +359,7 @@
         last.insert(addresses[3]);
     }
     BOOST_TEST((last == std::set<std::string>{"b", "c"}));
-    list.update({"a"}, 2000 + 3601 * kTenthsPerSecond); // the others were last listed over an hour ago
+    list.update({"a"}, 2000 + 3601 * kTicksPerSecond); // the others were last listed over an hour ago
     BOOST_TEST(list.next_candidates(seeds).size() == 3U);
 }
 
--- a/tests/fleet_duty_tests.cpp
+++ b/tests/fleet_duty_tests.cpp
@@ -18,11 +18,11 @@
 using namespace ivyrill::lab;
 
 constexpr std::int64_t kWindowS = 1;
-constexpr Tenths kWindow = kWindowS * kTenthsPerSecond;
-constexpr Tenths kLease = 3 * kTenthsPerSecond;       // `leaseMs` of examples/fleet/settings
-constexpr Tenths kClockError = kTenthsPerSecond / 20; // difference between a client's and a proxy's clock
+constexpr Ticks kWindow = kWindowS * kTicksPerSecond;
+constexpr Ticks kLease = 3 * kTicksPerSecond;       // `leaseMs` of examples/fleet/settings
+constexpr Ticks kClockError = kTicksPerSecond / 20; // difference between a client's and a proxy's clock
 // Delay until a proxy's counts have reached other processes.
-constexpr Tenths kCountForwardingTime = kTenthsPerSecond / 4;
+constexpr Ticks kCountForwardingTime = kTicksPerSecond / 4;
 constexpr std::size_t kFirstWindows = 2, kMoreWindows = 3;
 
 struct ReportingFleet : RealFleet {
@@ -92,7 +92,7 @@
 
     struct StartedRequest {
         std::string tenant;
-        Tenths from = 0, to = 0; // bounds on when its first token reached the proxy
+        Ticks from = 0, to = 0; // bounds on when its first token reached the proxy
     };
     std::vector<StartedRequest> started;
 
@@ -103,11 +103,11 @@
         const auto all = std::ranges::count(started, tenant, &StartedRequest::tenant);
         BOOST_TEST(platform_api.counted(tenant) == all, tenant);
         for (const auto& [window, body] : platform_api.reports()) {
-            const Tenths start = window * kWindow, end = start + kWindow;
+            const Ticks start = window * kWindow, end = start + kWindow;
             std::int64_t min_count = 0, max_count = 0;
             for (const StartedRequest& request : started) {
                 if (request.tenant != tenant) continue;
-                const Tenths from = request.from - kClockError, to = request.to + kClockError;
+                const Ticks from = request.from - kClockError, to = request.to + kClockError;
                 min_count += from >= start && to < end ? 1 : 0;
                 max_count += to >= start && from < end ? 1 : 0;
             }
@@ -200,7 +200,7 @@
 BOOST_AUTO_TEST_CASE(counts_of_a_killed_proxy_are_reported_up_to_a_quarter_of_a_second_before) {
     ReportingFleet fleet;
     fleet.serve_both(6);
-    const Tenths served_at = fleet.loop().now();
+    const Ticks served_at = fleet.loop().now();
     BOOST_REQUIRE(fleet.until([&] { return fleet.loop().now() >= served_at + kCountForwardingTime; }));
     fleet.signal("proxy-1", SIGKILL);
     BOOST_REQUIRE(fleet.until([&] { return !fleet.running("proxy-1"); }));
--- a/tests/flush_tests.cpp
+++ b/tests/flush_tests.cpp
@@ -16,8 +16,8 @@
 
 using namespace ivyrill;
 
-constexpr Tenths kStart = 1'000'000, kGap = 300, kDelay = 1000;
-constexpr Tenths kTimeout = 50'000; // for a test that should end by itself
+constexpr Ticks kStart = 1'000'000, kGap = 300, kDelay = 1000;
+constexpr Ticks kTimeout = 50'000; // for a test that should end by itself
 
 model::Instance server(int number, std::uint64_t revision = 1) {
     model::Instance result;
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -248,7 +248,7 @@
     for (int i = 0; i < 10; ++i) // wait until all are attempted: a later one would be refused on arrival
                                  // rather than after admission
         assert(fixture.fleet.await_attempt("q" + std::to_string(i) + "." + std::to_string(i % 2)));
-    fixture.revoke_member("anna", transport::Loop::wall() + 10 * kTenthsPerSecond);
+    fixture.revoke_member("anna", transport::Loop::wall() + 10 * kTicksPerSecond);
     assert(fixture.await_audit("\"what\":\"barred\"", 10));
     fixture.fleet.hold(false);
     for (const std::int32_t stream : streams) {
@@ -351,7 +351,7 @@
     int resets = 0;
     while (budget.spend(ClientAction::kReset, 0)) ++resets;
     assert(resets == 20 && !budget.spend(ClientAction::kReset, 999) &&
-           budget.spend(ClientAction::kReset, kTenthsPerSecond));
+           budget.spend(ClientAction::kReset, kTicksPerSecond));
     assert(budget.spend(ClientAction::kPing, 0) &&
            budget.count(ClientAction::kReset) == 23); // each action has its own budget
     assert(budget.allows_stream(9, 900) && !budget.allows_stream(10, 0) && !budget.allows_stream(0, 901));
--- a/tests/heartbeat_tests.cpp
+++ b/tests/heartbeat_tests.cpp
@@ -9,7 +9,7 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kStart = 1000 * kSecond;
+constexpr Ticks kSecond = kTicksPerSecond, kStart = 1000 * kSecond;
 const HeartbeatAnswer kAccepted{200, "", "{}"};
 
 HeartbeatPlan plan() {
@@ -54,7 +54,7 @@
     Heartbeats heartbeats(plan(), kStart);
     heartbeats.begin(kStart);
     heartbeats.answered({200, "", R"({"beatAddr":"n9:1"})"}, kStart);
-    Tenths now = kStart + plan().interval;
+    Ticks now = kStart + plan().interval;
     BOOST_TEST(heartbeats.begin(now)->address == "n9:1");
     heartbeats.answered(kAccepted, now);
     now += plan().interval;
@@ -85,8 +85,8 @@
     BOOST_REQUIRE(draining_call);
     BOOST_TEST((draining_call->kind == HeartbeatKind::kDraining));
     heartbeats.answered(kAccepted, kStart + 30);
-    const Tenths leaves_at = kStart + 30 + plan().drain + plan().drain_more;
-    Tenths now = kStart + 30 + plan().interval;
+    const Ticks leaves_at = kStart + 30 + plan().drain + plan().drain_more;
+    Ticks now = kStart + 30 + plan().interval;
     BOOST_TEST((heartbeats.begin(now)->kind == HeartbeatKind::kDraining));
     heartbeats.answered(kAccepted, now);
     now += plan().interval;
@@ -103,7 +103,7 @@
 BOOST_AUTO_TEST_CASE(a_server_ends_after_a_timeout_without_acknowledgement) {
     Heartbeats heartbeats(plan(), kStart);
     heartbeats.leave(kStart);
-    Tenths now = kStart;
+    Ticks now = kStart;
     for (int calls = 0; !heartbeats.ended() && calls < 100; ++calls) {
         now = std::max(now, *heartbeats.due());
         BOOST_REQUIRE(heartbeats.begin(now));
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -17,7 +17,7 @@
 using model::InstanceState;
 using transport::Done;
 
-constexpr Tenths kInterval = 500; // 50 ms; a server is silent after 130 ms and gone after 1.25 s
+constexpr Ticks kInterval = 500; // 50 ms; a server is silent after 130 ms and gone after 1.25 s
 const std::string kSelf = "10.0.0.1:7000", kPeer = "10.0.0.2:7000", kThird = "10.0.0.3:7000";
 constexpr std::uint64_t kIncarnation = 77, kSelfMember = 1;
 const model::ControlNode kPeerNode{kPeer, "a", 2}, kThirdNode{kThird, "a", 3};
@@ -191,7 +191,7 @@
         co_await script.until([&] { return ++checks > 5; });
         BOOST_TEST(!done);
         node.registry.handle_replicated(kThirdNode, {id});
-        const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
+        const bool holds = co_await script.until([&] { return done; }, kTicksPerSecond / 2);
         BOOST_TEST(holds);
         // Once durable, the next heartbeat needs no further replication.
         const std::size_t before = node.sent.size();
@@ -373,7 +373,7 @@
         const int checks = node.contact_checks + 3;
         bool holds = co_await script.until([&] { return node.contact_checks >= checks; });
         BOOST_TEST(holds);
-        const Tenths taken_over_at = script.reactor.now();
+        const Ticks taken_over_at = script.reactor.now();
         node.registry.set_nodes({kSelf});
         holds = co_await script.until([&] { return node.state("i-2") == InstanceState::kSilent; });
         BOOST_TEST(holds);
@@ -491,7 +491,7 @@
         co_await script.until([&] { return ++checks > 5; });
         BOOST_TEST(!done);
         node.registry.handle_replicated(kPeerNode, {id});
-        const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
+        const bool holds = co_await script.until([&] { return done; }, kTicksPerSecond / 2);
         BOOST_TEST(holds);
         node.registry.handle_replicated(kPeerNode, {id}); // a duplicate matches no pending request
         BOOST_TEST(node.registry.dropped_replies().unsolicited == 1U);
@@ -515,7 +515,7 @@
         BOOST_TEST(!done); // durable at the peer, but not at this node
         BOOST_REQUIRE(node.waiting.size() == 1U);
         node.waiting[0](true);
-        const bool holds = co_await script.until([&] { return done; }, kTenthsPerSecond / 2);
+        const bool holds = co_await script.until([&] { return done; }, kTicksPerSecond / 2);
         BOOST_TEST(holds);
         co_return Done{};
     });
@@ -557,12 +557,12 @@
     script.run([&]() -> ReactorScript::Step {
         co_await node.beat(server("i-1"));
         node.in_contact = false;
-        const Tenths partitioned_at = script.reactor.now();
+        const Ticks partitioned_at = script.reactor.now();
         bool holds =
             co_await script.until([&] { return script.reactor.now() - partitioned_at > 30 * kInterval; });
         BOOST_TEST(holds);
         node.in_contact = true;
-        const Tenths healed_at = script.reactor.now();
+        const Ticks healed_at = script.reactor.now();
         holds = co_await script.until([&] { return node.state("i-1") != InstanceState::kServing; });
         BOOST_TEST(holds);
         BOOST_TEST((node.state("i-1") == InstanceState::kSilent)); // not gone
--- a/tests/lab/configuration_history.cpp
+++ b/tests/lab/configuration_history.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-OrderNumber ConfigurationHistory::begin(std::int64_t base, std::int64_t version, Tenths now) {
+OrderNumber ConfigurationHistory::begin(std::int64_t base, std::int64_t version, Ticks now) {
     Order& order = orders_.emplace_back();
     order.base = base, order.version = version, order.first_sent = now;
     return orders_.size() - 1;
@@ -33,12 +33,12 @@
         break_promise("two in force under one number: " + words(order) + ", " + where);
 }
 
-std::int64_t ConfigurationHistory::known_before(Tenths at) const {
+std::int64_t ConfigurationHistory::known_before(Ticks at) const {
     const auto after = known_at_.lower_bound(at);
     return after == known_at_.begin() ? 0 : std::prev(after)->second;
 }
 
-void ConfigurationHistory::acknowledged(OrderNumber number, Tenths now) {
+void ConfigurationHistory::acknowledged(OrderNumber number, Ticks now) {
     Order& order = orders_[number];
     if (order.state == OrderState::kRefused) break_promise("refused, then acknowledged: " + words(order));
     order.state = OrderState::kAcknowledged, order.answered_at = now;
@@ -48,7 +48,7 @@
     known_at_[now] = known;
 }
 
-void ConfigurationHistory::refused(OrderNumber number, Tenths now) {
+void ConfigurationHistory::refused(OrderNumber number, Ticks now) {
     Order& order = orders_[number];
     if (order.state == OrderState::kAcknowledged || order.in_force)
         break_promise("taken, then refused: " + words(order));
@@ -61,7 +61,7 @@
 }
 
 // Older than what was acknowledged, or read, before it was asked for: no order of events explains it.
-void ConfigurationHistory::read(std::optional<OrderNumber> number, Tenths asked_at, Tenths now,
+void ConfigurationHistory::read(std::optional<OrderNumber> number, Ticks asked_at, Ticks now,
                                 const std::string& where) {
     if (number) seen(*number, where);
     const std::int64_t version = number ? orders_[*number].version : 0;
--- a/tests/lab/configuration_history.hpp
+++ b/tests/lab/configuration_history.hpp
@@ -17,7 +17,7 @@
 
 struct Order { // one configuration, however often it was sent
     std::int64_t base = 0, version = 0;
-    Tenths first_sent = 0, answered_at = 0;
+    Ticks first_sent = 0, answered_at = 0;
     OrderState state = OrderState::kOpen;
     bool in_force = false; // seen: acknowledged, read, or known to an agent
     int sends = 0;
@@ -25,19 +25,19 @@
 
 class ConfigurationHistory {
   public:
-    OrderNumber begin(std::int64_t base, std::int64_t version, Tenths now);
+    OrderNumber begin(std::int64_t base, std::int64_t version, Ticks now);
     void sent(OrderNumber order) { ++orders_[order].sends; }
-    void acknowledged(OrderNumber order, Tenths now);
-    void refused(OrderNumber order, Tenths now);
+    void acknowledged(OrderNumber order, Ticks now);
+    void refused(OrderNumber order, Ticks now);
     // The order that made the version was seen in force, e.g. by an agent.
     void seen(OrderNumber order, const std::string& where);
     // Nothing: no configuration was taken yet. `asked_at`: when the read began.
-    void read(std::optional<OrderNumber> order, Tenths asked_at, Tenths now, const std::string& where);
+    void read(std::optional<OrderNumber> order, Ticks asked_at, Ticks now, const std::string& where);
 
     const Order& order(OrderNumber number) const { return orders_[number]; }
     const std::vector<Order>& orders() const { return orders_; }
     std::int64_t newest_acknowledged() const { return newest_acknowledged_; }
-    std::int64_t known_before(Tenths at) const; // the newest version that had to be known to all at a time
+    std::int64_t known_before(Ticks at) const; // the newest version that had to be known to all at a time
     const std::vector<std::string>& broken() const { return broken_; }
 
   private:
@@ -46,7 +46,7 @@
 
     std::vector<Order> orders_;
     std::map<std::int64_t, OrderNumber> by_base_, by_version_; // of those in force
-    std::map<Tenths, std::int64_t> known_at_; // from when on which version was acknowledged or read
+    std::map<Ticks, std::int64_t> known_at_; // from when on which version was acknowledged or read
     std::int64_t newest_acknowledged_ = 0;
     std::vector<std::string> broken_;
 };
--- a/tests/lab/consensus_history.cpp
+++ b/tests/lab/consensus_history.cpp
@@ -11,19 +11,18 @@
 
 namespace {
 
-constexpr Tenths kFaultsFrom = 2 * kTenthsPerSecond, kFaultsFor = 16 * kTenthsPerSecond;
-constexpr Tenths kCalm = 6 * kTenthsPerSecond, kNewWriteWithin = kTenthsPerSecond;
-constexpr Tenths kMostClientPause = 800;
-constexpr std::array<Tenths, 4> kMostFaultPauses{4000, 12000, 30000,
-                                                 80000}; // one of them for a whole history
-constexpr Tenths kCountedLost = 4 * kTenthsPerSecond;    // after the successor of a lost disk is up
-constexpr Tenths kNever = std::numeric_limits<Tenths>::max();
+constexpr Ticks kFaultsFrom = 2 * kTicksPerSecond, kFaultsFor = 16 * kTicksPerSecond;
+constexpr Ticks kCalm = 6 * kTicksPerSecond, kNewWriteWithin = kTicksPerSecond;
+constexpr Ticks kMostClientPause = 800;
+constexpr std::array<Ticks, 4> kMostFaultPauses{4000, 12000, 30000, 80000}; // one of them for a whole history
+constexpr Ticks kCountedLost = 4 * kTicksPerSecond; // after the successor of a lost disk is up
+constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
 constexpr double kVoterKilled = 0.4, kSplitAtChange = 0.5, kLeaderTaken = 0.01;
-constexpr Tenths kMostStrikeDelay = 30, kMostLinkCut = 6 * kTenthsPerSecond;
+constexpr Ticks kMostStrikeDelay = 30, kMostLinkCut = 6 * kTicksPerSecond;
 constexpr std::array<double, 3> kStrikes{0, 0.3,
                                          1}; // how often strikes come, as a share of their usual number
 constexpr int kFaultKinds = 15;
-constexpr Tenths kSlowStore = 2000; // 200 ms
+constexpr Ticks kSlowStore = 2000; // 200 ms
 constexpr std::size_t kClients = 3;
 
 } // namespace
@@ -37,7 +36,7 @@
         if (chance(0.5)) fault_kinds_.push_back(kind);
     if (fault_kinds_.empty()) fault_kinds_.push_back(any(kFaultKinds));
     strikes_ = kStrikes[index(any(static_cast<int>(kStrikes.size())))];
-    schedule(kTenthsPerSecond, [this] { clients_act(); });
+    schedule(kTicksPerSecond, [this] { clients_act(); });
     schedule(kFaultsFrom, [this] { fault(); });
     schedule(kFaultsFrom, [this] { weather(); });
     run_for(faults_until_);
@@ -79,7 +78,7 @@
 // The network's usual behaviour changes from time to time.
 void ConsensusWorld::weather() {
     if (now_ >= faults_until_) return;
-    schedule(now_ + between(kTenthsPerSecond / 2, 3 * kTenthsPerSecond), [this] { weather(); });
+    schedule(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), [this] { weather(); });
     network_ = {};
     if (chance(0.4)) network_.loss = 0.2 * random_.unit();
     if (chance(0.4)) network_.doubled = 0.3 * random_.unit();
@@ -145,7 +144,7 @@
             if (inside(from) != inside(to)) links.emplace_back(from, to);
     tell("split at a change by " + std::to_string(machine));
     ++counts_.faults;
-    cut_until(std::min(now_ + between(kTenthsPerSecond, 4 * kTenthsPerSecond), faults_until_), links);
+    cut_until(std::min(now_ + between(kTicksPerSecond, 4 * kTicksPerSecond), faults_until_), links);
 }
 
 // A leader is gone as soon as its own disk holds a new entry, which nobody else has heard of.
@@ -157,8 +156,7 @@
     tell("leader is taken with its entry: " + std::to_string(machine));
     ++counts_.faults;
     cut_until(now_ + 10, links);
-    const Tenths back_at =
-        std::min(now_ + between(kTenthsPerSecond / 2, 3 * kTenthsPerSecond), faults_until_);
+    const Ticks back_at = std::min(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), faults_until_);
     schedule_on(machine, now_, [this, machine, back_at](Replica&) { // what it does now comes first
         schedule(now_, [this, machine] { crash(machine, true); });
         schedule(back_at, [this, machine] { start(machine); });
@@ -170,7 +168,7 @@
     const int one = any(size()), other = any(size());
     if (one == other) return;
     tell("contest of " + std::to_string(one) + " and " + std::to_string(other));
-    cut_until(std::min(now_ + 2 * kTenthsPerSecond, faults_until_), {{one, other}, {other, one}});
+    cut_until(std::min(now_ + 2 * kTicksPerSecond, faults_until_), {{one, other}, {other, one}});
     network_.most_store = kSlowStore;
     for (int i = 0; i < size(); ++i) {
         if (i == one || i == other || !is_up(i)) continue;
@@ -191,9 +189,9 @@
 }
 
 void ConsensusWorld::fault_on(int machine) {
-    const Tenths span = chance(0.7) ? between(300, 2 * kTenthsPerSecond) : between(300, 5 * kTenthsPerSecond);
-    const Tenths over = std::min(now_ + span, faults_until_);
-    const auto later_start = [this](int which, Tenths when) {
+    const Ticks span = chance(0.7) ? between(300, 2 * kTicksPerSecond) : between(300, 5 * kTicksPerSecond);
+    const Ticks over = std::min(now_ + span, faults_until_);
+    const auto later_start = [this](int which, Ticks when) {
         schedule(when, [this, which] { start(which); });
     };
     switch (fault_kinds_[index(any(static_cast<int>(fault_kinds_.size())))]) {
@@ -232,13 +230,13 @@
         if (chance(0.3)) {
             for (int i = 0; i < size(); ++i) {
                 crash(i);
-                if (!at(i).is_gone) later_start(i, now_ + between(10, kTenthsPerSecond));
+                if (!at(i).is_gone) later_start(i, now_ + between(10, kTicksPerSecond));
             }
         } else {
             const int other = any(size());
             for (const int which : {machine, other}) {
                 crash(which);
-                later_start(which, now_ + between(10, kTenthsPerSecond));
+                later_start(which, now_ + between(10, kTicksPerSecond));
             }
         }
         break;
@@ -288,10 +286,10 @@
         for (int to = 0; to < size(); ++to)
             if (side[index(from)] != side[index(to)]) links.emplace_back(from, to);
     tell("partition");
-    cut_until(std::min(now_ + between(1000, 3 * kTenthsPerSecond), faults_until_), links);
+    cut_until(std::min(now_ + between(1000, 3 * kTicksPerSecond), faults_until_), links);
 }
 
-void ConsensusWorld::cut_until(Tenths over, const std::vector<std::pair<int, int>>& links) {
+void ConsensusWorld::cut_until(Ticks over, const std::vector<std::pair<int, int>>& links) {
     for (const auto& [from, to] : links) cut(from, to);
     schedule(over, [this, links] {
         for (const auto& [from, to] : links) cut(from, to, false);
@@ -300,7 +298,7 @@
 
 std::size_t ConsensusWorld::counted_lost() const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(counted_lost_until_, [&](Tenths until) { return now_ < until; }));
+        std::ranges::count_if(counted_lost_until_, [&](Ticks until) { return now_ < until; }));
 }
 
 // Within what the group tolerates: fewer than half of the members count as lost, and in no set of voters that
@@ -326,7 +324,7 @@
 
 void ConsensusWorld::lose_disk(int machine, bool with_machine) {
     if (!may_lose(machine)) return;
-    const Tenths back_at = std::min(now_ + between(10, 2 * kTenthsPerSecond), faults_until_);
+    const Ticks back_at = std::min(now_ + between(10, 2 * kTicksPerSecond), faults_until_);
     int successor = machine;
     if (with_machine)
         successor = replace(machine);
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Tenths kLookInterval = 2000; // 200 ms
-constexpr Tenths kLeastStore = 5;
+constexpr Ticks kLookInterval = 2000; // 200 ms
+constexpr Ticks kLeastStore = 5;
 // Shares of events that draw further faults at once.
 constexpr double kStrikeAfterAcknowledgement = 0.02, kStrikeInChange = 0.3, kStrikeInElection = 0.1;
-constexpr Tenths kThawSpread = 20; // in which what waited for a frozen machine is handled
+constexpr Ticks kThawSpread = 20; // in which what waited for a frozen machine is handled
 
 template <class V> std::string bytes_of(const V& value) {
     std::string bytes(sizeof value, '\0');
@@ -73,15 +73,15 @@
     return {m.id, m.address, m.zone};
 }
 
-Tenths ConsensusWorld::between(Tenths least, Tenths most) {
-    return least + static_cast<Tenths>(random_.unit() * static_cast<double>(most - least + 1));
+Ticks ConsensusWorld::between(Ticks least, Ticks most) {
+    return least + static_cast<Ticks>(random_.unit() * static_cast<double>(most - least + 1));
 }
 
-void ConsensusWorld::schedule(Tenths at, std::function<void()> act) {
+void ConsensusWorld::schedule(Ticks at, std::function<void()> act) {
     events_.push({std::max(at, now_), ++order_, std::move(act)});
 }
 
-void ConsensusWorld::schedule_on(int machine, Tenths at, std::function<void(Replica&)> act) {
+void ConsensusWorld::schedule_on(int machine, Ticks at, std::function<void(Replica&)> act) {
     schedule(at, [this, machine, incarnation = this->at(machine).incarnation, act = std::move(act)] {
         act_on(machine, incarnation, act);
     });
@@ -98,7 +98,7 @@
     after(machine);
 }
 
-bool ConsensusWorld::step(Tenths until) {
+bool ConsensusWorld::step(Ticks until) {
     if (events_.empty() || events_.top().at > until) return false;
     const Event event = events_.top();
     events_.pop();
@@ -107,14 +107,14 @@
     return true;
 }
 
-void ConsensusWorld::run_for(Tenths span) {
-    const Tenths until = now_ + span;
+void ConsensusWorld::run_for(Ticks span) {
+    const Ticks until = now_ + span;
     while (step(until)) {}
     now_ = until;
 }
 
-bool ConsensusWorld::run_until(const std::function<bool()>& holds, Tenths limit) {
-    const Tenths until = now_ + limit;
+bool ConsensusWorld::run_until(const std::function<bool()>& holds, Ticks limit) {
+    const Ticks until = now_ + limit;
     while (!holds())
         if (!step(until)) return false;
     return true;
@@ -186,15 +186,15 @@
     return successor;
 }
 
-void ConsensusWorld::stall_disk(int machine, Tenths span) {
+void ConsensusWorld::stall_disk(int machine, Ticks span) {
     at(machine).disk.stalled_until = std::max(at(machine).disk.stalled_until, now_ + span);
 }
 
-void ConsensusWorld::fill_disk(int machine, Tenths span) {
+void ConsensusWorld::fill_disk(int machine, Ticks span) {
     at(machine).disk.full_until = std::max(at(machine).disk.full_until, now_ + span);
 }
 
-void ConsensusWorld::freeze(int machine, Tenths span) {
+void ConsensusWorld::freeze(int machine, Ticks span) {
     at(machine).frozen_until = std::max(at(machine).frozen_until, now_ + span);
 }
 
@@ -245,7 +245,7 @@
 
 void ConsensusWorld::schedule_tick(int machine) {
     Machine& m = at(machine);
-    const Tenths due = std::max(m.replica->next_tick(), now_ + 1);
+    const Ticks due = std::max(m.replica->next_tick(), now_ + 1);
     if (m.tick_at > now_ && m.tick_at <= due) return;
     m.tick_at = due;
     schedule_on(machine, due, [this](Replica& replica) {
@@ -266,8 +266,8 @@
     const int copies = chance(network_.doubled) ? 2 : 1;
     const auto message = std::make_shared<const Message>(std::move(send.message));
     for (int i = 0; i < copies; ++i) {
-        const Tenths delay = chance(network_.late) ? between(network_.most_delay, network_.most_late)
-                                                   : between(network_.least_delay, network_.most_delay);
+        const Ticks delay = chance(network_.late) ? between(network_.most_delay, network_.most_late)
+                                                  : between(network_.least_delay, network_.most_delay);
         schedule(now_ + delay, [this, to = *to, message] { // whichever process is there then
             act_on(to, at(to).incarnation,
                    [this, message](Replica& replica) { replica.receive(*message, now_); });
--- a/tests/lab/consensus_world.hpp
+++ b/tests/lab/consensus_world.hpp
@@ -27,7 +27,7 @@
 
 struct Network {                            // of all links
     double loss = 0, doubled = 0, late = 0; // shares of the messages
-    Tenths least_delay = 1, most_delay = 10, most_late = 3000, most_store = 20;
+    Ticks least_delay = 1, most_delay = 10, most_late = 3000, most_store = 20;
 };
 
 ConsensusPlan plan_of_seed(std::uint64_t seed); // 3 to 5 members, up to 2 spare machines
@@ -44,18 +44,18 @@
     explicit ConsensusWorld(ConsensusPlan plan);
 
     // One at a time, by tests; machines are named by their number from 0.
-    void run_for(Tenths span);
-    bool run_until(const std::function<bool()>& holds, Tenths limit); // whether it came to hold
-    void cut(int from, int to, bool is_cut = true);                   // one way
-    void isolate(int machine, bool is_cut = true);                    // both ways, from all
+    void run_for(Ticks span);
+    bool run_until(const std::function<bool()>& holds, Ticks limit); // whether it came to hold
+    void cut(int from, int to, bool is_cut = true);                  // one way
+    void isolate(int machine, bool is_cut = true);                   // both ways, from all
     void crash(int machine); // what its disk was writing may or may not be there
     void crash(int machine, bool pending_is_kept);
     void start(int machine);
     void wipe(int machine);   // crashes it; a later start is on an empty disk
     int replace(int machine); // crashes it for good; the number of its successor, not yet started
-    void stall_disk(int machine, Tenths span);
-    void fill_disk(int machine, Tenths span);
-    void freeze(int machine, Tenths span);
+    void stall_disk(int machine, Ticks span);
+    void fill_disk(int machine, Ticks span);
+    void freeze(int machine, Ticks span);
     void resign(int machine);
     std::size_t write(int machine,
                       std::optional<std::uint64_t> expected = std::nullopt); // number of the write
@@ -68,7 +68,7 @@
     bool is_up(int machine) const { return machines_[index(machine)].replica.has_value(); }
     bool
     agrees() const; // every machine that is up: same commitment, same voters, which are just these machines
-    Tenths now() const { return now_; }
+    Ticks now() const { return now_; }
     int machines() const { return size(); } // that ever were
     Network& network() { return network_; }
     std::uint64_t highest_acknowledged() const { return highest_seen_; }
@@ -91,11 +91,11 @@
     struct Disk {
         consensus::DurableState state;
         std::optional<consensus::Store> pending;
-        Tenths stalled_until = 0, full_until = 0;
+        Ticks stalled_until = 0, full_until = 0;
     };
     struct Seen {
         bool alive = false, removed = false;
-        Tenths since = 0;
+        Ticks since = 0;
     };
     struct Machine {
         std::string address, zone;
@@ -104,13 +104,13 @@
         int incarnation = 0;
         std::optional<consensus::Replica> replica;
         Disk disk;
-        Tenths frozen_until = 0, tick_at = 0;
+        Ticks frozen_until = 0, tick_at = 0;
         std::map<consensus::ProposalId, std::size_t> proposals;
         std::map<consensus::ReadId, std::uint64_t> reads; // the version known when it was asked for
         std::map<consensus::MemberId, Seen> seen;
     };
     struct Event {
-        Tenths at = 0;
+        Ticks at = 0;
         std::uint64_t order = 0;
         std::function<void()> act;
         bool operator<(const Event& other) const {
@@ -121,11 +121,11 @@
     static std::size_t index(int machine) { return static_cast<std::size_t>(machine); }
     Machine& at(int machine) { return machines_[index(machine)]; }
     int size() const { return static_cast<int>(machines_.size()); }
-    void schedule(Tenths at, std::function<void()> act);
+    void schedule(Ticks at, std::function<void()> act);
     // Runs when the machine can act, and only while this process of it lives.
-    void schedule_on(int machine, Tenths at, std::function<void(consensus::Replica&)> act);
+    void schedule_on(int machine, Ticks at, std::function<void(consensus::Replica&)> act);
     void act_on(int machine, int incarnation, std::function<void(consensus::Replica&)> act);
-    bool step(Tenths until);
+    bool step(Ticks until);
     int add_machine();
     consensus::Member member(int machine) const;
     void after(int machine); // carries out the effects of the replica
@@ -146,7 +146,7 @@
     void promise_broken(std::string what);
     void tell(const std::string& what);
     bool chance(double share) { return random_.unit() < share; }
-    Tenths between(Tenths least, Tenths most);
+    Ticks between(Ticks least, Ticks most);
     int any(int count) { return static_cast<int>(random_.next() % static_cast<std::uint32_t>(count)); }
 
     // consensus_history.cpp: what happens by itself
@@ -161,7 +161,7 @@
     bool may_lose(int machine) const;
     void lose_disk(int machine, bool with_machine);
     void partition();
-    void cut_until(Tenths over, const std::vector<std::pair<int, int>>& links);
+    void cut_until(Ticks over, const std::vector<std::pair<int, int>>& links);
     void kill_voter(int machine);
     void split_at_change(int machine, const std::vector<consensus::Member>& before,
                          const std::vector<consensus::Member>& after);
@@ -173,7 +173,7 @@
 
     ConsensusPlan plan_;
     Pcg random_;
-    Tenths now_ = 0;
+    Ticks now_ = 0;
     std::uint64_t order_ = 0;
     std::priority_queue<Event> events_;
     std::vector<Machine> machines_;
@@ -188,12 +188,12 @@
     std::map<std::uint64_t, std::pair<int, int>> leader_of_; // term -> machine, incarnation
     std::map<std::pair<consensus::MemberId, std::uint64_t>, consensus::MemberId> votes_; // by voter and term
     std::vector<consensus::MemberId> lost_;                                              // disks
-    std::vector<Tenths> counted_lost_until_; // of each disk that is lost; kNever until its successor is up
-    std::vector<std::uint64_t> known_;       // version, by each client
-    std::vector<int> fault_kinds_;           // that this history has
+    std::vector<Ticks> counted_lost_until_; // of each disk that is lost; kNever until its successor is up
+    std::vector<std::uint64_t> known_;      // version, by each client
+    std::vector<int> fault_kinds_;          // that this history has
     double strikes_ = 0;
     std::set<consensus::Stamp> stored_stamps_;
-    Tenths faults_until_ = 0, most_fault_pause_ = 0;
+    Ticks faults_until_ = 0, most_fault_pause_ = 0;
     std::vector<std::string> broken_, story_;
     ConsensusCounts counts_;
 };
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Tenths kWatchInterval = 1000;
-constexpr Tenths kCatchUp = 4 * kTenthsPerSecond;     // after which a lost disk no longer counts
-constexpr Tenths kCutOffBound = 3 * kTenthsPerSecond; // within which a machine that is cut off stops serving
-constexpr Tenths kOpeningBound = 12'000;              // a leader that was replaced stops within it
-constexpr Tenths kAnswerUnderWay = kTenthsPerSecond;  // at the most
-constexpr Tenths kLeavingKnownWithin = 500;           // to whoever leads
-constexpr Tenths kJoiningBound = 5000;                // after an acknowledged leaving: a change was under way
+constexpr Ticks kWatchInterval = 1000;
+constexpr Ticks kCatchUp = 4 * kTicksPerSecond;     // after which a lost disk no longer counts
+constexpr Ticks kCutOffBound = 3 * kTicksPerSecond; // within which a machine that is cut off stops serving
+constexpr Ticks kOpeningBound = 12'000;             // a leader that was replaced stops within it
+constexpr Ticks kAnswerUnderWay = kTicksPerSecond;  // at the most
+constexpr Ticks kLeavingKnownWithin = 500;          // to whoever leads
+constexpr Ticks kJoiningBound = 5000;               // after an acknowledged leaving: a change was under way
 constexpr int kMostVoters = 9;
-constexpr Tenths kReplacedBound = 18'000; // from a disk's first word; without it, a silence of 2 s
+constexpr Ticks kReplacedBound = 18'000; // from a disk's first word; without it, a silence of 2 s
 
 } // namespace
 
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Tenths kCallPatience = kTenthsPerSecond; // after which a caller turns elsewhere
-constexpr Tenths kBeatInterval = 12'000, kReadInterval = 4'000;
-constexpr Tenths kFirstPause = 500, kLongestPause = 8'000; // of an operator that was not answered
-constexpr Tenths kDrainSpan = 25'000;                      // from an acknowledged leaving to the end
-constexpr Tenths kLeavePatience = 60'000;                  // servers end without an acknowledgement after it
+constexpr Ticks kCallPatience = kTicksPerSecond; // after which a caller turns elsewhere
+constexpr Ticks kBeatInterval = 12'000, kReadInterval = 4'000;
+constexpr Ticks kFirstPause = 500, kLongestPause = 8'000; // of an operator that was not answered
+constexpr Ticks kDrainSpan = 25'000;                      // from an acknowledged leaving to the end
+constexpr Ticks kLeavePatience = 60'000;                  // servers end without an acknowledgement after it
 constexpr int kBeatTries = 3;
 constexpr std::int64_t kFirstMark = 10'000; // of an order, in a field that configurations may differ in
 constexpr const char* kService = "model";
@@ -44,7 +44,7 @@
     };
     auto open = std::make_shared<Open>(Open{std::move(done)});
     network_.schedule(network_.now() + kCallPatience, [open] { open->answer({}); });
-    const Tenths delay = network_.between(5, 20);
+    const Ticks delay = network_.between(5, 20);
     network_.schedule(network_.now() + delay, [this, machine, message = std::move(message), open,
                                                answering = std::move(answering)]() mutable {
         if (!network_.is_up(machine))
@@ -252,7 +252,7 @@
 void ControlWorld::operator_answered(std::size_t number, OrderNumber order, int status) {
     Operator& here = operators_[number];
     const bool is_final = status == 200 || (status >= 400 && status < 500);
-    Tenths pause = quick_operators_ ? network_.between(0, 100) : network_.between(500, 8000);
+    Ticks pause = quick_operators_ ? network_.between(0, 100) : network_.between(500, 8000);
     if (is_final) {
         here.order.reset();
         if (status == 200) here.known = std::max(here.known, history_.order(order).version);
@@ -264,7 +264,7 @@
                     operators_[number].known =
                         std::max(operators_[number].known, history_.order(*read).version);
             });
-            pause = std::max<Tenths>(pause, 300);
+            pause = std::max<Ticks>(pause, 300);
         }
     } else {
         pause = here.pause;
@@ -292,11 +292,11 @@
 
 // Cut off from all others since before the call, a machine can neither confirm nor refuse anything. (What a
 // server says again of its leaving may have been made durable before the cut.)
-void ControlWorld::note_call_of_cut_off(MachineNumber machine, Tenths asked_at, int status,
+void ControlWorld::note_call_of_cut_off(MachineNumber machine, Ticks asked_at, int status,
                                         const std::string& what) {
     const Node& here = nodes_.at(machine);
     if (!here.cut_off_since || !is_cut_off(machine)) return;
-    if (network_.now() - *here.cut_off_since > 10 * kTenthsPerSecond) counts_.five[0] = true;
+    if (network_.now() - *here.cut_off_since > 10 * kTicksPerSecond) counts_.five[0] = true;
     const bool is_answer = status == 200 || status == 412;
     if (is_answer && asked_at > *here.cut_off_since)
         promise_broken("machine " + std::to_string(machine) + " is cut off and answers " + what + " with " +
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 constexpr int kEngines = 8;
-constexpr Tenths kEngineBeat = 12'000, kReportInterval = 5'000, kActInterval = 1'500;
-constexpr Tenths kPressureTurns = 60'000; // for so long one stage is short of servers, then the other
-constexpr Tenths kLease = 30'000;         // `leaseMs`
-constexpr Tenths kOrdersApart = 20'000; // at the least, to one server: its report tells whether one was taken
-constexpr Tenths kHandOrdersFor = 15 * kTenthsPerSecond;
-constexpr Tenths kActingWithin = 12 * kTenthsPerSecond;
+constexpr Ticks kEngineBeat = 12'000, kReportInterval = 5'000, kActInterval = 1'500;
+constexpr Ticks kPressureTurns = 60'000; // for so long one stage is short of servers, then the other
+constexpr Ticks kLease = 30'000;         // `leaseMs`
+constexpr Ticks kOrdersApart = 20'000; // at the least, to one server: its report tells whether one was taken
+constexpr Ticks kHandOrdersFor = 15 * kTicksPerSecond;
+constexpr Ticks kActingWithin = 12 * kTicksPerSecond;
 constexpr std::int64_t kSlots = 8;
 constexpr std::uint64_t kFenceByHand = 1'000'000; // of an order that an operator gave
 const duties::Duty kStages{duties::DutyKind::kServerStages, "model"};
@@ -53,7 +53,7 @@
 void ControlWorld::open_order_connection(MachineNumber machine, const duties::StageOrder& order,
                                          const std::string& holder, std::function<bool()> may_send,
                                          std::function<void(duties::OrderOutcome)> done) {
-    const Tenths up_after = network_.chance(0.3) ? network_.between(500, 2500) : network_.between(10, 30);
+    const Ticks up_after = network_.chance(0.3) ? network_.between(500, 2500) : network_.between(10, 30);
     const int incarnation = network_.incarnation(machine);
     network_.schedule(network_.now() + up_after, [=, this, may_send = std::move(may_send),
                                                   done = std::move(done)]() mutable {
@@ -71,8 +71,8 @@
                                 const std::function<void(duties::OrderOutcome)>& done) {
     ++counts_.orders_to_servers;
     const std::string request = control::order_request(order, holder);
-    const Tenths way = network_.chance(0.4) ? network_.between(500, 3000) : network_.between(5, 20);
-    const Tenths back = network_.between(5, 20);
+    const Ticks way = network_.chance(0.4) ? network_.between(500, 3000) : network_.between(5, 20);
+    const Ticks back = network_.between(5, 20);
     const int incarnation = network_.incarnation(machine);
     const bool is_lost = network_.chance(0.05), answer_is_lost = network_.chance(0.1);
     const auto answer = [=, this](duties::OrderOutcome outcome) {
@@ -83,7 +83,7 @@
             done(outcome);
         });
     };
-    const Tenths patience = duties::OrderClient::kTimeout;
+    const Ticks patience = duties::OrderClient::kTimeout;
     if (is_lost)
         return network_.schedule(network_.now() + patience,
                                  [answer] { answer(duties::OrderOutcome::kUnanswered); });
@@ -91,7 +91,7 @@
         const int status = take_order(machine, order, request);
         const auto outcome = answer_is_lost || status == 0 ? duties::OrderOutcome::kUnanswered
                                                            : duties::outcome_of_status(status);
-        const Tenths after = outcome == duties::OrderOutcome::kUnanswered ? patience - way : back;
+        const Ticks after = outcome == duties::OrderOutcome::kUnanswered ? patience - way : back;
         network_.schedule(network_.now() + after, [answer, outcome] { answer(outcome); });
     });
 }
@@ -287,7 +287,7 @@
 
 void ControlWorld::move_the_duties() {
     const MachineNumber holder = duty_holder().value_or(any_control());
-    const Tenths span = network_.between(2'000, 60'000);
+    const Ticks span = network_.between(2'000, 60'000);
     switch (network_.any(12)) {
     case 0: // told to end one after the other, each back soon
     case 1:
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Tenths kStartWithin = 8 * kTenthsPerSecond;
-constexpr Tenths kSpreadWithin = 2 * kTenthsPerSecond; // `configApplyMs`
+constexpr Ticks kStartWithin = 8 * kTicksPerSecond;
+constexpr Ticks kSpreadWithin = 2 * kTicksPerSecond; // `configApplyMs`
 
 enum class RandomFault : std::uint8_t {
     kLinkCut,
@@ -83,7 +83,7 @@
     for (const std::string& what : history_.broken()) promise_broken(what);
 }
 
-void ControlWorld::cut_until(Tenths over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links) {
+void ControlWorld::cut_until(Ticks over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links) {
     for (const auto& [from, to] : links) network_.cut(from, to);
     ++active_cuts_;
     watch_all_contact();
@@ -99,7 +99,7 @@
     network_.set_message_faults(faults);
 }
 
-void ControlWorld::halves(Tenths over) {
+void ControlWorld::halves(Ticks over) {
     std::vector<std::pair<MachineNumber, MachineNumber>> links;
     std::map<MachineNumber, bool> side;
     for (const MachineNumber machine : control_) side[machine] = network_.chance(0.5);
@@ -120,7 +120,7 @@
     if (!may_lose_disk()) return;
     const MachineNumber machine = any_control();
     if (nodes_.at(machine).disk_counts_as_lost) return;
-    const Tenths down = network_.between(1000, 15'000);
+    const Ticks down = network_.between(1000, 15'000);
     switch (network_.any(4)) {
     case 0:
         replace(machine, down);
@@ -138,14 +138,14 @@
     ++counts_.faults;
     mixed_fault();
     // Often alone, at times at once with the next.
-    const Tenths pause = network_.chance(0.3) ? network_.between(1, 300) : network_.between(2000, 25'000);
+    const Ticks pause = network_.chance(0.3) ? network_.between(1, 300) : network_.between(2000, 25'000);
     network_.schedule(network_.now() + pause, [this] { fault(); });
 }
 
 void ControlWorld::mixed_fault() {
     const MachineNumber machine = leader() && network_.chance(0.4) ? *leader() : any_control();
-    const Tenths span = network_.between(1000, 40'000);
-    const Tenths over = std::min(network_.now() + span, faults_until_);
+    const Ticks span = network_.between(1000, 40'000);
+    const Ticks over = std::min(network_.now() + span, faults_until_);
     switch (kRandomFaults[static_cast<std::size_t>(network_.any(static_cast<int>(kRandomFaults.size())))]) {
     case RandomFault::kLinkCut: {
         const MachineNumber other = any_control();
@@ -227,7 +227,7 @@
                 return entry.second.disk_counts_as_lost && !entry.second.is_gone;
             });
         };
-        run_until(none_counts, 20 * kTenthsPerSecond);
+        run_until(none_counts, 20 * kTicksPerSecond);
     }
     for (std::size_t i = 0; i < servers_.size(); ++i)
         if (network_.chance(0.5)) leave(i);
@@ -244,7 +244,7 @@
     for (std::size_t i = there.size(); i > 1; --i)
         std::swap(there[i - 1], there[static_cast<std::size_t>(network_.any(static_cast<int>(i)))]);
     for (const MachineNumber machine : there) {
-        const Tenths down = network_.between(5000, 10'000);
+        const Ticks down = network_.between(5000, 10'000);
         if (disks > 0 && may_lose_disk()) {
             wipe(machine, down);
             --disks;
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr Tenths kCutOffFor = 20 * kTenthsPerSecond;
+constexpr Ticks kCutOffFor = 20 * kTicksPerSecond;
 constexpr int kManyChanges = 500;
-constexpr Tenths kManyChangesWithin = 90 * kTenthsPerSecond;
+constexpr Ticks kManyChangesWithin = 90 * kTicksPerSecond;
 
 } // namespace
 
@@ -129,7 +129,7 @@
     quick_operators_ = true;
     answer_lost_ = 0.4;
     set_message_faults({0.03, 0.1, 0.1});
-    const Tenths until = faults_until_;
+    const Ticks until = faults_until_;
     while (network_.now() < until) {
         ++counts_.faults;
         const MachineNumber machine = leader().value_or(any_control());
@@ -154,7 +154,7 @@
         ++counts_.faults;
         tell_groups();
         const MachineNumber first = leader() && network_.chance(0.5) ? *leader() : any_control();
-        const Tenths down = network_.between(500, 10'000);
+        const Ticks down = network_.between(500, 10'000);
         leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
         run_for(network_.between(0, 2000));
         if (!may_lose_disk()) return;
@@ -173,7 +173,7 @@
             if (may_lose_disk()) lose_a_disk();
         }
         const bool is_counted_out = run_until(
-            [this, repaired] { return !nodes_.at(repaired).disk_counts_as_lost; }, 30 * kTenthsPerSecond);
+            [this, repaired] { return !nodes_.at(repaired).disk_counts_as_lost; }, 30 * kTicksPerSecond);
         if (!is_counted_out) return promise_broken("a repaired disk does not come back");
         counts_.five[2] = true;
         // Right after an acknowledgement, where there is one soon.
@@ -222,16 +222,16 @@
     const auto changes = [this] {
         return std::ranges::count(history_.orders(), OrderState::kAcknowledged, &Order::state);
     };
-    const Tenths until = network_.now() + kManyChangesWithin;
+    const Ticks until = network_.now() + kManyChangesWithin;
     std::ptrdiff_t next = 100;
     while (changes() < kManyChanges && network_.now() < until) {
-        run_until([&] { return changes() >= next; }, 10 * kTenthsPerSecond);
+        run_until([&] { return changes() >= next; }, 10 * kTicksPerSecond);
         next = changes() + 60;
         ++counts_.faults;
         const MachineNumber machine = any_control();
         switch (network_.any(4)) {
         case 0: {
-            const Tenths down = network_.between(20'000, 40'000);
+            const Ticks down = network_.between(20'000, 40'000);
             restart(machine, down, network_.chance(0.5));
             network_.schedule(network_.now() + down - 1, [this, machine] { hold_entries_from(machine); });
             break;
@@ -249,7 +249,7 @@
     }
     quick_operators_ = false;
     counts_.five[3] = changes() >= kManyChanges;
-    run_for(5 * kTenthsPerSecond);
+    run_for(5 * kTicksPerSecond);
 }
 
 // A member comes back that was down while a server left; what the others know of the servers reaches it late,
@@ -260,7 +260,7 @@
     if (machine == leader()) machine = control_[static_cast<std::size_t>((machine + 1) % 3)];
     if (!is_live(machine)) return;
     ++counts_.faults;
-    const Tenths down = network_.between(24'000, 30'000);
+    const Ticks down = network_.between(24'000, 30'000);
     restart(machine, down, network_.chance(0.5));
     leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
     run_for(down - 100);
@@ -319,7 +319,7 @@
         restart(asked, 200, false);
         run_for(15'000);
         const std::int64_t base = history_.newest_acknowledged();
-        const Tenths slow_until = network_.now() + network_.between(2000, 7000);
+        const Ticks slow_until = network_.now() + network_.between(2000, 7000);
         for (const MachineNumber machine : control_) network_.disk(machine).stalled_until = slow_until;
         if (network_.chance(0.5))
             leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -19,9 +19,9 @@
 using duties::PlatformOutcome;
 
 const std::string kAddress = "10.0.9.1:8168";
-constexpr std::int64_t kLateMs = 10'000;                  // `usageLateS`: in the calm
-constexpr Tenths kReportedWithin = 40 * kTenthsPerSecond; // all that was missed, after the calm
-constexpr Tenths kRequestInterval = 500;
+constexpr std::int64_t kLateMs = 10'000;                // `usageLateS`: in the calm
+constexpr Ticks kReportedWithin = 40 * kTicksPerSecond; // all that was missed, after the calm
+constexpr Ticks kRequestInterval = 500;
 constexpr std::int64_t kMostStepMs = 3'000; // that a machine's time of day jumps
 constexpr double kUsageError = 0.05;        // `usageError`
 const std::vector<std::string> kTenants{"nowu640", "goka901", "\"quoted\\"};
@@ -51,7 +51,7 @@
 void ControlWorld::open_platform_connection(MachineNumber machine, const PlatformRequest& request,
                                             std::function<bool()> may_send,
                                             std::function<void(PlatformOutcome)> done) {
-    const Tenths up_after = network_.chance(0.3) ? network_.between(500, 2500) : network_.between(10, 30);
+    const Ticks up_after = network_.chance(0.3) ? network_.between(500, 2500) : network_.between(10, 30);
     const int incarnation = network_.incarnation(machine);
     network_.schedule(network_.now() + up_after,
                       [=, this, may_send = std::move(may_send), done = std::move(done)] {
@@ -85,10 +85,10 @@
 void ControlWorld::platform_call_leaves(MachineNumber machine, const PlatformRequest& request,
                                         const std::function<void(PlatformOutcome)>& done) {
     is_of_count(request) ? count_call_leaves(machine, request) : report_leaves(machine, request);
-    const Tenths way = network_.chance(0.2) ? network_.between(500, 3000) : network_.between(5, 20);
+    const Ticks way = network_.chance(0.2) ? network_.between(500, 3000) : network_.between(5, 20);
     const bool is_lost = network_.chance(0.05), answer_is_lost = network_.chance(0.05);
     const int incarnation = network_.incarnation(machine);
-    const auto answer = [=, this](Tenths after, PlatformOutcome outcome) {
+    const auto answer = [=, this](Ticks after, PlatformOutcome outcome) {
         network_.schedule(network_.now() + after, [=, this] {
             if (!network_.is_up(machine) || network_.incarnation(machine) != incarnation) return;
             network_.run_on(machine, [=, this] {
@@ -225,7 +225,7 @@
         return promise_broken("windows are not reported after the calm");
     const std::int64_t window = true_ms() / window_ms() + 1;
     const std::int64_t due_ms = (window + 1) * window_ms() + kLateMs;
-    run_until([&] { return true_ms() >= due_ms; }, 20 * kTenthsPerSecond);
+    run_until([&] { return true_ms() >= due_ms; }, 20 * kTicksPerSecond);
     const auto accepted = platform_.accepted.find(window);
     if (accepted == platform_.accepted.end()) return promise_broken("a window of the calm is reported late");
     const protocol::Json report = protocol::read_json(platform_.reports.at(window));
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::int64_t kStartMs = 1'767'225'600'000; // true time when the world's clock stood at 0
-constexpr std::int64_t kTenthsPerMs = kTenthsPerSecond / 1000;
-constexpr Tenths kTellInterval = 2500;
+constexpr std::int64_t kTicksPerMs = kTicksPerSecond / 1000;
+constexpr Ticks kTellInterval = 2500;
 
 } // namespace
 
-std::int64_t ControlWorld::true_ms() const { return kStartMs + network_.now() / kTenthsPerMs; }
+std::int64_t ControlWorld::true_ms() const { return kStartMs + network_.now() / kTicksPerMs; }
 
 std::int64_t ControlWorld::time_of_day(MachineNumber machine) const {
     const auto ahead = clocks_ahead_.find(machine);
@@ -48,7 +48,7 @@
         agent.proxy->resend_all();
         agent.time_told = 0;
     }
-    if (network_.now() - agent.time_told >= kTenthsPerSecond)
+    if (network_.now() - agent.time_told >= kTicksPerSecond)
         if (const auto time = agent.usage->time(network_.now())) {
             agent.proxy->update_fleet_time(*time, network_.now());
             agent.time_told = network_.now();
@@ -73,7 +73,7 @@
     ++agents_[number].untold[true_ms() / window_ms()][tenant];
 }
 
-void ControlWorld::kill_agent(std::size_t number, Tenths down_for) {
+void ControlWorld::kill_agent(std::size_t number, Ticks down_for) {
     tell("kill agent " + std::to_string(number));
     network_.kill(agents_[number].machine);
     network_.schedule(network_.now() + down_for, [this, number] { start_agent(number); });
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -37,14 +37,14 @@
     plan.control_machines = size.machines, plan.tolerance = size.tolerance;
     plan.operators = 2 + static_cast<int>(seed / 48 % 2);
     plan.agents = 2 + static_cast<int>(seed / 96 % 2);
-    plan.faults_for = 14 * kTenthsPerSecond;
+    plan.faults_for = 14 * kTicksPerSecond;
     return plan;
 }
 
 ControlPlan duty_plan_of_seed(std::uint64_t seed) {
     ControlPlan plan = control_plan_of(ControlPlanKind::kDuties, seed * kControlPlanKinds);
     plan.servers = 2, plan.operators = 2;
-    plan.faults_for = 30 * kTenthsPerSecond;
+    plan.faults_for = 30 * kTicksPerSecond;
     plan.usage_window_s = 2;
     return plan;
 }
@@ -236,7 +236,7 @@
     return newest;
 }
 
-bool ControlWorld::settle(Tenths limit) {
+bool ControlWorld::settle(Ticks limit) {
     const auto is_in_step = [this](MachineNumber machine) {
         if (nodes_.at(machine).is_gone) return true;
         return is_live(machine) && node(machine)->serves_feed();
@@ -257,7 +257,7 @@
     return there[static_cast<std::size_t>(network_.any(static_cast<int>(there.size())))];
 }
 
-void ControlWorld::restart(MachineNumber machine, Tenths down_for, bool loses_power) {
+void ControlWorld::restart(MachineNumber machine, Ticks down_for, bool loses_power) {
     if (nodes_.at(machine).is_gone) return;
     tell(std::string(loses_power ? "power off " : "kill ") + std::to_string(machine));
     if (loses_power)
@@ -267,7 +267,7 @@
     network_.schedule(network_.now() + down_for, [this, machine] { start_control(machine); });
 }
 
-void ControlWorld::wipe(MachineNumber machine, Tenths down_for) {
+void ControlWorld::wipe(MachineNumber machine, Ticks down_for) {
     tell("wipe " + std::to_string(machine));
     lose_disk_of(machine);
     network_.disk(machine).values.clear();
@@ -277,7 +277,7 @@
     network_.schedule(network_.now() + down_for, [this, machine] { start_control(machine); });
 }
 
-MachineNumber ControlWorld::replace(MachineNumber machine, Tenths down_for) {
+MachineNumber ControlWorld::replace(MachineNumber machine, Ticks down_for) {
     lose_disk_of(machine);
     nodes_.at(machine).is_gone = true;
     const MachineNumber successor = add_control_machine();
@@ -298,7 +298,7 @@
 }
 
 // A disk that can't read what it wrote last has lost it.
-void ControlWorld::spoil(MachineNumber machine, Tenths down_for) {
+void ControlWorld::spoil(MachineNumber machine, Ticks down_for) {
     tell("spoil " + std::to_string(machine));
     lose_disk_of(machine);
     StoredValue& state = network_.disk(machine).values["state"];
@@ -349,7 +349,7 @@
 
 void ControlWorld::tell(const std::string& what) {
     if (!plan_.tells) return;
-    story_.push_back(std::to_string(static_cast<double>(network_.now() - 1'000'000'000) / kTenthsPerSecond) +
+    story_.push_back(std::to_string(static_cast<double>(network_.now() - 1'000'000'000) / kTicksPerSecond) +
                      " " + what);
 }
 
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -35,16 +35,16 @@
 };
 inline constexpr int kControlPlanKinds =
     6; // drawn by control_plan_of_seed; duties have histories of their own
-inline constexpr Tenths kFirstOrderWithin = 8 * kTenthsPerSecond;
-inline constexpr Tenths kRecoverWithin = 12 * kTenthsPerSecond; // `recoveryS`
-inline constexpr Tenths kDrainBound = 2 * kTenthsPerSecond;     // `drainMs`: after an acknowledged leaving
+inline constexpr Ticks kFirstOrderWithin = 8 * kTicksPerSecond;
+inline constexpr Ticks kRecoverWithin = 12 * kTicksPerSecond; // `recoveryS`
+inline constexpr Ticks kDrainBound = 2 * kTicksPerSecond;     // `drainMs`: after an acknowledged leaving
 
 struct ControlPlan {
     std::uint64_t seed = 1;
     ControlPlanKind kind = ControlPlanKind::kMixed;
     int control_machines = 3, spares = 0, agents = 2, servers = 3, operators = 2;
     int tolerance = 1;         // disks that may be lost at once
-    Tenths faults_for = 0;     // from the first configuration on
+    Ticks faults_for = 0;      // from the first configuration on
     bool tells = false;        // keeps a story of what happens
     double usage_window_s = 0; // 0: nothing is counted
 };
@@ -72,20 +72,20 @@
 
     // For tests that bring one thing about.
     SimulatedNetwork& network() { return network_; }
-    bool run_until(const std::function<bool()>& holds, Tenths limit) {
+    bool run_until(const std::function<bool()>& holds, Ticks limit) {
         return network_.run_until(holds, limit);
     }
-    void run_for(Tenths span) { network_.run_for(span); }
+    void run_for(Ticks span) { network_.run_for(span); }
     void start_all();
-    bool settle(Tenths limit); // until there is a leader, all that are up are in step, and feeds are served
+    bool settle(Ticks limit); // until there is a leader, all that are up are in step, and feeds are served
     std::optional<MachineNumber> leader() const;
     const control::ControlNode* node(MachineNumber machine) const;
     const std::vector<MachineNumber>& control_machines() const { return control_; }
-    void restart(MachineNumber machine, Tenths down_for, bool loses_power);
-    void wipe(MachineNumber machine, Tenths down_for);
-    MachineNumber replace(MachineNumber machine, Tenths down_for);
-    void spoil(MachineNumber machine, Tenths down_for); // the newest state file can't be read any more
-    void isolate(MachineNumber machine, bool is_cut);   // from all other control machines, both ways
+    void restart(MachineNumber machine, Ticks down_for, bool loses_power);
+    void wipe(MachineNumber machine, Ticks down_for);
+    MachineNumber replace(MachineNumber machine, Ticks down_for);
+    void spoil(MachineNumber machine, Ticks down_for); // the newest state file can't be read any more
+    void isolate(MachineNumber machine, bool is_cut);  // from all other control machines, both ways
     void set_first_start(bool first_start) { first_start_ = first_start; } // in settings of later starts
     // Sends one order to one machine and waits for its answer there; 0: none within a second.
     // Usage (control_usage.cpp): one proxy beside each agent, which lives on when the agent is killed.
@@ -93,7 +93,7 @@
     void step_clock(MachineNumber machine, std::int64_t ahead_ms) { clocks_ahead_[machine] = ahead_ms; }
     MachineNumber agent_machine(std::size_t agent) const { return agents_.at(agent).machine; }
     void begin_request(std::size_t agent, const std::string& tenant); // its first token comes now
-    void kill_agent(std::size_t agent, Tenths down_for);
+    void kill_agent(std::size_t agent, Ticks down_for);
     void kill_proxy(std::size_t agent); // it doesn't come back
     // Of those begun, what no proxy had told its agent when it was killed.
     const std::map<std::int64_t, std::map<std::string, std::int64_t>>& lost() const { return lost_; }
@@ -120,10 +120,10 @@
         std::unique_ptr<control::ControlNode> process;
         bool is_gone = false; // replaced for good
         bool disk_counts_as_lost = false;
-        Tenths calm_for = 0; // since its disk was lost and it was back
-        std::optional<Tenths> cut_off_since;
-        std::optional<Tenths> leaving_since; // told to end, and not started since
-        bool was_serving = false;            // its feed, at the last look
+        Ticks calm_for = 0; // since its disk was lost and it was back
+        std::optional<Ticks> cut_off_since;
+        std::optional<Ticks> leaving_since; // told to end, and not started since
+        bool was_serving = false;           // its feed, at the last look
     };
     struct Agent {
         MachineNumber machine = 0;
@@ -135,22 +135,22 @@
         std::unique_ptr<agent::UsageRelay> usage; // of this process
         std::unique_ptr<proxy::UsageMeter> proxy;
         int proxy_linked_to = -1; // the agent's process that the proxy told last
-        Tenths time_told = 0;     // to the proxy
+        Ticks time_told = 0;      // to the proxy
         // Since it last told.
         std::map<std::int64_t, std::map<std::string, std::int64_t>> untold;
-        Tenths told_at = 0;
+        Ticks told_at = 0;
     };
     struct Server {
         std::string id, address;
         std::uint64_t sequence = 0;
         bool drains = false, asked_to_leave = false, ended = false;
         std::string beat_address;
-        std::optional<Tenths> leaving_acknowledged; // when
+        std::optional<Ticks> leaving_acknowledged; // when
     };
     struct Act { // an order that came to a server
         MachineNumber sender = 0;
         std::uint64_t fence = 0;
-        Tenths at = 0;
+        Ticks at = 0;
     };
     struct Engine { // a server that takes orders
         std::string id, address;
@@ -158,10 +158,10 @@
         bool is_up = false;
         std::uint64_t sequence = 0;
         std::int64_t orders_accepted = 0;
-        Tenths changing_until = 0;
+        Ticks changing_until = 0;
         std::uint64_t fence_by_hand = 0; // lower ones are refused: of an order that no node gave
         std::vector<Act> acts;
-        std::optional<Tenths> ordered_at; // by a node's duty, and under which fence
+        std::optional<Ticks> ordered_at; // by a node's duty, and under which fence
         std::uint64_t ordered_under = 0;
         std::set<std::pair<std::uint64_t, std::int64_t>> taken; // fence, and how many had been taken
         std::map<MachineNumber, std::uint64_t> fenced_off;      // the last fence that was refused
@@ -190,7 +190,7 @@
     struct Operator {
         std::int64_t known = 0; // the newest version that it knows of
         std::optional<OrderNumber> order;
-        Tenths pause = 0;
+        Ticks pause = 0;
         int tries = 0;
     };
 
@@ -246,7 +246,7 @@
     void set_message_faults(const MessageFaults& faults);
     std::string body_of(OrderNumber order) const;
     std::optional<OrderNumber> order_in(const std::string& body) const;
-    void note_call_of_cut_off(MachineNumber machine, Tenths asked_at, int status, const std::string& what);
+    void note_call_of_cut_off(MachineNumber machine, Ticks asked_at, int status, const std::string& what);
 
     // control_duties.cpp: servers that take orders, and who acts
     duties::OrderClient& order_link(MachineNumber machine);
@@ -326,8 +326,8 @@
     void closing_fault();
     bool may_lose_disk() const;
     void lose_a_disk();
-    void cut_until(Tenths over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links);
-    void halves(Tenths over);
+    void cut_until(Ticks over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links);
+    void halves(Ticks over);
     void heal();
     void check_calm();
 
@@ -350,15 +350,15 @@
     std::map<std::int64_t, OrderNumber> orders_by_mark_;
     std::set<std::uint64_t> lost_identities_;
     std::set<std::uint64_t> voters_;        // of whoever leads, at the last look
-    Tenths disk_replaced_for_ = 0;          // so long does the group bear fewer losses than it could
+    Ticks disk_replaced_for_ = 0;           // so long does the group bear fewer losses than it could
     std::set<OrderNumber> answered_orders_; // with 200, also where the answer was lost
     std::set<std::string> answered_leavings_;
     bool message_faults_ = false;
-    Tenths last_disk_loss_ = 0;
+    Ticks last_disk_loss_ = 0;
     std::uint64_t server_count_ = 0;
     int active_cuts_ = 0;
     bool clients_act_ = false, quick_operators_ = false;
-    Tenths faults_until_ = 0;
+    Ticks faults_until_ = 0;
     double answer_lost_ = 0;
     std::vector<std::string> broken_, story_;
     ControlCounts counts_;
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 constexpr int kStartPatienceMs = 40'000; // the script itself gives up before
-constexpr Tenths kPatience = 30 * kTenthsPerSecond;
-constexpr Tenths kLook = kTenthsPerSecond / 50; // at what no descriptor tells: logs and processes
+constexpr Ticks kPatience = 30 * kTicksPerSecond;
+constexpr Ticks kLook = kTicksPerSecond / 50; // at what no descriptor tells: logs and processes
 constexpr std::string_view kReady = "The fleet is ready; its logs are in ", kLogs = "/logs";
 
 // Another one for each process of a test that runs at the same time.
@@ -83,7 +83,7 @@
 
 void ExampleFleet::await_ready() {
     std::string said;
-    const Tenths give_up = loop_.now() + kStartPatienceMs * (kTenthsPerSecond / 1000);
+    const Ticks give_up = loop_.now() + kStartPatienceMs * (kTicksPerSecond / 1000);
     while (said.find(kLogs) == std::string::npos || said.back() != '\n') {
         pollfd waited{output_, POLLIN, 0};
         poll(&waited, 1, kStartPatienceMs);
@@ -177,13 +177,13 @@
 }
 
 bool ExampleFleet::until(const std::function<bool()>& holds) {
-    const Tenths give_up = loop_.now() + kPatience;
+    const Ticks give_up = loop_.now() + kPatience;
     for (;;) {
         for (const auto& client : clients_) client->pass();
         if (also_pass_) also_pass_();
         if (holds()) return true;
         if (loop_.now() >= give_up) return false;
-        Tenths next = loop_.now() + kLook;
+        Ticks next = loop_.now() + kLook;
         for (const auto& client : clients_) next = std::min(next, client->due().value_or(next));
         loop_.wait(next);
     }
--- a/tests/lab/fleet.cpp
+++ b/tests/lab/fleet.cpp
@@ -48,7 +48,7 @@
 
 void Fleet::run() {
     while (!stop_) {
-        loop_.wait(loop_.now() + kTenthsPerSecond / 500);
+        loop_.wait(loop_.now() + kTicksPerSecond / 500);
         std::erase_if(peers_, [](auto& peer) { return peer->over; });
         if (held_) continue;
         for (auto& peer : peers_)
--- a/tests/lab/front_node_fixture.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-constexpr Tenths kDay = 86'400 * kTenthsPerSecond;
+constexpr Ticks kDay = 86'400 * kTicksPerSecond;
 
-Tenths wall() { return transport::Loop::wall(); }
+Ticks wall() { return transport::Loop::wall(); }
 
 constexpr const char* kOperatorFile = R"(# The hall's own file.
 _lines = 200
@@ -66,23 +66,23 @@
     SchedulerConfig& terms = start_config.terms.scheduler;
     for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
         RequestClassConfig request_class;
-        request_class.latency_target = kTenthsPerSecond, request_class.deadline = 2 * kTenthsPerSecond,
+        request_class.latency_target = kTicksPerSecond, request_class.deadline = 2 * kTicksPerSecond,
         request_class.idempotency = idempotency;
         request_class.late_utility_ratio = 0.1;
         terms.request_classes.push_back(request_class);
     }
     terms.tenants = {{1e6}, {1e6}};
-    terms.decision_interval = 50, terms.warm_up_time = kTenthsPerSecond, terms.cold_capacity_ratio = 0.2;
-    terms.overload_window = kTenthsPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
+    terms.decision_interval = 50, terms.warm_up_time = kTicksPerSecond, terms.cold_capacity_ratio = 0.2;
+    terms.overload_window = kTicksPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
     terms.may_cancel = terms.may_probe = true, terms.list_mode = ListMode::kQueried;
     terms.cells = plan.servers;
     start_config.terms.request_classes = {"find", "annotate"}, start_config.terms.tenants = {"etna", "conca"};
     start_config.terms.zones = {"a"}, start_config.terms.kinds = {"m"},
     start_config.terms.shards = plan.servers;
     start_config.terms.max_calls_per_connection = 100,
-    start_config.terms.scheduler.connect_timeout = kTenthsPerSecond / 4;
-    start_config.terms.idle_timeout = 15 * kTenthsPerSecond,
-    start_config.terms.watch_timeout = 100 * kTenthsPerSecond;
+    start_config.terms.scheduler.connect_timeout = kTicksPerSecond / 4;
+    start_config.terms.idle_timeout = 15 * kTicksPerSecond,
+    start_config.terms.watch_timeout = 100 * kTicksPerSecond;
 
     int pipe_ends[2];
     if (pipe(pipe_ends) != 0) throw std::runtime_error("no pipe");
@@ -125,21 +125,21 @@
     write("keys/" + key.name + ".jwk", access::write_key(key, false));
 }
 
-void FrontNodeFixture::rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap) {
-    const Tenths now = wall() / kTenthsPerSecond * kTenthsPerSecond;
+void FrontNodeFixture::rotate(const std::string& name, access::Algorithm algorithm, Ticks overlap) {
+    const Ticks now = wall() / kTicksPerSecond * kTicksPerSecond;
     access::Key new_key{
         name, access::SigningKey::generate(algorithm), {now, now, access::kNever, access::kNever}};
     write_key(new_key); // known before the old one goes out
     for (access::Key& key : keys_) {
         if (key.times.outgoing != access::kNever) continue;
         key.times.outgoing = now;
-        key.times.gone = (now + overlap + kTenthsPerSecond - 1) / kTenthsPerSecond * kTenthsPerSecond;
+        key.times.gone = (now + overlap + kTicksPerSecond - 1) / kTicksPerSecond * kTicksPerSecond;
         write_key(key);
     }
     keys_.push_back(std::move(new_key));
 }
 
-std::string FrontNodeFixture::token(const std::string& member, const access::Key& key, Tenths lifetime,
+std::string FrontNodeFixture::token(const std::string& member, const access::Key& key, Ticks lifetime,
                                     std::vector<std::string> node, bool write) const {
     access::Claims claims;
     claims.issuer = "trinacria", claims.audience = {"archive"};
@@ -148,7 +148,7 @@
     return access::sign_token(claims, key);
 }
 
-Issued FrontNodeFixture::issue(const std::string& member, Tenths lifetime) const {
+Issued FrontNodeFixture::issue(const std::string& member, Ticks lifetime) const {
     return root.issue({member,
                        {"spiffe://trinacria.example/etna/" + member},
                        {},
@@ -166,11 +166,11 @@
 
 void FrontNodeFixture::revoke_serials(std::vector<std::string> serials) {
     revoked_.insert(revoked_.end(), serials.begin(), serials.end());
-    crl_made_ += kTenthsPerSecond; // each is newer than the one before
+    crl_made_ += kTicksPerSecond; // each is newer than the one before
     write("ca.crl", root.crl(revoked_, crl_made_, wall() + kDay));
 }
 
-void FrontNodeFixture::revoke_member(const std::string& member, Tenths since) {
+void FrontNodeFixture::revoke_member(const std::string& member, Ticks since) {
     revocations_.members["circolo-etna/" + member] = since;
     write("keys/revocations.json", revocations_.write());
 }
@@ -197,7 +197,7 @@
     transport::Loop loop;
     transport::Source changes(loop, inotify_init1(IN_NONBLOCK | IN_CLOEXEC));
     inotify_add_watch(changes.descriptor(), (folder_ + "/audit.log").c_str(), IN_MODIFY);
-    const Tenths end = loop.now() + timeout_ms * (kTenthsPerSecond / 1000);
+    const Ticks end = loop.now() + timeout_ms * (kTicksPerSecond / 1000);
     for (char bytes[4096];
          count_audit_lines(text) < lines;) { // looked at first, then each time that a line is written
         if (loop.now() >= end) return false;
--- a/tests/lab/front_node_fixture.hpp
+++ b/tests/lab/front_node_fixture.hpp
@@ -38,18 +38,18 @@
     const std::string& access_controlled_h2_address() const { return addresses_.at(4); }
 
     std::string token(const std::string& member, const access::Key& key,
-                      Tenths lifetime = 600 * kTenthsPerSecond, std::vector<std::string> node = {"g1"},
+                      Ticks lifetime = 600 * kTicksPerSecond, std::vector<std::string> node = {"g1"},
                       bool write = true) const;
     const access::Key& key() const { return keys_.back(); } // the newest
     const std::vector<access::Key>& keys() const { return keys_; }
     // Makes a key, active at once, and lets those before it go out, gone after `overlap`.
-    void rotate(const std::string& name, access::Algorithm algorithm, Tenths overlap);
+    void rotate(const std::string& name, access::Algorithm algorithm, Ticks overlap);
     void write_key(const access::Key& key) const;
-    Issued issue(const std::string& member, Tenths lifetime = 3600 * kTenthsPerSecond) const;
+    Issued issue(const std::string& member, Ticks lifetime = 3600 * kTicksPerSecond) const;
     void renew_server(); // a fresh certificate of ours
     std::string server_serial() const { return server_.serial; }
     void revoke_serials(std::vector<std::string> serials); // by CRL
-    void revoke_member(const std::string& member, Tenths since);
+    void revoke_member(const std::string& member, Ticks since);
     void write(const std::string& name, const std::string& text) const; // a file of the folder, by renaming
     std::string folder() const { return folder_; }
 
@@ -72,7 +72,7 @@
     std::vector<std::string> revoked_;
     access::Revocations revocations_;
     Issued server_;
-    Tenths crl_made_;
+    Ticks crl_made_;
     pid_t node_ = -1;
 };
 
--- a/tests/lab/heartbeats.cpp
+++ b/tests/lab/heartbeats.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kMostRedirects = 2;
-constexpr Tenths kFirstPause = kTenthsPerSecond / 10, kLongestPause = kTenthsPerSecond;
+constexpr Ticks kFirstPause = kTicksPerSecond / 10, kLongestPause = kTicksPerSecond;
 constexpr std::string_view kScheme = "http://";
 
 std::string address_in(const std::string& location) {
@@ -28,17 +28,17 @@
 
 } // namespace
 
-HeartbeatKind Heartbeats::kind_at(Tenths now) const {
+HeartbeatKind Heartbeats::kind_at(Ticks now) const {
     if (!left_at_) return HeartbeatKind::kServing;
     return now >= *leave_by_ ? HeartbeatKind::kLeave : HeartbeatKind::kDraining;
 }
 
-std::optional<Tenths> Heartbeats::due() const {
+std::optional<Ticks> Heartbeats::due() const {
     if (ended_ || under_way_) return std::nullopt;
     return leave_by_ ? std::min(next_, *leave_by_) : next_;
 }
 
-std::optional<HeartbeatCall> Heartbeats::begin(Tenths now) {
+std::optional<HeartbeatCall> Heartbeats::begin(Ticks now) {
     const auto at = due();
     if (!at || *at > now) return std::nullopt;
     if (plan_.control.empty()) {
@@ -53,14 +53,14 @@
     return HeartbeatCall{*under_way_, address, ++sequence_};
 }
 
-void Heartbeats::leave(Tenths now) {
+void Heartbeats::leave(Ticks now) {
     if (left_at_) return;
     left_at_ = now;
     leave_by_ = now + plan_.drain_unheard;
     next_ = now;
 }
 
-void Heartbeats::answered(const HeartbeatAnswer& answer, Tenths now) {
+void Heartbeats::answered(const HeartbeatAnswer& answer, Ticks now) {
     if (answer.status >= 200 && answer.status < 300 && answer.body.size() <= kMostAnswer)
         return acknowledge(answer.body, now);
     const std::string location = answer.status == 307 ? address_in(answer.location) : std::string{};
@@ -71,7 +71,7 @@
     next_ = now;
 }
 
-void Heartbeats::acknowledge(const std::string& body, Tenths now) {
+void Heartbeats::acknowledge(const std::string& body, Ticks now) {
     const HeartbeatKind kind = *std::exchange(under_way_, std::nullopt);
     ++acknowledged_;
     failures_ = redirects_ = 0;
@@ -84,7 +84,7 @@
 }
 
 // The next node is called at once; after a whole round of failures, with a pause that grows.
-void Heartbeats::failed(Tenths now) {
+void Heartbeats::failed(Ticks now) {
     const HeartbeatKind kind = *std::exchange(under_way_, std::nullopt);
     redirects_ = 0;
     if (named_.empty())
--- a/tests/lab/heartbeats.hpp
+++ b/tests/lab/heartbeats.hpp
@@ -13,10 +13,10 @@
 
 struct HeartbeatPlan {
     std::vector<std::string> control; // addresses of nodes that take heartbeats
-    Tenths interval = kTenthsPerSecond * 12 / 10;
-    Tenths drain = 2 * kTenthsPerSecond;         // served on for so long after `draining` was acknowledged
-    Tenths drain_more = kTenthsPerSecond / 2;    // and this little longer
-    Tenths drain_unheard = 5 * kTenthsPerSecond; // with no acknowledgement it ends after so long
+    Ticks interval = kTicksPerSecond * 12 / 10;
+    Ticks drain = 2 * kTicksPerSecond;         // served on for so long after `draining` was acknowledged
+    Ticks drain_more = kTicksPerSecond / 2;    // and this little longer
+    Ticks drain_unheard = 5 * kTicksPerSecond; // with no acknowledgement it ends after so long
 };
 
 enum class HeartbeatKind : std::uint8_t { kServing, kDraining, kLeave };
@@ -34,26 +34,26 @@
 
 class Heartbeats {
   public:
-    Heartbeats(HeartbeatPlan plan, Tenths now) : plan_(std::move(plan)), next_(now) {}
+    Heartbeats(HeartbeatPlan plan, Ticks now) : plan_(std::move(plan)), next_(now) {}
 
     // The call to make now, if one is due and none is under way. It must be answered for within kPatience.
-    std::optional<HeartbeatCall> begin(Tenths now);
-    void answered(const HeartbeatAnswer& answer, Tenths now);
-    void failed(Tenths now); // no answer, or none in time
-    void leave(Tenths now);  // says `draining` at once; later calls change nothing
+    std::optional<HeartbeatCall> begin(Ticks now);
+    void answered(const HeartbeatAnswer& answer, Ticks now);
+    void failed(Ticks now); // no answer, or none in time
+    void leave(Ticks now);  // says `draining` at once; later calls change nothing
     bool ended() const { return ended_; }
-    std::optional<Tenths> due() const; // when begin() has a call, or the server ends
+    std::optional<Ticks> due() const; // when begin() has a call, or the server ends
     std::uint64_t acknowledged() const { return acknowledged_; }
 
-    static constexpr Tenths kPatience = kTenthsPerSecond;
+    static constexpr Ticks kPatience = kTicksPerSecond;
     static constexpr std::size_t kMostAnswer = 4096; // bytes; a longer answer acknowledges nothing
 
   private:
-    void acknowledge(const std::string& body, Tenths now);
-    HeartbeatKind kind_at(Tenths now) const;
+    void acknowledge(const std::string& body, Ticks now);
+    HeartbeatKind kind_at(Ticks now) const;
 
     HeartbeatPlan plan_;
-    Tenths next_;
+    Ticks next_;
     std::size_t node_ = 0;
     std::string named_;      // by the last answer's beatAddr, until a heartbeat fails there
     std::string redirected_; // by 307, for the next call only
@@ -61,7 +61,7 @@
     std::int64_t failures_ = 0; // in a row
     std::uint64_t sequence_ = 0, acknowledged_ = 0;
     std::optional<HeartbeatKind> under_way_;
-    std::optional<Tenths> left_at_, leave_by_;
+    std::optional<Ticks> left_at_, leave_by_;
     bool drain_heard_ = false, ended_ = false;
 };
 
--- a/tests/lab/model_server.cpp
+++ b/tests/lab/model_server.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::size_t kMostRead = 64 * 1024, kMostWritten = 8 * 1024 * 1024; // bytes of a connection's rings
-constexpr Tenths kFetchPatience = 2 * kTenthsPerSecond;
-constexpr Tenths kClosingPatience = 2 * kTenthsPerSecond; // for the caller's end of a connection that closes
+constexpr Ticks kFetchPatience = 2 * kTicksPerSecond;
+constexpr Ticks kClosingPatience = 2 * kTicksPerSecond; // for the caller's end of a connection that closes
 
 std::string json_text(std::string_view text) {
     std::string out;
@@ -31,7 +31,7 @@
 } // namespace
 
 OutgoingCall::OutgoingCall(transport::Loop& loop, const std::string& address, std::string request,
-                           Tenths until)
+                           Ticks until)
     : request_(std::move(request)), until_(until) {
     const int descriptor = transport::connect_to(address);
     done_ = descriptor < 0;
@@ -40,7 +40,7 @@
             std::make_unique<Stream>(loop, descriptor, Stream::Start::kConnecting, kMostRead, kMostRead);
 }
 
-void OutgoingCall::pass(Tenths now) {
+void OutgoingCall::pass(Ticks now) {
     if (done_) return;
     if (stream_->established() && !request_.empty()) stream_->send(std::exchange(request_, {}));
     while (stream_->unread() && !reader_.complete() && !reader_.broken()) stream_->feed(reader_);
@@ -51,7 +51,7 @@
     if (done_) stream_.reset();
 }
 
-ModelServer::Peer::Peer(transport::Loop& loop, int connection, Tenths now)
+ModelServer::Peer::Peer(transport::Loop& loop, int connection, Ticks now)
     : descriptor(connection), stream(loop, connection, Stream::Start::kConnected, kMostRead, kMostWritten),
       rested_since(now) {}
 
@@ -71,9 +71,9 @@
     heartbeats_.leave(loop_.now());
 }
 
-std::optional<Tenths> ModelServer::due() const {
-    std::optional<Tenths> first = core_.due();
-    const auto consider = [&](std::optional<Tenths> at) {
+std::optional<Ticks> ModelServer::due() const {
+    std::optional<Ticks> first = core_.due();
+    const auto consider = [&](std::optional<Ticks> at) {
         if (at && (!first || *at < *first)) first = at;
     };
     consider(heartbeats_.due());
@@ -81,14 +81,14 @@
     for (const auto& [exchange, call] : fetches_) consider(call->until());
     for (const auto& peer : peers_) {
         consider(peer->closing_until);
-        const Tenths idle = core_.plan().idle_close;
+        const Ticks idle = core_.plan().idle_close;
         if (idle > 0 && !peer->exchange && !peer->closing_until) consider(peer->rested_since + idle);
     }
     return first;
 }
 
 void ModelServer::pass() {
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     accept(now);
     core_.pass(now);
     pass_calls(now);
@@ -100,7 +100,7 @@
     std::erase_if(peers_, [](const auto& peer) { return peer->over; });
 }
 
-void ModelServer::accept(Tenths now) {
+void ModelServer::accept(Ticks now) {
     for (int descriptor; (descriptor = transport::accept_from(listener_.descriptor())) >= 0;) {
         if (static_cast<std::int64_t>(peers_.size()) >= core_.plan().connection_limit) {
             reset_on_close(descriptor);
@@ -116,7 +116,7 @@
     peer.over = true;
 }
 
-bool ModelServer::serve(Peer& peer, Tenths now) {
+bool ModelServer::serve(Peer& peer, Ticks now) {
     if (peer.over) return false;
     if (peer.stream.ended()) {
         if (peer.exchange) core_.closed(*std::exchange(peer.exchange, std::nullopt), now);
@@ -132,7 +132,7 @@
         peer.over = now >= *peer.closing_until;
         return false;
     }
-    const Tenths idle = core_.plan().idle_close;
+    const Ticks idle = core_.plan().idle_close;
     if (idle > 0 && !peer.exchange && !peer.reader.begun() && now >= peer.rested_since + idle) {
         peer.close = true;
         return true;
@@ -159,18 +159,18 @@
     return found == peers_.end() ? nullptr : found->get();
 }
 
-bool ModelServer::act(Tenths now) {
+bool ModelServer::act(Ticks now) {
     const std::vector<ServerAction> actions = core_.take_actions();
     for (const ServerAction& action : actions) std::visit([&](const auto& what) { act(what, now); }, action);
     return !actions.empty();
 }
 
-void ModelServer::act(const SendBytes& action, Tenths) {
+void ModelServer::act(const SendBytes& action, Ticks) {
     Peer* const peer = peer_of(action.exchange);
     if (peer && !peer->stream.send(action.bytes)) reset(*peer); // a caller that doesn't read for far too long
 }
 
-void ModelServer::act(const FinishAnswer& action, Tenths now) {
+void ModelServer::act(const FinishAnswer& action, Ticks now) {
     Peer* const peer = peer_of(action.exchange);
     if (!peer) return;
     peer->exchange.reset();
@@ -178,20 +178,20 @@
     peer->close = action.close || peer->last_request;
 }
 
-void ModelServer::act(const ResetConnection& action, Tenths) {
+void ModelServer::act(const ResetConnection& action, Ticks) {
     Peer* const peer = peer_of(action.exchange);
     if (!peer) return;
     peer->exchange.reset();
     reset(*peer);
 }
 
-void ModelServer::act(const FetchMemory& action, Tenths now) {
+void ModelServer::act(const FetchMemory& action, Ticks now) {
     const std::string line = "GET /kv-handle/" + action.handle + " HTTP/1.1";
     fetches_[action.exchange] = std::make_unique<OutgoingCall>(
         loop_, action.address, http_message(line, {{"Host", action.address}}, ""), now + kFetchPatience);
 }
 
-void ModelServer::pass_calls(Tenths now) {
+void ModelServer::pass_calls(Ticks now) {
     for (auto fetch = fetches_.begin(); fetch != fetches_.end();) {
         OutgoingCall& call = *fetch->second;
         call.pass(now);
@@ -213,13 +213,13 @@
         heartbeats_.failed(now);
 }
 
-void ModelServer::beat(Tenths now) {
+void ModelServer::beat(Ticks now) {
     if (const auto call = heartbeats_.begin(now))
         heartbeat_ = std::make_unique<OutgoingCall>(loop_, call->address, registration(*call, now),
                                                     now + Heartbeats::kPatience);
 }
 
-std::string ModelServer::registration(const HeartbeatCall& call, Tenths now) const {
+std::string ModelServer::registration(const HeartbeatCall& call, Ticks now) const {
     const ModelServerPlan& plan = core_.plan();
     const bool leaves = call.kind == HeartbeatKind::kLeave;
     const std::string line = (leaves ? "DELETE /instances/" : "PUT /instances/") + plan.id + " HTTP/1.1";
@@ -229,7 +229,7 @@
         "{\"service\":" + json_text(plan.service) + ",\"address\":" + json_text(plan.address) +
         ",\"zone\":" + json_text(plan.zone) + ",\"version\":" + json_text(plan.software) +
         ",\"slots\":" + std::to_string(plan.slots) + ",\"state\":" + json_text(state) +
-        ",\"coldLeftMs\":" + std::to_string(core_.cold_left(now) * 1000 / kTenthsPerSecond) +
+        ",\"coldLeftMs\":" + std::to_string(core_.cold_left(now) * 1000 / kTicksPerSecond) +
         ",\"stage\":" + json_text(name_of(core_.stage())) +
         ",\"models\":[{\"name\":" + json_text(plan.model) + ",\"version\":" + std::to_string(plan.weights) +
         ",\"adapters\":[]}],\"callSeq\":" + std::to_string(call.sequence) + "}";
--- a/tests/lab/model_server.hpp
+++ b/tests/lab/model_server.hpp
@@ -19,11 +19,11 @@
 // One request to another program and its answer; abandoned when it is freed.
 class OutgoingCall {
   public:
-    OutgoingCall(transport::Loop& loop, const std::string& address, std::string request, Tenths until);
+    OutgoingCall(transport::Loop& loop, const std::string& address, std::string request, Ticks until);
 
-    void pass(Tenths now);
+    void pass(Ticks now);
     bool done() const { return done_; }
-    Tenths until() const { return until_; }
+    Ticks until() const { return until_; }
     const HttpHead* head() const { return complete_ ? &reader_.head() : nullptr; } // null: it failed
     const std::string& body() const { return body_; }
 
@@ -32,7 +32,7 @@
     std::string request_;
     HttpReader reader_{HttpReader::Side::kResponses};
     std::string body_;
-    Tenths until_;
+    Ticks until_;
     bool done_ = false, complete_ = false;
 };
 
@@ -42,7 +42,7 @@
     ModelServer(transport::Loop& loop, ModelServerPlan plan, HeartbeatPlan heartbeats);
 
     void pass();
-    std::optional<Tenths> due() const;
+    std::optional<Ticks> due() const;
     void leave(); // as on SIGTERM: says `draining`, serves on, leaves the list and ends
     bool ended() const { return heartbeats_.ended(); }
 
@@ -53,29 +53,29 @@
 
   private:
     struct Peer {
-        Peer(transport::Loop& loop, int descriptor, Tenths now);
+        Peer(transport::Loop& loop, int descriptor, Ticks now);
         int descriptor; // of the stream
         transport::Stream stream;
         HttpReader reader{HttpReader::Side::kRequests};
         std::string body;
         std::optional<ExchangeId> exchange;
-        std::optional<Tenths> closing_until; // the last answer is written, the caller's end is awaited
-        Tenths rested_since;
+        std::optional<Ticks> closing_until; // the last answer is written, the caller's end is awaited
+        Ticks rested_since;
         bool last_request = false; // the caller said `Connection: close`
         bool close = false, over = false;
     };
 
     static ModelServerPlan bound(ModelServerPlan plan, int descriptor);
-    void accept(Tenths now);
-    bool serve(Peer& peer, Tenths now); // whether anything moved
-    bool act(Tenths now);
-    void act(const SendBytes& action, Tenths now);
-    void act(const FinishAnswer& action, Tenths now);
-    void act(const ResetConnection& action, Tenths now);
-    void act(const FetchMemory& action, Tenths now);
-    void beat(Tenths now);
-    void pass_calls(Tenths now);
-    std::string registration(const HeartbeatCall& call, Tenths now) const;
+    void accept(Ticks now);
+    bool serve(Peer& peer, Ticks now); // whether anything moved
+    bool act(Ticks now);
+    void act(const SendBytes& action, Ticks now);
+    void act(const FinishAnswer& action, Ticks now);
+    void act(const ResetConnection& action, Ticks now);
+    void act(const FetchMemory& action, Ticks now);
+    void beat(Ticks now);
+    void pass_calls(Ticks now);
+    std::string registration(const HeartbeatCall& call, Ticks now) const;
     Peer* peer_of(ExchangeId exchange);
     static void reset(Peer& peer);
 
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -41,14 +41,12 @@
     } catch (const std::exception&) { return std::nullopt; }
 }
 
-ModelServerCore::ModelServerCore(ModelServerPlan plan, Tenths now)
+ModelServerCore::ModelServerCore(ModelServerPlan plan, Ticks now)
     : plan_(std::move(plan)), started_(now), stage_(plan_.stage), next_stage_(plan_.stage) {
     note(now);
 }
 
-Tenths ModelServerCore::cold_left(Tenths now) const {
-    return std::max<Tenths>(0, started_ + plan_.cold - now);
-}
+Ticks ModelServerCore::cold_left(Ticks now) const { return std::max<Ticks>(0, started_ + plan_.cold - now); }
 
 AttemptRecord ModelServerCore::record(const std::string& attempt) const {
     const auto found = records_.find(attempt);
@@ -70,7 +68,7 @@
     fields.push_back({"Server-Seal", hexadecimal(seal, kSealDigits) + "." + std::to_string(seals_)});
     if (draining_) fields.push_back({"Connection", "close"});
     if (!draining_ && plan_.idle_close > 0)
-        fields.push_back({"Keep-Alive", "timeout=" + std::to_string(plan_.idle_close / kTenthsPerSecond)});
+        fields.push_back({"Keep-Alive", "timeout=" + std::to_string(plan_.idle_close / kTicksPerSecond)});
     return fields;
 }
 
@@ -95,7 +93,7 @@
     answer(exchange, head, status, std::move(fields), "");
 }
 
-std::string ModelServerCore::report(Tenths now) const {
+std::string ModelServerCore::report(Ticks now) const {
     ReportState state = states_.front().second;
     for (const auto& [at, then] : states_)
         if (at + plan_.report_lag <= now) state = then;
@@ -110,8 +108,7 @@
 
 // Requests.
 
-void ModelServerCore::request(ExchangeId exchange, const HttpHead& head, const std::string& body,
-                              Tenths now) {
+void ModelServerCore::request(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now) {
     pass(now);
     if (head.method == "GET" && head.target == "/report") {
         answer_json(exchange, head, 200, report(now));
@@ -130,7 +127,7 @@
     note(now);
 }
 
-void ModelServerCore::take_handle_call(ExchangeId exchange, const HttpHead& head, Tenths now) {
+void ModelServerCore::take_handle_call(ExchangeId exchange, const HttpHead& head, Ticks now) {
     const auto found = handles_.find(head.target.substr(kHandlePath.size()));
     if (found == handles_.end()) return answer(exchange, head, 404, {}, "");
     const HandleMemory memory = found->second.memory;
@@ -140,7 +137,7 @@
 }
 
 void ModelServerCore::take_order(ExchangeId exchange, const HttpHead& head, const std::string& body,
-                                 Tenths now) {
+                                 Ticks now) {
     if (head.has("target-instance") && head.field("target-instance") != plan_.id)
         return refuse(exchange, head, 421);
     const int status = judge_order(body);
@@ -185,7 +182,7 @@
 }
 
 void ModelServerCore::take_generation(ExchangeId exchange, const HttpHead& head, const std::string& body,
-                                      Tenths now) {
+                                      Ticks now) {
     heads_.push_back(head);
     Run run;
     run.head = head;
@@ -201,11 +198,11 @@
     if (run.kind == Kind::kGenerate) run.reserved += run.generation.output_tokens;
     if (run.next_event > run.last_event + 1) return refuse(exchange, head, 400);
     if (run.reserved > plan_.memory_tokens) return refuse(exchange, head, 503);
-    if (const auto left = head.number("deadline-ms")) run.deadline = now + *left * kTenthsPerSecond / 1000;
+    if (const auto left = head.number("deadline-ms")) run.deadline = now + *left * kTicksPerSecond / 1000;
     queue(exchange, std::move(run), now);
 }
 
-void ModelServerCore::queue(ExchangeId exchange, Run run, Tenths now) {
+void ModelServerCore::queue(ExchangeId exchange, Run run, Ticks now) {
     run.order = arrivals_++;
     const HttpHead head = run.head;
     runs_.emplace(exchange, std::move(run));
@@ -233,7 +230,7 @@
 }
 
 // Keeps what a report may still tell; states older than that are forgotten but for the last.
-void ModelServerCore::note(Tenths now) {
+void ModelServerCore::note(Ticks now) {
     states_.emplace_back(now, ReportState{stage_, busy_, orders_, count(false), count(true), used(),
                                           static_cast<std::int64_t>(handles_.size())});
     while (states_.size() > 1 && states_[1].first + plan_.report_lag <= now) states_.pop_front();
@@ -243,9 +240,9 @@
     return records_[std::string(run.head.field("attempt-id"))];
 }
 
-std::optional<Tenths> ModelServerCore::due() const {
-    std::optional<Tenths> first = switched_at_;
-    const auto consider = [&](const std::optional<Tenths>& at) {
+std::optional<Ticks> ModelServerCore::due() const {
+    std::optional<Ticks> first = switched_at_;
+    const auto consider = [&](const std::optional<Ticks>& at) {
         if (at && (!first || *at < *first)) first = at;
     };
     for (const auto& [exchange, run] : runs_) {
@@ -256,12 +253,12 @@
     return first;
 }
 
-void ModelServerCore::pass(Tenths now) {
+void ModelServerCore::pass(Ticks now) {
     for (auto at = due(); at && *at <= now; at = due()) step(*at);
 }
 
 // All that is due at that moment; what ends goes before what begins.
-void ModelServerCore::step(Tenths at) {
+void ModelServerCore::step(Ticks at) {
     std::erase_if(handles_, [&](const auto& entry) { return entry.second.until <= at; });
     if (switched_at_ && *switched_at_ <= at) {
         stage_ = next_stage_;
--- a/tests/lab/model_server_core.hpp
+++ b/tests/lab/model_server_core.hpp
@@ -33,15 +33,15 @@
     std::int64_t memory_tokens = 100'000;
     std::int64_t stride = 4;           // tokens in one event
     double read_tokens_per_s = 20'000; // of a prompt; half of it where a decode server reads
-    Tenths token_step = 100;           // from one token to the next with one request running
+    Ticks token_step = 100;            // from one token to the next with one request running
     double step_growth = 0.02;         // the step's part more for each further request
     double token_bytes = 131'072;      // memory of one token
     double link_mbps = 100'000;        // for memory that is fetched
-    Tenths handle_hold = 5 * kTenthsPerSecond, role_switch = kTenthsPerSecond / 2;
-    Tenths report_lag = kTenthsPerSecond * 3 / 10;
-    Tenths cold = 0;       // after its start everything takes twice as long for this span
-    bool fenced = false;   // orders with a lower fence are refused
-    Tenths idle_close = 0; // whole seconds, told in Keep-Alive; 0: idle connections stay open
+    Ticks handle_hold = 5 * kTicksPerSecond, role_switch = kTicksPerSecond / 2;
+    Ticks report_lag = kTicksPerSecond * 3 / 10;
+    Ticks cold = 0;       // after its start everything takes twice as long for this span
+    bool fenced = false;  // orders with a lower fence are refused
+    Ticks idle_close = 0; // whole seconds, told in Keep-Alive; 0: idle connections stay open
 };
 
 enum class FaultKind : std::uint8_t {
@@ -97,13 +97,13 @@
 
 class ModelServerCore {
   public:
-    ModelServerCore(ModelServerPlan plan, Tenths now);
+    ModelServerCore(ModelServerPlan plan, Ticks now);
 
-    void request(ExchangeId exchange, const HttpHead& head, const std::string& body, Tenths now);
-    void closed(ExchangeId exchange, Tenths now); // the caller has gone
-    void fetched(ExchangeId exchange, std::optional<HandleMemory> memory, Tenths now);
-    void pass(Tenths now);
-    std::optional<Tenths> due() const; // when pass() has something to do
+    void request(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
+    void closed(ExchangeId exchange, Ticks now); // the caller has gone
+    void fetched(ExchangeId exchange, std::optional<HandleMemory> memory, Ticks now);
+    void pass(Ticks now);
+    std::optional<Ticks> due() const; // when pass() has something to do
     std::vector<ServerAction> take_actions() { return std::exchange(actions_, {}); }
 
     void drain() { draining_ = true; } // health fails, connections are closed with their answers
@@ -113,7 +113,7 @@
     ServerStage stage() const { return stage_; }
     bool draining() const { return draining_; }
     bool idle() const { return runs_.empty(); }
-    Tenths cold_left(Tenths now) const;
+    Ticks cold_left(Ticks now) const;
     AttemptRecord record(const std::string& attempt) const;
     std::int64_t most_runs() const;                                   // of any one Attempt-Id
     std::int64_t foreign_handles() const { return foreign_handles_; } // taken for another request's content
@@ -133,14 +133,14 @@
         std::int64_t priority = 5, reserved = 0; // reserved: tokens of memory
         std::int64_t next_event = 1, last_event = 0;
         std::uint64_t order = 0;
-        std::optional<Tenths> next, deadline;
+        std::optional<Ticks> next, deadline;
         std::optional<ServerFault> fault;
         bool head_sent = false;
         std::int64_t sent = 0; // events
     };
     struct Handle {
         HandleMemory memory;
-        Tenths until = 0;
+        Ticks until = 0;
     };
     struct ReportState {
         ServerStage stage = ServerStage::kDecode;
@@ -155,49 +155,49 @@
     void refuse(ExchangeId exchange, const HttpHead& head, int status);
     void answer_json(ExchangeId exchange, const HttpHead& head, int status, const std::string& body);
     std::vector<HttpField> own_fields(const HttpHead& head);
-    std::string report(Tenths now) const;
+    std::string report(Ticks now) const;
     // Requests
-    void take_handle_call(ExchangeId exchange, const HttpHead& head, Tenths now);
-    void take_order(ExchangeId exchange, const HttpHead& head, const std::string& body, Tenths now);
+    void take_handle_call(ExchangeId exchange, const HttpHead& head, Ticks now);
+    void take_order(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
     int judge_order(const std::string& body);
-    void take_generation(ExchangeId exchange, const HttpHead& head, const std::string& body, Tenths now);
+    void take_generation(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
     int misfit(const HttpHead& head, Kind kind) const; // the status to turn it away with; 0: it may come in
-    void queue(ExchangeId exchange, Run run, Tenths now);
+    void queue(ExchangeId exchange, Run run, Ticks now);
     // Runs
-    void let_in(Tenths now);
+    void let_in(Ticks now);
     void shrink_cache();
     Runs::iterator next_waiting();
-    void start(Runs::iterator run, Tenths now);
-    void start_reading(Run& run, Tenths now);
-    void go_on(Runs::iterator run, Tenths now);
-    void finish_prefill(Runs::iterator run, Tenths now);
-    void stream_event(Runs::iterator run, Tenths now);
-    bool fail_as_planted(Runs::iterator run, Tenths now);
-    void deadline_passed(Runs::iterator run, Tenths now);
-    void drop(Runs::iterator run, Tenths now);
+    void start(Runs::iterator run, Ticks now);
+    void start_reading(Run& run, Ticks now);
+    void go_on(Runs::iterator run, Ticks now);
+    void finish_prefill(Runs::iterator run, Ticks now);
+    void stream_event(Runs::iterator run, Ticks now);
+    bool fail_as_planted(Runs::iterator run, Ticks now);
+    void deadline_passed(Runs::iterator run, Ticks now);
+    void drop(Runs::iterator run, Ticks now);
     std::optional<ServerFault> fault_for(const Run& run);
     // State
-    void step(Tenths at);
-    void note(Tenths now);
+    void step(Ticks at);
+    void note(Ticks now);
     std::int64_t count(bool running) const;
     std::int64_t used() const; // tokens of memory that can't give way
-    double slowness(const Run& run, Tenths now) const;
-    Tenths move_time(std::int64_t tokens) const;
+    double slowness(const Run& run, Ticks now) const;
+    Ticks move_time(std::int64_t tokens) const;
     AttemptRecord& record_of(const Run& run);
     void count_run(const Run& run);
 
     ModelServerPlan plan_;
-    Tenths started_;
+    Ticks started_;
     ServerStage stage_, next_stage_;
-    std::optional<Tenths> switched_at_;
+    std::optional<Ticks> switched_at_;
     bool busy_ = false, draining_ = false;
     std::int64_t orders_ = 0, highest_fence_ = -1;
     std::uint64_t arrivals_ = 0, handles_made_ = 0, seals_ = 0;
-    Tenths reading_free_ = 0, link_free_ = 0;
+    Ticks reading_free_ = 0, link_free_ = 0;
     Runs runs_;
     std::map<std::string, Handle> handles_;
     PrefixCache cache_;
-    std::deque<std::pair<Tenths, ReportState>> states_;
+    std::deque<std::pair<Ticks, ReportState>> states_;
     std::vector<ServerFault> faults_;
     std::vector<ServerAction> actions_;
     std::map<std::string, AttemptRecord> records_;
--- a/tests/lab/model_server_runs.cpp
+++ b/tests/lab/model_server_runs.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 constexpr std::size_t kHandleDigits = 12;
-constexpr double kDecodeReadShare = 0.5;                  // a decode server's pace of reading prompts
-constexpr double kColdFactor = 2;                         // how much slower a cold server is
-constexpr Tenths kLongestMoveWait = 2 * kTenthsPerSecond; // a move that would wait longer isn't begun
+constexpr double kDecodeReadShare = 0.5;                // a decode server's pace of reading prompts
+constexpr double kColdFactor = 2;                       // how much slower a cold server is
+constexpr Ticks kLongestMoveWait = 2 * kTicksPerSecond; // a move that would wait longer isn't begun
 constexpr double kBitsPerByte = 8, kBitsPerMegabit = 1e6;
 constexpr std::string_view kGarbage = "\x01\x02 no answer \x03\r\n";
 constexpr std::string_view kSurplusBody = "surplus";
 
-Tenths span_of(double seconds) {
-    return static_cast<Tenths>(std::ceil(seconds * static_cast<double>(kTenthsPerSecond)));
+Ticks span_of(double seconds) {
+    return static_cast<Ticks>(std::ceil(seconds * static_cast<double>(kTicksPerSecond)));
 }
 
 } // namespace
 
-void ModelServerCore::closed(ExchangeId exchange, Tenths now) {
+void ModelServerCore::closed(ExchangeId exchange, Ticks now) {
     pass(now);
     const auto run = runs_.find(exchange);
     if (run == runs_.end()) return;
@@ -30,7 +30,7 @@
     note(now);
 }
 
-void ModelServerCore::drop(Runs::iterator run, Tenths now) {
+void ModelServerCore::drop(Runs::iterator run, Ticks now) {
     runs_.erase(run);
     let_in(now);
 }
@@ -47,7 +47,7 @@
 
 // Lets in what waits while there are slots and memory for the next one, and begins a change of stage once
 // nothing runs any more.
-void ModelServerCore::let_in(Tenths now) {
+void ModelServerCore::let_in(Ticks now) {
     for (auto next = next_waiting(); next != runs_.end(); next = next_waiting()) {
         if (count(true) >= plan_.slots || used() + next->second.reserved > plan_.memory_tokens) break;
         start(next, now);
@@ -75,7 +75,7 @@
     return fault;
 }
 
-void ModelServerCore::start(Runs::iterator entry, Tenths now) {
+void ModelServerCore::start(Runs::iterator entry, Ticks now) {
     const ExchangeId exchange = entry->first;
     Run& run = entry->second;
     if (run.kind == Kind::kHealth) {
@@ -98,7 +98,7 @@
 }
 
 // Prompts are read one after another. A stream that is taken up reads what was generated before as well.
-void ModelServerCore::start_reading(Run& run, Tenths now) {
+void ModelServerCore::start_reading(Run& run, Ticks now) {
     const std::int64_t before = std::min((run.next_event - 1) * plan_.stride, run.generation.output_tokens);
     const std::int64_t kept = std::min(cache_.use(run.generation.parts), run.generation.prompt_tokens);
     const std::int64_t tokens = run.generation.prompt_tokens - kept + before;
@@ -111,7 +111,7 @@
     tokens_read_ += tokens;
 }
 
-void ModelServerCore::fetched(ExchangeId exchange, std::optional<HandleMemory> memory, Tenths now) {
+void ModelServerCore::fetched(ExchangeId exchange, std::optional<HandleMemory> memory, Ticks now) {
     pass(now);
     const auto entry = runs_.find(exchange);
     if (entry == runs_.end() || entry->second.phase != Phase::kFetching || entry->second.next) return;
@@ -129,12 +129,12 @@
     note(now);
 }
 
-Tenths ModelServerCore::move_time(std::int64_t tokens) const {
+Ticks ModelServerCore::move_time(std::int64_t tokens) const {
     const double bits = static_cast<double>(tokens) * plan_.token_bytes * kBitsPerByte;
     return span_of(bits / (plan_.link_mbps * kBitsPerMegabit));
 }
 
-double ModelServerCore::slowness(const Run& run, Tenths now) const {
+double ModelServerCore::slowness(const Run& run, Ticks now) const {
     const double cold = cold_left(now) > 0 ? kColdFactor : 1;
     return run.fault && run.fault->kind == FaultKind::kSlow ? cold * run.fault->factor : cold;
 }
@@ -144,7 +144,7 @@
     begun_.emplace_back(run.head.field("attempt-id"));
 }
 
-void ModelServerCore::go_on(Runs::iterator entry, Tenths now) {
+void ModelServerCore::go_on(Runs::iterator entry, Ticks now) {
     Run& run = entry->second;
     run.next.reset();
     if (run.phase != Phase::kStreaming) {
@@ -157,7 +157,7 @@
     stream_event(entry, now);
 }
 
-void ModelServerCore::finish_prefill(Runs::iterator entry, Tenths now) {
+void ModelServerCore::finish_prefill(Runs::iterator entry, Ticks now) {
     ++record_of(entry->second).prompts_read;
     const ExchangeId exchange = entry->first;
     if (fail_as_planted(entry, now)) return;
@@ -175,7 +175,7 @@
 }
 
 // The faults that take the place of an answer or end it; whether the run goes no further.
-bool ModelServerCore::fail_as_planted(Runs::iterator entry, Tenths now) {
+bool ModelServerCore::fail_as_planted(Runs::iterator entry, Ticks now) {
     Run& run = entry->second;
     if (!run.fault) return false;
     const ExchangeId exchange = entry->first;
@@ -211,7 +211,7 @@
     return true;
 }
 
-void ModelServerCore::stream_event(Runs::iterator entry, Tenths now) {
+void ModelServerCore::stream_event(Runs::iterator entry, Ticks now) {
     const ExchangeId exchange = entry->first;
     Run& run = entry->second;
     const bool headless =
@@ -234,7 +234,7 @@
     if (run.next_event <= run.last_event) {
         const double load = 1 + plan_.step_growth * static_cast<double>(count(true) - 1);
         const double step = static_cast<double>(plan_.token_step * plan_.stride) * load * slowness(run, now);
-        run.next = now + std::max<Tenths>(1, static_cast<Tenths>(std::ceil(step)));
+        run.next = now + std::max<Ticks>(1, static_cast<Ticks>(std::ceil(step)));
         return;
     }
     actions_.emplace_back(SendBytes{exchange, chunk("")});
@@ -247,7 +247,7 @@
 
 // In the queue: not run. At work without an answer so far: 504, which counts as run. In the stream: broken
 // off.
-void ModelServerCore::deadline_passed(Runs::iterator entry, Tenths now) {
+void ModelServerCore::deadline_passed(Runs::iterator entry, Ticks now) {
     const ExchangeId exchange = entry->first;
     const Run run = std::move(entry->second);
     runs_.erase(entry);
--- a/tests/lab/model_server_world.hpp
+++ b/tests/lab/model_server_world.hpp
@@ -37,13 +37,13 @@
 
 // A core with its clock. Memory is fetched from `other` at once.
 struct ServerWorld {
-    static constexpr Tenths kStart = 1000 * kTenthsPerSecond;
+    static constexpr Ticks kStart = 1000 * kTicksPerSecond;
 
     explicit ServerWorld(const ModelServerPlan& plan = {}) : core(plan, kStart) {}
 
     ModelServerCore core;
     ModelServerCore* other = nullptr;
-    Tenths now = kStart;
+    Ticks now = kStart;
     std::map<ExchangeId, Exchange> exchanges;
     std::uint64_t last = 0;
 
@@ -61,8 +61,8 @@
     const Exchange& ask(const std::string& line, const std::string& body = "") {
         return at(send(http_message(line + " HTTP/1.1", {}, body)));
     }
-    void pass(Tenths span) {
-        const Tenths until = now + span;
+    void pass(Ticks span) {
+        const Ticks until = now + span;
         for (auto due = core.due(); due && *due <= until; due = core.due()) {
             now = *due;
             core.pass(now);
--- a/tests/lab/pki.cpp
+++ b/tests/lab/pki.cpp
@@ -32,7 +32,7 @@
     return text;
 }
 
-void set_time(ASN1_TIME* time, Tenths at) { must(ASN1_TIME_set(time, at / kTenthsPerSecond) != nullptr); }
+void set_time(ASN1_TIME* time, Ticks at) { must(ASN1_TIME_set(time, at / kTicksPerSecond) != nullptr); }
 
 void add(X509* certificate, X509* issuer, int what, const std::string& value) {
     X509V3_CTX context;
@@ -88,11 +88,11 @@
 
 } // namespace
 
-Authority::Authority(const std::string& name, Tenths from, Tenths until) : key_(fresh_key()) {
+Authority::Authority(const std::string& name, Ticks from, Ticks until) : key_(fresh_key()) {
     certificate_ = make({name, {}, {}, from, until, true}, key_.get(), nullptr, nullptr);
 }
 
-Authority Authority::below(const std::string& name, Tenths from, Tenths until) const {
+Authority Authority::below(const std::string& name, Ticks from, Ticks until) const {
     Authority made;
     made.key_ = fresh_key();
     made.certificate_ =
@@ -121,7 +121,7 @@
 std::string Authority::certificate() const { return to_pem(certificate_.get()); }
 std::string Authority::der() const { return to_der(certificate_.get()); }
 
-std::string Authority::crl(const std::vector<std::string>& serials, Tenths from, Tenths until) const {
+std::string Authority::crl(const std::vector<std::string>& serials, Ticks from, Ticks until) const {
     const std::unique_ptr<X509_CRL, decltype(&X509_CRL_free)> list(X509_CRL_new(), X509_CRL_free);
     X509_CRL_set_version(list.get(), 1);
     X509_CRL_set_issuer_name(list.get(), X509_get_subject_name(certificate_.get()));
--- a/tests/lab/pki.hpp
+++ b/tests/lab/pki.hpp
@@ -15,7 +15,7 @@
 struct Wish { // of a certificate
     std::string name = "someone";
     std::vector<std::string> uris, dns;
-    Tenths from = 0, until = 0;
+    Ticks from = 0, until = 0;
     bool authority = false;
 };
 struct Issued {                           // PEM; the chain has the leaf first
@@ -25,12 +25,12 @@
 
 class Authority {
   public:
-    Authority(const std::string& name, Tenths from, Tenths until); // a root
+    Authority(const std::string& name, Ticks from, Ticks until); // a root
     Issued issue(const Wish& wish) const;
-    Authority below(const std::string& name, Tenths from, Tenths until) const; // an intermediate
-    std::string certificate() const;                                           // PEM
+    Authority below(const std::string& name, Ticks from, Ticks until) const; // an intermediate
+    std::string certificate() const;                                         // PEM
     std::string der() const;
-    std::string crl(const std::vector<std::string>& serials, Tenths from, Tenths until) const; // PEM
+    std::string crl(const std::vector<std::string>& serials, Ticks from, Ticks until) const; // PEM
 
   private:
     Authority() = default;
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Platform::Platform(transport::Loop& loop, const std::string& address, Tenths lease)
+Platform::Platform(transport::Loop& loop, const std::string& address, Ticks lease)
     : loop_(loop), listener_(loop, transport::listen_at(address)), lease_(lease) {}
 
 void Platform::pass() {
--- a/tests/lab/platform.hpp
+++ b/tests/lab/platform.hpp
@@ -24,7 +24,7 @@
 };
 
 struct ReceivedCall {
-    Tenths at = 0;
+    Ticks at = 0;
     std::string peer; // IP:PORT, on loopback the same IP for all senders
     std::string path, holder, body;
     std::uint64_t fence = 0;
@@ -34,7 +34,7 @@
 class Platform {
   public:
     // `lease`: within it no two holders may act in turns (`leaseMs`).
-    Platform(transport::Loop& loop, const std::string& address, Tenths lease);
+    Platform(transport::Loop& loop, const std::string& address, Ticks lease);
 
     void pass();
     void set_manner(PlatformManner manner) { manner_ = manner; }
@@ -46,7 +46,7 @@
     std::int64_t counted(std::int64_t window, const std::string& tenant) const;     // 0 where not reported
     std::size_t missing() const; // windows between the first and the last that are not reported
 
-    static constexpr Tenths kSlowAnswer = 2 * kTenthsPerSecond;
+    static constexpr Ticks kSlowAnswer = 2 * kTicksPerSecond;
 
   private:
     struct Connection {
@@ -56,10 +56,10 @@
         std::string peer;
         bool is_taken = false, is_over = false;
         PlatformManner manner = PlatformManner::kQuick; // in which it is met
-        Tenths answer_at = 0;                           // 0: no answer is to come
+        Ticks answer_at = 0;                            // 0: no answer is to come
     };
     struct Act {
-        Tenths at = 0;
+        Ticks at = 0;
         std::string holder;
         std::uint64_t fence = 0;
     };
@@ -74,7 +74,7 @@
 
     transport::Loop& loop_;
     transport::Source listener_;
-    Tenths lease_;
+    Ticks lease_;
     PlatformManner manner_ = PlatformManner::kQuick;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::vector<ReceivedCall> calls_;
--- a/tests/lab/process_harness.cpp
+++ b/tests/lab/process_harness.cpp
@@ -30,8 +30,8 @@
 namespace fs = std::filesystem;
 
 constexpr int kDiscovery = -1, kMachineController = -2;
-constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kGrace = 300 * kMs; // of rule 3 as the rig judges it: the settings' and the way there
+constexpr Ticks kMs = kTicksPerSecond / 1000;
+constexpr Ticks kGrace = 300 * kMs; // of rule 3 as the rig judges it: the settings' and the way there
 constexpr int kDeadlineMs = 1500, kLatencyTargetMs = 500;
 constexpr std::array<const char*, 3> kRequestClasses{"find", "note",
                                                      "mark"}; // idempotent, non-idempotent, numbered
@@ -292,7 +292,7 @@
         services_cut_.erase(i), links_restored_ = true;
 }
 
-void ProcessHarness::set_packet_faults(double share, double duplicate_ratio, Tenths max_delay) {
+void ProcessHarness::set_packet_faults(double share, double duplicate_ratio, Ticks max_delay) {
     const std::lock_guard lock(mutex_);
     faults_ += share > 0 ? 1 : 0;
     loss_ratio_ = share, duplicate_ratio_ = duplicate_ratio, max_delay_ = max_delay;
@@ -319,7 +319,7 @@
             const int copies = from >= 0 && random_.unit() < duplicate_ratio_ ? 2 : 1;
             for (int c = 0; c < copies; ++c)
                 delayed_datagrams_.push(
-                    {loop_.now() + static_cast<Tenths>(random_.unit() * static_cast<double>(max_delay_)),
+                    {loop_.now() + static_cast<Ticks>(random_.unit() * static_cast<double>(max_delay_)),
                      ++next_sequence_, to, received->bytes});
         }
         co_await next;
@@ -332,7 +332,7 @@
     for (std::size_t i = 0; i < fronts_.size(); ++i)
         fronts_[i].relaying = relay(static_cast<int>(i)), fronts_[i].relaying.start();
     while (!stop_) {
-        Tenths until = loop_.now() + 5 * kMs;
+        Ticks until = loop_.now() + 5 * kMs;
         {
             const std::lock_guard lock(mutex_);
             while (!delayed_datagrams_.empty() && delayed_datagrams_.top().at <= loop_.now()) {
@@ -486,7 +486,7 @@
 
 // What becomes of machines by themselves: servers stop and come back, front nodes end and are started.
 void ProcessHarness::update_machines() {
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     std::map<int, int> replicas_in_service;
     for (auto& [name, machine] : machines_) {
         machine.pass(now);
@@ -783,7 +783,7 @@
         std::map<std::string, int> attempts;
         std::map<std::string, std::uint64_t> fences;
         // Rule 3: nothing new once the news that it drains is a grace old at that front node.
-        std::map<std::pair<int, std::string>, Tenths> drain_sent_at;
+        std::map<std::pair<int, std::string>, Ticks> drain_sent_at;
         std::set<std::string> draining;
         for (const ProcessHarnessEvent& event : history_) {
             if (event.what == ProcessHarnessEvent::What::kAttempt) {
--- a/tests/lab/process_harness.hpp
+++ b/tests/lab/process_harness.hpp
@@ -23,19 +23,19 @@
     std::string program; // the path of `ivyrill`
     int fronts = 5, candidates = 5, servers = 12, shards = 6, zones = 3, replicas = 3;
     std::size_t voter_count = 3;
-    Tenths work = kTenthsPerSecond / 2;
+    Ticks work = kTicksPerSecond / 2;
     std::string more;                                     // lines behind the operator's file
     bool with_maintenance = true, with_membership = true; // the latter: they are members
     int stated_nodes = 0; // what the settings say of the front nodes' number; 0: as many as there are
     // What a part takes at a server, however many are there, and what the settings say of a cold one.
-    Tenths service = 0, warm_up_time = 3 * kTenthsPerSecond / 10;
+    Ticks service = 0, warm_up_time = 3 * kTicksPerSecond / 10;
     double cold_capacity_ratio = 0.3, overload_factor = 4;
 };
 
 // What was seen; `at` by the rig's own clock.
 struct ProcessHarnessEvent {
     enum class What { kAttempt, kCommand, kRefusedCommand, kListSent, kMachineDown, kMachineUp, kFault } what;
-    Tenths at = 0;
+    Ticks at = 0;
     int front = -1;
     std::string name, detail; // a part's id or a machine; a request class, an act or a state
     std::uint64_t fence = 0;
@@ -68,7 +68,7 @@
     // Links, by front node; -1 stands for all index servers, discovery and keepers.
     void cut(const std::set<int>& one_side, bool both_ways = true);
     void cut_services(int front, bool on); // its index servers, discovery and keeper fall silent
-    void set_packet_faults(double share, double duplicate_ratio, Tenths max_delay);
+    void set_packet_faults(double share, double duplicate_ratio, Ticks max_delay);
     void heal();
 
     void with_machine(const std::string& name, const std::function<void(SimulatedMachine&)>& change);
@@ -91,9 +91,9 @@
     std::uint64_t duplicate_attempts() const;
     std::string log_of(int front) const;
     std::string folder() const { return folder_; }
-    Tenths now() const { return loop_.now(); }
+    Ticks now() const { return loop_.now(); }
     int faults() const { return faults_; }
-    Tenths time_below_min_replicas() const { return time_below_min_replicas_; }
+    Ticks time_below_min_replicas() const { return time_below_min_replicas_; }
 
   private:
     struct Peer {
@@ -104,8 +104,8 @@
         protocol::HttpParser requests{protocol::HttpParser::Side::kRequests};
         std::string line;
         std::int64_t watch_after = -1;
-        Tenths watch_until = 0;
-        std::deque<std::pair<Tenths, std::string>> delayed_answers; // answers, when they are due
+        Ticks watch_until = 0;
+        std::deque<std::pair<Ticks, std::string>> delayed_answers; // answers, when they are due
         bool closed = false;
         transport::Task task;
     };
@@ -124,7 +124,7 @@
         std::uint64_t epoch = 0;                             // raised whenever something befalls it
     };
     struct DelayedDatagram {
-        Tenths at;
+        Ticks at;
         std::uint64_t sequence;
         int to;
         std::string bytes;
@@ -160,25 +160,25 @@
     std::map<std::string, SimulatedMachine::State> last_states_;
     std::map<std::string, std::int64_t>
         changed_versions_; // the version in which a server's entry changed last
-    std::map<std::string, Tenths> started_at_;
+    std::map<std::string, Ticks> started_at_;
     std::int64_t version_ = 1;
     std::set<std::pair<int, int>> cuts_;
     std::set<int> services_cut_;
     bool links_restored_ = false; // links are whole again
     double loss_ratio_ = 0, duplicate_ratio_ = 0;
-    Tenths max_delay_ = 0;
+    Ticks max_delay_ = 0;
     std::priority_queue<DelayedDatagram, std::vector<DelayedDatagram>, std::greater<>> delayed_datagrams_;
     std::uint64_t next_sequence_ = 0;
     Pcg random_{11};
     std::vector<ProcessHarnessEvent> history_;
     std::vector<std::string> violations_;
     SearchCounts counts_;
-    Tenths time_below_min_replicas_ = 0, machines_updated_at_ = 0;
+    Ticks time_below_min_replicas_ = 0, machines_updated_at_ = 0;
     std::atomic<int> faults_ = 0;
     std::atomic<bool> stop_ = false, clients_stopped_ = false;
     std::thread thread_;
     std::vector<std::thread> clients_;
-    Tenths began_ = 0;
+    Ticks began_ = 0;
     int run_ = 0; // of the clients
 };
 
--- a/tests/lab/reactor_script.hpp
+++ b/tests/lab/reactor_script.hpp
@@ -18,8 +18,8 @@
     transport::Reactor reactor; // destroyed last: declare what lives in it after the script
 
     // Until the condition holds; false where it doesn't within `patience`, which only a failure uses up.
-    transport::Async<bool> until(std::function<bool()> holds, Tenths patience = 10 * kTenthsPerSecond) {
-        const Tenths give_up = reactor.now() + patience;
+    transport::Async<bool> until(std::function<bool()> holds, Ticks patience = 10 * kTicksPerSecond) {
+        const Ticks give_up = reactor.now() + patience;
         transport::Slot slot(reactor.loop());
         while (!holds()) {
             if (reactor.now() >= give_up) co_return false;
@@ -37,7 +37,7 @@
     }
 
   private:
-    static constexpr Tenths kLook = 10; // 1 ms
+    static constexpr Ticks kLook = 10; // 1 ms
 
     static transport::Task guard(transport::Reactor& reactor, const std::function<Step()>& body,
                                  std::exception_ptr& failure) {
--- a/tests/lab/real_fleet.hpp
+++ b/tests/lab/real_fleet.hpp
@@ -11,8 +11,8 @@
 namespace ivyrill::lab {
 
 inline constexpr int kControls = 3;
-inline constexpr Tenths kConfigurationApplies =
-    2 * kTenthsPerSecond; // `configApplyMs` of examples/fleet/settings
+inline constexpr Ticks kConfigurationApplies =
+    2 * kTicksPerSecond; // `configApplyMs` of examples/fleet/settings
 
 struct RealFleet : ExampleFleet {
     explicit RealFleet(const PlatformSettings& platform = {})
@@ -55,8 +55,8 @@
     }
 
   private:
-    Tenths answered_at_ = 0; // the last change
-    int asked_ = 0;          // requests of status_by_apply_span
+    Ticks answered_at_ = 0; // the last change
+    int asked_ = 0;         // requests of status_by_apply_span
 };
 
 inline std::string read_example() {
--- a/tests/lab/simulated_maintenance.cpp
+++ b/tests/lab/simulated_maintenance.cpp
@@ -18,7 +18,7 @@
 
 // ---- machines
 
-MachineStatus SimulatedMachine::execute(Tenths now, MachineAction what, FencingToken fence) {
+MachineStatus SimulatedMachine::execute(Ticks now, MachineAction what, FencingToken fence) {
     pass(now);
     if (state == State::kDead) return MachineStatus::kUnknown;
     if (checks_fence && fence < highest_fence) return MachineStatus::kRefused;
@@ -52,7 +52,7 @@
     return MachineStatus::kUnknown;
 }
 
-void SimulatedMachine::pass(Tenths now) {
+void SimulatedMachine::pass(Ticks now) {
     if (state == State::kDraining && !never_drains && now >= since + drain_duration)
         state = State::kDrained, since += drain_duration;
     if (state == State::kWorking && now >= since + work_duration)
@@ -63,7 +63,7 @@
     }
 }
 
-MachineHealth SimulatedMachine::health(Tenths now) const {
+MachineHealth SimulatedMachine::health(Ticks now) const {
     switch (state) {
     case State::kServing:
         return now >= warm_at ? MachineHealth::kWarm : MachineHealth::kCold;
@@ -89,7 +89,7 @@
         for (int shard = 0; shard < plan.shards; ++shard)
             if (shard % cells == i % cells) made.facts.shards.push_back(shard);
         const double stretch = plan.varied_work_duration ? 0.5 + random_.unit() : 1;
-        made.work_duration = static_cast<Tenths>(static_cast<double>(plan.work) * stretch);
+        made.work_duration = static_cast<Ticks>(static_cast<double>(plan.work) * stretch);
         made.drain_duration = plan.work / 8, made.start_duration = plan.work / 8,
         made.warm_up_duration = plan.work / 4;
         made.facts.duration =
@@ -100,7 +100,7 @@
         Front front;
         front.name = name_of(i), front.address = "10.0.0." + std::to_string(i) + ":7";
         front.rate = 1 + plan.clock_error * (2 * random_.unit() - 1);
-        front.offset = static_cast<Tenths>(random_.unit() * 1000 * kTenthsPerSecond);
+        front.offset = static_cast<Ticks>(random_.unit() * 1000 * kTicksPerSecond);
         if (i < plan.candidates)
             front.store =
                 fault_injection_.store ? fault_injection_.store() : std::make_shared<InMemoryRaftStore>();
@@ -155,7 +155,7 @@
     terms.failure_policy = plan_.failure_policy, terms.heartbeat = plan_.heartbeat;
     terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(i) + 100 * ++front.starts;
     terms.incarnation = ++front.incarnation;
-    terms.replace_voter_after = 15 * kTenthsPerSecond, terms.front_node_duration = plan_.work * 5 / 4;
+    terms.replace_voter_after = 15 * kTicksPerSecond, terms.front_node_duration = plan_.work * 5 / 4;
     if (fault_injection_.terms) fault_injection_.terms(i, terms);
     front.node = std::make_unique<MaintenanceNode>(terms, front.store.get(), local_time(front), now_);
     front.node->on_committed = [this, i](const Command& command, const CommandResult& verdict) {
@@ -192,7 +192,7 @@
     if (fronts_[i].store) disk_copies_[i] = *fronts_[i].store;
 }
 
-void SimulatedMaintenance::stall(int i, Tenths span) {
+void SimulatedMaintenance::stall(int i, Ticks span) {
     record_event("stall " + fronts_[i].name + " for " + std::to_string(span / 10) + "ms");
     fronts_[i].stalled_until = now_ + span;
 }
@@ -241,15 +241,15 @@
 void SimulatedMaintenance::update_server_list(int i) {
     Front& front = fronts_[i];
     if (!front.node || now_ < front.list_at) return;
-    front.list_at = now_ + kTenthsPerSecond / 10;
+    front.list_at = now_ + kTicksPerSecond / 10;
     std::map<std::string, ObservedMachine> servers;
     for (auto& [name, machine] : machines_) {
         if (machine.facts.front_node) continue;
         MachineHealth health = machine.health(now_);
         if (plan_.max_list_age > 0) { // as it was some time ago
             auto& past = health_history_[name];
-            const Tenths then =
-                now_ - static_cast<Tenths>(random_.unit() * static_cast<double>(plan_.max_list_age));
+            const Ticks then =
+                now_ - static_cast<Ticks>(random_.unit() * static_cast<double>(plan_.max_list_age));
             for (const auto& [at, was] : past)
                 if (at <= then) health = was;
         }
@@ -278,8 +278,8 @@
             for (int c = 0; c < copies; ++c)
                 datagrams_in_flight_.push(
                     {now_ + plan_.min_delay +
-                         static_cast<Tenths>(random_.unit() *
-                                             static_cast<double>(plan_.max_delay - plan_.min_delay)),
+                         static_cast<Ticks>(random_.unit() *
+                                            static_cast<double>(plan_.max_delay - plan_.min_delay)),
                      ++next_sequence_, to, i, front.address, sent->bytes});
         } else if (const auto* line = std::get_if<LogLine>(&effect)) {
             if (on_line) on_line(i, *line);
@@ -296,7 +296,7 @@
 }
 
 void SimulatedMaintenance::check() {
-    if (now_ < checked_at_ + kTenthsPerSecond / 50) return;
+    if (now_ < checked_at_ + kTicksPerSecond / 50) return;
     // No two hold one machine at a time, each by its own clock.
     std::map<std::string, std::string> holders;
     for (Front& front : fronts_) {
@@ -347,18 +347,18 @@
     return best;
 }
 
-void SimulatedMaintenance::pass(Tenths span) {
-    const Tenths end = now_ + span;
+void SimulatedMaintenance::pass(Ticks span) {
+    const Ticks end = now_ + span;
     for (;;) {
-        Tenths at = end;
+        Ticks at = end;
         int turn = -1;
         for (std::size_t i = 0; i < fronts_.size(); ++i) {
             if (!fronts_[i].node) continue;
-            const Tenths next_step_at = std::max(next_steps_[i], fronts_[i].stalled_until);
+            const Ticks next_step_at = std::max(next_steps_[i], fronts_[i].stalled_until);
             if (next_step_at < at) at = std::max(now_, next_step_at), turn = static_cast<int>(i);
         }
-        const Tenths datagram_at = datagrams_in_flight_.empty() ? end : datagrams_in_flight_.top().at;
-        const Tenths message_at = machine_messages_.empty() ? end : machine_messages_.top().at;
+        const Ticks datagram_at = datagrams_in_flight_.empty() ? end : datagrams_in_flight_.top().at;
+        const Ticks message_at = machine_messages_.empty() ? end : machine_messages_.top().at;
         if (message_at <= at && message_at <= datagram_at && !machine_messages_.empty() && message_at < end) {
             MachineMessage message = machine_messages_.top();
             machine_messages_.pop();
@@ -393,9 +393,9 @@
                     fronts_[own].failed = false;
             }
             message.answer = true;
-            std::vector<Tenths> late{10};
+            std::vector<Ticks> late{10};
             if (reply_delays) late = reply_delays(message.command.machine);
-            for (const Tenths by : late)
+            for (const Ticks by : late)
                 message.at = now_ + by, message.sequence = ++next_sequence_, machine_messages_.push(message);
             continue;
         }
@@ -438,11 +438,11 @@
     check();
 }
 
-bool SimulatedMaintenance::until(const std::function<bool()>& holds, Tenths bound) {
-    const Tenths end = now_ + bound;
+bool SimulatedMaintenance::until(const std::function<bool()>& holds, Ticks bound) {
+    const Ticks end = now_ + bound;
     while (!holds()) {
         if (now_ >= end) return false;
-        pass(kTenthsPerSecond / 5);
+        pass(kTicksPerSecond / 5);
     }
     return true;
 }
@@ -512,14 +512,14 @@
     plan.replicas = 3, plan.servers = 6 + 3 * below(2), plan.shards = 4 + below(3), plan.zones = 1 + below(3);
     plan.loss_ratio = below(3) == 0 ? 0.1 * random.unit() : 0.01;
     plan.duplicate_ratio = 0.05, plan.clock_error = 0.01 * random.unit();
-    plan.max_list_age = below(2) * kTenthsPerSecond;
-    plan.work = (1 + below(3)) * kTenthsPerSecond;
-    plan.heartbeat = kTenthsPerSecond / 3;
+    plan.max_list_age = below(2) * kTicksPerSecond;
+    plan.work = (1 + below(3)) * kTicksPerSecond;
+    plan.heartbeat = kTicksPerSecond / 3;
     const int count = 2 + below(7);
     for (int i = 0; i < count; ++i)
-        made.faults.push_back({static_cast<Tenths>(random.unit() * 20 * kTenthsPerSecond), below(14),
+        made.faults.push_back({static_cast<Ticks>(random.unit() * 20 * kTicksPerSecond), below(14),
                                below(1000), below(1000),
-                               static_cast<Tenths>((0.5 + 8 * random.unit()) * kTenthsPerSecond)});
+                               static_cast<Ticks>((0.5 + 8 * random.unit()) * kTicksPerSecond)});
     std::ranges::stable_sort(made.faults, {}, &FaultSchedule::Fault::at);
     return made;
 }
@@ -527,8 +527,8 @@
 FaultScheduleResult run_fault_schedule(const FaultSchedule& schedule, const FaultInjection& fault_injection) {
     SimulatedMaintenance world(schedule.plan, fault_injection);
     const int fronts = schedule.plan.fronts;
-    world.until([&] { return world.leader() >= 0; }, 30 * kTenthsPerSecond);
-    world.until([&] { return !world.schedule().fleet().empty(); }, 30 * kTenthsPerSecond);
+    world.until([&] { return world.leader() >= 0; }, 30 * kTicksPerSecond);
+    world.until([&] { return !world.schedule().fleet().empty(); }, 30 * kTicksPerSecond);
     std::vector<std::string> ordered;
     for (const auto& [name, machine] : world.machines())
         if (!machine.facts.front_node) ordered.push_back(name);
@@ -536,15 +536,15 @@
         if (i % 3 == 0) ordered.push_back("n" + std::to_string(i));
     world.add_maintenance_jobs(static_cast<int>(schedule.plan.seed % static_cast<std::uint64_t>(fronts)),
                                ordered, "first");
-    const Tenths begun = world.now();
+    const Ticks begun = world.now();
     struct Ends {
-        Tenths at;
+        Ticks at;
         std::function<void()> undo;
     };
     std::vector<Ends> ends;
     int held = 0;
     std::set<int> disk_gone;
-    const auto pass_to = [&](Tenths at) {
+    const auto pass_to = [&](Ticks at) {
         for (;;) {
             const auto next = std::ranges::min_element(ends, {}, &Ends::at);
             if (next == ends.end() || next->at > at) break;
@@ -562,7 +562,7 @@
         const int a = fault.a % fronts, b = fault.b % fronts;
         const int server = fault.a % schedule.plan.servers;
         const std::string machine = "s" + std::to_string(server);
-        const Tenths over = world.now() + fault.span;
+        const Ticks over = world.now() + fault.span;
         switch (fault.kind) {
         case 0:
             world.cut({a});
@@ -622,9 +622,9 @@
             break;
         case 12: { // keepers answer twice, late or never
             const int how = fault.b % 3;
-            world.reply_delays = [how](const std::string&) -> std::vector<Tenths> {
+            world.reply_delays = [how](const std::string&) -> std::vector<Ticks> {
                 if (how == 0) return {10, 200};
-                if (how == 1) return {kTenthsPerSecond * 3 / 2};
+                if (how == 1) return {kTicksPerSecond * 3 / 2};
                 return {};
             };
             ends.push_back({over, [&world] { world.reply_delays = {}; }});
@@ -642,19 +642,18 @@
             break;
         }
     }
-    pass_to(begun + 20 * kTenthsPerSecond);
+    pass_to(begun + 20 * kTicksPerSecond);
     while (!ends.empty()) pass_to(std::ranges::min_element(ends, {}, &Ends::at)->at);
     world.heal();
     // Whatever stopped the evening is over: the operator lets it go on, and it ends.
     int nth = 0;
-    Tenths led_at = world.now();
+    Ticks led_at = world.now();
     const bool finished = world.until(
         [&] {
             if (world.leader() >= 0) led_at = world.now();
             // Of three voters one is out and one has lost its disk: nobody may know any more that the first
             // is out, and the operator brings it back by hand.
-            if (world.now() > led_at + 60 * kTenthsPerSecond)
-                world.return_front_nodes(), led_at = world.now();
+            if (world.now() > led_at + 60 * kTicksPerSecond) world.return_front_nodes(), led_at = world.now();
             if (world.schedule().held() && world.leader() >= 0)
                 world.send_operator_request(
                     world.leader(), {{"request", "resume" + std::to_string(++nth)}, {"verb", "resume"}});
@@ -663,7 +662,7 @@
                                            "first"); // it was lost: the operator asks again
             return world.all_jobs_finished();
         },
-        400 * kTenthsPerSecond);
+        400 * kTicksPerSecond);
     FaultScheduleResult result{world.violations(),
                                world.event_log(),
                                world.counts(),
--- a/tests/lab/simulated_maintenance.hpp
+++ b/tests/lab/simulated_maintenance.hpp
@@ -20,18 +20,18 @@
     enum class State { kServing, kDraining, kDrained, kWorking, kWorked, kStarting, kBroken, kDead };
     maintenance::MachineFacts facts;
     State state = State::kServing;
-    Tenths since = 0, warm_at = 0;
+    Ticks since = 0, warm_at = 0;
     maintenance::FencingToken highest_fence; // that its keeper has heard
     bool never_drains = false, never_returns = false, returns_broken = false, checks_fence = true;
-    Tenths drain_duration = 0, work_duration = 0, start_duration = 0, warm_up_duration = 0;
+    Ticks drain_duration = 0, work_duration = 0, start_duration = 0, warm_up_duration = 0;
 
-    maintenance::MachineStatus execute(Tenths now, maintenance::MachineAction what,
+    maintenance::MachineStatus execute(Ticks now, maintenance::MachineAction what,
                                        maintenance::FencingToken fence); // what the keeper answers
-    void pass(Tenths now);                                               // what comes by itself
+    void pass(Ticks now);                                                // what comes by itself
     bool serves() const {
         return state == State::kServing || state == State::kDraining || state == State::kDrained;
     }
-    maintenance::MachineHealth health(Tenths now) const;
+    maintenance::MachineHealth health(Ticks now) const;
 };
 
 struct SimulatedMaintenancePlan {
@@ -40,23 +40,23 @@
     std::size_t voter_count = 3;
     int servers = 8, shards = 4, replicas = 3, zones = 2;
     maintenance::Limits limits{2, 0.5, 0.5, 0.34, 0.34, 0};
-    maintenance::Timing timing{4 * kTenthsPerSecond,
-                               20 * kTenthsPerSecond,
-                               30 * kTenthsPerSecond,
-                               20 * kTenthsPerSecond,
-                               20 * kTenthsPerSecond,
-                               kTenthsPerSecond,
-                               kTenthsPerSecond,
+    maintenance::Timing timing{4 * kTicksPerSecond,
+                               20 * kTicksPerSecond,
+                               30 * kTicksPerSecond,
+                               20 * kTicksPerSecond,
+                               20 * kTicksPerSecond,
+                               kTicksPerSecond,
+                               kTicksPerSecond,
                                0.02,
                                3,
                                0.05};
     maintenance::FailurePolicy failure_policy;
-    Tenths heartbeat = kTenthsPerSecond / 4;
-    Tenths work = 4 * kTenthsPerSecond; // of each machine, mean
+    Ticks heartbeat = kTicksPerSecond / 4;
+    Ticks work = 4 * kTicksPerSecond; // of each machine, mean
     double loss_ratio = 0, duplicate_ratio = 0;
-    Tenths min_delay = 5, max_delay = 30;
-    double clock_error = 0;  // of the clocks' rates, at most
-    Tenths max_list_age = 0; // the list is so old, at most
+    Ticks min_delay = 5, max_delay = 30;
+    double clock_error = 0; // of the clocks' rates, at most
+    Ticks max_list_age = 0; // the list is so old, at most
     bool varied_work_duration = true;
 };
 
@@ -79,23 +79,23 @@
         std::unique_ptr<maintenance::MaintenanceNode> node;
         std::shared_ptr<maintenance::InMemoryRaftStore> store;
         double rate = 1;
-        Tenths offset = 0, stalled_until = 0, list_at = 0;
+        Ticks offset = 0, stalled_until = 0, list_at = 0;
         std::uint64_t starts = 0;
         std::uint64_t incarnation = 0;
         bool failed = false; // it may be started again
     };
     explicit SimulatedMaintenance(const SimulatedMaintenancePlan& plan, FaultInjection fault_injection = {});
 
-    void pass(Tenths span);
+    void pass(Ticks span);
     // Passes until that holds, at most so long; whether it came to hold.
-    bool until(const std::function<bool()>& holds, Tenths bound);
+    bool until(const std::function<bool()>& holds, Ticks bound);
 
     // Faults
     void kill(int front);
     enum class Disk { kKept, kRebooted, kLost, kOld }; // the second: all is there, and nothing vouches for it
     void start(int front, Disk disk = Disk::kKept);
     void save_disk_copy(int front); // of its disk, to be put back later
-    void stall(int front, Tenths span);
+    void stall(int front, Ticks span);
     void cut(std::set<int> one_side, bool both_ways = true); // from all others
     void heal();
     void kill_machine(const std::string& name);
@@ -104,7 +104,7 @@
     SimulatedMachine& machine(const std::string& name) { return machines_.at(name); }
     std::function<bool(int, int)> drops; // a link at this moment, beside the cuts
     // Of one keeper's answer: how often it comes, and how late; empty: once, at once.
-    std::function<std::vector<Tenths>(const std::string& machine)> reply_delays;
+    std::function<std::vector<Ticks>(const std::string& machine)> reply_delays;
 
     std::function<void(int, const maintenance::LogLine&)> on_line; // of a front node's log
 
@@ -123,21 +123,21 @@
     std::set<std::string> machines_out() const;
     Front& front(int i) { return fronts_[i]; }
     std::size_t fronts() const { return fronts_.size(); }
-    Tenths now() const { return now_; }
+    Ticks now() const { return now_; }
     const SimulationCounts& counts() const { return counts_; }
     const std::vector<std::string>& violations() const { return violations_; } // promises
     const std::vector<std::string>& event_log() const { return event_log_; }   // what was done to it
-    Tenths time_below_min_replicas() const { return time_below_min_replicas_; }
-    std::vector<Tenths> failovers; // from a leader's end until another leads
+    Ticks time_below_min_replicas() const { return time_below_min_replicas_; }
+    std::vector<Ticks> failovers; // from a leader's end until another leads
     const std::map<std::string, SimulatedMachine>& machines() const { return machines_; }
-    Tenths began = 0, ended = 0; // of the evening: the first order, the last turn's end
+    Ticks began = 0, ended = 0; // of the evening: the first order, the last turn's end
     void record_event(std::string what) {
         event_log_.push_back(std::to_string(now_ / 10) + "ms " + std::move(what));
     }
 
   private:
     struct DatagramInFlight {
-        Tenths at;
+        Ticks at;
         std::uint64_t sequence;
         int to, from;        // fronts; below zero: the operator
         std::string address; // of the sender
@@ -147,7 +147,7 @@
         }
     };
     struct MachineMessage { // an act on its way to the keeper, or an answer on its way back
-        Tenths at;
+        Ticks at;
         std::uint64_t sequence;
         int front;
         std::uint64_t node_starts;
@@ -158,11 +158,11 @@
             return std::pair(at, sequence) > std::pair(o.at, o.sequence);
         }
     };
-    Tenths local_time(const Front& front) const {
-        return front.offset + static_cast<Tenths>(static_cast<double>(now_) * front.rate);
+    Ticks local_time(const Front& front) const {
+        return front.offset + static_cast<Ticks>(static_cast<double>(now_) * front.rate);
     }
-    Tenths simulated_time(const Front& front, Tenths own) const {
-        return static_cast<Tenths>(static_cast<double>(own - front.offset) / front.rate) + 1;
+    Ticks simulated_time(const Front& front, Ticks own) const {
+        return static_cast<Ticks>(static_cast<double>(own - front.offset) / front.rate) + 1;
     }
     int front_node_at(const std::string& address) const;
     void process_effects(int from);
@@ -174,21 +174,21 @@
     SimulatedMaintenancePlan plan_;
     FaultInjection fault_injection_;
     Pcg random_;
-    Tenths now_ = 1000 * kTenthsPerSecond;
+    Ticks now_ = 1000 * kTicksPerSecond;
     std::uint64_t next_sequence_ = 0;
     std::vector<Front> fronts_;
-    std::vector<Tenths> next_steps_;
+    std::vector<Ticks> next_steps_;
     std::map<std::string, SimulatedMachine> machines_;
     std::set<std::pair<int, int>> cuts_;
     std::priority_queue<DatagramInFlight, std::vector<DatagramInFlight>, std::greater<>> datagrams_in_flight_;
     std::priority_queue<MachineMessage, std::vector<MachineMessage>, std::greater<>> machine_messages_;
     std::map<int, maintenance::InMemoryRaftStore> disk_copies_;
     std::map<std::uint64_t, std::string> committed_commands_; // by position in the log
-    std::map<std::string, Tenths> list_told_;
-    std::map<std::string, std::deque<std::pair<Tenths, maintenance::MachineHealth>>> health_history_;
+    std::map<std::string, Ticks> list_told_;
+    std::map<std::string, std::deque<std::pair<Ticks, maintenance::MachineHealth>>> health_history_;
     membership::DatagramCodec codec_;
     std::unique_ptr<maintenance::FragmentTransport> operator_transport_;
-    Tenths time_below_min_replicas_ = 0, checked_at_ = 0, last_leader_at_ = 0;
+    Ticks time_below_min_replicas_ = 0, checked_at_ = 0, last_leader_at_ = 0;
     bool without_leader_ = true;
     std::set<std::string> reported_;
     std::vector<std::string> violations_, event_log_;
@@ -198,9 +198,9 @@
 // One seeded schedule of faults over an evening, healed at its end; what it breaks is in `broken`.
 struct FaultSchedule {
     struct Fault {
-        Tenths at = 0;
+        Ticks at = 0;
         int kind = 0, a = 0, b = 0;
-        Tenths span = 0;
+        Ticks span = 0;
     };
     SimulatedMaintenancePlan plan;
     std::vector<Fault> faults;
@@ -209,8 +209,8 @@
 struct FaultScheduleResult {
     std::vector<std::string> violations, event_log;
     SimulationCounts counts;
-    Tenths length = 0, time_below_min_replicas = 0;
-    std::vector<Tenths> failovers;
+    Ticks length = 0, time_below_min_replicas = 0;
+    std::vector<Ticks> failovers;
 };
 FaultScheduleResult run_fault_schedule(const FaultSchedule& schedule,
                                        const FaultInjection& fault_injection = {});
--- a/tests/lab/simulated_network.cpp
+++ b/tests/lab/simulated_network.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr Tenths kStart = 1'000'000'000; // far from 0, as real clocks are
-constexpr Tenths kLeastDelay = 5;
-constexpr Tenths kMostLate = 3000;
-constexpr Tenths kResendInterval = 500; // of what a cut holds up
-const std::string kPeerPort = ":7300";  // of links between control nodes
+constexpr Ticks kStart = 1'000'000'000; // far from 0, as real clocks are
+constexpr Ticks kLeastDelay = 5;
+constexpr Ticks kMostLate = 3000;
+constexpr Ticks kResendInterval = 500; // of what a cut holds up
+const std::string kPeerPort = ":7300"; // of links between control nodes
 
 feed::Message message_of(const std::string& frame) {
     wire::FrameReader reader;
@@ -29,14 +29,14 @@
     std::array<MachineNumber, 2> machines{};
     std::array<int, 2> incarnations{};
     std::array<SimulatedLink*, 2> links{};
-    std::array<Tenths, 2> last_arrival{};   // of what each side has sent, so that order is kept
+    std::array<Ticks, 2> last_arrival{};    // of what each side has sent, so that order is kept
     std::array<std::deque<Packet>, 2> held; // by a cut, of what each side has sent
     std::string address;
 };
 
 class SimulatedNetwork::SimulatedLink : public feed::Link {
   public:
-    SimulatedLink(SimulatedNetwork& network, std::shared_ptr<Connection> connection, int side, Tenths silence,
+    SimulatedLink(SimulatedNetwork& network, std::shared_ptr<Connection> connection, int side, Ticks silence,
                   Callbacks callbacks)
         : network_(network), connection_(std::move(connection)), side_(side), silence_(silence),
           callbacks_(std::move(callbacks)), up_(side == 1) {
@@ -91,7 +91,7 @@
     SimulatedNetwork& network_;
     std::shared_ptr<Connection> connection_;
     int side_;
-    Tenths silence_, last_heard_ = 0;
+    Ticks silence_, last_heard_ = 0;
     Callbacks callbacks_;
     bool up_, ended_ = false;
     transport::Reactor::TimerId timer_{};
@@ -112,7 +112,7 @@
 class SimulatedNetwork::MachineLinks : public feed::LinkNetwork {
   public:
     MachineLinks(SimulatedNetwork& network, MachineNumber machine) : network_(network), machine_(machine) {}
-    std::unique_ptr<feed::Link> connect(const std::string& address, Tenths silence,
+    std::unique_ptr<feed::Link> connect(const std::string& address, Ticks silence,
                                         feed::Link::Callbacks callbacks) override;
     std::unique_ptr<feed::LinkListener> listen(const std::string& address,
                                                std::function<void(feed::AcceptedLink)> accepted) override;
@@ -129,7 +129,7 @@
     std::unique_ptr<transport::Reactor> reactor; // null while it is down
     std::function<void()> close;
     std::unique_ptr<MachineLinks> links;
-    Tenths frozen_until = 0, frozen_since = 0, wake_at = transport::Reactor::kNever;
+    Ticks frozen_until = 0, frozen_since = 0, wake_at = transport::Reactor::kNever;
     bool is_turning = false;
     std::vector<std::shared_ptr<Connection>> connections;
     std::deque<std::function<void()>> waiting; // while it is frozen
@@ -161,10 +161,10 @@
         if (network_.now() >= disk.full_until) stored().writing = jobs_.front().bytes;
         try_finish(network_.now() + disk.sync + network_.between(0, disk.sync));
     }
-    void try_finish(Tenths at) {
+    void try_finish(Ticks at) {
         network_.schedule(at, [this, incarnation = incarnation_, machine = machine_, &network = network_] {
             if (!network.is_up(machine) || network.incarnation(machine) != incarnation) return;
-            const Tenths stalled = network.disk(machine).stalled_until;
+            const Ticks stalled = network.disk(machine).stalled_until;
             if (stalled > network.now()) return try_finish(stalled);
             network.run_on(machine, [this] { finish(); });
         });
@@ -196,8 +196,7 @@
     return *network_.at(connection_->machines[static_cast<std::size_t>(side_)]).reactor;
 }
 
-std::unique_ptr<feed::Link> SimulatedNetwork::MachineLinks::connect(const std::string& address,
-                                                                    Tenths silence,
+std::unique_ptr<feed::Link> SimulatedNetwork::MachineLinks::connect(const std::string& address, Ticks silence,
                                                                     feed::Link::Callbacks callbacks) {
     auto connection = std::make_shared<Connection>();
     const auto target = network_.machine_at(address);
@@ -223,17 +222,17 @@
     for (std::size_t i = 0; i < machines_.size(); ++i) end_process(static_cast<MachineNumber>(i), false);
 }
 
-Tenths SimulatedNetwork::between(Tenths least, Tenths most) {
-    return least + static_cast<Tenths>(random_.unit() * static_cast<double>(most - least + 1));
+Ticks SimulatedNetwork::between(Ticks least, Ticks most) {
+    return least + static_cast<Ticks>(random_.unit() * static_cast<double>(most - least + 1));
 }
 
-Tenths SimulatedNetwork::delay() { return between(kLeastDelay, most_delay_); }
+Ticks SimulatedNetwork::delay() { return between(kLeastDelay, most_delay_); }
 
-void SimulatedNetwork::schedule(Tenths at, std::function<void()> act) {
+void SimulatedNetwork::schedule(Ticks at, std::function<void()> act) {
     events_.push({std::max(at, now_), ++order_, std::move(act)});
 }
 
-bool SimulatedNetwork::step(Tenths until) {
+bool SimulatedNetwork::step(Ticks until) {
     if (events_.empty() || events_.top().at > until) return false;
     const Event event = events_.top();
     events_.pop();
@@ -242,14 +241,14 @@
     return true;
 }
 
-void SimulatedNetwork::run_for(Tenths span) {
-    const Tenths until = now_ + span;
+void SimulatedNetwork::run_for(Ticks span) {
+    const Ticks until = now_ + span;
     while (step(until)) {}
     now_ = until;
 }
 
-bool SimulatedNetwork::run_until(const std::function<bool()>& holds, Tenths limit) {
-    const Tenths until = now_ + limit;
+bool SimulatedNetwork::run_until(const std::function<bool()>& holds, Ticks limit) {
+    const Ticks until = now_ + limit;
     while (!holds())
         if (!step(until)) return false;
     return true;
@@ -324,7 +323,7 @@
     }
 }
 
-void SimulatedNetwork::freeze(MachineNumber machine, Tenths until) {
+void SimulatedNetwork::freeze(MachineNumber machine, Ticks until) {
     Machine& here = at(machine);
     if (!here.reactor) return;
     if (here.frozen_until <= now_) here.frozen_since = now_;
@@ -353,7 +352,7 @@
 
 void SimulatedNetwork::plan_wake(MachineNumber machine) {
     Machine& here = at(machine);
-    const Tenths next = here.reactor->next_turn();
+    const Ticks next = here.reactor->next_turn();
     if (next == transport::Reactor::kNever || (here.wake_at > now_ && here.wake_at <= next)) return;
     here.wake_at = next;
     schedule(next, [this, machine, next, incarnation = here.incarnation] {
@@ -413,7 +412,7 @@
 }
 
 void SimulatedNetwork::travel(const std::shared_ptr<Connection>& connection, int side, Packet packet,
-                              Tenths at, bool in_order) {
+                              Ticks at, bool in_order) {
     const auto here = static_cast<std::size_t>(side);
     if (in_order) at = connection->last_arrival[here] = std::max(at, connection->last_arrival[here]);
     schedule(at, [this, connection, side, packet = std::move(packet)] { arrive(connection, side, packet); });
@@ -478,7 +477,7 @@
     here.connections.push_back(connection);
     send(connection, 1, {PacketKind::kOpened, nullptr});
     listener->second(
-        [this, connection](Tenths silence, feed::Link::Callbacks callbacks) -> std::unique_ptr<feed::Link> {
+        [this, connection](Ticks silence, feed::Link::Callbacks callbacks) -> std::unique_ptr<feed::Link> {
             return std::make_unique<SimulatedLink>(*this, connection, 1, silence, std::move(callbacks));
         });
 }
