--- a/tests/lab/simulated_network.hpp
+++ b/tests/lab/simulated_network.hpp
@@ -37,8 +37,8 @@
 
 struct SimulatedDisk {
     std::map<std::string, StoredValue> values;
-    Tenths stalled_until = 0, full_until = 0;
-    Tenths sync = 10;
+    Ticks stalled_until = 0, full_until = 0;
+    Ticks sync = 10;
 };
 
 class SimulatedNetwork {
@@ -48,15 +48,15 @@
     SimulatedNetwork(const SimulatedNetwork&) = delete;
     SimulatedNetwork& operator=(const SimulatedNetwork&) = delete;
 
-    Tenths now() const { return now_; }
+    Ticks now() const { return now_; }
     Pcg& random() { return random_; }
     bool chance(double share) { return random_.unit() < share; }
-    Tenths between(Tenths least, Tenths most);
+    Ticks between(Ticks least, Ticks most);
     int any(int count) { return static_cast<int>(random_.next() % static_cast<std::uint32_t>(count)); }
 
-    void schedule(Tenths at, std::function<void()> act);
-    void run_for(Tenths span);
-    bool run_until(const std::function<bool()>& holds, Tenths limit); // whether it came to hold
+    void schedule(Ticks at, std::function<void()> act);
+    void run_for(Ticks span);
+    bool run_until(const std::function<bool()>& holds, Ticks limit); // whether it came to hold
 
     MachineNumber add_machine();
     static std::string ip_of(MachineNumber machine);
@@ -65,7 +65,7 @@
                std::function<void()> close);
     void kill(MachineNumber machine); // its disk keeps what was written
     void power_off(MachineNumber machine);
-    void freeze(MachineNumber machine, Tenths until);
+    void freeze(MachineNumber machine, Ticks until);
     bool is_up(MachineNumber machine) const;
     bool is_frozen(MachineNumber machine) const;
     int incarnation(MachineNumber machine) const;
@@ -77,7 +77,7 @@
     void cut(MachineNumber from, MachineNumber to, bool is_cut = true); // one way; counted
     bool reaches(MachineNumber from, MachineNumber to) const;
     void set_message_faults(const MessageFaults& faults) { faults_ = faults; }
-    Tenths& most_delay() { return most_delay_; }
+    Ticks& most_delay() { return most_delay_; }
     // Holds back messages that a test picks, until they are let go.
     std::function<bool(MachineNumber from, MachineNumber to, const feed::Message&)> held_back;
     void let_go();
@@ -97,7 +97,7 @@
     struct Connection;
     struct Machine;
     struct Event {
-        Tenths at = 0;
+        Ticks at = 0;
         std::uint64_t order = 0;
         std::function<void()> act;
         bool operator<(const Event& other) const {
@@ -112,15 +112,15 @@
 
     Machine& at(MachineNumber machine) { return *machines_[static_cast<std::size_t>(machine)]; }
     const Machine& at(MachineNumber machine) const { return *machines_[static_cast<std::size_t>(machine)]; }
-    bool step(Tenths until);
+    bool step(Ticks until);
     void end_process(MachineNumber machine, bool tells_others);
     void turn(MachineNumber machine, const std::function<void()>& act);
     void plan_wake(MachineNumber machine);
     std::optional<MachineNumber> machine_at(const std::string& address) const;
-    Tenths delay();
+    Ticks delay();
     // Of a connection, from one of its sides (0: who opened it) to the other.
     void send(const std::shared_ptr<Connection>& connection, int side, Packet packet);
-    void travel(const std::shared_ptr<Connection>& connection, int side, Packet packet, Tenths at,
+    void travel(const std::shared_ptr<Connection>& connection, int side, Packet packet, Ticks at,
                 bool in_order);
     void arrive(const std::shared_ptr<Connection>& connection, int side, const Packet& packet);
     void hold(const std::shared_ptr<Connection>& connection, int side, const Packet& packet);
@@ -132,13 +132,13 @@
     bool is_peer_connection(const Connection& connection) const;
 
     Pcg random_;
-    Tenths now_ = 0;
+    Ticks now_ = 0;
     std::uint64_t order_ = 0;
     std::priority_queue<Event> events_;
     std::vector<std::unique_ptr<Machine>> machines_;
     std::map<std::pair<MachineNumber, MachineNumber>, int> cut_;
     MessageFaults faults_;
-    Tenths most_delay_ = 15;
+    Ticks most_delay_ = 15;
     std::vector<std::function<void()>> held_;
 };
 
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -10,9 +10,8 @@
 
 namespace {
 
-constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kDecisionInterval = 5 * kMs, kConnectTimeout = 250 * kMs,
-                 kRestartDelay = 2 * kTenthsPerSecond;
+constexpr Ticks kMs = kTicksPerSecond / 1000;
+constexpr Ticks kDecisionInterval = 5 * kMs, kConnectTimeout = 250 * kMs, kRestartDelay = 2 * kTicksPerSecond;
 
 std::vector<SiteRequestClass> default_request_classes() {
     const auto terms = [](Idempotency idempotency, double utility, double floor) {
@@ -38,10 +37,10 @@
     int site = 0, cell = 0, busy = 0;
     bool alive = true;
     std::uint64_t incarnation = 1;
-    Tenths started_at = 0; // 0: long ago
+    Ticks started_at = 0; // 0: long ago
     std::deque<Job> queue;
-    std::deque<Tenths> arrivals;
-    double share(Tenths now, const SimulatedSitesPlan& plan) const {
+    std::deque<Ticks> arrivals;
+    double share(Ticks now, const SimulatedSitesPlan& plan) const {
         if (started_at == 0) return 1;
         return limits::SlowStart{plan.warm_up_time, plan.cold_capacity_ratio, 0, 1}.share(now - started_at);
     }
@@ -50,7 +49,7 @@
 struct SimulatedSites::Front : SchedulerHost {
     struct AttemptState {
         ServerId server;
-        Tenths sent = 0;
+        Ticks sent = 0;
         bool over = false;
     };
     struct PartState {
@@ -62,14 +61,14 @@
     };
     struct OpenSearch {
         std::size_t request_class = 0, tenant = 0;
-        Tenths started = 0;
+        Ticks started = 0;
         std::vector<PartId> parts;
     };
     SimulatedSites* world = nullptr;
     int number = 0, site = 0;
     bool alive = true;
     std::uint64_t incarnation = 1;
-    Tenths stalled_until = 0, wake_at = 0;
+    Ticks stalled_until = 0, wake_at = 0;
     std::unique_ptr<SearchScheduler> scheduler;
     std::unique_ptr<recovery::FailoverController> controller;
     recovery::TrafficCounter traffic;
@@ -83,7 +82,7 @@
         return {world->plan_.request_classes[open.request_class].name,
                 world->plan_.tenants[open.tenant].first};
     }
-    void attempt(PartId part, ServerId server, Tenths time_out, Tenths) override {
+    void attempt(PartId part, ServerId server, Ticks time_out, Ticks) override {
         world->attempt(*this, part, server, time_out);
     }
     void cancel_attempt(PartId part, AttemptNo number_of) override {
@@ -134,14 +133,14 @@
         end(id, in_time ? recovery::TrafficCounter::SearchEnd::kInTime
                         : recovery::TrafficCounter::SearchEnd::kDelivered);
     }
-    void reject(SearchId id, Tenths retry_after) override {
+    void reject(SearchId id, Ticks retry_after) override {
         const auto found = searches.find(id);
         if (found == searches.end()) return void(world->violations_.push_back("a second final answer"));
         const OpenSearch open = found->second;
         ++world->totals_.rejected;
         end(id, recovery::TrafficCounter::SearchEnd::kRejected);
         if (world->plan_.retry_ratio > 0 && world->random_.unit() < world->plan_.retry_ratio)
-            world->at(world->now_ + std::max<Tenths>(retry_after, 10 * kMs), [w = world, n = number, open] {
+            world->at(world->now_ + std::max<Ticks>(retry_after, 10 * kMs), [w = world, n = number, open] {
                 int there = n; // whoever serves
                 for (std::size_t i = 0; i < w->fronts() && !w->fronts_[there]->alive; ++i)
                     there = (there + 1) % static_cast<int>(w->fronts());
@@ -156,7 +155,7 @@
         const int target = static_cast<int>(server.value);
         const bool good = world->servers_[target]->alive && world->linked(site, world->site_of(target)) &&
                           world->linked(world->site_of(target), site);
-        const Tenths took = good ? world->delay() + world->delay() : kConnectTimeout;
+        const Ticks took = good ? world->delay() + world->delay() : kConnectTimeout;
         world->at(world->now_ + took, [w = world, n = number, own = incarnation, server, good, took] {
             Front& front = *w->fronts_[n];
             if (!front.alive || front.incarnation != own) return;
@@ -166,8 +165,8 @@
         });
     }
     void close_idle_connections(ServerId) override {}
-    void schedule_wakeup(Tenths in) override {
-        wake_at = world->now_ + std::max<Tenths>(1, in);
+    void schedule_wakeup(Ticks in) override {
+        wake_at = world->now_ + std::max<Ticks>(1, in);
         world->at(wake_at, [w = world, n = number, own = incarnation, when = wake_at] {
             Front& front = *w->fronts_[n];
             if (front.alive && front.incarnation == own && front.wake_at == when) w->run_scheduler(front);
@@ -207,23 +206,23 @@
 double SimulatedSites::power(int number) const {
     const Server& server = *servers_[number];
     if (!server.alive) return 0;
-    return server.share(now_, plan_) * plan_.cores * static_cast<double>(kTenthsPerSecond) /
+    return server.share(now_, plan_) * plan_.cores * static_cast<double>(kTicksPerSecond) /
            static_cast<double>(plan_.service);
 }
 
 bool SimulatedSites::serves(int server) const { return servers_[server]->alive; }
 
-void SimulatedSites::at(Tenths when, std::function<void()> what) {
+void SimulatedSites::at(Ticks when, std::function<void()> what) {
     events_.push({std::max(when, now_), ++next_sequence_, std::move(what)});
 }
 
-Tenths SimulatedSites::delay() {
+Ticks SimulatedSites::delay() {
     return plan_.min_delay +
-           static_cast<Tenths>(random_.unit() * static_cast<double>(plan_.max_delay - plan_.min_delay));
+           static_cast<Ticks>(random_.unit() * static_cast<double>(plan_.max_delay - plan_.min_delay));
 }
 
-void SimulatedSites::pass(Tenths span) {
-    for (const Tenths end = now_ + span; !events_.empty() && events_.top().at <= end;) {
+void SimulatedSites::pass(Ticks span) {
+    for (const Ticks end = now_ + span; !events_.empty() && events_.top().at <= end;) {
         now_ = events_.top().at;
         const auto what = std::move(const_cast<Event&>(events_.top()).what);
         events_.pop();
@@ -235,8 +234,8 @@
     }
 }
 
-bool SimulatedSites::until(const std::function<bool()>& holds, Tenths bound) {
-    for (const Tenths end = now_ + bound; now_ < end && !holds();) pass(20 * kMs);
+bool SimulatedSites::until(const std::function<bool()>& holds, Ticks bound) {
+    for (const Ticks end = now_ + bound; now_ < end && !holds();) pass(20 * kMs);
     return holds();
 }
 
@@ -266,7 +265,7 @@
     terms.front_nodes = nodes, terms.decision_interval = kDecisionInterval;
     terms.warm_up_time = plan_.warm_up_time, terms.cold_capacity_ratio = plan_.cold_capacity_ratio;
     terms.overload_window = plan_.overload_window, terms.overload_factor = plan_.overload_factor;
-    terms.max_retry_after = 2 * kTenthsPerSecond, terms.max_attempts = 3;
+    terms.max_retry_after = 2 * kTicksPerSecond, terms.max_attempts = 3;
     terms.may_cancel = terms.may_send_retry_after = true, terms.may_probe = plan_.may_probe;
     terms.cells = plan_.servers / plan_.replicas, terms.span = 1;
     front.scheduler = make_search_scheduler(terms);
@@ -275,7 +274,7 @@
     if (plan_.with_failover) {
         recovery::FailoverOptions own;
         own.name = "n" + std::to_string(number), own.home_site = site_name(front.site), own.seed = terms.seed;
-        Tenths due = plan_.request_classes[0].terms.latency_target;
+        Ticks due = plan_.request_classes[0].terms.latency_target;
         for (const auto& request_class : plan_.request_classes) {
             own.request_classes.push_back(request_class.name);
             own.request_class_info[request_class.name] = {
@@ -296,7 +295,7 @@
         own.configured_capacity = plan_.stated_capacity;
         front.controller = std::make_unique<recovery::FailoverController>(own, now_);
         const std::uint64_t incarnation = front.incarnation;
-        at(now_ + static_cast<Tenths>(random_.unit() * static_cast<double>(due) / 8),
+        at(now_ + static_cast<Ticks>(random_.unit() * static_cast<double>(due) / 8),
            [this, number, incarnation] {
                if (fronts_[number]->incarnation == incarnation) step_controller(*fronts_[number]);
            });
@@ -375,7 +374,7 @@
                             ? rate_ * load_factor_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive))
                             : 0;
     const double gap = mine > 0 ? -std::log(1 - random_.unit()) / mine : 0.1;
-    at(now_ + static_cast<Tenths>(gap * static_cast<double>(kTenthsPerSecond)) + 1, [this, number, mine] {
+    at(now_ + static_cast<Ticks>(gap * static_cast<double>(kTicksPerSecond)) + 1, [this, number, mine] {
         if (mine > 0 && fronts_[number]->alive) {
             double drawn = random_.unit(), all = 0;
             for (const auto& request_class : plan_.request_classes) all += request_class.rate;
@@ -439,7 +438,7 @@
 
 // ---- attempts
 
-void SimulatedSites::attempt(Front& front, PartId part, ServerId server, Tenths time_out) {
+void SimulatedSites::attempt(Front& front, PartId part, ServerId server, Ticks time_out) {
     auto& part_state = front.parts.at(part);
     const AttemptNo number{static_cast<std::uint32_t>(part_state.attempt_states.size())};
     part_state.attempt_states.push_back({server, now_, false});
@@ -490,7 +489,7 @@
         server.queue.pop_front();
         ++server.busy;
         const double mean = static_cast<double>(plan_.service) / server.share(now_, plan_);
-        const auto took = static_cast<Tenths>(-std::log(1 - random_.unit()) * mean) + 1;
+        const auto took = static_cast<Ticks>(-std::log(1 - random_.unit()) * mean) + 1;
         at(now_ + took, [this, target, job, incarnation = server.incarnation] {
             Server& done = *servers_[target];
             if (!done.alive || done.incarnation != incarnation) return;
@@ -521,7 +520,7 @@
     Front::PartState& part_state = found->second;
     Front::AttemptState& out = part_state.attempt_states[number.value];
     if (std::exchange(out.over, true)) return;
-    const Tenths took = now_ - out.sent;
+    const Ticks took = now_ - out.sent;
     if (outcome == Outcome::kAnswered) part_state.answered = true;
     const ServerId server = out.server;
     front.traffic.count_attempt("s" + std::to_string(server.value), outcome, took, report);
@@ -601,7 +600,7 @@
     at(now_ + plan_.member_lag, [this] { update_members(); });
 }
 
-void SimulatedSites::stall_front(int number, Tenths span) {
+void SimulatedSites::stall_front(int number, Ticks span) {
     Front& front = *fronts_[number];
     front.stalled_until = now_ + span;
     at(front.stalled_until + 1, [this, number] { run_scheduler(*fronts_[number]); });
@@ -656,7 +655,7 @@
 double SimulatedSites::best_share() const {
     recovery::PlanInput terms;
     terms.unit_capacity =
-        plan_.cores * static_cast<double>(kTenthsPerSecond) / static_cast<double>(plan_.service);
+        plan_.cores * static_cast<double>(kTicksPerSecond) / static_cast<double>(plan_.service);
     terms.headroom = 1;
     terms.servers = list_now();
     for (int i = 0; i < plan_.servers; ++i)
--- a/tests/lab/simulated_sites.hpp
+++ b/tests/lab/simulated_sites.hpp
@@ -31,11 +31,11 @@
     std::vector<std::pair<std::string, double>> tenants; // name, share of the searches; empty: two
     double load = 0.55;                                  // of the fleet's power
     int cores = 4;
-    Tenths service = 80; // a part, mean
+    Ticks service = 80; // a part, mean
     double cold_capacity_ratio = 0.3, overload_factor = 2;
-    Tenths warm_up_time = 5 * kTenthsPerSecond, overload_window = kTenthsPerSecond;
-    Tenths list_lag = kTenthsPerSecond / 5, member_lag = kTenthsPerSecond;
-    Tenths min_delay = 5, max_delay = 20; // of a datagram or a frame, one way
+    Ticks warm_up_time = 5 * kTicksPerSecond, overload_window = kTicksPerSecond;
+    Ticks list_lag = kTicksPerSecond / 5, member_lag = kTicksPerSecond;
+    Ticks min_delay = 5, max_delay = 20; // of a datagram or a frame, one way
     double report_loss_ratio = 0;
     double retry_ratio = 0; // share of those rejected that come again when they were told to
     bool with_failover = true, exchange_reports = true;
@@ -58,8 +58,8 @@
     SimulatedSites(const SimulatedSites&) = delete;
     SimulatedSites& operator=(const SimulatedSites&) = delete;
 
-    void pass(Tenths span);
-    bool until(const std::function<bool()>& holds, Tenths bound);
+    void pass(Ticks span);
+    bool until(const std::function<bool()>& holds, Ticks bound);
 
     // Faults. A site is its index servers and its front nodes.
     void kill_site(int site, bool fronts_too = true);
@@ -69,15 +69,15 @@
     void heal();
     void kill_server(int server);
     void start_server(int server);
-    void stall_front(int front, Tenths span);
+    void stall_front(int front, Ticks span);
     void start_front(int front);                     // with the list as it knows it
     void block_reports(const std::set<int>& fronts); // they hear no word of any other
-    void lag_lists(Tenths lag) { plan_.list_lag = lag; }
+    void lag_lists(Ticks lag) { plan_.list_lag = lag; }
     void set_load_factor(double factor) { load_factor_ = factor; }
     void apply_override(int front, recovery::SiteOverride site_override);
 
     // What is
-    Tenths now() const { return now_; }
+    Ticks now() const { return now_; }
     const recovery::FailoverController* controller(int front) const;
     recovery::SiteState state(int front, int site) const;
     std::size_t count_front_nodes_seeing(int site,
@@ -103,19 +103,19 @@
     struct Front;
     struct Server;
     struct Event {
-        Tenths at;
+        Ticks at;
         std::uint64_t sequence;
         std::function<void()> what;
         bool operator>(const Event& o) const { return std::pair(at, sequence) > std::pair(o.at, o.sequence); }
     };
-    void at(Tenths when, std::function<void()> what);
-    Tenths delay();
+    void at(Ticks when, std::function<void()> what);
+    Ticks delay();
     bool linked(int from_site, int to_site) const { return !cuts_.contains({from_site, to_site}); }
     void arrive(int front);
     void search(int front, std::size_t request_class, std::size_t tenant, bool again);
     void run_scheduler(Front& front);
     void step_controller(Front& front);
-    void attempt(Front& front, PartId part, ServerId server, Tenths time_out);
+    void attempt(Front& front, PartId part, ServerId server, Ticks time_out);
     void deliver_attempt(int server, int front, std::uint64_t incarnation, PartId part, AttemptNo number,
                          bool once);
     void start_parts(int server);
@@ -134,7 +134,7 @@
 
     SimulatedSitesPlan plan_;
     Pcg random_;
-    Tenths now_ = 1000 * kTenthsPerSecond;
+    Ticks now_ = 1000 * kTicksPerSecond;
     std::uint64_t next_sequence_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
     std::vector<std::unique_ptr<Front>> fronts_;
@@ -142,7 +142,7 @@
     std::set<std::pair<int, int>> cuts_;
     std::set<int> reports_blocked_;
     SiteTotals totals_;
-    Tenths lists_updated_at_ = 0;
+    Ticks lists_updated_at_ = 0;
     double load_factor_ = 1, rate_ = 0, cold_limit_used_ = 0;
     std::uint64_t overload_failures_ = 0, lost_ = 0, duplicate_attempts_ = 0, arrived_ = 0;
     std::set<std::tuple<int, std::uint64_t, PartId>> ran_; // parts that may run once
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -23,8 +23,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr Tenths kGrace = 8 * kTenthsPerSecond; // `graceS` of the settings
-constexpr Tenths kGraceSlack = 2 * kTenthsPerSecond;
+constexpr Ticks kGrace = 8 * kTicksPerSecond; // `graceS` of the settings
+constexpr Ticks kGraceSlack = 2 * kTicksPerSecond;
 constexpr int kFirstControl = 1, kFirstEdge = 10, kFirstServer = 110; // last parts of addresses
 constexpr std::array<const char*, 3> kZones{"north", "south", "west"};
 constexpr int kControlPort = 8262, kServerPort = 8080;
@@ -228,7 +228,7 @@
             "4"};
 }
 
-void SoakFleet::start(SoakProcess process, Tenths now) {
+void SoakFleet::start(SoakProcess process, Ticks now) {
     Place& place = places_.at(process);
     ++place.incarnation;
     place.log = folder_ + "/logs/" + name_of(process) + "." + std::to_string(place.incarnation);
@@ -243,7 +243,7 @@
           (place.service.empty() ? "" : " of " + place.service));
 }
 
-void SoakFleet::start_all(Tenths now) {
+void SoakFleet::start_all(Ticks now) {
     for (const SoakProcess process : all()) start(process, now);
 }
 
@@ -252,13 +252,13 @@
     kill(place.process, signal);
 }
 
-void SoakFleet::open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Tenths now) {
+void SoakFleet::open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now) {
     // The later act of one that is in trouble already is one more trouble, which ends with it.
     troubles_.push_back({what, process, now, kNever});
     place.trouble = troubles_.size();
 }
 
-void SoakFleet::close_trouble(Place& place, Tenths now) {
+void SoakFleet::close_trouble(Place& place, Ticks now) {
     if (place.trouble == 0) return;
     const SoakProcess process = troubles_[place.trouble - 1].process;
     for (SoakTrouble& trouble : troubles_)
@@ -266,7 +266,7 @@
     place.trouble = 0;
 }
 
-void SoakFleet::act(const SoakStep& step, Tenths now) {
+void SoakFleet::act(const SoakStep& step, Ticks now) {
     Place& place = places_.at(step.process);
     const bool is_up = place.process > 0;
     switch (step.act) {
@@ -308,7 +308,7 @@
     }
 }
 
-void SoakFleet::ended(SoakProcess process, Place& place, int status, Tenths now) {
+void SoakFleet::ended(SoakProcess process, Place& place, int status, Ticks now) {
     const bool told = place.terminated_at != kNever;
     const std::string how = WIFEXITED(status) ? "status " + std::to_string(WEXITSTATUS(status))
                                               : std::string("SIG") + sigabbrev_np(WTERMSIG(status));
@@ -321,7 +321,7 @@
     if (!told && !place.killed) open_trouble(process, place, SoakTrouble::What::kKilled, now);
 }
 
-void SoakFleet::pass(Tenths now) {
+void SoakFleet::pass(Ticks now) {
     for (auto& [process, place] : places_) {
         int status = 0;
         if (place.process > 0 && waitpid(place.process, &status, WNOHANG) == place.process)
@@ -340,14 +340,14 @@
     }
 }
 
-void SoakFleet::settle(Tenths now) {
+void SoakFleet::settle(Ticks now) {
     for (auto& [process, place] : places_) {
         act({0, SoakAct::kContinue, process}, now);
         place.wanted = true, place.start_other = false;
     }
 }
 
-void SoakFleet::terminate_all(Tenths now) {
+void SoakFleet::terminate_all(Ticks now) {
     ending_ = true;
     for (const SoakProcess process : all()) {
         act({0, SoakAct::kContinue, process}, now);
--- a/tests/lab/soak_fleet.hpp
+++ b/tests/lab/soak_fleet.hpp
@@ -35,12 +35,12 @@
     std::string ready(int number) const { return address({SoakRole::kProxy, number}, 8268); }
     std::vector<SoakProcess> all() const;
 
-    void start_all(Tenths now);
-    void act(const SoakStep& step, Tenths now);
+    void start_all(Ticks now);
+    void act(const SoakStep& step, Ticks now);
     // Sees who has ended, starts what is to be started then, and kills what outlasts its grace.
-    void pass(Tenths now);
-    void settle(Tenths now); // everything is continued and, where it isn't running, started
-    void terminate_all(Tenths now);
+    void pass(Ticks now);
+    void settle(Ticks now); // everything is continued and, where it isn't running, started
+    void terminate_all(Ticks now);
     bool all_ended() const;
     bool running(SoakProcess process) const;
     bool running_undisturbed(SoakProcess process) const; // neither stopped nor told to end
@@ -62,7 +62,7 @@
         std::string service, stage, zone; // of a server
         bool stopped = false, wanted = true, start_other = false;
         bool killed = false; // by the soak
-        Tenths terminated_at = kNever;
+        Ticks terminated_at = kNever;
         std::size_t trouble = 0; // behind the index into troubles_; 0: none is open
         int seeds_turn = 0;      // by how many places the settings' seeds are turned
     };
@@ -72,14 +72,14 @@
         std::string service;
     };
 
-    void start(SoakProcess process, Tenths now);
+    void start(SoakProcess process, Ticks now);
     std::vector<std::string> command(SoakProcess process, const Place& place) const;
     void write_settings(SoakProcess process, const Place& place, bool broken) const;
     std::string settings_path(SoakProcess process) const;
     void send(SoakProcess process, Place& place, int signal);
-    void ended(SoakProcess process, Place& place, int status, Tenths now);
-    void open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Tenths now);
-    void close_trouble(Place& place, Tenths now);
+    void ended(SoakProcess process, Place& place, int status, Ticks now);
+    void open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now);
+    void close_trouble(Place& place, Ticks now);
     void fail(const std::string& what);
 
     SoakPrograms programs_;
--- a/tests/lab/soak_judge.cpp
+++ b/tests/lab/soak_judge.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Tenths kNoticed = kTenthsPerSecond / 10; // from a process's end until a client sees it
+constexpr Ticks kNoticed = kTicksPerSecond / 10; // from a process's end until a client sees it
 
 class Judge {
   public:
@@ -35,7 +35,7 @@
                          std::to_string(attempt.status) + " sent " + seconds(attempt.sent_at) + " ended " +
                          seconds(attempt.ended_at) + servers_of(attempt));
     }
-    static std::string seconds(Tenths at) { return std::to_string(at / 10) + " ms"; }
+    static std::string seconds(Ticks at) { return std::to_string(at / 10) + " ms"; }
     std::string servers_of(const SoakAttempt& attempt) const {
         std::string list;
         const auto found = calls_.find(attempt.id);
@@ -71,29 +71,29 @@
 
     // ---- configuration
 
-    bool troubled(SoakProcess process, Tenths from, Tenths until) const {
+    bool troubled(SoakProcess process, Ticks from, Ticks until) const {
         return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
             return trouble.process == process && trouble.from <= until && trouble.until >= from;
         });
     }
-    bool core_troubled(Tenths from, Tenths until) const {
+    bool core_troubled(Ticks from, Ticks until) const {
         return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
             return trouble.process.role == SoakRole::kControl && trouble.from <= until &&
                    trouble.until >= from;
         });
     }
-    bool in_touch(int front, Tenths at) const {
-        const Tenths from = at - bounds_.in_touch;
+    bool in_touch(int front, Ticks at) const {
+        const Ticks from = at - bounds_.in_touch;
         return !troubled({SoakRole::kProxy, front}, from, at) &&
                !troubled({SoakRole::kAgent, front}, from, at);
     }
 
     // The oldest version by which that front may go at that time.
-    std::int64_t oldest(int front, Tenths at) const {
+    std::int64_t oldest(int front, Ticks at) const {
         std::int64_t number = 0;
         if (!in_touch(front, at)) return number;
         const bool stretched = core_troubled(at - bounds_.in_touch, at);
-        const Tenths span = bounds_.config_apply + (stretched ? bounds_.core_stretch : 0);
+        const Ticks span = bounds_.config_apply + (stretched ? bounds_.core_stretch : 0);
         for (const SoakVersion& version : record_.versions)
             if (version.acknowledged_at != kNever && version.acknowledged_at + span < at)
                 number = std::max(number, version.number);
@@ -153,7 +153,7 @@
 
     // ---- ends
 
-    bool front_had(const SoakAttempt& a, What what, Tenths from, Tenths until) const {
+    bool front_had(const SoakAttempt& a, What what, Ticks from, Ticks until) const {
         return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
             return trouble.process == SoakProcess{SoakRole::kProxy, a.front} && trouble.what == what &&
                    trouble.from <= until && (what != What::kStopped || trouble.until >= from) &&
@@ -185,10 +185,10 @@
                calls_.contains(a.id);
     }
     // Without the time in which the soak itself was held up.
-    Tenths time_taken(const SoakAttempt& a) const {
-        Tenths taken = a.ended_at - a.sent_at;
+    Ticks time_taken(const SoakAttempt& a) const {
+        Ticks taken = a.ended_at - a.sent_at;
         for (const SoakPause& pause : record_.pauses)
-            taken -= std::max<Tenths>(0, std::min(pause.until, a.ended_at) - std::max(pause.from, a.sent_at));
+            taken -= std::max<Ticks>(0, std::min(pause.until, a.ended_at) - std::max(pause.from, a.sent_at));
         return taken;
     }
     // The node closed the connection without having read the request, by plan.
--- a/tests/lab/soak_plan.cpp
+++ b/tests/lab/soak_plan.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kControlRecovers = 5 * kTenthsPerSecond; // before the next control node is disturbed
-constexpr Tenths kAddressRests = 2'500 * kMs;             // a little over `addrReuseS` of the settings
+constexpr Ticks kMs = kTicksPerSecond / 1000;
+constexpr Ticks kControlRecovers = 5 * kTicksPerSecond; // before the next control node is disturbed
+constexpr Ticks kAddressRests = 2'500 * kMs;            // a little over `addrReuseS` of the settings
 
 class Draw {
   public:
     Draw(std::uint64_t seed, const SoakSize& size) : random_(seed), size_(size) {}
 
     std::vector<SoakStep> steps() {
-        for (Tenths at = span(0, size_.gap); at < size_.span; at += span(1, 2 * size_.gap)) draw(at);
+        for (Ticks at = span(0, size_.gap); at < size_.span; at += span(1, 2 * size_.gap)) draw(at);
         std::ranges::stable_sort(steps_, {}, &SoakStep::at);
         return std::move(steps_);
     }
@@ -26,9 +26,9 @@
     Range number(Range least, Range most) {
         return least + static_cast<Range>(random_() % static_cast<std::uint64_t>(most - least + 1));
     }
-    Tenths span(Tenths least, Tenths most) { return number(least, most); }
+    Ticks span(Ticks least, Ticks most) { return number(least, most); }
     bool chance(int percent) { return number(1, 100) <= percent; }
-    void add(Tenths at, SoakAct act, SoakProcess process = {}) { steps_.push_back({at, act, process}); }
+    void add(Ticks at, SoakAct act, SoakProcess process = {}) { steps_.push_back({at, act, process}); }
 
     SoakProcess draw_process() {
         const Range drawn = number(1, 100);
@@ -38,7 +38,7 @@
         return {SoakRole::kServer, static_cast<int>(number(1, size_.servers))};
     }
 
-    void draw(Tenths at) {
+    void draw(Ticks at) {
         const Range drawn = number(1, 100);
         if (drawn <= 25) return add(at, SoakAct::kChange);
         if (drawn <= 30) return add(at, SoakAct::kRace);
@@ -49,19 +49,19 @@
     }
 
     // False where too many control nodes are disturbed already.
-    bool claim(SoakProcess process, Tenths at, Tenths until) {
+    bool claim(SoakProcess process, Ticks at, Ticks until) {
         if (process.role != SoakRole::kControl) return true;
         int others = 0;
         for (const auto& [number, ends] : control_until_)
             if (number != process.number && ends + kControlRecovers > at) ++others;
         if (others >= (size_.controls - 1) / 2) return false;
-        Tenths& own = control_until_[process.number];
+        Ticks& own = control_until_[process.number];
         own = std::max(own, until);
         return true;
     }
 
-    void disturb(Tenths at, SoakProcess process) {
-        const Tenths back = at + span(50 * kMs, 3000 * kMs);
+    void disturb(Ticks at, SoakProcess process) {
+        const Ticks back = at + span(50 * kMs, 3000 * kMs);
         const Range drawn = number(1, 100);
         if (drawn <= 15) {
             add(at, chance(50) ? SoakAct::kHangup : SoakAct::kHangupBroken, process);
@@ -80,18 +80,18 @@
         if (chance(25)) add(at + span(0, 500 * kMs), SoakAct::kHangup, process);
         if (chance(15)) add(at + span(0, back - at), SoakAct::kKill, process);
         const bool other = process.role == SoakRole::kServer && chance(40);
-        const Tenths start = other ? back + kAddressRests : back;
+        const Ticks start = other ? back + kAddressRests : back;
         add(start, other ? SoakAct::kStartOther : SoakAct::kStart, process);
         if (chance(30)) add(start + span(50 * kMs, 1000 * kMs), SoakAct::kHangup, process);
     }
 
-    void restart_in_turn(Tenths at) {
+    void restart_in_turn(Ticks at) {
         const bool edges = chance(60);
         const int count = edges ? size_.edges : size_.controls;
-        const Tenths gap = edges ? 2 * kTenthsPerSecond : kControlRecovers + 3 * kTenthsPerSecond;
+        const Ticks gap = edges ? 2 * kTicksPerSecond : kControlRecovers + 3 * kTicksPerSecond;
         for (int number = 1; number <= count; ++number, at += gap) {
             const SoakProcess process{edges ? SoakRole::kProxy : SoakRole::kControl, number};
-            if (at >= size_.span || !claim(process, at, at + kTenthsPerSecond)) continue;
+            if (at >= size_.span || !claim(process, at, at + kTicksPerSecond)) continue;
             add(at, SoakAct::kTerminate, process);
             add(at + 100 * kMs, SoakAct::kStart, process);
             if (!edges || !chance(50)) continue;
@@ -100,7 +100,7 @@
         }
     }
 
-    void kill_many(Tenths at) {
+    void kill_many(Ticks at) {
         const SoakRole role = chance(50) ? SoakRole::kProxy : SoakRole::kAgent;
         for (int number = 1; number <= size_.edges; ++number) {
             if (!chance(60)) continue;
@@ -111,7 +111,7 @@
 
     std::mt19937_64 random_;
     SoakSize size_;
-    std::map<int, Tenths> control_until_;
+    std::map<int, Ticks> control_until_;
     std::vector<SoakStep> steps_;
 };
 
--- a/tests/lab/soak_plan.hpp
+++ b/tests/lab/soak_plan.hpp
@@ -34,15 +34,15 @@
 std::string name_of(SoakAct act);
 
 struct SoakStep {
-    Tenths at = 0; // from the start of the history
+    Ticks at = 0; // from the start of the history
     SoakAct act = SoakAct::kChange;
     SoakProcess process; // not used by the operator's acts
 };
 
 struct SoakSize {
     int controls = 3, edges = 3, servers = 7;
-    Tenths span = 20 * kTenthsPerSecond; // of the steps, without the start and the quiet at the end
-    Tenths gap = kTenthsPerSecond / 2;   // mean between two draws
+    Ticks span = 20 * kTicksPerSecond; // of the steps, without the start and the quiet at the end
+    Ticks gap = kTicksPerSecond / 2;   // mean between two draws
     int processes() const { return controls + 2 * edges + servers; }
 };
 
--- a/tests/lab/soak_record.hpp
+++ b/tests/lab/soak_record.hpp
@@ -15,7 +15,7 @@
 
 namespace ivyrill::lab {
 
-inline constexpr Tenths kNever = std::numeric_limits<Tenths>::max();
+inline constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
 
 enum class SoakKind : std::uint8_t {
     kSafe,      // may run more than once
@@ -35,7 +35,7 @@
     std::string body;
     std::map<std::string, std::string> tenant_of_key;
     std::vector<SoakRoute> routes;
-    Tenths sent_at = kNever, acknowledged_at = kNever;
+    Ticks sent_at = kNever, acknowledged_at = kNever;
     bool refused = false; // it lost a race or is invalid
 
     const SoakRoute* route(const std::string& prefix) const {
@@ -49,7 +49,7 @@
     std::string id, prefix, key; // `key`: empty for none
     SoakKind kind = SoakKind::kSafe;
     int front = 0; // number of the proxy
-    Tenths sent_at = 0, ended_at = 0, deadline = 0;
+    Ticks sent_at = 0, ended_at = 0, deadline = 0;
     AnswerEnd end = AnswerEnd::kOpen;
     int status = 0;                                          // 0: no whole head came
     bool sealed = false, whole = false, a_beginning = false; // of the body that was expected
@@ -65,17 +65,17 @@
 struct SoakTrouble { // made by the soak
     enum class What : std::uint8_t { kKilled, kTerminated, kStopped } what = What::kKilled;
     SoakProcess process;
-    Tenths from = 0, until = kNever; // `until`: the start or SIGCONT after it
+    Ticks from = 0, until = kNever; // `until`: the start or SIGCONT after it
 };
 
 struct SoakPause { // the soak itself was held up by the machine: what it saw then it saw late
-    Tenths from = 0, until = 0;
+    Ticks from = 0, until = 0;
 };
 
 struct SoakBounds { // of the settings
-    Tenths in_touch = 3 * kTenthsPerSecond, config_apply = 2 * kTenthsPerSecond;
-    Tenths core_stretch = 5 * kTenthsPerSecond, grace = 8 * kTenthsPerSecond;
-    Tenths loss_slack = kTenthsPerSecond / 5, recovery = 12 * kTenthsPerSecond;
+    Ticks in_touch = 3 * kTicksPerSecond, config_apply = 2 * kTicksPerSecond;
+    Ticks core_stretch = 5 * kTicksPerSecond, grace = 8 * kTicksPerSecond;
+    Ticks loss_slack = kTicksPerSecond / 5, recovery = 12 * kTicksPerSecond;
 };
 
 struct SoakRecord {
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kLook = 5 * kMs;        // at what no descriptor tells: processes and the next step
-constexpr Tenths kLeastPause = 50 * kMs; // that counts as one
-constexpr Tenths kStartPatience = 40 * kTenthsPerSecond;
-constexpr Tenths kCallPatience = kTenthsPerSecond; // of the operator with a silent node
-constexpr Tenths kCallPause = 200 * kMs;           // before the operator calls the next node
-constexpr Tenths kSurplusWait = 2 * kMs;           // bytes behind an answer come together with it
-constexpr Tenths kComesUp = 200 * kMs;             // a connection, else the client goes elsewhere
-constexpr Tenths kGiveUp = kTenthsPerSecond;       // behind the deadline
+constexpr Ticks kMs = kTicksPerSecond / 1000;
+constexpr Ticks kLook = 5 * kMs;        // at what no descriptor tells: processes and the next step
+constexpr Ticks kLeastPause = 50 * kMs; // that counts as one
+constexpr Ticks kStartPatience = 40 * kTicksPerSecond;
+constexpr Ticks kCallPatience = kTicksPerSecond; // of the operator with a silent node
+constexpr Ticks kCallPause = 200 * kMs;          // before the operator calls the next node
+constexpr Ticks kSurplusWait = 2 * kMs;          // bytes behind an answer come together with it
+constexpr Ticks kComesUp = 200 * kMs;            // a connection, else the client goes elsewhere
+constexpr Ticks kGiveUp = kTicksPerSecond;       // behind the deadline
 constexpr std::int64_t kLeastDeadlineMs = 4000, kMostDeadlineMs = 9000;
 
 ClientRequest get(const std::string& target) {
@@ -34,7 +34,7 @@
     bool is_valid = true, over = false;
     std::string body, location; // the latter: where the last answer sent it
     int control = 1, answers_4xx = 0;
-    Tenths next_at = 0, called_at = 0;
+    Ticks next_at = 0, called_at = 0;
     std::unique_ptr<StreamClient> call;
 };
 
@@ -45,8 +45,8 @@
     std::unique_ptr<StreamClient> connection;
     std::string address;
     bool was_up = false, waits = false;
-    Tenths next_at = 0, opened_at = 0, over_at = kNever;
-    Tenths held_up = 0; // the soak, until the request was sent
+    Ticks next_at = 0, opened_at = 0, over_at = kNever;
+    Ticks held_up = 0; // the soak, until the request was sent
     SoakAttempt attempt;
     std::string expected;
     std::int64_t draw(std::int64_t most) {
@@ -108,7 +108,7 @@
 // ---- the loop
 
 void SoakRun::note_pause() {
-    const Tenths now = loop_.now(), due = looked_at_ + kLook;
+    const Ticks now = loop_.now(), due = looked_at_ + kLook;
     if (now > due + kLeastPause) {
         tell("the soak was held up for " + std::to_string((now - due) / kMs) + " ms");
         record_.pauses.push_back({due, now});
@@ -126,8 +126,8 @@
     pass_clients();
 }
 
-bool SoakRun::until(const std::function<bool()>& holds, Tenths patience) {
-    const Tenths give_up = loop_.now() + patience;
+bool SoakRun::until(const std::function<bool()>& holds, Ticks patience) {
+    const Ticks give_up = loop_.now() + patience;
     while (!holds()) {
         if (loop_.now() >= give_up) return false;
         pass();
@@ -136,7 +136,7 @@
 }
 
 // One request on a connection of its own; what didn't come in time is closed.
-const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Tenths patience) {
+const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks patience) {
     asked_ = std::make_unique<StreamClient>(loop_, address);
     StreamClient& client = *asked_;
     client.send(request);
@@ -171,8 +171,8 @@
     clients_send_ = true;
     const std::vector<SoakStep> steps = draw_soak(options_.seed, options_.size);
     // Steps that the machine held up come later all of them: they keep their distances.
-    const Tenths began = loop_.now() - held_up_;
-    const auto pass_until = [&](Tenths at) {
+    const Ticks began = loop_.now() - held_up_;
+    const auto pass_until = [&](Ticks at) {
         while (loop_.now() < began + held_up_ + at) pass();
     };
     for (const SoakStep& step : steps) {
@@ -202,9 +202,9 @@
             return std::ranges::all_of(fleet_.all(),
                                        [&](SoakProcess one) { return fleet_.running_undisturbed(one); });
         },
-        SoakBounds{}.grace + 3 * kTenthsPerSecond);
+        SoakBounds{}.grace + 3 * kTicksPerSecond);
     if (!up) fail("REST: a process isn't running though all were started");
-    const Tenths resting = loop_.now();
+    const Ticks resting = loop_.now();
     until([&] { return loop_.now() >= resting + SoakBounds{}.in_touch; }, kNever / 2);
     check_served();
     clients_send_ = false;
@@ -242,7 +242,7 @@
     for (const std::string& key : changes_.keys())
         if (!version.tenant_of_key.contains(key)) gone = key;
     const std::string& key = version.tenant_of_key.begin()->first;
-    const Tenths give_up = loop_.now() + SoakBounds{}.recovery;
+    const Ticks give_up = loop_.now() + SoakBounds{}.recovery;
     const auto by_then = [&](int front, const std::string& prefix, const std::string& with, int wanted) {
         while (!serves(front, prefix, with, wanted))
             if (loop_.now() >= give_up)
@@ -274,7 +274,7 @@
 void SoakRun::check_use() {
     constexpr std::int64_t kSettingsKib = 256 * 1024, kSettingsDescriptors = 1024; // `limits` of the settings
     const std::int64_t slack = 32 + 4L * options_.size.servers + 2L * options_.size.edges;
-    until([] { return false; }, kTenthsPerSecond / 2); // connections are closed by then
+    until([] { return false; }, kTicksPerSecond / 2); // connections are closed by then
     for (const SoakProcess process : fleet_.all()) {
         const SoakUse use = fleet_.use(process);
         result_.most_resident_kib = std::max(result_.most_resident_kib, use.resident_kib);
@@ -298,7 +298,7 @@
     for (const auto& client : clients_) client->connection.reset();
     tell("all are told to end");
     fleet_.terminate_all(loop_.now());
-    until([&] { return fleet_.all_ended(); }, SoakBounds{}.grace + 5 * kTenthsPerSecond);
+    until([&] { return fleet_.all_ended(); }, SoakBounds{}.grace + 5 * kTicksPerSecond);
 }
 
 // ---- the operator
@@ -340,7 +340,7 @@
 
 void SoakRun::pass_operators() {
     begin_operator_work();
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     for (const auto& one : operators_) {
         if (!one->call) {
             if (now < one->next_at) continue;
@@ -394,7 +394,7 @@
 }
 
 void SoakRun::pass_client(Client& client) {
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     if (client.connection) client.connection->pass();
     if (client.waits) {
         if (client.connection->over()) return take_answer(client);
@@ -461,7 +461,7 @@
 }
 
 void SoakRun::take_answer(Client& client) {
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     if (client.over_at == kNever) client.over_at = now;
     if (now < client.over_at + kSurplusWait) return;
     const ClientAnswer& answer = client.connection->answer();
--- a/tests/lab/soak_run.hpp
+++ b/tests/lab/soak_run.hpp
@@ -25,7 +25,7 @@
     std::vector<std::string> wrong; // broken promises, in words
     std::vector<std::string> story; // what happened when, where something is wrong
     std::uint64_t attempts = 0, whole = 0, refused = 0, cut = 0, steps = 0, acknowledged = 0, starts = 0;
-    Tenths held_up = 0; // the soak itself, by the machine
+    Ticks held_up = 0; // the soak itself, by the machine
     std::int64_t most_resident_kib = 0, most_descriptors = 0;
     std::string folder; // empty where it is removed
 };
@@ -43,7 +43,7 @@
 
     void pass(); // one turn of the loop
     void note_pause();
-    bool until(const std::function<bool()>& holds, Tenths patience);
+    bool until(const std::function<bool()>& holds, Ticks patience);
     void tell(const std::string& what);
     void fail(const std::string& what);
 
@@ -66,12 +66,12 @@
     void pass_client(Client& client);
     void send(Client& client);
     void take_answer(Client& client);
-    const ClientAnswer& ask(const std::string& address, const ClientRequest& request, Tenths patience);
+    const ClientAnswer& ask(const std::string& address, const ClientRequest& request, Ticks patience);
 
     SoakOptions options_;
     transport::Loop loop_;
-    Tenths began_, looked_at_;
-    Tenths held_up_ = 0; // in all
+    Ticks began_, looked_at_;
+    Ticks held_up_ = 0; // in all
     std::mt19937_64 random_;
     SoakChanges changes_;
     SoakRecord record_;
--- a/tests/lab/stream_client.cpp
+++ b/tests/lab/stream_client.cpp
@@ -87,14 +87,14 @@
 }
 
 void StreamClient::close() {
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     stream_.reset();
     for (; current_ < answers_.size(); ++current_) end_answer(AnswerEnd::kClosed, now);
 }
 
-std::optional<Tenths> StreamClient::due() const {
+std::optional<Ticks> StreamClient::due() const {
     if (!stream_) return std::nullopt;
-    std::optional<Tenths> first;
+    std::optional<Ticks> first;
     if (!unsent_.empty() && stream_->established()) first = write_at_;
     if (stream_->unread() && behaviour_.read_bytes > 0) first = first ? std::min(*first, read_at_) : read_at_;
     return first;
@@ -102,7 +102,7 @@
 
 void StreamClient::pass() {
     if (!stream_) return;
-    const Tenths now = loop_.now();
+    const Ticks now = loop_.now();
     write(now);
     read(now);
     if (!stream_) return;
@@ -114,7 +114,7 @@
     }
 }
 
-void StreamClient::write(Tenths now) {
+void StreamClient::write(Ticks now) {
     if (!asked_ && current_ < requests_.size()) {
         unsent_ += requests_[current_];
         asked_ = true;
@@ -128,7 +128,7 @@
     write_at_ = now + behaviour_.piece_pause;
 }
 
-void StreamClient::read(Tenths now) {
+void StreamClient::read(Ticks now) {
     while (stream_ && stream_->unread()) {
         if (behaviour_.read_bytes > 0 && now < read_at_) return;
         Taker taker{behaviour_.read_bytes > 0 ? behaviour_.read_bytes : kMostRead, {}};
@@ -144,7 +144,7 @@
 }
 
 // Moves what the reader has into the current answer.
-void StreamClient::take(Tenths now, AnswerEnd where_broken) {
+void StreamClient::take(Ticks now, AnswerEnd where_broken) {
     if (!waits()) return;
     ClientAnswer& answer = answers_[current_];
     if (reader_.head().status != 0 && reader_.head_complete() && answer.head_at == 0) {
@@ -167,7 +167,7 @@
     write(now);
 }
 
-void StreamClient::split_events(ClientAnswer& answer, Tenths now) {
+void StreamClient::split_events(ClientAnswer& answer, Ticks now) {
     if (!answer.head.field("content-type").starts_with("text/event-stream")) return;
     for (std::size_t end; (end = unsplit_.find(kEventEnd)) != std::string::npos;) {
         const std::string event = unsplit_.substr(0, end + kEventEnd.size());
@@ -180,7 +180,7 @@
     return asked_ && current_ < answers_.size() && !answers_[current_].over();
 }
 
-void StreamClient::end_answer(AnswerEnd end, Tenths now) {
+void StreamClient::end_answer(AnswerEnd end, Ticks now) {
     ClientAnswer& answer = answers_[current_];
     answer.end = end;
     answer.ended_at = now;
--- a/tests/lab/stream_client.hpp
+++ b/tests/lab/stream_client.hpp
@@ -25,14 +25,14 @@
 
 struct ClientBehaviour {
     std::size_t piece_bytes = 0;          // what is sent goes in pieces of so many bytes; 0: at once
-    Tenths piece_pause = 0;               // between two pieces
+    Ticks piece_pause = 0;                // between two pieces
     std::size_t read_bytes = 0;           // it reads so many bytes and then pauses; 0: all that comes
-    Tenths read_pause = 0;                // between two reads
+    Ticks read_pause = 0;                 // between two reads
     std::int64_t close_after_events = -1; // it closes once so many events have come; below zero: never
 };
 
 struct ClientEvent {
-    Tenths at = 0;
+    Ticks at = 0;
     std::string bytes; // with the blank line
     std::string id;
 };
@@ -50,7 +50,7 @@
     std::string body;
     std::vector<ClientEvent> events; // whole ones
     AnswerEnd end = AnswerEnd::kOpen;
-    Tenths sent_at = 0, head_at = 0, ended_at = 0;
+    Ticks sent_at = 0, head_at = 0, ended_at = 0;
 
     bool over() const { return end != AnswerEnd::kOpen; }
     std::string event_bytes() const; // of all whole events
@@ -64,7 +64,7 @@
     void send(const ClientRequest& request);
     void send_bytes(std::string bytes); // as they are, as one request
     void pass();
-    std::optional<Tenths> due() const;
+    std::optional<Ticks> due() const;
     void close(); // resets nothing: an ordinary close
 
     bool over() const; // every request has its answer or will get none
@@ -75,11 +75,11 @@
     bool connected() const { return stream_ && stream_->established() && !stream_->ended(); }
 
   private:
-    void write(Tenths now);
-    void read(Tenths now);
-    void take(Tenths now, AnswerEnd where_broken);
-    void split_events(ClientAnswer& answer, Tenths now);
-    void end_answer(AnswerEnd end, Tenths now);
+    void write(Ticks now);
+    void read(Ticks now);
+    void take(Ticks now, AnswerEnd where_broken);
+    void split_events(ClientAnswer& answer, Ticks now);
+    void end_answer(AnswerEnd end, Ticks now);
     bool waits() const; // an answer is expected
 
     transport::Loop& loop_;
@@ -91,7 +91,7 @@
     std::size_t current_ = 0; // of answers_
     bool asked_ = false;      // the current request has begun to be sent
     std::string unsent_, surplus_, unsplit_;
-    Tenths write_at_ = 0, read_at_ = 0;
+    Ticks write_at_ = 0, read_at_ = 0;
 };
 
 } // namespace ivyrill::lab
--- a/tests/link_tests.cpp
+++ b/tests/link_tests.cpp
@@ -19,8 +19,8 @@
 using model::Instance;
 using transport::Done;
 
-constexpr Tenths kSilence = 500; // 50 ms
-constexpr Tenths kLongSilence = 60 * kTenthsPerSecond;
+constexpr Ticks kSilence = 500; // 50 ms
+constexpr Ticks kLongSilence = 60 * kTicksPerSecond;
 
 Instance instance(const std::string& id, std::uint64_t revision = 1) {
     Instance record;
@@ -125,7 +125,7 @@
     publisher.accept(accept_socket(script.reactor, connection_with(first, other)));
     script.run([&]() -> ReactorScript::Step {
         const bool member =
-            co_await script.until([&] { return !publisher.sessions().empty(); }, kTenthsPerSecond);
+            co_await script.until([&] { return !publisher.sessions().empty(); }, kTicksPerSecond);
         BOOST_TEST(member);
         std::string received;
         const bool is_received = co_await script.until([&] {
@@ -438,7 +438,7 @@
         bool holds = co_await script.until([&] { return peer.up(); });
         BOOST_TEST(holds);
         peer.send(subscription());
-        const Tenths started_at = script.reactor.now();
+        const Ticks started_at = script.reactor.now();
         holds = co_await script.until([&] { return node.publisher.sessions().size() == 1U; });
         BOOST_TEST(holds);
         holds = co_await script.until([&] { return peer.ended(); });
@@ -463,7 +463,7 @@
     script.run([&]() -> ReactorScript::Step {
         bool holds = co_await script.until([&] { return subscriber_node.subscriber.connected(); });
         BOOST_TEST(holds);
-        const Tenths until = script.reactor.now() + 4 * kSilence;
+        const Ticks until = script.reactor.now() + 4 * kSilence;
         holds = co_await script.until([&] { return script.reactor.now() >= until; });
         BOOST_TEST(holds);
         BOOST_TEST(subscriber_node.ended == 0);
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -22,7 +22,7 @@
 using lab::SimulatedMaintenance;
 using lab::SimulatedMaintenancePlan;
 
-constexpr Tenths kS = kTenthsPerSecond;
+constexpr Ticks kS = kTicksPerSecond;
 
 SimulatedMaintenancePlan five_voters() {
     SimulatedMaintenancePlan plan;
@@ -41,10 +41,10 @@
         assert(until([&] { return schedule().job(machines.back()) != nullptr; }, 20 * kS));
     }
     JobState state(const std::string& machine) const { return schedule().job(machine)->state; }
-    bool reaches(const std::string& machine, JobState expected, Tenths bound = 60 * kS) {
+    bool reaches(const std::string& machine, JobState expected, Ticks bound = 60 * kS) {
         return until([&] { return state(machine) == expected; }, bound);
     }
-    bool all_jobs_end(Tenths bound = 300 * kS) {
+    bool all_jobs_end(Ticks bound = 300 * kS) {
         return until([&] { return all_jobs_finished(); }, bound);
     }
     int number(const std::string& name) const { return std::stoi(name.substr(1)); }
@@ -151,7 +151,7 @@
                                     std::string(1, static_cast<char>('a' + i % 3)),
                                     {i % 2, 2 + i % 3},
                                     1,
-                                    static_cast<Tenths>((1 + 9 * random.unit()) * kS)});
+                                    static_cast<Ticks>((1 + 9 * random.unit()) * kS)});
         schedule.apply(update);
         std::vector<PlannedJob> jobs;
         for (int i = 0; i < 6; ++i)
@@ -396,10 +396,10 @@
 void controllers_answer_twice_late_or_never() {
     for (int how = 0; how < 3; ++how) {
         ReadyWorld world;
-        world.reply_delays = [how](const std::string& machine) -> std::vector<Tenths> {
+        world.reply_delays = [how](const std::string& machine) -> std::vector<Ticks> {
             if (how == 0) return {10, 10, 300};
             if (how == 1) return {kS * 9 / 10}; // the timeout of an action is one second
-            return machine == "s0" ? std::vector<Tenths>{} : std::vector<Tenths>{10};
+            return machine == "s0" ? std::vector<Ticks>{} : std::vector<Ticks>{10};
         };
         world.add_jobs({"s0", "s1"});
         if (how == 2) {
@@ -441,7 +441,7 @@
     FleetObservation observed;
     assert(schedule.apply(executor.run(kS, schedule, observed).commands[0]).accepted);
     bool given = false;
-    for (Tenths now = 2 * kS; now < 200 * kS && !given; now += kS) {
+    for (Ticks now = 2 * kS; now < 200 * kS && !given; now += kS) {
         for (const Command& command : executor.run(now, schedule, observed).commands) {
             given = given || std::holds_alternative<ExpireLease>(command);
             if (!given) schedule.apply(command);
@@ -674,7 +674,7 @@
         return is_vote_request(bytes) && nlohmann::json::from_cbor(bytes)[7] == false;
     }
     bool until(const std::function<bool()>& holds) {
-        for (const Tenths end = now + 30 * kS; now < end && !holds(); now += kS / 100) {
+        for (const Ticks end = now + 30 * kS; now < end && !holds(); now += kS / 100) {
             for (auto& node : nodes) node->step(now);
             deliver();
         }
@@ -689,7 +689,7 @@
     std::size_t held_sender = 3; // none
     bool votes_only = false;
     std::vector<HeldMessage> held_messages;
-    Tenths now = 100 * kS;
+    Ticks now = 100 * kS;
 };
 
 // n2's vote request to n1 is delayed; n0 gets that vote and leads; n1 crashes, and then the request arrives.
@@ -793,7 +793,7 @@
     assert(a.send(kS, "10.0.0.2:1", MessageKind::kConsensus, large));
     Pcg random(3);
     std::optional<PeerMessage> received;
-    for (Tenths now = kS; now < 4 * kS && !received; now += kS / 20) {
+    for (Ticks now = kS; now < 4 * kS && !received; now += kS / 20) {
         for (const OutboundDatagram& datagram : a.take_datagrams())
             if (random.unit() > 0.3)
                 if (auto message = b.receive(now, datagram.bytes)) received = message;
--- a/tests/membership_tests.cpp
+++ b/tests/membership_tests.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr Tenths kProbeInterval = kTenthsPerSecond;
+constexpr Ticks kProbeInterval = kTicksPerSecond;
 
 struct World {
     struct InFlight {
-        Tenths at;
+        Ticks at;
         std::uint64_t order;
         int to;
         Datagram datagram;
@@ -40,7 +40,7 @@
         members[member] = std::make_unique<MemberList>(options, now);
         if (static_cast<std::size_t>(member) < due_times.size()) due_times[member] = 0;
     }
-    Tenths due_of(int member) { // cached until the member changes
+    Ticks due_of(int member) { // cached until the member changes
         due_times.resize(members.size());
         if (due_times[member] == 0) due_times[member] = members[member]->next_step();
         return due_times[member];
@@ -58,13 +58,13 @@
             const int to = std::stoi(sent.address.substr(7));
             if (rng.unit() < loss || (partition && partition(from, to))) continue;
             in_flight.push(
-                {now + 5 + static_cast<Tenths>(rng.unit() * 20), ++order, to, std::move(sent.datagram)});
+                {now + 5 + static_cast<Ticks>(rng.unit() * 20), ++order, to, std::move(sent.datagram)});
         }
     }
-    void advance(Tenths span) {
-        const Tenths end = now + span;
+    void advance(Ticks span) {
+        const Ticks end = now + span;
         for (;;) {
-            Tenths at = end;
+            Ticks at = end;
             int turn = -1;
             for (int i = 0; i < static_cast<int>(members.size()); ++i)
                 if (members[i] && !stalled.contains(i) && std::max(now, due_of(i)) < at)
@@ -84,8 +84,8 @@
         }
     }
     // Runs until the condition is met or `bound` has passed; returns the elapsed time.
-    Tenths advance_until(const std::function<bool()>& condition, Tenths bound) {
-        const Tenths begin = now;
+    Ticks advance_until(const std::function<bool()>& condition, Ticks bound) {
+        const Ticks begin = now;
         while (!condition() && now < begin + bound) advance(kProbeInterval / 10);
         return now - begin;
     }
@@ -97,10 +97,10 @@
     std::function<bool(int, int)> partition;
     std::set<int> stalled;
     std::vector<std::unique_ptr<MemberList>> members;
-    std::vector<Tenths> due_times;
+    std::vector<Ticks> due_times;
     std::priority_queue<InFlight, std::vector<InFlight>, std::greater<>> in_flight;
     Pcg rng{7};
-    Tenths now = kTenthsPerSecond;
+    Ticks now = kTicksPerSecond;
     std::uint64_t order = 0, datagrams = 0, failures = 0;
     std::size_t max_updates = 0;
 };
--- a/tests/model_server_socket_tests.cpp
+++ b/tests/model_server_socket_tests.cpp
@@ -14,8 +14,8 @@
 using protocol::read_json;
 using transport::Stream;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kTimeout = 20 * kSecond; // real time; reached only on failure
+constexpr Ticks kSecond = kTicksPerSecond, kMs = kTicksPerSecond / 1000;
+constexpr Ticks kTimeout = 20 * kSecond; // real time; reached only on failure
 
 ModelServerPlan fast(ModelServerPlan plan = {}) {
     plan.read_tokens_per_s = 1e6;
@@ -85,9 +85,9 @@
     }
     // Runs the loop until the condition holds; fails the test on timeout.
     void until(const std::function<bool()>& condition) {
-        const Tenths deadline = loop.now() + kTimeout;
+        const Ticks deadline = loop.now() + kTimeout;
         for (pass(); !condition() && loop.now() < deadline; pass()) {
-            Tenths next = deadline;
+            Ticks next = deadline;
             for (const auto& server : servers_) next = std::min(next, server->due().value_or(next));
             for (const auto& client : clients_) next = std::min(next, client->due().value_or(next));
             loop.wait(next);
--- a/tests/model_server_tests.cpp
+++ b/tests/model_server_tests.cpp
@@ -11,8 +11,8 @@
 using namespace ivyrill::lab;
 using protocol::read_json;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kStart = ServerWorld::kStart;
+constexpr Ticks kSecond = kTicksPerSecond, kMs = kTicksPerSecond / 1000;
+constexpr Ticks kStart = ServerWorld::kStart;
 
 std::string order(const std::string& stage,
                   const std::string& more = R"(,"holder":"node-7","fenceToken":41)") {
--- a/tests/pair_selector_tests.cpp
+++ b/tests/pair_selector_tests.cpp
@@ -13,8 +13,8 @@
 using model::InstanceState;
 using model::Stage;
 
-constexpr Tenths kStart = 1'000'000, kTarget = 1500;
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kStart = 1'000'000, kTarget = 1500;
+constexpr Ticks kSecond = kTicksPerSecond;
 constexpr int kTries = 200; // enough for a random choice to pick every equal server
 
 Instance server(const std::string& id, Stage stage = Stage::kNone) {
@@ -51,14 +51,14 @@
         return all;
     }
     // A complete attempt: sent, answered after `took`, ended.
-    void serve(const std::string& id, const Request& request, Work work, Tenths took) {
+    void serve(const std::string& id, const Request& request, Work work, Ticks took) {
         const auto attempt = selector.sent(id, request, work, std::nullopt, now);
         now += took;
         selector.answered(attempt, now);
         selector.ended(attempt, now);
     }
     std::map<std::string, Instance> instances;
-    Tenths now = kStart;
+    Ticks now = kStart;
     PairSelector selector;
 };
 
@@ -207,11 +207,11 @@
 
 BOOST_AUTO_TEST_CASE(rejections_back_off_exponentially) {
     Fleet fleet({server("a"), server("b")});
-    Tenths former = 0;
+    Ticks former = 0;
     for (int times = 0; times < 4; ++times) {
         const auto attempt = fleet.selector.sent("a", plain(), Work::kUnstaged, 0, fleet.now);
         fleet.selector.rejected(attempt, fleet.now);
-        const Tenths began = fleet.now;
+        const Ticks began = fleet.now;
         BOOST_TEST((fleet.decode_servers(plain()) == std::set<std::string>{"b"}));
         while (fleet.decode_servers(plain()).size() == 1 && fleet.now < began + 10 * kSecond)
             fleet.now += 100;
@@ -275,7 +275,7 @@
     BOOST_TEST(sent == 2 * static_cast<int>(kStartLimit));
     const Choice choice = fleet.selector.choose(plain(), {}, true, false, fleet.now);
     BOOST_REQUIRE(std::holds_alternative<Backlogged>(choice));
-    const Tenths until = std::get<Backlogged>(choice).until;
+    const Ticks until = std::get<Backlogged>(choice).until;
     BOOST_TEST((until > fleet.now && until <= fleet.now + kWindow));
     fleet.now = until - 1;
     BOOST_TEST(fleet.decode_server(plain()).empty());
--- a/tests/platform_client_tests.cpp
+++ b/tests/platform_client_tests.cpp
@@ -69,7 +69,7 @@
     std::optional<PlatformOutcome> outcome;
     int connections = 0;
     std::vector<protocol::HttpMessage> requests;
-    Tenths duration = 0;
+    Ticks duration = 0;
 };
 
 struct Scenario {
@@ -86,7 +86,7 @@
     control::HttpPlatformClient client(script.reactor, platform.address());
     CallResult result;
     script.run([&]() -> ReactorScript::Step {
-        const Tenths started_at = script.reactor.now();
+        const Ticks started_at = script.reactor.now();
         client.send(
             scenario.call, "core-1", [&] { return scenario.may_send; },
             [&](PlatformOutcome outcome) { result.outcome = outcome; });
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Tenths kS = kTenthsPerSecond;
+constexpr Ticks kS = kTicksPerSecond;
 
 // IVYRILL_RIG_PROGRAM replaces the built program, for runs with processes of different builds.
 std::string program_path() {
@@ -23,13 +23,13 @@
 }
 
 struct RunningFleet : ProcessHarness {
-    static ProcessHarnessPlan plan(std::size_t voter_count, Tenths work) {
+    static ProcessHarnessPlan plan(std::size_t voter_count, Ticks work) {
         ProcessHarnessPlan settings;
         settings.program = program_path();
         settings.voter_count = voter_count, settings.work = work;
         return settings;
     }
-    explicit RunningFleet(std::size_t voter_count = 3, Tenths work = kS / 2)
+    explicit RunningFleet(std::size_t voter_count = 3, Ticks work = kS / 2)
         : ProcessHarness(plan(voter_count, work)) {
         for (int i = 0; i < 5; ++i) assert(ready(i));
         assert(await([this] {
@@ -49,8 +49,8 @@
                 if (job["machine"] == machine) return job[field].get<std::string>();
         return {};
     }
-    void pass(Tenths span) const {
-        const Tenths end = now() + span;
+    void pass(Ticks span) const {
+        const Ticks end = now() + span;
         assert(await([&] { return now() >= end; }));
     }
     void expect_finish_without_violations(int node, bool most_searches_delivered = true) {
@@ -212,7 +212,7 @@
     fleet.with_machine("s0", [&](SimulatedMachine& machine) {
         machine.state = SimulatedMachine::State::kStarting, machine.since = fleet.now();
     });
-    Tenths start = 0;
+    Ticks start = 0;
     assert(fleet.await([&] {
         for (const ProcessHarnessEvent& event : fleet.history())
             if (event.what == ProcessHarnessEvent::What::kMachineUp && event.name == "s0") start = event.at;
@@ -221,7 +221,7 @@
     for (int i = 0; i < processes / 10; ++i) fleet.kill(i), fleet.start(i);
     assert(fleet.await([&] { return fleet.now() >= start + plan.warm_up_time; }));
     fleet.stop_clients();
-    std::deque<Tenths> recent_sends;
+    std::deque<Ticks> recent_sends;
     std::size_t all = 0;
     for (const ProcessHarnessEvent& event : fleet.history()) {
         if (event.what != ProcessHarnessEvent::What::kAttempt || event.detail != "s0" || event.at < start)
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -52,8 +52,8 @@
         for (Effect& effect : router.turn(now)) effects.push_back(std::move(effect));
     }
     void handle(Event event) { router.handle(now, std::move(event)), turn(); }
-    void pass(Tenths span) {
-        for (const Tenths end = now + span; now < end;) ++now, turn();
+    void pass(Ticks span) {
+        for (const Ticks end = now + span; now < end;) ++now, turn();
     }
     template <class EffectType> std::vector<EffectType> all() const {
         std::vector<EffectType> found;
@@ -101,7 +101,7 @@
     }
 
     Router router;
-    Tenths now = ms(1000);
+    Ticks now = ms(1000);
     std::uint64_t clients = 0;
     std::vector<Effect> effects;
 };
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -582,7 +582,7 @@
 // While discovery is down, queries are retried often enough for the propagation time of the server list.
 void return_of_discovery_is_noticed_in_time() {
     RouterFixture fixture;
-    Tenths lost_at = 0;
+    Ticks lost_at = 0;
     for (int i = 0; i < 40; ++i) {
         const auto asked = fixture.all<QueryDiscovery>().size();
         fixture.handle(ServerListFailed{fixture.all<QueryDiscovery>().back().call});
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -181,7 +181,7 @@
 tls = {"open_handshakes": 10}
 )");
     assert(parsed.access && parsed.access->platform_port_guarded &&
-           parsed.access->terms.skew == 5 * kTenthsPerSecond);
+           parsed.access->terms.skew == 5 * kTicksPerSecond);
     assert(parsed.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
     assert(!parsed.access->terms.other_request_classes && parsed.listeners.size() == 1 &&
            parsed.listeners[0].guarded);
@@ -221,7 +221,7 @@
     assert(parsed.membership && parsed.membership->bind == "10.0.0.1:7946" &&
            parsed.maintenance->voter_count == 3);
     assert(parsed.maintenance->limits.min_replicas == 1 &&
-           parsed.maintenance->timing.lease == 10 * kTenthsPerSecond);
+           parsed.maintenance->timing.lease == 10 * kTicksPerSecond);
     const auto with = [](const std::string& more) { return error_of(kMaintenance + more); };
     assert(error_of("rota = {'candidates': {}}").find("rota: there is no section 'members'") == 0);
     assert(with("rota['council'] = 4").find("rota.council: expected 1, 3, 5 or 7") == 0);
--- a/tests/search_scheduler_tests.cpp
+++ b/tests/search_scheduler_tests.cpp
@@ -299,16 +299,16 @@
             hosts.push_back(std::make_unique<FakeHost>(config));
             hosts.back()->warm(3);
         }
-        Tenths now = 0;
+        Ticks now = 0;
         for (auto& host : hosts) now = std::max(now, host->now);
-        const Tenths start = now, service = ms(50);
+        const Ticks start = now, service = ms(50);
         for (auto& host : hosts) {
             host->now = now, host->sent.clear();
             host->handle(
                 ServerListUpdate{ListKind::kChanges, {FakeHost::entry(0, ListedState::kLive, start)}});
         }
         Pcg chance(static_cast<std::uint64_t>(nodes));
-        std::deque<Tenths> sent;
+        std::deque<Ticks> sent;
         std::size_t all = 0;
         for (; now < start + config.warm_up_time; now += ms(5)) {
             for (auto& host : hosts) {
@@ -573,7 +573,7 @@
 }
 
 // Servers 6 to 29 share a zone or kind and fail. New servers of that group must rank below other new ones.
-void check_degraded_group(ListEntry like, Outcome outcome, Tenths took) {
+void check_degraded_group(ListEntry like, Outcome outcome, Ticks took) {
     FakeHost host(default_config(), 0);
     ServerListUpdate update{ListKind::kWhole, {}}, more{ListKind::kChanges, {}};
     for (int i = 0; i < 36; ++i) {
@@ -677,7 +677,7 @@
 }
 
 void late_search_ends_in_an_overloaded_fleet() {
-    for (const Tenths took : {ms(15), ms(900)}) { // response time of all other searches
+    for (const Ticks took : {ms(15), ms(900)}) { // response time of all other searches
         FakeHost host(default_config(), 48);
         const SearchId late = host.search({0});
         for (int turn = 0; turn < 197; ++turn) {
--- a/tests/selection_parts_tests.cpp
+++ b/tests/selection_parts_tests.cpp
@@ -13,10 +13,10 @@
 using namespace ivyrill;
 using namespace ivyrill::replica_selection;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kStart = 100 * kSecond;
+constexpr Ticks kSecond = kTicksPerSecond, kStart = 100 * kSecond;
 constexpr RetryBudget::Limits kLimits{0.2, 54, 10 * kSecond};
 
-int use_all(RetryBudget& budget, Tenths now) {
+int use_all(RetryBudget& budget, Ticks now) {
     int used = 0;
     while (used < 100'000 && budget.try_retry(now)) ++used;
     return used;
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(retention_follows_from_memory_and_token_rate) {
     for (const double senders : {1.0, 10.0}) {
         PromptCacheView cache;
-        Tenths now = kStart;
+        Ticks now = kStart;
         for (int i = 0; i < 400; ++i, now += kSecond / 20) // 20 prompts of 1000 tokens per second and sender
             cache.record_use({{std::to_string(i), 1000}}, 400'000, senders, now);
         std::int64_t held = 0;
@@ -123,13 +123,13 @@
     Pcg random(31);
     RetryBudget budget(kLimits);
     budget.set_edge_nodes(7, kStart);
-    std::vector<Tenths> requests, used;
-    for (Tenths now = kStart; now < kStart + 120 * kSecond; now += static_cast<Tenths>(random.next() % 400)) {
+    std::vector<Ticks> requests, used;
+    for (Ticks now = kStart; now < kStart + 120 * kSecond; now += static_cast<Ticks>(random.next() % 400)) {
         const bool burst = (now / (7 * kSecond)) % 2 == 0;
         if (burst) budget.count_request(now), requests.push_back(now);
         if (budget.try_retry(now)) used.push_back(now);
-        const auto within = [now](const std::vector<Tenths>& times) {
-            return std::ranges::count_if(times, [now](Tenths at) { return at > now - kLimits.window; });
+        const auto within = [now](const std::vector<Ticks>& times) {
+            return std::ranges::count_if(times, [now](Ticks at) { return at > now - kLimits.window; });
         };
         const double allowed = kLimits.ratio * static_cast<double>(within(requests)) + kLimits.slack / 7;
         BOOST_REQUIRE(static_cast<double>(within(used)) <= allowed + 1);
@@ -152,7 +152,7 @@
     cut_off.set_edge_nodes(9, kStart);
     cut_off.set_edge_nodes(1, kStart + kSecond); // the others may only be partitioned
     BOOST_TEST(use_all(cut_off, kStart + kSecond) == use_all(steady, kStart + kSecond));
-    const Tenths later = kStart + 4 * kLimits.window;
+    const Ticks later = kStart + 4 * kLimits.window;
     cut_off.set_edge_nodes(1, later);
     steady.set_edge_nodes(9, later);
     BOOST_TEST(use_all(cut_off, later) > use_all(steady, later));
--- a/tests/service_partitions_tests.cpp
+++ b/tests/service_partitions_tests.cpp
@@ -14,7 +14,7 @@
 using namespace ivyrill;
 using namespace ivyrill::control;
 
-constexpr Tenths kInterval = 12'000, kStart = 1'000'000;
+constexpr Ticks kInterval = 12'000, kStart = 1'000'000;
 
 model::Instance server(int number, const std::string& service = "model") {
     model::Instance made;
@@ -147,7 +147,7 @@
     EdgeNodeList list;
     std::vector<model::EdgeNode> sessions;
     int published = 0;
-    Tenths now = kStart;
+    Ticks now = kStart;
     for (int i = 0; i < 500; ++i, now += 20) {
         sessions.push_back({"edge-" + std::to_string(i), "a", "10.0.0.1", 1});
         published += list.update(sessions, now) ? 1 : 0;
--- a/tests/soak_tests.cpp
+++ b/tests/soak_tests.cpp
@@ -12,9 +12,9 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr Tenths kS = kTenthsPerSecond, kStart = 100 * kS;
+constexpr Ticks kS = kTicksPerSecond, kStart = 100 * kS;
 
-SoakVersion version(std::int64_t number, Tenths at, std::map<std::string, std::string> keys) {
+SoakVersion version(std::int64_t number, Ticks at, std::map<std::string, std::string> keys) {
     return {number, "", std::move(keys), {{"/chat/", SoakKind::kOnce, false, {"model"}}}, at, at, false};
 }
 
@@ -29,12 +29,12 @@
         record.runs = {{"a1", 1}};
     }
     SoakAttempt& attempt() { return record.attempts.front(); }
-    void cut_after(Tenths span) {
+    void cut_after(Ticks span) {
         attempt().end = AnswerEnd::kCut, attempt().whole = false;
         attempt().ended_at = attempt().sent_at + span;
     }
     void unread() { record.calls.clear(), record.runs.clear(), attempt().status = 0; }
-    void trouble(SoakTrouble::What what, SoakProcess process, Tenths from, Tenths until) {
+    void trouble(SoakTrouble::What what, SoakProcess process, Ticks from, Ticks until) {
         record.troubles.push_back({what, process, from, until});
     }
     bool breaks(const std::string& rule) const {
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -123,7 +123,7 @@
 struct World {
     // With `start`, the front node listens but does not run before `start` is released.
     explicit World(Idempotency idempotency = Idempotency::kIdempotent, std::int64_t sockets = 256,
-                   const Start* start = nullptr, Tenths due = ms(1000), int max_calls_per_connection = 100) {
+                   const Start* start = nullptr, Ticks due = ms(1000), int max_calls_per_connection = 100) {
         protocol::StartConfig orders;
         orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
         orders.terms.scheduler = default_config();
--- a/tests/usage_duty_tests.cpp
+++ b/tests/usage_duty_tests.cpp
@@ -14,7 +14,7 @@
 using duties::PlatformOutcome;
 using duties::UsageLedger;
 
-constexpr Tenths kSecond = kTenthsPerSecond, kStart = 1'000'000;
+constexpr Ticks kSecond = kTicksPerSecond, kStart = 1'000'000;
 constexpr std::int64_t kWindowMs = 5'000, kFirst = 353'445'120;
 
 struct Call {
@@ -37,7 +37,7 @@
 struct Fixture {
     transport::Reactor reactor{kStart};
     FakePlatform platform;
-    Tenths now = kStart;
+    Ticks now = kStart;
     std::optional<std::uint64_t> fence = 12;
     bool commits_immediately = true, has_tokens = true, knows_time = true;
     bool waits_for_lease = false, is_complete = true;
@@ -76,8 +76,8 @@
         for (; !proposals.empty(); proposals.pop_front())
             if (auto next = proposals.front()(ledger)) ledger = *next;
     }
-    void run(Tenths span) {
-        for (const Tenths end = now + span; now < end;) {
+    void run(Ticks span) {
+        for (const Ticks end = now + span; now < end;) {
             now += 500, time_ms += 50;
             reactor.turn(now, 0);
         }
@@ -173,7 +173,7 @@
         Fixture fixture;
         fixture.ledger = {kFirst + 100, {{kFirst, fixture.body(kFirst)}}};
         int tries = 0;
-        for (const Tenths end = fixture.now + 20 * kSecond; fixture.now < end; fixture.run(500)) {
+        for (const Ticks end = fixture.now + 20 * kSecond; fixture.now < end; fixture.run(500)) {
             if (fixture.platform.calls.empty()) continue;
             BOOST_TEST(fixture.platform.calls.size() == 1U); // one at a time
             BOOST_TEST(fixture.platform.calls.front().call.body == fixture.body(kFirst));
@@ -238,7 +238,7 @@
     Fixture fixture;
     fixture.ledger = {kFirst + 100, {{kFirst, fixture.body(kFirst)}}};
     int tries = 0;
-    for (const Tenths end = fixture.now + 30 * kSecond; fixture.now < end; fixture.run(500))
+    for (const Ticks end = fixture.now + 30 * kSecond; fixture.now < end; fixture.run(500))
         if (!fixture.platform.calls.empty()) fixture.answer(PlatformOutcome::kRefused), ++tries;
     BOOST_TEST(tries == UsageDuty::kMaxRefusals);
     BOOST_TEST(fixture.duty->status().given_up == 1U);
--- a/tests/usage_history_tests.cpp
+++ b/tests/usage_history_tests.cpp
@@ -11,9 +11,9 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kSecond = kTicksPerSecond;
 constexpr std::size_t kAgents = 6;
-constexpr Tenths kForwardingTime = 2 * kSecond; // time for a count to reach all control nodes
+constexpr Ticks kForwardingTime = 2 * kSecond; // time for a count to reach all control nodes
 
 ControlPlan plan_of(std::uint64_t seed, int control_machines = 3) {
     ControlPlan plan;
@@ -24,9 +24,9 @@
 }
 
 // Requests of four tenants, one every 4 ms at a random proxy.
-void serve_for(ControlWorld& world, Tenths span) {
+void serve_for(ControlWorld& world, Ticks span) {
     static const std::vector<std::string> kTenants{"ada", "ada", "ada", "bob", "bob", "cyd", "dot"};
-    const Tenths end = world.network().now() + span;
+    const Ticks end = world.network().now() + span;
     while (world.network().now() < end) {
         world.begin_request(static_cast<std::size_t>(world.network().any(kAgents)),
                             kTenants[static_cast<std::size_t>(world.network().any(7))]);
--- a/tests/usage_ledger_tests.cpp
+++ b/tests/usage_ledger_tests.cpp
@@ -185,11 +185,11 @@
 // ---- rate limit of calls to the platform, over all duties
 
 BOOST_AUTO_TEST_CASE(all_partitions_together_stay_within_the_rate_limit) {
-    constexpr Tenths kStart = 1'000'000;
+    constexpr Ticks kStart = 1'000'000;
     for (const double per_s : {0.0, 8.0, 50.0, 51.0}) {
-        PlatformRateLimiter limiter(per_s, kStart - 100 * kTenthsPerSecond); // the buckets are full
-        std::vector<Tenths> calls;
-        for (Tenths now = kStart; now < kStart + 4 * kTenthsPerSecond; now += 10)
+        PlatformRateLimiter limiter(per_s, kStart - 100 * kTicksPerSecond); // the buckets are full
+        std::vector<Ticks> calls;
+        for (Ticks now = kStart; now < kStart + 4 * kTicksPerSecond; now += 10)
             for (std::size_t partition = 0; partition < kDutyPartitions; ++partition)
                 for (int subject = 0; subject < 50; ++subject) {
                     const Duty duty = server_count_duty("s" + std::to_string(subject), "z");
@@ -199,7 +199,7 @@
         const double max_calls = per_s > 0 ? per_s : 8;
         for (std::size_t i = 0; i < calls.size(); ++i) {
             std::size_t last = i;
-            while (last < calls.size() && calls[last] - calls[i] < kTenthsPerSecond) ++last;
+            while (last < calls.size() && calls[last] - calls[i] < kTicksPerSecond) ++last;
             BOOST_TEST(static_cast<double>(last - i) <= max_calls);
         }
         BOOST_TEST(static_cast<double>(calls.size()) >= 4 * max_calls / 2 - kDutyPartitions);
@@ -209,5 +209,5 @@
 BOOST_AUTO_TEST_CASE(new_process_starts_without_tokens) {
     PlatformRateLimiter limiter(50, 1'000'000);
     BOOST_TEST(!limiter.try_acquire(usage_report_duty(), 1'000'000));
-    BOOST_TEST(limiter.try_acquire(usage_report_duty(), 1'000'000 + kTenthsPerSecond));
+    BOOST_TEST(limiter.try_acquire(usage_report_duty(), 1'000'000 + kTicksPerSecond));
 }
--- a/tests/usage_tests.cpp
+++ b/tests/usage_tests.cpp
@@ -22,34 +22,34 @@
 
 namespace {
 
-constexpr Tenths kSecond = kTenthsPerSecond;
+constexpr Ticks kSecond = kTicksPerSecond;
 constexpr std::int64_t kStartMs = 1'767'225'600'000; // true time at 0 of the steady clock
 constexpr std::int64_t kWindowMs = 5000;
 constexpr std::int64_t kWindow = kStartMs / kWindowMs;
 constexpr int kMachines = 63;
 
-std::int64_t true_ms(Tenths steady) { return kStartMs + steady / 10; }
+std::int64_t true_ms(Ticks steady) { return kStartMs + steady / 10; }
 
 std::string machine(int number) { return "machine-" + std::to_string(number); }
 
 // Adds samples with offsets of up to 5 ms either way; the first `stepped` machines have jumped.
-void sample_all(FleetClock& clock, Tenths now, int stepped, std::int64_t step_ms) {
+void sample_all(FleetClock& clock, Ticks now, int stepped, std::int64_t step_ms) {
     for (int i = 0; i < kMachines; ++i) {
         const std::int64_t offset_ms = i % 11 - 5;
         clock.add_sample(machine(i), true_ms(now) + offset_ms + (i < stepped ? step_ms : 0), now);
     }
 }
 
-std::int64_t error_of(const FleetClock& clock, Tenths now) {
+std::int64_t error_of(const FleetClock& clock, Ticks now) {
     const auto time = clock.at(now);
     BOOST_REQUIRE(time.has_value());
     return std::abs(time->unix_ms - true_ms(now));
 }
 
-FleetTime exact(Tenths now) { return {true_ms(now), 1}; }
+FleetTime exact(Ticks now) { return {true_ms(now), 1}; }
 
 // Merges the counts as if they arrived directly at a control node.
-void merge_all(UsageAggregator& aggregator, const std::vector<ProcessUsage>& reports, Tenths now) {
+void merge_all(UsageAggregator& aggregator, const std::vector<ProcessUsage>& reports, Ticks now) {
     for (const ProcessUsage& usage : reports) aggregator.merge(usage, now);
 }
 
@@ -60,7 +60,7 @@
 }
 
 // An aggregator that has been running for a while.
-UsageAggregator aggregator_at(Tenths now) {
+UsageAggregator aggregator_at(Ticks now) {
     UsageAggregator aggregator({kWindowMs, 60'000});
     aggregator.advance(true_ms(now - 60 * kSecond), now - 60 * kSecond);
     aggregator.advance(true_ms(now), now);
@@ -84,7 +84,7 @@
     for (const std::int64_t step_ms : {2000, 3000, -2000, -3000})
         for (const int stepped : {1, kMachines * 3 / 10, (kMachines * 4 + 9) / 10}) {
             FleetClock clock;
-            Tenths now = 0;
+            Ticks now = 0;
             for (int second = 0; second < 30; ++second, now += kSecond) {
                 sample_all(clock, now, second >= 10 && second < 20 ? stepped : 0, step_ms);
                 BOOST_TEST(error_of(clock, now) <= 5);
@@ -127,7 +127,7 @@
     SyncedClock clock;
     BOOST_TEST(!clock.at(0).has_value());
     for (int second = 0; second < 8; ++second) {
-        const Tenths now = second * kSecond;
+        const Ticks now = second * kSecond;
         const std::int64_t delay_ms = second == 3 ? 2 : 150;
         clock.update({true_ms(now) - delay_ms, 20}, now);
     }
@@ -164,7 +164,7 @@
     UsageMeter meter(7, kWindowMs);
     meter.update_fleet_time(exact(0), 0);
     int reports = 0;
-    for (Tenths now = 2500; now <= 10 * kSecond; now += 2500) reports += meter.take(now).empty() ? 0 : 1;
+    for (Ticks now = 2500; now <= 10 * kSecond; now += 2500) reports += meter.take(now).empty() ? 0 : 1;
     BOOST_TEST(reports == 10);
 }
 
@@ -248,7 +248,7 @@
     BOOST_TEST(aggregator.is_complete(kWindow, end_ms, kSecond));
     aggregator.merge(killed, 0);
     BOOST_TEST(!aggregator.is_complete(kWindow, end_ms, kSecond));
-    for (Tenths now = 0; now < 6 * kSecond; now += kSecond)
+    for (Ticks now = 0; now < 6 * kSecond; now += kSecond)
         aggregator.merge(killed, now); // relayed again by other nodes
     BOOST_TEST(aggregator.is_complete(kWindow, end_ms, 6 * kSecond));
     BOOST_TEST(count_of(aggregator, kWindow, "ada") == 10);
@@ -315,7 +315,7 @@
 BOOST_AUTO_TEST_CASE(exchange_sends_session_clocks_as_offsets) {
     FleetClock clock, peer_clock;
     UsageAggregator aggregator = aggregator_at(0), peer_aggregator = aggregator_at(0);
-    const auto jumped_time = [](Tenths now) {
+    const auto jumped_time = [](Ticks now) {
         return true_ms(now) + 2700;
     }; // this node's own clock has jumped
     control::UsageExchange exchange("control-1", clock, aggregator, [&] { return jumped_time(kSecond); });
@@ -361,7 +361,7 @@
     constexpr std::uint64_t kProcesses = 560;
     constexpr int kTenants = 490, kWindows = 4;
     FleetClock clock, peer_clock;
-    const Tenths now = 20 * kSecond;
+    const Ticks now = 20 * kSecond;
     UsageAggregator aggregator = aggregator_at(now), peer_aggregator = aggregator_at(now);
     control::UsageExchange exchange("control-1", clock, aggregator, [] { return true_ms(20 * kSecond); });
     control::UsageExchange peer("control-2", peer_clock, peer_aggregator,
