--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -240,8 +240,8 @@
         const bool close = closes(client->second);
         if (search.revoked != access::Reason::kAdmitted && answer.verdict == protocol::Verdict::kRejected) {
             const access::Refusal refusal = access::refusal_of(search.revoked); // nothing has run or will run
-            effects_.push_back(RejectClient{search.client, refusal.status, std::string(refusal.words), close,
-                                            refusal.challenge, search.stream});
+            effects_.push_back(RejectClient{search.client, refusal.status, std::string(refusal.message),
+                                            close, refusal.challenge, search.stream});
         } else {
             effects_.push_back(AnswerClient{search.client, std::move(answer), close, search.stream});
         }
