--- a/src/operator/operator_settings.cpp
+++ b/src/operator/operator_settings.cpp
@@ -22,7 +22,7 @@
     return rights;
 }
 
-access::NameRule read_rule(FieldReader fields, const access::AccessOptions& terms) {
+access::NameRule read_rule(FieldReader fields, const access::AccessOptions& options) {
     access::NameRule rule;
     rule.uri = fields.text("uri", ""), rule.dns = fields.text("dns", "");
     if (rule.uri.empty() == rule.dns.empty()) fields.fail("uri", "expected either a uri or a dns name");
@@ -30,7 +30,7 @@
     if (pattern == "*" || pattern.find('*') < pattern.size() - 1)
         fields.fail(rule.uri.empty() ? "dns" : "uri", "expected '*' at the end only, after a prefix");
     rule.club = fields.text("club"), rule.member = fields.text("member");
-    if (!terms.clubs.contains(rule.club)) fields.fail("club", "no club is named '" + rule.club + "'");
+    if (!options.clubs.contains(rule.club)) fields.fail("club", "no club is named '" + rule.club + "'");
     rule.rights = read_rights(fields), rule.owned = fields.text_list("own");
     fields.reject_unknown();
     return rule;
@@ -38,21 +38,21 @@
 
 AccessSettings read_access(FieldReader fields) {
     AccessSettings result;
-    access::AccessOptions& terms = result.terms;
-    terms.issuer = fields.text("issuer"), terms.audience = fields.text("audience");
-    terms.skew = seconds(fields.integer("skew_s", 0, 300, 5));
-    terms.settle = seconds(fields.integer("settle_s", 0, 3600, 10));
-    terms.crl_grace = seconds(fields.integer("crl_grace_s", 0, 7 * 86400, 3600));
-    terms.max_token_bytes = static_cast<std::size_t>(fields.integer("token_bytes", 256, 8192, 4096));
-    terms.max_token_lifetime = seconds(fields.integer("token_life_s", 60, 366 * 86'400, 31 * 86'400));
-    terms.max_cached_tokens = static_cast<std::size_t>(fields.integer("cached_tokens", 0, 1'000'000, 4096));
+    access::AccessOptions& options = result.options;
+    options.issuer = fields.text("issuer"), options.audience = fields.text("audience");
+    options.skew = seconds(fields.integer("skew_s", 0, 300, 5));
+    options.settle = seconds(fields.integer("settle_s", 0, 3600, 10));
+    options.crl_grace = seconds(fields.integer("crl_grace_s", 0, 7 * 86400, 3600));
+    options.max_token_bytes = static_cast<std::size_t>(fields.integer("token_bytes", 256, 8192, 4096));
+    options.max_token_lifetime = seconds(fields.integer("token_life_s", 60, 366 * 86'400, 31 * 86'400));
+    options.max_cached_tokens = static_cast<std::size_t>(fields.integer("cached_tokens", 0, 1'000'000, 4096));
     fields.for_each_entry("clubs", [&](const std::string& club, const auto& tenant, const std::string& path) {
         if (!tenant.is_string()) throw SettingsError(path + ": expected the tenant's name");
         if (!access::is_valid_name(club))
             throw SettingsError(path + ": expected 1 to 64 letters, digits, '-', '_' or '.'");
-        terms.clubs[club] = tenant.template get<std::string>();
+        options.clubs[club] = tenant.template get<std::string>();
     });
-    if (terms.clubs.empty()) fields.fail("clubs", "expected at least one club");
+    if (options.clubs.empty()) fields.fail("clubs", "expected at least one club");
     const auto right_of = [](const nlohmann::ordered_json& value,
                              const std::string& path) -> std::optional<Right> {
         if (value == "read") return Right::kRead;
@@ -64,14 +64,14 @@
                           [&](const std::string& request_class, const auto& value, const std::string& path) {
                               const auto right = right_of(value, path);
                               if (!right) throw SettingsError(path + ": expected \"read\" or \"write_own\"");
-                              terms.request_classes[request_class] = *right;
+                              options.request_classes[request_class] = *right;
                           });
-    terms.other_request_classes =
+    options.other_request_classes =
         right_of(fields.text("other_products", "nobody"), fields.path() + ".other_products");
-    if (terms.request_classes.empty() && !terms.other_request_classes)
+    if (options.request_classes.empty() && !options.other_request_classes)
         fields.fail("products", "no request class is accessible");
     fields.for_each_object(
-        "names", [&](FieldReader rule) { terms.names.push_back(read_rule(std::move(rule), terms)); });
+        "names", [&](FieldReader rule) { options.names.push_back(read_rule(std::move(rule), options)); });
     result.keys = fields.text("keys", ""), result.revocations = fields.text("revocations", "");
     result.authorities = fields.text_list("authorities"), result.crls = fields.text_list("crls");
     if (result.keys.empty() && result.authorities.empty())
@@ -231,11 +231,11 @@
     result.ticket_lifetime = seconds(tls.integer("ticket_span_s", 1, 86'400, 3600));
     tls.reject_unknown();
     FieldReader http2 = top.object("http2").value_or(FieldReader(none, "http2"));
-    limits::ConnectionLimits& terms = result.connections;
-    terms.max_streams = static_cast<std::size_t>(http2.integer("open_streams", 1, 10'000, 100));
-    terms.max_header_list_bytes =
+    limits::ConnectionLimits& connection_limits = result.connections;
+    connection_limits.max_streams = static_cast<std::size_t>(http2.integer("open_streams", 1, 10'000, 100));
+    connection_limits.max_header_list_bytes =
         static_cast<std::size_t>(http2.integer("fields_bytes", 1024, 65'536, 16'384));
-    terms.max_buffered_bytes =
+    connection_limits.max_buffered_bytes =
         static_cast<std::size_t>(http2.integer("held_bytes", 65'536, 64 << 20, 1 << 20));
     http2.reject_unknown();
     FieldReader audit = top.object("audit").value_or(FieldReader(none, "audit"));
--- a/src/operator/operator_settings.hpp
+++ b/src/operator/operator_settings.hpp
@@ -18,7 +18,7 @@
 namespace ivyrill::operators {
 
 struct AccessSettings {
-    access::AccessOptions terms;
+    access::AccessOptions options;
     std::string keys, revocations; // paths of a folder and of a file
     std::vector<std::string> authorities, crls;
     bool platform_port_guarded = true; // whether the platform's plain port requires credentials
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -33,8 +33,8 @@
 
 struct CoordinationThread::State {
     State(const operators::OperatorSettings& settings, const std::string& secret,
-          protocol::FrontNodeConfig node_terms, const std::string& name, std::uint64_t seed)
-        : terms(std::move(node_terms)), socket(loop, transport::bind_datagrams(settings.membership->bind)),
+          protocol::FrontNodeConfig node_config, const std::string& name, std::uint64_t seed)
+        : config(std::move(node_config)), socket(loop, transport::bind_datagrams(settings.membership->bind)),
           wake_up_event(loop, eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)),
           member_count_event(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
         maintenance::MaintenanceNodeSettings node_settings;
@@ -103,7 +103,7 @@
                 next_observation_at = loop.now() + kTenthsPerSecond / 10,
                 observed_version = current_list.version;
                 maintenance_node->update_servers(
-                    CoordinationThread::observe_machines(current_list, terms, work, Loop::wall()),
+                    CoordinationThread::observe_machines(current_list, config, work, Loop::wall()),
                     rejected_share);
             }
             maintenance_node->step(loop.now(), Loop::wall());
@@ -162,7 +162,7 @@
             maintenance_node->counts().proposals);
     }
 
-    protocol::FrontNodeConfig terms;
+    protocol::FrontNodeConfig config;
     std::map<std::string, Tenths> work;
     Loop loop;
     transport::Source socket, wake_up_event; // the latter: written by the front node's thread
@@ -191,9 +191,9 @@
 };
 
 CoordinationThread::CoordinationThread(const operators::OperatorSettings& settings, const std::string& secret,
-                                       const protocol::FrontNodeConfig& terms, const std::string& name,
+                                       const protocol::FrontNodeConfig& config, const std::string& name,
                                        std::uint64_t seed)
-    : state_(std::make_unique<State>(settings, secret, terms, name, seed)) {}
+    : state_(std::make_unique<State>(settings, secret, config, name, seed)) {}
 
 CoordinationThread::~CoordinationThread() {
     if (!state_->thread.joinable()) return;
@@ -248,15 +248,16 @@
 int CoordinationThread::port() const { return transport::port_of(state_->socket.descriptor()); }
 
 std::map<std::string, maintenance::ObservedMachine>
-CoordinationThread::observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& terms,
+CoordinationThread::observe_machines(const protocol::ServerList& list,
+                                     const protocol::FrontNodeConfig& config,
                                      const std::map<std::string, Tenths>& work, Tenths wall) {
     std::map<std::string, maintenance::ObservedMachine> result;
     for (const protocol::ServerEntry& entry : list.servers) {
         maintenance::ObservedMachine machine;
         machine.facts.name = entry.id, machine.facts.zone = entry.zone;
         machine.facts.capacity = entry.weight > 0 ? entry.weight : 1;
-        for (int shard = 0; shard < terms.shards; ++shard)
-            if (terms.scheduler.holds(CellNo{entry.cell}, ShardNo{shard}))
+        for (int shard = 0; shard < config.shards; ++shard)
+            if (config.scheduler.holds(CellNo{entry.cell}, ShardNo{shard}))
                 machine.facts.shards.push_back(shard);
         auto known = work.find(entry.kind);
         if (known == work.end()) known = work.find("");
@@ -264,7 +265,7 @@
         const Tenths started = entry.started_ms * (kTenthsPerSecond / 1000);
         machine.health = entry.listed == ListedState::kGone       ? maintenance::MachineHealth::kGone
                          : entry.listed == ListedState::kDraining ? maintenance::MachineHealth::kDraining
-                         : entry.started_ms > 0 && wall < started + terms.scheduler.warm_up_time
+                         : entry.started_ms > 0 && wall < started + config.scheduler.warm_up_time
                              ? maintenance::MachineHealth::kCold
                              : maintenance::MachineHealth::kWarm;
         result[entry.id] = std::move(machine);
--- a/src/program/coordination_thread.hpp
+++ b/src/program/coordination_thread.hpp
@@ -20,7 +20,7 @@
   public:
     // Opens the socket and the files, or throws; nothing runs before `start`.
     CoordinationThread(const operators::OperatorSettings& settings, const std::string& secret,
-                       const protocol::FrontNodeConfig& terms, const std::string& name, std::uint64_t seed);
+                       const protocol::FrontNodeConfig& config, const std::string& name, std::uint64_t seed);
     ~CoordinationThread();
     CoordinationThread(const CoordinationThread&) = delete;
     CoordinationThread& operator=(const CoordinationThread&) = delete;
@@ -35,7 +35,7 @@
     int port() const;
     // Facts of all machines by the settings and their health by the list at the time `wall`.
     static std::map<std::string, maintenance::ObservedMachine>
-    observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& terms,
+    observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& config,
                      const std::map<std::string, Tenths>& work, Tenths wall);
 
   private:
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -21,7 +21,7 @@
 
 constexpr const char* kVersion = IVYRILL_VERSION;
 
-protocol::StartConfig read_orders(const std::string& path) {
+protocol::StartConfig read_configuration(const std::string& path) {
     if (path.empty()) throw std::runtime_error("no configuration: set RELAY_CONFIG or give --config");
     std::ifstream file(path);
     if (!file) throw std::runtime_error(path + ": cannot be read");
@@ -41,21 +41,22 @@
         std::cout << evaluate(operator_file).dump(2) << "\n";
         if (path.empty()) return 0;
     }
-    const protocol::StartConfig orders = read_orders(path);
-    if (loaded) check_names(loaded->settings, orders.terms.request_classes, orders.terms.tenants);
-    std::cout << path << ": valid; " << orders.name << " on " << orders.listen << ", discovery at "
-              << orders.discovery << ", " << orders.known.servers.size() << " index servers known, "
-              << orders.terms.request_classes.size() << " products, " << orders.sockets << " sockets, "
-              << orders.memory_mb << " MB\n";
+    const protocol::StartConfig configuration = read_configuration(path);
+    if (loaded)
+        check_names(loaded->settings, configuration.terms.request_classes, configuration.terms.tenants);
+    std::cout << path << ": valid; " << configuration.name << " on " << configuration.listen
+              << ", discovery at " << configuration.discovery << ", " << configuration.known.servers.size()
+              << " index servers known, " << configuration.terms.request_classes.size() << " products, "
+              << configuration.sockets << " sockets, " << configuration.memory_mb << " MB\n";
     return 0;
 }
 
 int serve(const std::string& path, const std::string& operator_file, const std::string& level) {
     block_signals(); // a SIGHUP may arrive before the configuration is read
-    protocol::StartConfig orders = read_orders(path);
-    open_log(orders.name, level);
+    protocol::StartConfig configuration = read_configuration(path);
+    open_log(configuration.name, level);
     return Node(
-               std::move(orders), [path] { return read_orders(path); }, operator_file)
+               std::move(configuration), [path] { return read_configuration(path); }, operator_file)
         .run();
 }
 
--- a/src/program/operator_files.cpp
+++ b/src/program/operator_files.cpp
@@ -79,7 +79,7 @@
             files.revocations = load(access->revocations);
         for (const std::string& name : access->authorities) files.authorities.push_back(load(name));
         for (const std::string& name : access->crls) files.crls.push_back(load(name));
-        result.policy = access::read_policy(access->terms, files, previous, wall);
+        result.policy = access::read_policy(access->options, files, previous, wall);
     }
     for (const operators::ListenerSettings& listener : result.settings.listeners) {
         if (listener.certificate.empty()) {
@@ -115,8 +115,9 @@
         throw std::runtime_error(std::string("access: the configuration has no ") + what + " named '" + name +
                                  "'" + (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
     };
-    for (const auto& [club, tenant] : settings.access->terms.clubs) require_known(tenant, tenants, "tenant");
-    for (const auto& [request_class, right] : settings.access->terms.request_classes)
+    for (const auto& [club, tenant] : settings.access->options.clubs)
+        require_known(tenant, tenants, "tenant");
+    for (const auto& [request_class, right] : settings.access->options.request_classes)
         require_known(request_class, request_classes, "product");
 }
 
--- a/tests/script_tests.cpp
+++ b/tests/script_tests.cpp
@@ -181,9 +181,9 @@
 tls = {"open_handshakes": 10}
 )");
     assert(parsed.access && parsed.access->platform_port_guarded &&
-           parsed.access->terms.skew == 5 * kTenthsPerSecond);
-    assert(parsed.access->terms.request_classes.at("game-annotate") == access::Right::kWriteOwn);
-    assert(!parsed.access->terms.other_request_classes && parsed.listeners.size() == 1 &&
+           parsed.access->options.skew == 5 * kTenthsPerSecond);
+    assert(parsed.access->options.request_classes.at("game-annotate") == access::Right::kWriteOwn);
+    assert(!parsed.access->options.other_request_classes && parsed.listeners.size() == 1 &&
            parsed.listeners[0].guarded);
     assert(parsed.handshakes.max_open == 10 && !settings("").access);
 }
