--- a/fuzz/h2.cpp
+++ b/fuzz/h2.cpp
@@ -21,10 +21,10 @@
     std::set<StreamId> open, done;
     bool ended = false;
     for (std::size_t at = 0; at < bytes.size();) {
-        const std::string_view piece = std::string_view(bytes).substr(at, split);
-        const std::size_t taken = session.feed(piece);
-        if (taken == 0 || taken > piece.size()) std::abort();
-        at += taken, ++node_status.now;
+        const std::string_view chunk = std::string_view(bytes).substr(at, split);
+        const std::size_t consumed = session.feed(chunk);
+        if (consumed == 0 || consumed > chunk.size()) std::abort();
+        at += consumed, ++node_status.now;
         for (const SessionEvent& event : session.take_events()) {
             if (const auto* requested = std::get_if<SearchRequested>(&event)) {
                 if (!open.insert(requested->stream).second || done.contains(requested->stream)) std::abort();
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -16,12 +16,13 @@
     Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kNever, kNever}};
     Authorizer authorizer{policy()};
     std::shared_ptr<const Policy> policy() const {
-        AccessOptions terms;
-        terms.issuer = "i", terms.audience = "a", terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
-        terms.clubs = {{"c", "t"}}, terms.request_classes = {{"find", Right::kRead}};
+        AccessOptions options;
+        options.issuer = "i", options.audience = "a", options.max_token_bytes = 4096,
+        options.max_cached_tokens = 8;
+        options.clubs = {{"c", "t"}}, options.request_classes = {{"find", Right::kRead}};
         AccessFiles files;
         files.keys = {{"k.jwk", write_key(key, false)}};
-        return read_policy(terms, files, nullptr, kNow);
+        return read_policy(options, files, nullptr, kNow);
     }
 };
 
--- a/src/access/authorizer.cpp
+++ b/src/access/authorizer.cpp
@@ -123,10 +123,10 @@
     if (chains_.size() > 64) // removes entries of closed connections
         std::erase_if(
             chains_, [&](auto& entry) { return entry.first != chain.get() && entry.second.chain.expired(); });
-    CachedChain fresh{chain, policy_->generation, now, now, check_chain(*chain, now)};
-    if (fresh.mapped.reason == Reason::kAdmitted)
-        fresh.valid_until = std::min(read_leaf(*chain).not_after, policy_->authorities->next_change(now));
-    return (chains_[chain.get()] = std::move(fresh)).mapped;
+    CachedChain checked{chain, policy_->generation, now, now, check_chain(*chain, now)};
+    if (checked.mapped.reason == Reason::kAdmitted)
+        checked.valid_until = std::min(read_leaf(*chain).not_after, policy_->authorities->next_change(now));
+    return (chains_[chain.get()] = std::move(checked)).mapped;
 }
 
 // The tenant that a client names must be that of its authenticated club; if it names none, the club's tenant
--- a/src/access/certificate.cpp
+++ b/src/access/certificate.cpp
@@ -145,9 +145,10 @@
         Crl crl(PEM_read_bio_X509_CRL(memory.get(), nullptr, nullptr, nullptr));
         ERR_clear_error();
         if (!crl) throw AccessError(file.name + ": expected a CRL in PEM");
-        const auto issuer = std::ranges::find_if(state->certificates, [&](auto& one) {
-            return X509_NAME_cmp(X509_get_subject_name(one.get()), X509_CRL_get_issuer(crl.get())) == 0 &&
-                   X509_CRL_verify(crl.get(), X509_get0_pubkey(one.get())) == 1;
+        const auto issuer = std::ranges::find_if(state->certificates, [&](auto& authority) {
+            return X509_NAME_cmp(X509_get_subject_name(authority.get()), X509_CRL_get_issuer(crl.get())) ==
+                       0 &&
+                   X509_CRL_verify(crl.get(), X509_get0_pubkey(authority.get())) == 1;
         });
         ERR_clear_error();
         if (issuer == state->certificates.end())
@@ -170,8 +171,8 @@
     }
     if (previous != nullptr)
         for (const auto& old : previous->state_->crl_info) {
-            const bool needed = std::ranges::any_of(state->certificates, [&](auto& one) {
-                return issuer_of(X509_get_subject_name(one.get())) == old.first;
+            const bool needed = std::ranges::any_of(state->certificates, [&](auto& authority) {
+                return issuer_of(X509_get_subject_name(authority.get())) == old.first;
             });
             if (needed && !state->crl_info.contains(old.first))
                 throw AccessError("the CRL of an authority that had one is missing");
@@ -184,15 +185,16 @@
 Reason Authorities::verify(const Chain& chain, Tenths now) const {
     if (chain.certificates.empty()) return Reason::kNoCredential;
     if (chain.certificates.size() > kMaxChainCertificates) return Reason::kMalformed;
-    std::vector<Certificate> shown;
-    const std::unique_ptr<STACK_OF(X509), FreeStack> others(sk_X509_new_null());
+    std::vector<Certificate> received;
+    const std::unique_ptr<STACK_OF(X509), FreeStack> intermediates(sk_X509_new_null());
     for (const std::string& der : chain.certificates) {
-        shown.push_back(from_der(der));
-        if (!shown.back()) return Reason::kMalformed;
-        if (shown.size() > 1) sk_X509_push(others.get(), shown.back().get());
+        received.push_back(from_der(der));
+        if (!received.back()) return Reason::kMalformed;
+        if (received.size() > 1) sk_X509_push(intermediates.get(), received.back().get());
     }
     const StoreContext context(X509_STORE_CTX_new());
-    if (X509_STORE_CTX_init(context.get(), state_->store.get(), shown.front().get(), others.get()) != 1)
+    if (X509_STORE_CTX_init(context.get(), state_->store.get(), received.front().get(),
+                            intermediates.get()) != 1)
         return Reason::kMalformed;
     X509_VERIFY_PARAM* rules = X509_STORE_CTX_get0_param(context.get());
     X509_VERIFY_PARAM_set_time(rules, static_cast<std::time_t>(now / kTenthsPerSecond));
@@ -205,16 +207,16 @@
     if (!verified) return reason_of(error);
     // CRLs are checked here rather than by the OpenSSL store, which has no grace period: each certificate of
     // the verified chain below the root is looked up in its issuer's CRL.
-    const STACK_OF(X509)* built = X509_STORE_CTX_get0_chain(context.get());
-    for (int i = 0; i < sk_X509_num(built); ++i) {
-        X509* one = sk_X509_value(built, i);
-        const auto info = state_->crl_info.find(issuer_of(X509_get_issuer_name(one)));
+    const STACK_OF(X509)* verified_chain = X509_STORE_CTX_get0_chain(context.get());
+    for (int i = 0; i < sk_X509_num(verified_chain); ++i) {
+        X509* certificate = sk_X509_value(verified_chain, i);
+        const auto info = state_->crl_info.find(issuer_of(X509_get_issuer_name(certificate)));
         if (info == state_->crl_info.end()) continue; // no CRL for this authority
         if (now >= info->second.next_update + state_->grace) return Reason::kRevoked;
         for (const Crl& crl : state_->crls) {
             X509_REVOKED* entry = nullptr;
-            if (X509_NAME_cmp(X509_CRL_get_issuer(crl.get()), X509_get_issuer_name(one)) == 0 &&
-                X509_CRL_get0_by_cert(crl.get(), &entry, one) == 1)
+            if (X509_NAME_cmp(X509_CRL_get_issuer(crl.get()), X509_get_issuer_name(certificate)) == 0 &&
+                X509_CRL_get0_by_cert(crl.get(), &entry, certificate) == 1)
                 return Reason::kRevoked;
         }
     }
--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -99,20 +99,20 @@
     return json.dump(2) + "\n";
 }
 
-KeyRing KeyRing::read(const std::vector<NamedText>& files, const KeyRing* before) {
+KeyRing KeyRing::read(const std::vector<NamedText>& files, const KeyRing* previous) {
     KeyRing ring;
     if (files.size() > kMaxKeys) throw AccessError("more than " + std::to_string(kMaxKeys) + " keys");
-    if (before != nullptr) ring.fingerprints_ = before->fingerprints_;
+    if (previous != nullptr) ring.fingerprints_ = previous->fingerprints_;
     std::map<std::string, std::string> file_of;
     for (const NamedText& file : files) {
         Key key = read_key(file);
-        if (const auto [place, fresh] = file_of.emplace(key.name, file.name); !fresh)
-            throw AccessError(file.name + ": the key '" + key.name + "' is defined in " + place->second +
+        if (const auto [entry, inserted] = file_of.emplace(key.name, file.name); !inserted)
+            throw AccessError(file.name + ": the key '" + key.name + "' is defined in " + entry->second +
                               " too");
         const std::string fingerprint = key.signing.fingerprint();
         // Tokens refer to keys by name, so a reused name would be ambiguous.
-        if (const auto [place, fresh] = ring.fingerprints_.emplace(key.name, fingerprint);
-            !fresh && place->second != fingerprint)
+        if (const auto [entry, inserted] = ring.fingerprints_.emplace(key.name, fingerprint);
+            !inserted && entry->second != fingerprint)
             throw AccessError(file.name + ": the key '" + key.name +
                               "' previously had different key material or another algorithm; "
                               "a new key needs a new name");
--- a/src/access/keys.hpp
+++ b/src/access/keys.hpp
@@ -42,7 +42,7 @@
   public:
     // Throws AccessError if a file cannot be parsed, two keys have the same name, a key's times are out of
     // order, or a name belonged to a different key before.
-    static KeyRing read(const std::vector<NamedText>& files, const KeyRing* before);
+    static KeyRing read(const std::vector<NamedText>& files, const KeyRing* previous);
 
     const Key* find(std::string_view name) const;
     const std::map<std::string, Key, std::less<>>& keys() const { return keys_; }
--- a/src/access/openssl_deleter.hpp
+++ b/src/access/openssl_deleter.hpp
@@ -4,7 +4,7 @@
 namespace ivyrill::access {
 
 template <auto Free> struct OpenSslDeleter {
-    template <class What> void operator()(What* what) const { Free(what); }
+    template <class Object> void operator()(Object* object) const { Free(object); }
 };
 
 } // namespace ivyrill::access
--- a/src/access/token_cache.cpp
+++ b/src/access/token_cache.cpp
@@ -35,17 +35,17 @@
     if (sets_.empty()) return;
     const auto digest = digest_of(token);
     Set& set = sets_[digest[0] % sets_.size()];
-    auto place = std::ranges::find(set.entries, digest, &Entry::digest);
-    if (place == set.entries.end())
-        place = std::ranges::find_if(set.entries, [](auto& e) { return !e.proof.claims; });
-    while (place == set.entries.end()) { // CLOCK: skips entries used since the last pass
+    auto slot = std::ranges::find(set.entries, digest, &Entry::digest);
+    if (slot == set.entries.end())
+        slot = std::ranges::find_if(set.entries, [](auto& e) { return !e.proof.claims; });
+    while (slot == set.entries.end()) { // CLOCK: skips entries used since the last pass
         Entry& entry = set.entries[set.clock_hand];
-        if (!entry.used) place = set.entries.begin() + static_cast<std::ptrdiff_t>(set.clock_hand);
+        if (!entry.used) slot = set.entries.begin() + static_cast<std::ptrdiff_t>(set.clock_hand);
         entry.used = false;
         set.clock_hand = (set.clock_hand + 1) % kWays;
     }
-    if (!place->proof.claims) ++size_;
-    *place = {digest, std::move(proof), false};
+    if (!slot->proof.claims) ++size_;
+    *slot = {digest, std::move(proof), false};
 }
 
 } // namespace ivyrill::access
--- a/src/sessions/http2/session.cpp
+++ b/src/sessions/http2/session.cpp
@@ -161,13 +161,13 @@
         return 0;
     }
 
-    static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* into, std::size_t most,
+    static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* into, std::size_t max_bytes,
                              std::uint32_t* flags, nghttp2_data_source*, void* user) {
         Http2Session& self = session(user);
         const auto found = self.streams_.find(static_cast<StreamId>(id));
         if (found == self.streams_.end()) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
         Stream& stream = found->second;
-        const std::size_t count = std::min(most, stream.body.size() - stream.sent);
+        const std::size_t count = std::min(max_bytes, stream.body.size() - stream.sent);
         std::memcpy(into, stream.body.data() + stream.sent, count);
         stream.sent += count;
         if (stream.sent == stream.body.size()) *flags |= NGHTTP2_DATA_FLAG_EOF;
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -21,10 +21,10 @@
     setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-[[noreturn]] void throw_system_error(int descriptor, const char* what) {
+[[noreturn]] void throw_system_error(int descriptor, const char* operation) {
     const int error = errno;
     if (descriptor >= 0) close(descriptor);
-    throw std::system_error(error, std::generic_category(), what);
+    throw std::system_error(error, std::generic_category(), operation);
 }
 
 } // namespace
--- a/src/transport/tls.cpp
+++ b/src/transport/tls.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxPendingInputBytes = 32 * 1024; // input that OpenSSL has not read yet
 
 template <auto Free> struct OpenSslDeleter {
-    template <class What> void operator()(What* what) const { Free(what); }
+    template <class Object> void operator()(Object* object) const { Free(object); }
 };
 using Memory = std::unique_ptr<BIO, OpenSslDeleter<BIO_free_all>>;
 using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509_free>>;
@@ -192,9 +192,9 @@
 
 std::vector<std::string> TlsSession::peer_chain() const {
     std::vector<std::string> chain;
-    const auto add = [&chain](X509* one) {
+    const auto add = [&chain](X509* certificate) {
         unsigned char* der = nullptr;
-        const int size = i2d_X509(one, &der);
+        const int size = i2d_X509(certificate, &der);
         if (size > 0) chain.emplace_back(reinterpret_cast<char*>(der), static_cast<std::size_t>(size));
         OPENSSL_free(der);
     };
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -18,15 +18,15 @@
 constexpr Tenths kNow = s(1'800'000'000);
 
 AccessOptions default_access() {
-    AccessOptions terms;
-    terms.issuer = "trinacria", terms.audience = "archive";
-    terms.skew = s(5), terms.settle = s(10), terms.crl_grace = s(60);
-    terms.max_token_bytes = 4096, terms.max_cached_tokens = 64;
-    terms.clubs = {{"etna", "t-etna"}, {"conca", "t-conca"}};
-    terms.request_classes = {{"find", Right::kRead}, {"annotate", Right::kWriteOwn}};
-    terms.names = {{"spiffe://trinacria.example/etna/*", "", "etna", "{rest}", {true, true}, {"g7"}},
-                   {"", "site.conca.example.org", "conca", "site", {true, false}, {}}};
-    return terms;
+    AccessOptions options;
+    options.issuer = "trinacria", options.audience = "archive";
+    options.skew = s(5), options.settle = s(10), options.crl_grace = s(60);
+    options.max_token_bytes = 4096, options.max_cached_tokens = 64;
+    options.clubs = {{"etna", "t-etna"}, {"conca", "t-conca"}};
+    options.request_classes = {{"find", Right::kRead}, {"annotate", Right::kWriteOwn}};
+    options.names = {{"spiffe://trinacria.example/etna/*", "", "etna", "{rest}", {true, true}, {"g7"}},
+                     {"", "site.conca.example.org", "conca", "site", {true, false}, {}}};
+    return options;
 }
 
 Key make_key(const std::string& name, Algorithm algorithm = Algorithm::kEdDsa,
@@ -63,20 +63,20 @@
         } catch (const AccessError& error) { return error.what(); }
         return {};
     }
-    Decision admit(const std::string& token, const AccessRequest& asked = {"find", "", ""},
+    Decision admit(const std::string& token, const AccessRequest& request = {"find", "", ""},
                    Tenths now = kNow) {
-        return authorizer.admit({token, false, nullptr}, asked, now);
+        return authorizer.admit({token, false, nullptr}, request, now);
     }
-    Reason reason(const std::string& token, const AccessRequest& asked = {"find", "", ""},
+    Reason reason(const std::string& token, const AccessRequest& request = {"find", "", ""},
                   Tenths now = kNow) {
-        return admit(token, asked, now).reason;
+        return admit(token, request, now).reason;
     }
-    Reason reason(const Claims& claims, const AccessRequest& asked = {"find", "", ""}, Tenths now = kNow) {
-        return reason(sign_token(claims, keys[0]), asked, now);
+    Reason reason(const Claims& claims, const AccessRequest& request = {"find", "", ""}, Tenths now = kNow) {
+        return reason(sign_token(claims, keys[0]), request, now);
     }
-    Reason certificate_reason(const Chain& chain, const AccessRequest& asked = {"find", "", ""},
+    Reason certificate_reason(const Chain& chain, const AccessRequest& request = {"find", "", ""},
                               Tenths now = kNow) {
-        return authorizer.admit({"", false, std::make_shared<const Chain>(chain)}, asked, now).reason;
+        return authorizer.admit({"", false, std::make_shared<const Chain>(chain)}, request, now).reason;
     }
     std::vector<Key> keys;
     Revocations revoked;
@@ -97,8 +97,9 @@
     Fixture fixture;
     for (const Key& key : fixture.keys) {
         const std::string token = sign_token(claims_for(), key);
-        const Decision made = fixture.admit(token);
-        assert(made.reason == Reason::kAdmitted && made.tenant == "t-etna" && made.caller.member == "anna");
+        const Decision decision = fixture.admit(token);
+        assert(decision.reason == Reason::kAdmitted && decision.tenant == "t-etna" &&
+               decision.caller.member == "anna");
         std::string tampered = token;
         tampered[token.rfind('.') + 3] = tampered[token.rfind('.') + 3] == 'A' ? 'B' : 'A';
         assert(fixture.reason(tampered) == Reason::kBadSignature);
@@ -191,15 +192,15 @@
 
 // Member revocations are kept for the maximum lifetime of a token, so longer-lived tokens are rejected.
 void token_lifetime_is_bounded_by_revocation_retention() {
-    AccessOptions terms = default_access();
-    terms.max_token_lifetime = s(3600);
+    AccessOptions options = default_access();
+    options.max_token_lifetime = s(3600);
     const Key key = make_key("k");
     AccessFiles files;
     files.keys = {file_of(key)};
     Revocations kept;
     kept.members = {{"etna/old", kNow - s(4000)}, {"etna/anna", kNow - s(3000)}};
     files.revocations = NamedText{"r", kept.write()};
-    Authorizer authorizer(read_policy(terms, files, nullptr, kNow));
+    Authorizer authorizer(read_policy(options, files, nullptr, kNow));
     assert(authorizer.policy().revoked.members.size() == 1);
     Claims claims = claims_for("bruno");
     const auto reason = [&] {
@@ -322,13 +323,13 @@
     Claims other = claims_for();
     other.id = "t2";
     const std::string second = sign_token(other, fixture.keys[0]);
-    const Decision held = fixture.admit(anna);
+    const Decision decision = fixture.admit(anna);
     assert(fixture.reason(second) == Reason::kAdmitted && fixture.reason(anna) == Reason::kAdmitted);
     assert(fixture.authorizer.counts().from_cache == 1);
     fixture.revoked.tokens["t1"] = kNow + s(600);
     assert(fixture.reload().empty());
     assert(fixture.reason(anna) == Reason::kRevoked &&
-           fixture.authorizer.recheck(held.proof, kNow) == Reason::kRevoked);
+           fixture.authorizer.recheck(decision.proof, kNow) == Reason::kRevoked);
     assert(fixture.reason(second) == Reason::kAdmitted);
     // The member moves to another club: tokens issued before are rejected, tokens issued afterwards are
     // accepted.
@@ -341,13 +342,13 @@
     // Revoking a key invalidates the tokens that it signed, cached or not.
     fixture.keys[0].times.gone = kNow, fixture.keys[0].times.outgoing = kNow;
     assert(fixture.reload().empty() && fixture.reason(second) == Reason::kUnknownKey);
-    assert(fixture.authorizer.recheck(held.proof, kNow) == Reason::kUnknownKey);
+    assert(fixture.authorizer.recheck(decision.proof, kNow) == Reason::kUnknownKey);
 }
 
 void token_expiry_does_not_end_a_search_in_flight() {
     Fixture fixture;
-    const Decision held = fixture.admit(sign_token(claims_for(), fixture.keys[0]));
-    assert(fixture.authorizer.recheck(held.proof, kNow + s(100'000)) ==
+    const Decision decision = fixture.admit(sign_token(claims_for(), fixture.keys[0]));
+    assert(fixture.authorizer.recheck(decision.proof, kNow + s(100'000)) ==
            Reason::kAdmitted); // admitted in time
 }
 
@@ -386,9 +387,10 @@
     assert(fixture.certificate_reason({{ca.anna.der}}) == Reason::kUnknownKey); // no authority configured yet
     fixture.authorities = {ca.file()};
     assert(fixture.reload().empty());
-    const Decision made = fixture.authorizer.admit(
+    const Decision decision = fixture.authorizer.admit(
         {"", false, std::make_shared<const Chain>(Chain{{ca.anna.der}})}, {"annotate", "", "g7"}, kNow);
-    assert(made.reason == Reason::kAdmitted && made.caller.member == "anna" && made.tenant == "t-etna");
+    assert(decision.reason == Reason::kAdmitted && decision.caller.member == "anna" &&
+           decision.tenant == "t-etna");
     assert(fixture.certificate_reason({{ca.anna.der}}, {"find", "t-conca", ""}) == Reason::kWrongClub);
     assert(fixture.certificate_reason({{ca.issue({}, {"SITE.conca.example.org"}).der}},
                                       {"annotate", "", "x"}) == Reason::kNoRight);
@@ -443,12 +445,13 @@
     fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(100), kNow + s(500))}};
     assert(fixture.reload().empty());
     const auto chain = std::make_shared<const Chain>(Chain{{ca.anna.der}});
-    const Decision held = fixture.authorizer.admit({"", false, chain}, {"find", "", ""}, kNow);
-    assert(held.reason == Reason::kAdmitted && fixture.authorizer.recheck(*chain, kNow) == Reason::kAdmitted);
+    const Decision decision = fixture.authorizer.admit({"", false, chain}, {"find", "", ""}, kNow);
+    assert(decision.reason == Reason::kAdmitted &&
+           fixture.authorizer.recheck(*chain, kNow) == Reason::kAdmitted);
     fixture.crls = {{"ca.crl", ca.root.crl({ca.anna.serial}, kNow - s(50), kNow + s(500))}};
     assert(fixture.reload().empty());
     assert(fixture.authorizer.admit({"", false, chain}, {"find", "", ""}, kNow).reason == Reason::kRevoked);
-    assert(fixture.authorizer.recheck(held.proof, kNow) == Reason::kRevoked &&
+    assert(fixture.authorizer.recheck(decision.proof, kNow) == Reason::kRevoked &&
            fixture.authorizer.recheck(*chain, kNow) == Reason::kRevoked);
     // An older CRL would accept the certificate again.
     fixture.crls = {{"ca.crl", ca.root.crl({}, kNow - s(100), kNow + s(500))}};
@@ -508,9 +511,9 @@
 void ticket_keys_rotate_and_old_ones_expire() {
     TicketKeys keys(s(10));
     const auto key = [](unsigned char number) {
-        TicketKeys::Key made;
-        made.name.fill(number);
-        return made;
+        TicketKeys::Key key;
+        key.name.fill(number);
+        return key;
     };
     assert(keys.wants_key(0) && keys.encryption_key() == nullptr);
     keys.add(key(1), 0);
