--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -1,7 +1,6 @@
-// `make measure NAME=access`: keys, our certificates and revocation lists change again and again while
-// clients search with good and bad credentials over plain and sealed listeners; what should have happened to
-// each search is known beforehand and counted against what did. The last line is one JSON object; the exit
-// status is 1 where a promise broke.
+// `make measure NAME=access`: rotates keys, server certificates and revocation lists while clients search
+// with valid and invalid credentials over plain and TLS listeners, and compares each outcome with the
+// expected one. The last line is one JSON object; the exit status is 1 if a guarantee is violated.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
 #include "lab/front_node_fixture.hpp"
@@ -26,21 +25,21 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kSearchers = 6, kRotations = 24;
-constexpr std::uint64_t kLeastSearches = 24'000;
-constexpr double kMostRevocationMs = 1000; // the stated time
+constexpr std::uint64_t kMinSearches = 24'000;
+constexpr double kMaxRevocationMs = 1000; // the documented bound
 constexpr std::int64_t kOverlapS = 2;
 
 double micros(Clock::duration span) { return std::chrono::duration<double, std::micro>(span).count(); }
 
 double quantile(std::vector<double> values, double at) {
     if (values.empty()) return 0;
-    const auto place = static_cast<std::ptrdiff_t>(at * static_cast<double>(values.size() - 1));
-    std::nth_element(values.begin(), values.begin() + place, values.end());
-    return values[static_cast<std::size_t>(place)];
+    const auto position = static_cast<std::ptrdiff_t>(at * static_cast<double>(values.size() - 1));
+    std::nth_element(values.begin(), values.begin() + position, values.end());
+    return values[static_cast<std::size_t>(position)];
 }
 
-// The keys that clients sign with now. A signer takes up a new key once it is announced everywhere: here,
-// once the front node has told that it swapped.
+// The keys that clients sign with. A signer uses a new key once every verifier has it: here, once the front
+// node has logged the swap.
 struct Signers {
     std::mutex mutex;
     access::Key current, before;
@@ -53,45 +52,47 @@
     std::atomic<std::uint64_t> errors = 0;
 };
 
-std::string with_spoilt_signature(std::string token) {
-    char& letter = token[token.rfind('.') + 5];
-    letter = letter == 'A' ? 'B' : 'A';
+std::string with_invalid_signature(std::string token) {
+    char& character = token[token.rfind('.') + 5];
+    character = character == 'A' ? 'B' : 'A';
     return token;
 }
 
-std::string bare_token(const nlohmann::json& header, const std::string& like, const std::string& signature) {
+std::string token_with_header(const nlohmann::json& header, const std::string& like,
+                              const std::string& signature) {
     return access::base64url(header.dump()) + like.substr(like.find('.'), like.rfind('.') - like.find('.')) +
            "." + access::base64url(signature);
 }
 
-// One client after another on one connection; its wrong credentials come as often as its good ones.
-void search_on(const FrontNodeFixture& fixture, Signers& signers, Counts& counts, const access::Key& stranger,
-               const access::Key& gone, int number, const std::atomic<bool>& stop) {
-    std::mt19937_64 chance(static_cast<std::uint64_t>(number) + 1);
+// Sends searches one after another on one connection, half of them with invalid credentials.
+void search_on(const FrontNodeFixture& fixture, Signers& signers, Counts& counts,
+               const access::Key& unknown_key, const access::Key& gone, int number,
+               const std::atomic<bool>& stop) {
+    std::mt19937_64 random(static_cast<std::uint64_t>(number) + 1);
     std::optional<Client> client;
     std::uint64_t made = 0;
     const std::string member = "m" + std::to_string(number);
     while (!stop) {
-        access::Key key = stranger;
+        access::Key key = unknown_key;
         bool old_key = false;
         {
             const std::lock_guard lock(signers.mutex);
-            old_key = signers.has_before && chance() % 3 == 0;
+            old_key = signers.has_before && random() % 3 == 0;
             key = old_key ? signers.before : signers.current;
         }
         const std::string good = fixture.token(member, key);
         for (int i = 0; i < 40 && !stop; ++i) {
             SearchRequest request;
             request.id = member + "-" + std::to_string(made++), request.token = good;
-            request.shard = static_cast<int>(chance() % 2);
-            bool wanted = true;
+            request.shard = static_cast<int>(random() % 2);
+            bool should_admit = true;
             int kind = 0;
-            if (chance() % 2 == 0) {
-                wanted = false, kind = 1 + static_cast<int>(chance() % 12);
+            if (random() % 2 == 0) {
+                should_admit = false, kind = 1 + static_cast<int>(random() % 12);
                 const Tenths s = kTenthsPerSecond;
                 if (kind == 1) request.token.clear();
-                if (kind == 2) request.token = with_spoilt_signature(good);
-                if (kind == 3) request.token = fixture.token(member, stranger);
+                if (kind == 2) request.token = with_invalid_signature(good);
+                if (kind == 3) request.token = fixture.token(member, unknown_key);
                 if (kind == 4) request.token = fixture.token(member, key, -60 * s);
                 if (kind == 5) request.token = good.substr(0, good.size() / 2);
                 if (kind == 6) request.tenant = "conca";
@@ -102,12 +103,13 @@
                 if (kind == 9) request.token = fixture.token("taken-back", key);
                 if (kind == 10) request.token = fixture.token(member, gone);
                 if (kind == 11)
-                    request.token =
-                        bare_token({{"alg", "none"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}}, good, "x");
+                    request.token = token_with_header(
+                        {{"alg", "none"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}}, good, "x");
                 if (kind == 12)
-                    request.token = bare_token({{"alg", "HS256"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}},
-                                               good, std::string(32, 'x'));
-            } else if (chance() % 4 == 0) {
+                    request.token =
+                        token_with_header({{"alg", "HS256"}, {"kid", key.name}, {"typ", "ivyrill+jwt"}}, good,
+                                          std::string(32, 'x'));
+            } else if (random() % 4 == 0) {
                 request.request_class = "annotate", request.key = "g1";
             }
             int status = 0;
@@ -116,9 +118,9 @@
                     if (number % 2 == 0)
                         client.emplace(fixture.plain_address());
                     else
-                        client.emplace(fixture.tls_address(), TlsWish{});
+                        client.emplace(fixture.tls_address(), ClientTlsOptions{});
                 }
-                client->say(search_bytes(request));
+                client->send_bytes(search_bytes(request));
                 status = client->answer().status;
             } catch (const std::exception&) {
                 ++counts.errors;
@@ -126,13 +128,13 @@
                 continue;
             }
             ++counts.searches, ++counts.bad_kinds[kind];
-            const bool let_in = status == 200;
-            if (wanted && !let_in) ++counts.wrongful_refusals;
-            if (!wanted &&
-                (let_in || fixture.fleet.attempts(request.id + "." + std::to_string(request.shard)) > 0))
+            const bool admitted = status == 200;
+            if (should_admit && !admitted) ++counts.wrongful_refusals;
+            if (!should_admit &&
+                (admitted || fixture.fleet.attempts(request.id + "." + std::to_string(request.shard)) > 0))
                 ++counts.wrongful_admissions;
         }
-        if (chance() % 4 == 0) client.reset(); // new connections and handshakes meanwhile
+        if (random() % 4 == 0) client.reset(); // also exercises new connections and handshakes
     }
 }
 
@@ -141,20 +143,21 @@
     double longest_ms = 0;
 };
 
-// A connection is let in by certificate, left open, and its certificate revoked: how long until it ends.
+// Revokes the certificate of an open connection and measures the time until the connection is closed.
 void revoke_one(FrontNodeFixture& fixture, int number, Revocations& counted) {
-    const Issued issued = fixture.issue("c" + std::to_string(number));
-    Client client(fixture.client_certificate_address(), TlsWish{issued.certificate, issued.key, false, {}});
-    client.say(search_bytes({"cert-" + std::to_string(number)}));
-    if (client.answer().status != 200) throw std::runtime_error("a good certificate was refused");
-    const auto begun = Clock::now();
+    const IssuedCertificate issued = fixture.issue("c" + std::to_string(number));
+    Client client(fixture.client_certificate_address(),
+                  ClientTlsOptions{issued.certificate, issued.key, false, {}});
+    client.send_bytes(search_bytes({"cert-" + std::to_string(number)}));
+    if (client.answer().status != 200) throw std::runtime_error("a valid certificate was rejected");
+    const auto started = Clock::now();
     fixture.revoke_serials({issued.serial});
-    if (!client.ends()) throw std::runtime_error("a revoked connection spoke");
+    if (!client.ends()) throw std::runtime_error("a revoked connection sent data");
     ++counted.open_connections;
-    counted.longest_ms = std::max(counted.longest_ms, micros(Clock::now() - begun) / 1000);
+    counted.longest_ms = std::max(counted.longest_ms, micros(Clock::now() - started) / 1000);
 }
 
-// Time of one decision, with the proof made and with the proof remembered.
+// Times of one decision, uncached and cached.
 std::pair<std::vector<double>, std::vector<double>> time_verification() {
     const Tenths now = transport::Loop::wall();
     access::AccessOptions terms;
@@ -171,7 +174,7 @@
             {name, access::SigningKey::generate(algorithm), {0, 10'000, access::kNever, access::kNever}});
         files.keys.push_back({name, access::write_key(keys.back(), false)});
     }
-    access::Authorizer gate(access::read_policy(terms, files, nullptr, now));
+    access::Authorizer authorizer(access::read_policy(terms, files, nullptr, now));
     std::vector<std::string> tokens;
     for (int i = 0; i < 3000; ++i) {
         access::Claims claims;
@@ -183,15 +186,15 @@
     std::pair<std::vector<double>, std::vector<double>> times;
     for (auto* into : {&times.first, &times.second})
         for (const std::string& token : tokens) {
-            const auto begun = Clock::now();
-            const auto decision = gate.admit({token, false, nullptr}, {"find", "", ""}, now);
-            into->push_back(micros(Clock::now() - begun));
+            const auto started = Clock::now();
+            const auto decision = authorizer.admit({token, false, nullptr}, {"find", "", ""}, now);
+            into->push_back(micros(Clock::now() - started));
             if (decision.reason != access::Reason::kAdmitted)
-                throw std::runtime_error("a good token was refused");
+                throw std::runtime_error("a valid token was rejected");
         }
-    // Sets of a fixed size overflow a little before the table is full.
-    if (gate.counts().from_cache * 100 < tokens.size() * 95)
-        throw std::runtime_error("the cache did not hold what it should");
+    // A set-associative cache evicts some entries before it is full.
+    if (authorizer.counts().from_cache * 100 < tokens.size() * 95)
+        throw std::runtime_error("too few tokens were admitted from the cache");
     return times;
 }
 
@@ -204,9 +207,9 @@
 )";
     std::vector<double> times;
     for (int i = 0; i < 50; ++i) {
-        const auto begun = Clock::now();
+        const auto started = Clock::now();
         script::run_script("a.star", [&](const std::string&) { return text; });
-        times.push_back(micros(Clock::now() - begun));
+        times.push_back(micros(Clock::now() - started));
     }
     return quantile(times, 0.5);
 }
@@ -218,8 +221,8 @@
     for (int i = 0; i < 3; ++i)
         threads.emplace_back([&] {
             while (Clock::now() < end) {
-                Client client(fixture.tls_address(), TlsWish{});
-                client.say("GET /-/ready HTTP/1.1\r\n\r\n");
+                Client client(fixture.tls_address(), ClientTlsOptions{});
+                client.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n");
                 made += client.answer().status == 200 ? 1 : 0;
             }
         });
@@ -227,8 +230,8 @@
     return static_cast<double>(made) / seconds;
 }
 
-// CPU of the front node for so many searches on its plain port, by four clients; the same token each, as
-// members use one for long.
+// CPU time of the front node per search on its plain port with four clients. They share one token, as real
+// clients reuse theirs.
 double cpu_of_searches(const FrontNodeFixture& fixture, bool with_token, const std::string& name,
                        int searches) {
     const std::string token = with_token ? fixture.token("anna", fixture.key()) : std::string();
@@ -238,7 +241,7 @@
         threads.emplace_back([&, i] {
             Client client(fixture.plain_address());
             for (int n = 0; n < searches / 4; ++n) {
-                client.say(search_bytes(
+                client.send_bytes(search_bytes(
                     {name + std::to_string(i) + "-" + std::to_string(n), "find", "", token, "", n % 2}));
                 if (client.answer().status != 200) std::abort();
             }
@@ -250,16 +253,17 @@
 int measure() {
     const auto [fresh, cached] = time_verification();
     const double script_us = time_script();
-    double plain_us = 0, guarded_us = 0;
+    double plain_us = 0, access_controlled_us = 0;
     {
         FrontNodeFixture open({2, Idempotency::kIdempotent, false, {}, 512}),
-            guarded({2, Idempotency::kIdempotent, true, {}, 512});
-        for (int round = 0; round < 4; ++round) { // in turn, so that the machine's mood falls on both
+            access_controlled({2, Idempotency::kIdempotent, true, {}, 512});
+        for (int round = 0; round < 4; ++round) { // alternates, so that varying machine load affects both
             plain_us += cpu_of_searches(open, false, "p" + std::to_string(round), 3000) / 4;
-            guarded_us += cpu_of_searches(guarded, true, "g" + std::to_string(round), 3000) / 4;
+            access_controlled_us +=
+                cpu_of_searches(access_controlled, true, "g" + std::to_string(round), 3000) / 4;
         }
     }
-    // The bound on handshakes is put out of the way: what is asked for is how many there could be.
+    // The handshake limit is raised so that it does not bound the measured rate.
     FrontNodeFixture fixture(
         {2, Idempotency::kNonIdempotent, true,
          "tls = {\"handshake_steps_a_second\": 100000, \"handshake_steps_a_turn\": 16}\n", 512});
@@ -269,72 +273,72 @@
     access::Key gone{"long-gone",
                      access::SigningKey::generate(Algorithm::kEdDsa),
                      {0, 10'000, now - 10'000, now - 10'000}};
-    access::Key stranger{"stranger",
-                         access::SigningKey::generate(Algorithm::kEdDsa),
-                         {0, 10'000, access::kNever, access::kNever}};
+    access::Key unknown_key{"stranger",
+                            access::SigningKey::generate(Algorithm::kEdDsa),
+                            {0, 10'000, access::kNever, access::kNever}};
     fixture.write_key(gone);
-    if (!fixture.await_audit("swapped", 2)) throw std::runtime_error("the revocation was not taken up");
+    if (!fixture.await_audit("swapped", 2)) throw std::runtime_error("the revocation was not loaded");
 
     Signers signers{{}, fixture.key(), fixture.key(), false};
     Counts counts;
     Revocations revocations;
     std::atomic<bool> stop = false;
     std::vector<std::jthread> searchers;
-    struct Stopped { // also where something is thrown, before the searchers are waited for
+    struct Stopped { // also on an exception, before the threads are joined
         std::atomic<bool>& stop;
         ~Stopped() { stop = true; }
     } const stopped{stop};
     for (int i = 0; i < kSearchers; ++i)
-        searchers.emplace_back([&, i] { search_on(fixture, signers, counts, stranger, gone, i, stop); });
+        searchers.emplace_back([&, i] { search_on(fixture, signers, counts, unknown_key, gone, i, stop); });
     int rotations = 0, refused_reloads = 0;
-    const auto begun = Clock::now();
+    const auto started = Clock::now();
     std::uint64_t gone_asked = 0;
-    const auto late = [&] { return Clock::now() > begun + std::chrono::seconds(30); };
-    while ((rotations < kRotations || counts.searches < kLeastSearches) && !late()) {
+    const auto late = [&] { return Clock::now() > started + std::chrono::seconds(30); };
+    while ((rotations < kRotations || counts.searches < kMinSearches) && !late()) {
         constexpr Algorithm kInTurn[] = {Algorithm::kEdDsa, Algorithm::kEs256, Algorithm::kHs256};
         const access::Key before = fixture.key();
         const std::size_t swaps = fixture.count_audit_lines("swapped");
         ++rotations;
         fixture.rotate("r" + std::to_string(rotations), kInTurn[rotations % 3], kOverlapS * kTenthsPerSecond);
         if (!fixture.await_audit("swapped", swaps + 1))
-            throw std::runtime_error("a rotation was not taken up");
+            throw std::runtime_error("a key rotation was not loaded");
         {
             const std::lock_guard lock(signers.mutex);
             signers.before = before, signers.current = fixture.key(), signers.has_before = true;
         }
         revoke_one(fixture, rotations, revocations);
         fixture.renew_server();
-        if (rotations % 5 == 0) { // a reload that is no good, under way
+        if (rotations % 5 == 0) { // also a reload that must be rejected
             const std::size_t kept = fixture.count_audit_lines("kept");
             fixture.write("keys/broken.jwk", "{");
-            if (!fixture.await_audit("kept", kept + 1)) throw std::runtime_error("a broken key was taken up");
+            if (!fixture.await_audit("kept", kept + 1))
+                throw std::runtime_error("a broken key was not rejected");
             std::remove((fixture.folder() + "/keys/broken.jwk").c_str());
             ++refused_reloads;
         }
-        std::this_thread::sleep_for(
-            std::chrono::milliseconds(300)); // load between changes: this paces, it proves nothing
+        std::this_thread::sleep_for(std::chrono::milliseconds(300)); // load between changes
         {
             const std::lock_guard lock(
                 signers.mutex); // within the overlap, clients have taken up the new key
             signers.has_before = false;
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
-        // What is signed with a key that is gone is refused, a moment after.
+        // Tokens signed with an expired key must be rejected.
         for (const access::Key& key : fixture.keys()) {
             if (key.times.gone == access::kNever || transport::Loop::wall() < key.times.gone + 10) continue;
             ++gone_asked;
             Client client(fixture.plain_address());
-            client.say(search_bytes(
+            client.send_bytes(search_bytes(
                 {"gone-" + key.name + std::to_string(rotations), "find", "", fixture.token("anna", key)}));
             if (client.answer().status != 401) ++counts.wrongful_admissions;
         }
     }
     stop = true;
     for (std::jthread& thread : searchers) thread.join();
-    const double seconds = micros(Clock::now() - begun) / 1e6;
+    const double seconds = micros(Clock::now() - started) / 1e6;
     nlohmann::ordered_json kinds;
     for (int i = 0; i < 13; ++i) kinds.push_back(counts.bad_kinds[i].load());
-    const std::size_t twice = fixture.fleet.max_attempts();
+    const std::size_t max_attempts = fixture.fleet.max_attempts();
     nlohmann::ordered_json line = {
         {"searches", counts.searches.load()},
         {"rotations", rotations},
@@ -348,21 +352,22 @@
         {"script_eval_us", script_us},
         {"handshakes_per_s", handshakes},
         {"plain_search_cpu_us", plain_us},
-        {"guarded_search_cpu_us", guarded_us},
-        {"access_cpu_share", guarded_us > 0 ? (guarded_us - plain_us) / guarded_us : 0},
+        {"guarded_search_cpu_us", access_controlled_us},
+        {"access_cpu_share",
+         access_controlled_us > 0 ? (access_controlled_us - plain_us) / access_controlled_us : 0},
         {"by_kind", kinds},
         {"asked_with_gone_keys", gone_asked},
         {"refused_reloads", refused_reloads},
         {"broken_connections", counts.errors.load()},
-        {"most_launches_a_part", twice},
+        {"most_launches_a_part", max_attempts},
         {"seconds", seconds},
     };
     std::cout << line.dump() << std::endl;
-    const bool kept = counts.searches >= 20'000 && rotations >= 20 && counts.wrongful_refusals == 0 &&
-                      counts.wrongful_admissions == 0 && counts.errors == 0 &&
-                      revocations.open_connections >= 20 && revocations.longest_ms <= kMostRevocationMs &&
-                      gone_asked > 0 && fixture.running() && twice == 1;
-    return kept ? 0 : 1;
+    const bool passed = counts.searches >= 20'000 && rotations >= 20 && counts.wrongful_refusals == 0 &&
+                        counts.wrongful_admissions == 0 && counts.errors == 0 &&
+                        revocations.open_connections >= 20 && revocations.longest_ms <= kMaxRevocationMs &&
+                        gone_asked > 0 && fixture.running() && max_attempts == 1;
+    return passed ? 0 : 1;
 }
 
 } // namespace
--- a/bench/h2.cpp
+++ b/bench/h2.cpp
@@ -1,6 +1,6 @@
-// `make measure NAME=h2`: one connection with many searches against many connections, drains under load, and
-// a good client beside each kind of bad one. What should have become of each search is known and counted. The
-// last line is one JSON object; the exit status is 1 where a promise broke.
+// `make measure NAME=h2`: compares one HTTP/2 connection with many HTTP/1.1 connections, drains under load,
+// and measures a regular client during each kind of attack. The outcome of each search is checked. The last
+// line is one JSON object; the exit status is 1 if a guarantee is violated.
 #include "lab/front_node_fixture.hpp"
 #include "lab/h2_client.hpp"
 
@@ -23,12 +23,12 @@
 
 constexpr int kDrains = 5, kDrainStreams = 100, kVictimSearches = 1000, kConcurrency = 24,
               kRateSearches = 18'000;
-constexpr double kMostVictimRatio = 1.25, kLeastRateRatio = 1.3;
+constexpr double kMaxVictimRatio = 1.25, kMinRateRatio = 1.3;
 
 double millis(Clock::duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
 struct Counts {
-    std::atomic<std::uint64_t> searches = 0, doubled_answers = 0, lost = 0;
+    std::atomic<std::uint64_t> searches = 0, duplicate_answers = 0, lost = 0;
 };
 
 SearchRequest ask_for(const std::string& id, std::size_t answer = 4) {
@@ -39,11 +39,11 @@
 
 void count(const H2Answer& answer, Counts& counts) {
     ++counts.searches;
-    if (answer.answers > 1) ++counts.doubled_answers;
+    if (answer.answers > 1) ++counts.duplicate_answers;
     if (answer.answers == 0 || !answer.ended) ++counts.lost;
 }
 
-// So many searches with so many at once, on one connection.
+// Sends `searches` searches on one connection, `at_once` of them concurrently.
 void search_h2(const FrontNodeFixture& fixture, const std::string& name, int searches, int at_once,
                Counts& counts) {
     H2Client client(fixture.h2_address());
@@ -72,22 +72,23 @@
             for (int n = i; n < searches; n += at_once) {
                 SearchRequest request = ask_for(name + std::to_string(n));
                 request.shard = n % 2;
-                client.say(search_bytes(request));
+                client.send_bytes(search_bytes(request));
                 client.answer();
                 ++counts.searches;
             }
         });
 }
 
-std::vector<double> victim(const FrontNodeFixture& fixture, const std::string& name, Counts& counts) {
+std::vector<double> measure_regular_client(const FrontNodeFixture& fixture, const std::string& name,
+                                           Counts& counts) {
     H2Client client(fixture.h2_address());
     std::vector<double> times;
     for (int i = 0; i < kVictimSearches; ++i) {
         const SearchRequest request = ask_for(name + std::to_string(i));
-        const auto begun = Clock::now();
+        const auto started = Clock::now();
         const auto stream = client.request(search_fields(request), search_body(request));
         count(client.await(stream), counts);
-        times.push_back(millis(Clock::now() - begun));
+        times.push_back(millis(Clock::now() - started));
     }
     std::ranges::sort(times);
     return times;
@@ -95,24 +96,24 @@
 
 struct Attack {
     const char* name;
-    bool ends; // its connection is ended by us
-    std::function<void(H2Client&, int)> act;
+    bool ends; // the server must close its connection
+    std::function<void(H2Client&, int)> execute;
     H2Client::Plan plan = {};
 };
 
-std::string fresh_id() {
+std::string next_id() {
     static std::atomic<int> number = 0;
     return "attack" + std::to_string(++number);
 }
 
 std::vector<Attack> attacks() {
-    static const std::string eight(8, 'p'), priority("\0\0\0\0\0", 5);
+    static const std::string ping_payload(8, 'p'), priority("\0\0\0\0\0", 5);
     return {
         {"closed-window",
          false,
          [](H2Client& c, int i) {
              if (i < 60) {
-                 const SearchRequest request = ask_for(fresh_id(), 8000);
+                 const SearchRequest request = ask_for(next_id(), 8000);
                  c.request(search_fields(request), search_body(request));
              }
              c.round_trip();
@@ -122,7 +123,7 @@
         {"one-byte-window",
          false,
          [](H2Client& c, int i) {
-             const SearchRequest request = ask_for(fresh_id(), 8000);
+             const SearchRequest request = ask_for(next_id(), 8000);
              if (i == 0) c.request(search_fields(request), search_body(request));
              c.open_window(1, 1);
              c.step();
@@ -130,11 +131,11 @@
          {false, 0}},
         {"rapid-reset", true,
          [](H2Client& c, int i) {
-             if (i % 50 == 0) c.round_trip(); // it hears when it is told to go
-             const SearchRequest request = ask_for(fresh_id());
+             if (i % 50 == 0) c.round_trip(); // reads, so that it notices GOAWAY
+             const SearchRequest request = ask_for(next_id());
              c.reset(c.request(search_fields(request), search_body(request)));
          }},
-        {"ping", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PING, 0, 0, eight)); }},
+        {"ping", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PING, 0, 0, ping_payload)); }},
         {"settings", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_SETTINGS, 0, 0, {})); }},
         {"priority", true, [](H2Client& c, int) { c.raw(raw_frame(NGHTTP2_PRIORITY, 0, 1, priority)); }},
         {"continuation", true,
@@ -151,18 +152,18 @@
     };
 }
 
-// Again and again on a new connection, as whoever means it would.
+// The attacker reconnects each time its connection is closed.
 ordered_json attack_while(const FrontNodeFixture& fixture, const Attack& attack,
                           const std::function<void()>& work) {
     std::atomic<bool> stop = false;
-    std::uint64_t connections = 0, ended = 0, deeds = 0;
+    std::uint64_t connections = 0, ended = 0, operations = 0;
     std::jthread attacker([&] {
         while (!stop) {
             try {
                 H2Client client(Client(fixture.h2_address(), 300), attack.plan);
                 ++connections;
-                for (int i = 0; !stop && !client.ended; ++i) attack.act(client, i), ++deeds;
-                client.await_end(); // what it was told, if it never listened
+                for (int i = 0; !stop && !client.ended; ++i) attack.execute(client, i), ++operations;
+                client.await_end(); // reads what the server sent, GOAWAY included
                 ended += client.goaways > 0 ? 1 : 0;
             } catch (const std::exception&) { ++ended; }
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -171,40 +172,41 @@
     work();
     stop = true;
     attacker.join();
-    return {{"connections", connections}, {"ended_by_us", ended}, {"deeds", deeds}};
+    return {{"connections", connections}, {"ended_by_us", ended}, {"deeds", operations}};
 }
 
 int measure() {
     Counts counts;
-    const auto begun = Clock::now();
+    const auto started = Clock::now();
     const auto progress = [&](const std::string& what) {
-        std::cerr << static_cast<int>(millis(Clock::now() - begun)) << " ms: " << what << "\n";
+        std::cerr << static_cast<int>(millis(Clock::now() - started)) << " ms: " << what << "\n";
     };
-    ordered_json line, told;
+    ordered_json line, attack_results;
     double worst = 0, per_blocked = 0;
     std::string worst_name;
-    std::size_t twice = 0;
-    bool attacks_kept = true;
+    std::size_t max_attempts = 0;
+    bool attacks_stopped = true;
     {
         FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, {}, 512});
-        victim(fixture, "warm", counts);
-        std::vector<double> calm;
-        for (int round = 0; round < 2; ++round) { // the quieter of two is no yardstick: the middle of both
-            const auto times = victim(fixture, "calm" + std::to_string(round), counts);
-            calm.push_back(times[times.size() * 99 / 100]);
+        measure_regular_client(fixture, "warm", counts);
+        std::vector<double> baseline;
+        for (int round = 0; round < 2; ++round) { // the baseline is the mean of two runs
+            const auto times = measure_regular_client(fixture, "calm" + std::to_string(round), counts);
+            baseline.push_back(times[times.size() * 99 / 100]);
         }
-        const double calm_p99 = (calm[0] + calm[1]) / 2;
-        line["victim_calm_p99_ms"] = calm_p99;
+        const double baseline_p99 = (baseline[0] + baseline[1]) / 2;
+        line["victim_calm_p99_ms"] = baseline_p99;
         for (const Attack& attack : attacks()) {
             progress(attack.name);
             std::vector<double> times;
-            ordered_json outcome = attack_while(
-                fixture, attack, [&] { times = victim(fixture, std::string(attack.name), counts); });
-            const double ratio = times[times.size() * 99 / 100] / calm_p99;
+            ordered_json outcome = attack_while(fixture, attack, [&] {
+                times = measure_regular_client(fixture, std::string(attack.name), counts);
+            });
+            const double ratio = times[times.size() * 99 / 100] / baseline_p99;
             outcome["victim_p50_ms"] = times[times.size() / 2], outcome["victim_p99_ratio"] = ratio;
             if (ratio > worst) worst = ratio, worst_name = attack.name;
-            attacks_kept = attacks_kept && (!attack.ends || outcome["ended_by_us"] > 0);
-            told[attack.name] = outcome;
+            attacks_stopped = attacks_stopped && (!attack.ends || outcome["ended_by_us"] > 0);
+            attack_results[attack.name] = outcome;
         }
         const std::uint64_t before = fixture.memory_kb();
         constexpr int kBlocked = 90;
@@ -216,7 +218,7 @@
         }
         const std::uint64_t after = fixture.memory_kb();
         per_blocked = static_cast<double>(after > before ? after - before : 0) / kBlocked;
-        twice = fixture.fleet.max_attempts();
+        max_attempts = fixture.fleet.max_attempts();
     }
     progress("one connection against many");
     double h1_us = 0, h2_us = 0;
@@ -231,7 +233,7 @@
             search_h2(fixture, "two" + std::to_string(round) + "-", kRateSearches / 3, kConcurrency, counts);
             h2_us += static_cast<double>(fixture.cpu_us() - at) / kRateSearches;
         }
-        twice = std::max(twice, fixture.fleet.max_attempts());
+        max_attempts = std::max(max_attempts, fixture.fleet.max_attempts());
     }
     progress("drains");
     std::uint64_t drain_lost = 0;
@@ -245,36 +247,38 @@
             request.request_class = "annotate";
             streams.push_back(client.request(search_fields(request), search_body(request)));
         }
-        if (!fixture.fleet.await_attempt("d0.0")) ++drain_lost; // others wait for an attempt of theirs
+        if (!fixture.fleet.await_attempt("d0.0"))
+            ++drain_lost; // the first search must be in flight before the drain
         fixture.signal(SIGTERM);
         fixture.fleet.hold(false);
         for (const std::int32_t stream : streams) {
             const H2Answer& answer = client.await(stream);
             count(answer, counts);
-            // Delivered, or rejected by the module; both are final answers, and each stream has one.
-            const bool told =
+            // Delivered or rejected: each stream gets exactly one final answer.
+            const bool answered_once =
                 answer.answers == 1 && answer.ended && (answer.status == 200 || answer.status == 503);
-            drain_lost += told ? 0 : 1;
+            drain_lost += answered_once ? 0 : 1;
         }
         client.await_end();
         drain_lost += fixture.exit_status() == 0 ? 0 : 1;
-        twice = std::max(twice, fixture.fleet.max_attempts());
+        max_attempts = std::max(max_attempts, fixture.fleet.max_attempts());
     }
     const double h1 = 1e6 / h1_us, h2 = 1e6 / h2_us;
     line["searches"] = counts.searches.load();
-    line["doubled_launches"] = twice > 1 ? twice - 1 : 0;
-    line["doubled_answers"] = counts.doubled_answers.load();
+    line["doubled_launches"] = max_attempts > 1 ? max_attempts - 1 : 0;
+    line["doubled_answers"] = counts.duplicate_answers.load();
     line["lost_searches"] = counts.lost.load();
     line["drains"] = kDrains, line["drain_lost"] = drain_lost;
-    line["victim_p99_ratio"] = worst, line["worst_attack"] = worst_name, line["attacks"] = told;
+    line["victim_p99_ratio"] = worst, line["worst_attack"] = worst_name, line["attacks"] = attack_results;
     line["memory_kb_per_blocked_stream"] = per_blocked;
     line["searches_per_core_s_h1"] = h1, line["searches_per_core_s_h2"] = h2, line["h2_over_h1"] = h2 / h1;
     line["connections_per_1000_searches"] = {{"h1", 1000.0 * kConcurrency * 3 / kRateSearches},
                                              {"h2", 1000.0 * 3 / kRateSearches}};
     std::cout << line.dump() << std::endl;
-    const bool kept = twice <= 1 && counts.doubled_answers == 0 && counts.lost == 0 && drain_lost == 0 &&
-                      worst <= kMostVictimRatio && attacks_kept && h2 / h1 >= kLeastRateRatio;
-    return kept ? 0 : 1;
+    const bool passed = max_attempts <= 1 && counts.duplicate_answers == 0 && counts.lost == 0 &&
+                        drain_lost == 0 && worst <= kMaxVictimRatio && attacks_stopped &&
+                        h2 / h1 >= kMinRateRatio;
+    return passed ? 0 : 1;
 }
 
 } // namespace
--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -1,6 +1,6 @@
-// What the order of work promises, measured: real processes with faults between them, and the same state
-// machines in virtual time, side by side. The last line is one JSON object; the exit status is 1 where a
-// promise is broken. `--long` plays ten times as much.
+// Measures the guarantees of the maintenance schedule: processes with injected faults, and in parallel a
+// simulation of the same state machines in virtual time. The last line is one JSON object; the exit status is
+// 1 if a guarantee is violated. `--long` runs ten times as much.
 #include "lab/process_harness.hpp"
 #include "maintenance/plan.hpp"
 
@@ -35,7 +35,7 @@
 json run_fault_schedules(std::uint64_t count, unsigned threads) {
     std::atomic<std::uint64_t> next = 1;
     std::mutex mutex;
-    json made{
+    json report{
         {"schedules", count}, {"schedule_violations", 0}, {"under_floor_ms", 0}, {"turns", 0}, {"faults", 0}};
     std::vector<Tenths> failovers;
     std::vector<std::thread> workers;
@@ -44,27 +44,27 @@
             for (std::uint64_t seed; (seed = next++) <= count;) {
                 const FaultScheduleResult result = run_fault_schedule(generate_fault_schedule(seed));
                 const std::lock_guard lock(mutex);
-                made["turns"] = made["turns"].get<std::uint64_t>() + result.counts.jobs_done;
-                made["faults"] = made["faults"].get<std::uint64_t>() + result.counts.faults;
-                made["under_floor_ms"] =
-                    made["under_floor_ms"].get<std::int64_t>() + result.time_below_min_replicas / 10;
+                report["turns"] = report["turns"].get<std::uint64_t>() + result.counts.jobs_done;
+                report["faults"] = report["faults"].get<std::uint64_t>() + result.counts.faults;
+                report["under_floor_ms"] =
+                    report["under_floor_ms"].get<std::int64_t>() + result.time_below_min_replicas / 10;
                 failovers.insert(failovers.end(), result.failovers.begin(), result.failovers.end());
                 if (result.violations.empty()) continue;
-                made["schedule_violations"] = made["schedule_violations"].get<int>() + 1;
+                report["schedule_violations"] = report["schedule_violations"].get<int>() + 1;
                 std::fprintf(stderr, "schedule %llu: %s\n", static_cast<unsigned long long>(seed),
                              result.violations.front().c_str());
-                if (made["schedule_violations"] == 1)
+                if (report["schedule_violations"] == 1)
                     for (const std::string& line :
                          run_fault_schedule(minimize_fault_schedule(generate_fault_schedule(seed))).event_log)
                         std::fprintf(stderr, "  %s\n", line.c_str());
             }
         });
     for (auto& player : workers) player.join();
-    made["failover_ms_p99"] = percentile_ms(failovers, 0.99);
-    return made;
+    report["failover_ms_p99"] = percentile_ms(failovers, 0.99);
+    return report;
 }
 
-// Evenings without a fault, small enough that the best order is known.
+// Runs without faults, small enough for an exhaustive search of the best plan.
 json run_fault_free_schedules(int count) {
     double ours = 0, first_come = 0;
     for (int i = 0; i < count; ++i) {
@@ -83,15 +83,15 @@
         std::vector<maintenance::PlannedJob> tasks;
         for (const std::string& name : ordered)
             tasks.push_back({name, start.fleet().at(name).duration, false, 0});
-        const maintenance::Constraints room(start.limits(), start.fleet(), start.voters());
-        const auto best = maintenance::plan_exhaustive(room, tasks, {}, 7);
+        const maintenance::Constraints constraints(start.limits(), start.fleet(), start.voters());
+        const auto best = maintenance::plan_exhaustive(constraints, tasks, {}, 7);
         world.until([&] { return world.all_jobs_finished(); }, 3000 * kS);
         if (!best || best->duration == 0 || !world.all_jobs_finished()) continue;
         const auto length = static_cast<double>(best->duration);
         ours = std::max(ours, static_cast<double>(world.ended - world.began) / length);
         first_come = std::max(
             first_come,
-            static_cast<double>(maintenance::plan_first_come_first_served(room, tasks, {}).duration) /
+            static_cast<double>(maintenance::plan_first_come_first_served(constraints, tasks, {}).duration) /
                 length);
     }
     return {{"evening_over_best", ours}, {"evening_first_come", first_come}};
@@ -104,13 +104,13 @@
 }
 
 double bytes_per_node_second(SimulatedMaintenance& world) {
-    world.pass(20 * kS); // until all know all
+    world.advance(20 * kS); // until membership has converged
     const std::uint64_t before = world.counts().bytes;
-    world.pass(10 * kS);
+    world.advance(10 * kS);
     return static_cast<double>(world.counts().bytes - before) / static_cast<double>(world.fronts()) / 10;
 }
 
-// A member that dies among 300: until the last of the others knows.
+// Time until all of 300 members have detected a failed one.
 double detect_ms(SimulatedMaintenance& world) {
     std::vector<Tenths> took;
     for (const int dead : {40}) {
@@ -122,7 +122,7 @@
         for (int i = 0; i < 300; ++i)
             if (world.front(i).node) waiting.insert(i);
         while (!waiting.empty() && world.now() < at + 60 * kS) {
-            world.pass(kS / 5);
+            world.advance(kS / 5);
             std::erase_if(waiting, [&](int i) {
                 if (world.front(i).node->member_list().state_of(name) != membership::MemberState::kFailed)
                     return false;
@@ -139,12 +139,12 @@
     SimulatedMaintenancePlan plan = members(20);
     plan.loss_ratio = 0.05;
     SimulatedMaintenance world(plan);
-    world.pass(30 * kS);
+    world.advance(30 * kS);
     std::uint64_t failed = 0;
     world.on_line = [&](int, const maintenance::LogLine& line) {
         if (line.event == "member" && line.fields[1].second == "failed") ++failed;
     };
-    world.pass(600 * kS);
+    world.advance(600 * kS);
     return static_cast<double>(failed) * 6;
 }
 
@@ -158,10 +158,10 @@
             more[1]["detect_ms_p99_300"] = detect_ms(many);
         }),
         std::thread([&] { more[2]["false_suspicions_per_hour_5pct_loss"] = false_failures_per_hour(); })};
-    json made = run_fault_schedules(long_run ? 20'000 : 2'000, threads);
+    json report = run_fault_schedules(long_run ? 20'000 : 2'000, threads);
     for (auto& part : parts) part.join();
-    for (const json& one : more) made.update(one);
-    return made;
+    for (const json& one : more) report.update(one);
+    return report;
 }
 
 // ---- processes
@@ -171,7 +171,7 @@
 }
 
 struct Processes {
-    json made;
+    json report;
     std::vector<std::string> violations_found;
 };
 
@@ -194,7 +194,8 @@
     std::vector<std::string> violations_found;
     const auto ordered =
         harness.run_work_command(1, {"add", "s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "n1", "n3"});
-    if (ordered.first != 0) violations_found.push_back("the order was refused: " + ordered.second);
+    if (ordered.first != 0)
+        violations_found.push_back("the maintenance request was rejected: " + ordered.second);
     const auto done = [&](std::size_t count) {
         return harness.await([&] { return harness.jobs_done() >= count; }, 15'000);
     };
@@ -203,7 +204,7 @@
     const json shown = harness.show(0);
     const int leader =
         shown.is_object() && shown["leader"] != "" ? shown["leader"].get<std::string>()[1] - '0' : 0;
-    harness.stall(leader, true); // for longer than a grant lasts
+    harness.stall(leader, true); // for longer than a lease lasts
     const Tenths stalled = harness.now();
     harness.await([&] { return harness.now() > stalled + 2 * kS; });
     harness.stall(leader, false);
@@ -217,28 +218,30 @@
     harness.kill(killed);
     harness.start(killed);
     if (!harness.await([&] { return harness.maintenance_finished(0); }, 25'000))
-        violations_found.push_back("the evening of processes does not end");
+        violations_found.push_back("maintenance does not finish");
     const SearchCounts during = harness.stop_clients();
     for (const std::string& what : harness.check_history()) violations_found.push_back(what);
-    json made{{"processes", plan.fronts},
-              {"searches", without_faults.asked + during.asked},
-              {"turns_done", harness.jobs_done()},
-              {"faults_injected", harness.faults()},
-              {"lost_searches", without_faults.lost + during.lost},
-              {"payoff_during_work_over_calm", utility_ratio(during) / utility_ratio(without_faults)},
-              {"shard_under_floor_ms", harness.time_below_min_replicas() / 10}};
-    const auto count = [&](const char* words) {
-        return std::ranges::count_if(
-            violations_found, [&](const std::string& what) { return what.find(words) != std::string::npos; });
+    json report{{"processes", plan.fronts},
+                {"searches", without_faults.asked + during.asked},
+                {"turns_done", harness.jobs_done()},
+                {"faults_injected", harness.faults()},
+                {"lost_searches", without_faults.lost + during.lost},
+                {"payoff_during_work_over_calm", utility_ratio(during) / utility_ratio(without_faults)},
+                {"shard_under_floor_ms", harness.time_below_min_replicas() / 10}};
+    const auto count = [&](const char* arguments) {
+        return std::ranges::count_if(violations_found, [&](const std::string& what) {
+            return what.find(arguments) != std::string::npos;
+        });
     };
-    made["doubled_launches"] = count("launched twice");
-    made["two_holders"] = count("two holders");
-    made["stale_acts_accepted"] = count("stale") + count("older number");
-    made["rules_broken"] = violations_found.size();
-    return {made, violations_found};
+    report["doubled_launches"] = count("launched twice");
+    report["two_holders"] = count("two holders");
+    report["stale_acts_accepted"] = count("stale") + count("older number");
+    report["rules_broken"] = violations_found.size();
+    return {report, violations_found};
 }
 
-// The settings say 40 front nodes where there are 5: C3's n as it is seen against n as it is stated.
+// The settings state 40 front nodes while 5 run: compares C3 with the observed and with the configured
+// number.
 double measure_utility(bool seen) {
     ProcessHarnessPlan plan;
     plan.program = IVYRILL_PROGRAM;
@@ -252,11 +255,11 @@
 
 } // namespace
 
-int main(int count, char** words) {
-    const bool long_run = count > 1 && std::string(words[1]) == "--long";
+int main(int count, char** arguments) {
+    const bool long_run = count > 1 && std::string(arguments[1]) == "--long";
     int ends[2];
     if (pipe(ends) != 0) return 2;
-    const pid_t child = fork(); // what is virtual waits for the processes, not they for it
+    const pid_t child = fork(); // lower priority: the simulation must not delay the processes
     if (child == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         setpriority(PRIO_PROCESS, 0, 10);
@@ -268,27 +271,29 @@
     Processes processes = measure_processes();
     for (int i = 1; long_run && i < 5; ++i) {
         Processes more = measure_processes();
-        for (auto& [name, value] : more.made.items())
+        for (auto& [name, value] : more.report.items())
             if (name != "processes" && name != "payoff_during_work_over_calm")
-                processes.made[name] = processes.made[name].get<std::int64_t>() + value.get<std::int64_t>();
+                processes.report[name] =
+                    processes.report[name].get<std::int64_t>() + value.get<std::int64_t>();
         processes.violations_found.insert(processes.violations_found.end(), more.violations_found.begin(),
                                           more.violations_found.end());
     }
-    json made = processes.made;
-    made["payoff_true_n_over_fixed_n"] = measure_utility(true) / measure_utility(false);
+    json report = processes.report;
+    report["payoff_true_n_over_fixed_n"] = measure_utility(true) / measure_utility(false);
     std::string text;
     char bytes[4096];
     for (ssize_t got; (got = read(ends[0], bytes, sizeof bytes)) > 0;)
         text.append(bytes, static_cast<std::size_t>(got));
     waitpid(child, nullptr, 0);
-    made.update(json::parse(text, nullptr, false));
-    for (const std::string& what : processes.violations_found) std::cerr << "broken: " << what << "\n";
-    const auto zero = [&](const char* name) { return made.contains(name) && made[name] == 0; };
+    report.update(json::parse(text, nullptr, false));
+    for (const std::string& what : processes.violations_found) std::cerr << "violation: " << what << "\n";
+    const auto zero = [&](const char* name) { return report.contains(name) && report[name] == 0; };
     const bool passed = zero("rules_broken") && zero("lost_searches") && zero("doubled_launches") &&
                         zero("two_holders") && zero("stale_acts_accepted") && zero("shard_under_floor_ms") &&
-                        zero("schedule_violations") && zero("under_floor_ms") && made["schedules"] >= 2000 &&
-                        made["evening_over_best"] <= 1.25 && made["payoff_during_work_over_calm"] >= 0.98 &&
-                        made["bytes_per_node_s_300"] <= 1.5 * made["bytes_per_node_s_10"].get<double>();
-    std::cout << made.dump() << "\n";
+                        zero("schedule_violations") && zero("under_floor_ms") &&
+                        report["schedules"] >= 2000 && report["evening_over_best"] <= 1.25 &&
+                        report["payoff_during_work_over_calm"] >= 0.98 &&
+                        report["bytes_per_node_s_300"] <= 1.5 * report["bytes_per_node_s_10"].get<double>();
+    std::cout << report.dump() << "\n";
     return passed ? 0 : 1;
 }
--- a/fuzz/certificate.cpp
+++ b/fuzz/certificate.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a peer's chain, as authorities and as lists; and any names against the rules that map them.
+// Feeds arbitrary bytes to the parsers of certificate chains, authorities and CRLs, and arbitrary names to
+// the mapping rules.
 #include "access/certificate.hpp"
 
 #include <cstdint>
--- a/fuzz/h2.cpp
+++ b/fuzz/h2.cpp
@@ -1,5 +1,5 @@
-// Any bytes at the HTTP/2 session, in any split, with answers in between: memory stays bounded, each search
-// has one answer at most, and nothing is written after the end.
+// Feeds arbitrary bytes to the HTTP/2 session in pieces, with answers in between. Memory must stay bounded,
+// each search gets at most one answer, and nothing is written after the session has closed.
 #include "sessions/http2/session.hpp"
 
 #include <cstdint>
@@ -33,7 +33,7 @@
                 done.insert(cancelled->stream);
             }
         }
-        if (at % 3 == 0 && !open.empty()) { // twice: the second finds nothing
+        if (at % 3 == 0 && !open.empty()) { // the second answer must be ignored
             const StreamId stream = *open.begin();
             session.answer(stream, {protocol::Verdict::kRejected, false, {}, 0}, at % 5 == 0);
             session.answer(stream, {protocol::Verdict::kFailed, false, {}, 0}, false);
--- a/fuzz/script.cpp
+++ b/fuzz/script.cpp
@@ -1,5 +1,5 @@
-// Any text as an operators' script: it ends, within its bounds, the same way each time, and what it gives is
-// read or refused.
+// Runs arbitrary text as an operator script. It must end within its bounds with the same result each time,
+// and the settings reader must accept or reject that result.
 #include "script/script.hpp"
 #include "operator/operator_settings.hpp"
 
@@ -11,17 +11,17 @@
     const std::string text(reinterpret_cast<const char*>(data), size);
     const script::Bounds bounds{20'000, 1U << 20U, 4};
     std::string first, second;
-    for (std::string* heard : {&first, &second}) {
+    for (std::string* output : {&first, &second}) {
         try {
             const auto made = script::run_script(
                 "a.star", [&](const std::string&) { return text; }, bounds);
             if (made.steps > bounds.steps || made.bytes > bounds.bytes) std::abort();
-            *heard = made.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
+            *output = made.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
             try {
                 operators::read_operator_settings(made.result);
             } catch (const operators::SettingsError&) {}
         } catch (const script::ScriptError& error) {
-            *heard = error.what();
+            *output = error.what();
             if (error.at.line < 1 || error.at.column < 1) std::abort();
         }
     }
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a token: read, judged, never let in without a signature, never a crash.
+// Feeds arbitrary bytes to the token parser and the authorizer: no crash, and no admission without a valid
+// signature.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
 
@@ -12,36 +13,36 @@
 
 constexpr Tenths kNow = 1'800'000'000 * kTenthsPerSecond;
 
-struct Post {
+struct TestAuthorizer {
     Key key{"k", SigningKey::generate(Algorithm::kHs256), {0, kTenthsPerSecond, kNever, kNever}};
-    Authorizer gate{policy()};
+    Authorizer authorizer{policy()};
     std::shared_ptr<const Policy> policy() const {
-        AccessOptions terms;
-        terms.issuer = "i", terms.audience = "a", terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
-        terms.clubs = {{"c", "t"}}, terms.request_classes = {{"find", Right::kRead}};
+        AccessOptions options;
+        options.issuer = "i", options.audience = "a", options.max_token_bytes = 4096,
+        options.max_cached_tokens = 8;
+        options.clubs = {{"c", "t"}}, options.request_classes = {{"find", Right::kRead}};
         AccessFiles files;
         files.keys = {{"k.jwk", write_key(key, false)}};
-        return read_policy(terms, files, nullptr, kNow);
+        return read_policy(options, files, nullptr, kNow);
     }
 };
 
 } // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static Post post;
+    static TestAuthorizer test;
     const std::string bytes(reinterpret_cast<const char*>(data), size);
-    if (post.gate.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
+    if (test.authorizer.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
         std::abort();
-    // The same bytes as header and payload, behind a signature that holds: what is read must be what was
-    // written.
+    // The same bytes as header and payload with a valid signature: the parsed values must be valid.
     const std::size_t half = size / 2;
     const std::string body = base64url(bytes.substr(0, half)) + "." + base64url(bytes.substr(half));
-    const TokenParseResult form = parse_token(body + "." + base64url(post.key.signing.sign(body)), 8192);
-    if (const auto* token = std::get_if<ParsedToken>(&form)) {
+    const TokenParseResult parsed = parse_token(body + "." + base64url(test.key.signing.sign(body)), 8192);
+    if (const auto* token = std::get_if<ParsedToken>(&parsed)) {
         if (token->claims.expires < 0 || !is_valid_name(token->claims.caller.club)) std::abort();
-        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, post.key)) std::abort();
+        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, test.key)) std::abort();
     }
-    // Text to bytes and back is the same text, or no text at all.
+    // Accepted base64url text must survive decoding and encoding unchanged.
     if (const auto raw = read_base64url(bytes); raw && base64url(*raw) != bytes) std::abort();
     try {
         read_key({"f", bytes});
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -360,9 +360,9 @@
 // ---- certificates
 
 struct Office { // a root, and what it issues
-    lab::Authority root{"root", kNow - s(1000), kNow + s(100'000)};
-    lab::Issued anna = issue({"spiffe://trinacria.example/etna/anna"});
-    lab::Issued issue(std::vector<std::string> uris, std::vector<std::string> dns = {}) const {
+    lab::CertificateAuthority root{"root", kNow - s(1000), kNow + s(100'000)};
+    lab::IssuedCertificate anna = issue({"spiffe://trinacria.example/etna/anna"});
+    lab::IssuedCertificate issue(std::vector<std::string> uris, std::vector<std::string> dns = {}) const {
         return root.issue({"x", std::move(uris), std::move(dns), kNow - s(10), kNow + s(1000), false});
     }
     NamedText file() const { return {"ca.pem", root.certificate()}; }
@@ -404,15 +404,16 @@
     Post post;
     post.authorities = {office.file()};
     assert(post.reload().empty());
-    const lab::Authority below = office.root.below("below", kNow - s(10), kNow + s(1000));
-    const lab::Wish wish{"x",  {"spiffe://trinacria.example/etna/anna"}, {}, kNow - s(10), kNow + s(1000),
-                         false};
-    assert(post.shown({{below.issue(wish).der, below.der()}}) == Reason::kAdmitted);
-    assert(post.shown({{below.issue(wish).der}}) == Reason::kUnknownKey);
-    lab::Authority last = office.root;
+    const lab::CertificateAuthority intermediate =
+        office.root.issue_intermediate("below", kNow - s(10), kNow + s(1000));
+    const lab::CertificateRequest wish{
+        "x", {"spiffe://trinacria.example/etna/anna"}, {}, kNow - s(10), kNow + s(1000), false};
+    assert(post.shown({{intermediate.issue(wish).der, intermediate.der()}}) == Reason::kAdmitted);
+    assert(post.shown({{intermediate.issue(wish).der}}) == Reason::kUnknownKey);
+    lab::CertificateAuthority last = office.root;
     Chain ten;
     for (int i = 0; i < 9; ++i) {
-        last = last.below("n" + std::to_string(i), kNow - s(10), kNow + s(1000));
+        last = last.issue_intermediate("n" + std::to_string(i), kNow - s(10), kNow + s(1000));
         ten.certificates.insert(ten.certificates.begin(), last.der());
     }
     ten.certificates.insert(ten.certificates.begin(), last.issue(wish).der);
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -79,7 +79,7 @@
         reload();
     }
     Key key{"k", SigningKey::generate(Algorithm::kEdDsa), {0, s(1), kNever, kNever}};
-    lab::Authority root{"root", kWall - s(100), kWall + s(10'000)};
+    lab::CertificateAuthority root{"root", kWall - s(100), kWall + s(10'000)};
     Revocations revoked;
     std::shared_ptr<const Policy> current;
     int searches = 0;
@@ -204,7 +204,7 @@
 
 // ---- connections that showed a certificate
 
-ClientId secured(AccessFixture& fixture, const lab::Issued& issued) {
+ClientId secured(AccessFixture& fixture, const lab::IssuedCertificate& issued) {
     const ClientId client{++fixture.clients};
     fixture.handle(ClientOpened{client, true, true});
     fixture.handle(HandshakeReady{client});
@@ -220,9 +220,9 @@
 
 void revoked_certificate_closes_its_idle_connection() {
     AccessFixture fixture;
-    const lab::Issued anna =
+    const lab::IssuedCertificate anna =
         fixture.root.issue({"a", {"spiffe://t/anna"}, {}, kWall - s(1), kWall + s(1000), false});
-    const lab::Issued bruno =
+    const lab::IssuedCertificate bruno =
         fixture.root.issue({"b", {"spiffe://t/bruno"}, {}, kWall - s(1), kWall + s(1000), false});
     const ClientId idle = secured(fixture, anna), other = secured(fixture, bruno);
     fixture.send_search_on(idle, ""), fixture.send_search_on(other, "");
@@ -240,7 +240,7 @@
 void revoked_certificate_with_an_open_search_closes_after_its_answer() {
     for (const bool draining : {false, true}) {
         AccessFixture fixture;
-        const lab::Issued anna =
+        const lab::IssuedCertificate anna =
             fixture.root.issue({"a", {"spiffe://t/anna"}, {}, kWall - s(1), kWall + s(1000), false});
         const ClientId client = secured(fixture, anna);
         fixture.send_search_on(client, "");
@@ -258,7 +258,7 @@
 
 void reload_without_changes_affects_nobody() {
     AccessFixture fixture;
-    const lab::Issued anna =
+    const lab::IssuedCertificate anna =
         fixture.root.issue({"a", {"spiffe://t/anna"}, {}, kWall - s(1), kWall + s(1000), false});
     const ClientId client = secured(fixture, anna), by_token = fixture.send_search(fixture.token("bruno"));
     for (int i = 0; i < 5; ++i) fixture.reload();
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -12,7 +12,7 @@
 using access::Algorithm;
 
 int status(Client& client, const SearchRequest& request) {
-    client.say(search_bytes(request));
+    client.send_bytes(search_bytes(request));
     return client.answer().status;
 }
 
@@ -26,12 +26,12 @@
 void token_opens_the_plain_port_and_the_sealed_one() {
     FrontNodeFixture fixture({});
     const std::string token = fixture.token("anna", fixture.key());
-    Client plain(fixture.plain_address()), tls_client(fixture.tls_address(), TlsWish{}),
-        old(fixture.tls_address(), TlsWish{{}, {}, true, {}});
+    Client plain(fixture.plain_address()), tls_client(fixture.tls_address(), ClientTlsOptions{}),
+        old(fixture.tls_address(), ClientTlsOptions{{}, {}, true, {}});
     for (Client* client : {&plain, &tls_client, &old}) {
         static int number = 0;
         const std::string id = "q" + std::to_string(++number);
-        client->say(search_bytes({id}));
+        client->send_bytes(search_bytes({id}));
         const auto refused = client->answer();
         assert(refused.status == 401 && refused.header("www-authenticate") == "Bearer realm=\"ivyrill\"");
         assert(status(*client, {id + "b", "find", "", token}) == 200); // the connection goes on
@@ -49,18 +49,19 @@
 
 void certificate_names_its_bearer() {
     FrontNodeFixture fixture({});
-    const Issued anna = fixture.issue("anna");
-    Client client(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    const IssuedCertificate anna = fixture.issue("anna");
+    Client client(fixture.client_certificate_address(),
+                  ClientTlsOptions{anna.certificate, anna.key, false, {}});
     assert(status(client, {"a1"}) == 200 && status(client, {"a2", "annotate", "g7"}) == 200);
     assert(status(client, {"a3", "annotate", "g1"}) == 403);
-    Client none(fixture.client_certificate_address(), TlsWish{}); // optional there: a token does
+    Client none(fixture.client_certificate_address(), ClientTlsOptions{}); // optional there: a token does
     assert(status(none, {"b1"}) == 401 &&
            status(none, {"b2", "find", "", fixture.token("anna", fixture.key())}) == 200);
-    const Authority strange("root", 0, 4'000'000'000 * kTenthsPerSecond);
-    const Issued stranger = strange.issue(
+    const CertificateAuthority strange("root", 0, 4'000'000'000 * kTenthsPerSecond);
+    const IssuedCertificate stranger = strange.issue(
         {"x", {"spiffe://trinacria.example/etna/anna"}, {}, 0, 4'000'000'000 * kTenthsPerSecond, false});
     Client other(fixture.client_certificate_address(),
-                 TlsWish{stranger.certificate, stranger.key, false, {}});
+                 ClientTlsOptions{stranger.certificate, stranger.key, false, {}});
     assert(status(other, {"c1"}) == 401 && fixture.fleet.attempts("c1.0") == 0);
 }
 
@@ -96,44 +97,48 @@
     kept = fixture.count_audit_lines("kept");
     fixture.write("server.key", fixture.issue("x").key); // it does not fit the certificate
     assert(fixture.await_audit("kept", kept + 1));
-    Client tls_client(fixture.tls_address(), TlsWish{});
+    Client tls_client(fixture.tls_address(), ClientTlsOptions{});
     assert(tls_client.peer_serial() == fixture.server_serial() && fixture.running());
     assert(status(tls_client, {"a3", "find", "", token}) == 200);
 }
 
 void own_certificate_changes_and_closes_nothing() {
     FrontNodeFixture fixture({});
-    Client before(fixture.tls_address(), TlsWish{});
+    Client before(fixture.tls_address(), ClientTlsOptions{});
     const std::string first = fixture.server_serial(), token = fixture.token("anna", fixture.key());
     fixture.renew_server();
     assert(fixture.server_serial() != first && fixture.await_audit("swapped"));
     std::string serial = first;
     while (serial == first)
-        serial = Client(fixture.tls_address(), TlsWish{}).peer_serial(); // until both files are in
+        serial = Client(fixture.tls_address(), ClientTlsOptions{}).peer_serial(); // until both files are in
     assert(serial == fixture.server_serial() && before.peer_serial() == first);
     assert(status(before, {"a1", "find", "", token}) == 200);
 }
 
 void revoked_certificate_ends_its_idle_connection() {
     FrontNodeFixture fixture({});
-    const Issued anna = fixture.issue("anna"), bruno = fixture.issue("bruno");
-    Client first(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
-    Client second(fixture.client_certificate_address(), TlsWish{bruno.certificate, bruno.key, false, {}});
+    const IssuedCertificate anna = fixture.issue("anna"), bruno = fixture.issue("bruno");
+    Client first(fixture.client_certificate_address(),
+                 ClientTlsOptions{anna.certificate, anna.key, false, {}});
+    Client second(fixture.client_certificate_address(),
+                  ClientTlsOptions{bruno.certificate, bruno.key, false, {}});
     assert(status(first, {"a1"}) == 200 && status(second, {"b1"}) == 200);
     fixture.revoke_serials({anna.serial});
     assert(first.ends()); // idle and open: it need not ask anything
     assert(status(second, {"b2"}) == 200);
-    Client again(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    Client again(fixture.client_certificate_address(),
+                 ClientTlsOptions{anna.certificate, anna.key, false, {}});
     assert(status(again, {"a2"}) == 401 && fixture.await_audit("distrusted"));
 }
 
 // With a search out, during a drain: its one answer comes, then the connection ends.
 void revoked_with_a_search_out_gets_its_answer_and_the_end() {
     FrontNodeFixture fixture({});
-    const Issued anna = fixture.issue("anna");
-    Client client(fixture.client_certificate_address(), TlsWish{anna.certificate, anna.key, false, {}});
+    const IssuedCertificate anna = fixture.issue("anna");
+    Client client(fixture.client_certificate_address(),
+                  ClientTlsOptions{anna.certificate, anna.key, false, {}});
     fixture.fleet.hold(true);
-    client.say(search_bytes({"a1"}));
+    client.send_bytes(search_bytes({"a1"}));
     assert(fixture.fleet.await_attempt("a1.0"));
     fixture.signal(SIGTERM);
     fixture.revoke_serials({anna.serial});
@@ -147,7 +152,7 @@
     FrontNodeFixture fixture({2, Idempotency::kNonIdempotent, true, {}, 512});
     Client client(fixture.plain_address());
     fixture.fleet.hold(true);
-    client.say(search_bytes({"a1", "annotate", "g1", fixture.token("anna", fixture.key())}));
+    client.send_bytes(search_bytes({"a1", "annotate", "g1", fixture.token("anna", fixture.key())}));
     assert(fixture.fleet.await_attempt("a1.0"));
     fixture.write("keys/k9.jwk", "{");
     fixture.signal(SIGHUP), fixture.signal(SIGTERM);
@@ -163,30 +168,30 @@
     const std::string hello("\x16\x03\x01\x02\x00\x01", 6); // of a ClientHello that never ends
     for (int i = 0; i < 100; ++i) {
         half.emplace_back(fixture.tls_address());
-        half.back().say(hello);
+        half.back().send_bytes(hello);
     }
     const std::string token = fixture.token("anna", fixture.key());
     Client plain(fixture.plain_address());
     assert(status(plain, {"a1", "find", "", token}) == 200);
-    Client tls_client(fixture.tls_address(), TlsWish{});
+    Client tls_client(fixture.tls_address(), ClientTlsOptions{});
     assert(status(tls_client, {"a2", "find", "", token}) == 200);
     for (Client& client : half) assert(client.ends()); // crowded out, or at the end of their time
     Client noise(fixture.tls_address());
-    noise.say("GET /-/ready HTTP/1.1\r\n\r\n"); // no TLS at all: an alert, then the end
-    while (!noise.hear().empty()) {}
+    noise.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n"); // no TLS at all: an alert, then the end
+    while (!noise.receive_bytes().empty()) {}
     assert(status(plain, {"a3", "find", "", token}) == 200);
 }
 
 void nobody_renegotiates_and_protocols_are_agreed() {
     FrontNodeFixture fixture({});
-    Client old(fixture.tls_address(), TlsWish{{}, {}, true, std::string("\x02h2\x08http/1.1")});
+    Client old(fixture.tls_address(), ClientTlsOptions{{}, {}, true, std::string("\x02h2\x08http/1.1")});
     assert(old.protocol() == "http/1.1" && !old.renegotiate());
     bool refused = false;
     try {
-        Client other(fixture.tls_address(), TlsWish{{}, {}, false, std::string("\x02h2")});
+        Client other(fixture.tls_address(), ClientTlsOptions{{}, {}, false, std::string("\x02h2")});
     } catch (const std::runtime_error&) { refused = true; }
     assert(refused);
-    Client client(fixture.tls_address(), TlsWish{});
+    Client client(fixture.tls_address(), ClientTlsOptions{});
     assert(status(client, {"a1", "find", "", fixture.token("anna", fixture.key())}) == 200);
 }
 
@@ -194,9 +199,11 @@
 void flood_of_refusals_hides_no_change() {
     FrontNodeFixture fixture({});
     Client client(fixture.plain_address());
-    for (int i = 0; i < 1000; ++i) client.say(search_bytes({"a" + std::to_string(i)})), client.answer();
+    for (int i = 0; i < 1000; ++i)
+        client.send_bytes(search_bytes({"a" + std::to_string(i)})), client.answer();
     fixture.rotate("k1", Algorithm::kEdDsa, kHour);
-    for (int i = 0; i < 1000; ++i) client.say(search_bytes({"b" + std::to_string(i)})), client.answer();
+    for (int i = 0; i < 1000; ++i)
+        client.send_bytes(search_bytes({"b" + std::to_string(i)})), client.answer();
     assert(fixture.await_audit("swapped", 2));
     fixture.write("keys/k9.jwk", "{");
     assert(fixture.await_audit("kept"));
--- a/tests/fake_host.hpp
+++ b/tests/fake_host.hpp
@@ -109,7 +109,7 @@
                 end(i, outcome, took, report);
         turn();
     }
-    // Gives the scheduler means: servers that take this long, with such a queue.
+    // Warms up the scheduler's latency estimates: parts take this long, and servers report this queue length.
     void warm(int servers, Tenths took = ms(50), double queued = 0) {
         for (int round = 0; round < 12 * servers; ++round) {
             search({0});
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -67,8 +67,8 @@
     assert(client.await(one).status == 200 && client.await(two).status == 401 &&
            client.await(three).status == 401);
     assert(client.answer(two).fields.at("www-authenticate") == "Bearer realm=\"ivyrill\"");
-    const Issued issued = fixture.issue("anna");
-    TlsWish wish{issued.certificate, issued.key, false, std::string("\x02h2")};
+    const IssuedCertificate issued = fixture.issue("anna");
+    ClientTlsOptions wish{issued.certificate, issued.key, false, std::string("\x02h2")};
     Client tls_client(fixture.client_certificate_address(), wish);
     assert(tls_client.protocol() == "h2");
     H2Client certified(std::move(tls_client), H2Client::Plan{});
@@ -119,14 +119,14 @@
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address());
     fixture.fleet.hold(true);
-    client.holds_pongs = true; // all answers come before the last notice
+    client.hold_ping_replies = true; // all answers come before the last notice
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 98; ++i) streams.push_back(send(client, ask_for("q" + std::to_string(i))));
     assert(fixture.fleet.await_attempt("q0.0")); // others wait for an attempt
     Client plain(fixture.plain_address());
     fixture.signal(SIGTERM);
     for (int code = 200; code == 200;) { // until it has heard
-        plain.say("GET /-/ready HTTP/1.1\r\n\r\n");
+        plain.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n");
         code = plain.answer().status;
     }
     for (int i = 98; i < 100; ++i)
@@ -139,12 +139,12 @@
         delivered += answer.status == 200 ? 1 : 0;
     }
     assert(delivered > 0);
-    while (client.leaving.size() < 2) go_on(client);
-    client.let_pong();
+    while (client.shutdown_frames.size() < 2) go_on(client);
+    client.send_held_ping_reply();
     client.await_end();
     assert(client.goaways == 2 && client.goaway_code == NGHTTP2_NO_ERROR &&
            client.goaway_last == streams.back());
-    assert(client.leaving == "GPG"); // else its answer to the PING tells nothing of the notice
+    assert(client.shutdown_frames == "GPG"); // else its answer to the PING tells nothing of the notice
     assert(fixture.exit_status() == 0 && fixture.fleet.max_attempts() == 1);
 }
 
@@ -258,11 +258,11 @@
     bytes.insert(
         bytes.find("\r\n") + 2,
         "Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABkAAQAAP__\r\n");
-    client.say(bytes);
+    client.send_bytes(bytes);
     const auto answer = client.answer();
     assert(answer.status == 200 && answer.times("upgrade") == 0);
     Client preface(fixture.plain_address());
-    preface.say("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+    preface.send_bytes("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
     assert(preface.answer().status == 400);
 }
 
--- a/tests/lab/client.cpp
+++ b/tests/lab/client.cpp
@@ -16,14 +16,14 @@
 
 namespace ivyrill::lab {
 
-Client::Client(const std::string& address, int patience_ms)
-    : descriptor_(transport::connect_to(address)), patience_ms_(patience_ms) {
+Client::Client(const std::string& address, int timeout_ms)
+    : descriptor_(transport::connect_to(address)), timeout_ms_(timeout_ms) {
     if (descriptor_ < 0 || !await(POLLOUT) || !transport::connected(descriptor_))
         throw std::runtime_error("no connection to " + address);
 }
 
-Client::Client(const std::string& address, const TlsWish& tls, int patience_ms)
-    : Client(address, patience_ms) {
+Client::Client(const std::string& address, const ClientTlsOptions& tls, int timeout_ms)
+    : Client(address, timeout_ms) {
     context_ = SSL_CTX_new(TLS_client_method());
     if (tls.old_version) SSL_CTX_set_max_proto_version(context_, TLS1_2_VERSION);
     if (!tls.certificate.empty()) {
@@ -62,7 +62,7 @@
 }
 
 Client::Client(Client&& other) noexcept
-    : descriptor_(std::exchange(other.descriptor_, -1)), patience_ms_(other.patience_ms_),
+    : descriptor_(std::exchange(other.descriptor_, -1)), timeout_ms_(other.timeout_ms_),
       context_(std::exchange(other.context_, nullptr)), session_(std::exchange(other.session_, nullptr)) {}
 
 Client::~Client() {
@@ -73,10 +73,10 @@
 
 bool Client::await(short what) const {
     pollfd wanted{descriptor_, what, 0};
-    return poll(&wanted, 1, patience_ms_) == 1;
+    return poll(&wanted, 1, timeout_ms_) == 1;
 }
 
-void Client::say(std::string_view bytes) {
+void Client::send_bytes(std::string_view bytes) {
     while (!bytes.empty()) {
         ssize_t count = 0;
         if (session_ != nullptr) {
@@ -96,7 +96,7 @@
     }
 }
 
-std::string Client::hear() {
+std::string Client::receive_bytes() {
     char bytes[16384];
     for (;;) {
         ssize_t count = 0;
@@ -118,7 +118,7 @@
 protocol::HttpMessage Client::answer() {
     protocol::HttpParser parser(protocol::HttpParser::Side::kResponses);
     while (!parser.complete()) {
-        const std::string bytes = hear();
+        const std::string bytes = receive_bytes();
         if (bytes.empty()) throw std::runtime_error("the connection ended before its answer");
         if (parser.feed(bytes) != bytes.size() || parser.broken() != 0)
             throw std::runtime_error("more or other than one answer came");
@@ -126,7 +126,7 @@
     return parser.take();
 }
 
-bool Client::ends() { return hear().empty(); }
+bool Client::ends() { return receive_bytes().empty(); }
 
 std::string Client::peer_serial() const {
     X509* certificate = session_ != nullptr ? SSL_get0_peer_certificate(session_) : nullptr;
--- a/tests/lab/front_node_fixture.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -48,9 +48,10 @@
 } // namespace
 
 FrontNodeFixture::FrontNodeFixture(const Plan& plan)
-    : fleet(plan.servers), root("root", wall() - kDay, wall() + kDay), crl_made_(wall() - kDay / 2) {
+    : fleet(plan.servers), root("root", wall() - kDay, wall() + kDay), last_crl_at_(wall() - kDay / 2) {
     std::string folder_template = (std::filesystem::temp_directory_path() / "ivyrill-hall-XXXXXX").string();
-    if (mkdtemp(folder_template.data()) == nullptr) throw std::runtime_error("no folder");
+    if (mkdtemp(folder_template.data()) == nullptr)
+        throw std::runtime_error("cannot create a temporary folder");
     folder_ = folder_template;
     std::filesystem::create_directory(folder_ + "/keys");
     write("ca.pem", root.certificate());
@@ -85,10 +86,10 @@
     start_config.terms.watch_timeout = 100 * kTenthsPerSecond;
 
     int pipe_ends[2];
-    if (pipe(pipe_ends) != 0) throw std::runtime_error("no pipe");
+    if (pipe(pipe_ends) != 0) throw std::runtime_error("cannot create a pipe");
     node_ = fork();
     if (node_ == 0) {
-        prctl(PR_SET_PDEATHSIG, SIGKILL); // who fails leaves nobody behind
+        prctl(PR_SET_PDEATHSIG, SIGKILL); // the child ends with its parent
         close(pipe_ends[0]);
         int status = 2;
         try {
@@ -108,7 +109,7 @@
     close(pipe_ends[0]);
     if (!started) throw std::runtime_error("the front node did not start");
     for (const int port : ports) addresses_.push_back("127.0.0.1:" + std::to_string(port));
-    fleet.start(); // a thread comes only after the fork
+    fleet.start(); // starts a thread, so only after the fork
 }
 
 FrontNodeFixture::~FrontNodeFixture() {
@@ -129,7 +130,7 @@
     const Tenths now = wall() / kTenthsPerSecond * kTenthsPerSecond;
     access::Key new_key{
         name, access::SigningKey::generate(algorithm), {now, now, access::kNever, access::kNever}};
-    write_key(new_key); // known before the old one goes out
+    write_key(new_key); // published before the old key is retired
     for (access::Key& key : keys_) {
         if (key.times.outgoing != access::kNever) continue;
         key.times.outgoing = now;
@@ -148,7 +149,7 @@
     return access::sign_token(claims, key);
 }
 
-Issued FrontNodeFixture::issue(const std::string& member, Tenths lifetime) const {
+IssuedCertificate FrontNodeFixture::issue(const std::string& member, Tenths lifetime) const {
     return root.issue({member,
                        {"spiffe://trinacria.example/etna/" + member},
                        {},
@@ -159,15 +160,15 @@
 
 void FrontNodeFixture::renew_server() {
     server_ = root.issue({"front", {}, {"front.example.org"}, wall() - kDay / 2, wall() + kDay, false});
-    // Key and certificate must fit; while only one is new the program keeps what it has.
+    // The key must match the certificate; until both files are replaced, the program keeps the old pair.
     write("server.key", server_.key);
     write("server.pem", server_.certificate);
 }
 
 void FrontNodeFixture::revoke_serials(std::vector<std::string> serials) {
     revoked_.insert(revoked_.end(), serials.begin(), serials.end());
-    crl_made_ += kTenthsPerSecond; // each is newer than the one before
-    write("ca.crl", root.crl(revoked_, crl_made_, wall() + kDay));
+    last_crl_at_ += kTenthsPerSecond; // a CRL must be newer than the previous one
+    write("ca.crl", root.crl(revoked_, last_crl_at_, wall() + kDay));
 }
 
 void FrontNodeFixture::revoke_member(const std::string& member, Tenths since) {
@@ -199,7 +200,7 @@
     inotify_add_watch(changes.descriptor(), (folder_ + "/audit.log").c_str(), IN_MODIFY);
     const Tenths end = loop.now() + timeout_ms * (kTenthsPerSecond / 1000);
     for (char bytes[4096];
-         count_audit_lines(text) < lines;) { // looked at first, then each time that a line is written
+         count_audit_lines(text) < lines;) { // checked at once and after each write to the log
         if (loop.now() >= end) return false;
         loop.wait(end);
         while (read(changes.descriptor(), bytes, sizeof bytes) > 0) {}
--- a/tests/lab/h2_client.cpp
+++ b/tests/lab/h2_client.cpp
@@ -29,7 +29,8 @@
     }
     static int frame(nghttp2_session*, const nghttp2_frame* frame, void* user) {
         H2Client& client = self(user);
-        if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK) != 0) ++client.pongs_;
+        if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK) != 0)
+            ++client.ping_replies_;
         if ((frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS) &&
             (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0)
             client.answers_[frame->hd.stream_id].ended = true;
@@ -81,7 +82,7 @@
                          reinterpret_cast<std::uint8_t*>(const_cast<char*>(value.data())), name.size(),
                          value.size(), NGHTTP2_NV_FLAG_NONE});
     std::int32_t stream = 0;
-    if (!end) { // its body does not come
+    if (!end) { // the body is never sent
         stream = nghttp2_submit_headers(session_, NGHTTP2_FLAG_NONE, -1, nullptr, pairs.data(), pairs.size(),
                                         nullptr);
     } else {
@@ -92,7 +93,7 @@
         stream = nghttp2_submit_request(session_, nullptr, pairs.data(), pairs.size(),
                                         body.empty() ? nullptr : &provider, nullptr);
     }
-    if (stream < 0) throw std::runtime_error("no further stream here");
+    if (stream < 0) throw std::runtime_error("cannot open another stream");
     open.insert(stream), answers_[stream];
     flush();
     return stream;
@@ -123,52 +124,53 @@
 
 void H2Client::raw(std::string_view bytes) {
     flush();
-    connection_.say(bytes);
+    connection_.send_bytes(bytes);
 }
 
 void H2Client::flush() {
     const std::uint8_t* bytes = nullptr;
     for (ssize_t count; (count = nghttp2_session_mem_send(session_, &bytes)) > 0;)
-        connection_.say({reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(count)});
+        connection_.send_bytes({reinterpret_cast<const char*>(bytes), static_cast<std::size_t>(count)});
 }
 
-// The library takes in nothing more once it has heard of a leaving and no stream is open, and answers no PING
-// then: both are done here.
-void H2Client::look_at(std::string_view bytes) {
-    unlooked_.append(bytes);
+// libnghttp2 stops reading after GOAWAY when no stream is open and then answers no PING, so both frames are
+// handled here.
+void H2Client::track_shutdown_frames(std::string_view bytes) {
+    partial_frame_.append(bytes);
     const auto number = [this](std::size_t at, std::size_t size) {
         std::uint32_t value = 0;
         for (std::size_t i = at; i < at + size; ++i)
-            value = value << 8 | static_cast<std::uint8_t>(unlooked_[i]);
+            value = value << 8 | static_cast<std::uint8_t>(partial_frame_[i]);
         return value;
     };
-    while (unlooked_.size() >= 9 && unlooked_.size() >= 9 + number(0, 3)) {
-        const bool pong = (unlooked_[4] & NGHTTP2_FLAG_ACK) != 0;
-        if (unlooked_[3] == NGHTTP2_GOAWAY) {
-            leaving += 'G', ++goaways;
+    while (partial_frame_.size() >= 9 && partial_frame_.size() >= 9 + number(0, 3)) {
+        const bool is_reply = (partial_frame_[4] & NGHTTP2_FLAG_ACK) != 0;
+        if (partial_frame_[3] == NGHTTP2_GOAWAY) {
+            shutdown_frames += 'G', ++goaways;
             goaway_last = static_cast<std::int32_t>(number(9, 4)), goaway_code = number(13, 4);
-        } else if (unlooked_[3] == NGHTTP2_PING && !pong) {
-            leaving += 'P', owed_pong_ = unlooked_.substr(9, 8);
+        } else if (partial_frame_[3] == NGHTTP2_PING && !is_reply) {
+            shutdown_frames += 'P', held_ping_reply_ = partial_frame_.substr(9, 8);
         }
-        unlooked_.erase(0, 9 + number(0, 3));
+        partial_frame_.erase(0, 9 + number(0, 3));
     }
-    if (!holds_pongs) let_pong();
+    if (!hold_ping_replies) send_held_ping_reply();
 }
 
-void H2Client::let_pong() {
-    holds_pongs = false;
-    if (owed_pong_) connection_.say(raw_frame(NGHTTP2_PING, NGHTTP2_FLAG_ACK, 0, *owed_pong_));
-    owed_pong_.reset();
+void H2Client::send_held_ping_reply() {
+    hold_ping_replies = false;
+    if (held_ping_reply_)
+        connection_.send_bytes(raw_frame(NGHTTP2_PING, NGHTTP2_FLAG_ACK, 0, *held_ping_reply_));
+    held_ping_reply_.reset();
 }
 
 bool H2Client::step() {
-    const std::string bytes = connection_.hear();
+    const std::string bytes = connection_.receive_bytes();
     if (bytes.empty()) return ended = true, false;
     if (nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()),
                                  bytes.size()) < 0)
-        throw std::runtime_error("what came is no HTTP/2");
+        throw std::runtime_error("received bytes are not valid HTTP/2");
     flush();
-    look_at(bytes);
+    track_shutdown_frames(bytes);
     return true;
 }
 
@@ -180,13 +182,15 @@
 void H2Client::await_end() {
     try {
         while (step()) {}
-    } catch (const std::runtime_error&) { ended = true; } // reset: it was not read to its end
+    } catch (const std::runtime_error&) {
+        ended = true;
+    } // the server reset the connection before reading everything
 }
 
 void H2Client::round_trip() {
-    const int wanted = pongs_ + 1;
+    const int wanted = ping_replies_ + 1;
     ping();
-    while (pongs_ < wanted && step()) {}
+    while (ping_replies_ < wanted && step()) {}
 }
 
 std::string raw_frame(std::uint8_t type, std::uint8_t flags, std::uint32_t stream, std::string_view payload) {
--- a/tests/lab/pki.hpp
+++ b/tests/lab/pki.hpp
@@ -1,5 +1,5 @@
-// A certificate authority for stand-ins, tests and measurements: it issues what they need, good and bad.
-// Not for service: its keys live as long as the object. Times are tenths since 1970.
+// A certificate authority for tests and measurements; it issues valid and invalid certificates. Not for
+// production: its keys exist only in memory. Times are in units of 0.1 ms since 1970.
 #pragma once
 #include "base/time.hpp"
 
@@ -12,28 +12,29 @@
 
 namespace ivyrill::lab {
 
-struct Wish { // of a certificate
+struct CertificateRequest { // a certificate request
     std::string name = "someone";
     std::vector<std::string> uris, dns;
     Tenths from = 0, until = 0;
     bool authority = false;
 };
-struct Issued {                           // PEM; the chain has the leaf first
-    std::string certificate, key, serial; // the latter hexadecimal, lower case
+struct IssuedCertificate {                // PEM, leaf first
+    std::string certificate, key, serial; // serial: lower-case hex
     std::string der;
 };
 
-class Authority {
+class CertificateAuthority {
   public:
-    Authority(const std::string& name, Tenths from, Tenths until); // a root
-    Issued issue(const Wish& wish) const;
-    Authority below(const std::string& name, Tenths from, Tenths until) const; // an intermediate
-    std::string certificate() const;                                           // PEM
+    CertificateAuthority(const std::string& name, Tenths from, Tenths until); // a root
+    IssuedCertificate issue(const CertificateRequest& wish) const;
+    CertificateAuthority issue_intermediate(const std::string& name, Tenths from,
+                                            Tenths until) const; // an intermediate
+    std::string certificate() const;                             // PEM
     std::string der() const;
     std::string crl(const std::vector<std::string>& serials, Tenths from, Tenths until) const; // PEM
 
   private:
-    Authority() = default;
+    CertificateAuthority() = default;
     std::shared_ptr<evp_pkey_st> key_;
     std::shared_ptr<x509_st> certificate_;
 };
--- a/tests/lab/process_harness.cpp
+++ b/tests/lab/process_harness.cpp
@@ -31,20 +31,20 @@
 
 constexpr int kDiscovery = -1, kMachineController = -2;
 constexpr Tenths kMs = kTenthsPerSecond / 1000;
-constexpr Tenths kGrace = 300 * kMs; // of rule 3 as the rig judges it: the settings' and the way there
+constexpr Tenths kDrainGrace = 300 * kMs; // for rule 3: the configured grace period plus delivery
 constexpr int kDeadlineMs = 1500, kLatencyTargetMs = 500;
-constexpr std::array<const char*, 3> kRequestClasses{"find", "note",
-                                                     "mark"}; // idempotent, non-idempotent, numbered
+constexpr std::array<const char*, 3> kRequestClasses{
+    "find", "note", "mark"}; // idempotent, non-idempotent, with idempotency key
 
-// An address of this rig's own, so that no connection's own end, anywhere on the machine, comes to bear a
-// port that a front node or a server will want again once it has been away.
+// A loopback address of this process only, so that no outgoing connection on the machine can occupy a port
+// that a front node or server needs again after a restart.
 std::string loopback_host() {
     const auto own = static_cast<unsigned>(getpid());
     return "127." + std::to_string(64 + (own >> 16U & 63U)) + "." + std::to_string(own >> 8U & 255U) + "." +
            std::to_string(own & 255U);
 }
 
-constexpr int kFirstPort = 20'000; // below those that the system gives out by itself
+constexpr int kFirstPort = 20'000; // below the ephemeral port range
 
 std::string name_of(int front) { return "n" + std::to_string(front); }
 
@@ -60,21 +60,23 @@
       stream(loop, descriptor, Stream::Start::kConnected, 64 * 1024, 4 * 1024 * 1024) {}
 
 ProcessHarness::ProcessHarness(const ProcessHarnessPlan& plan) : plan_(plan) {
-    std::string form = (fs::temp_directory_path() / "ivyrill-rig-XXXXXX").string();
-    if (mkdtemp(form.data()) == nullptr) throw std::runtime_error("no folder");
-    folder_ = form, host_ = loopback_host();
+    std::string folder_template = (fs::temp_directory_path() / "ivyrill-rig-XXXXXX").string();
+    if (mkdtemp(folder_template.data()) == nullptr)
+        throw std::runtime_error("cannot create a temporary folder");
+    folder_ = folder_template, host_ = loopback_host();
     const int cells = std::max(1, plan.servers / plan.replicas);
     for (int i = 0; i < plan.servers; ++i) {
-        SimulatedMachine made;
-        made.facts.name = "s" + std::to_string(i);
-        made.facts.zone = std::string(1, static_cast<char>('a' + i / cells % plan.zones));
+        SimulatedMachine created;
+        created.facts.name = "s" + std::to_string(i);
+        created.facts.zone = std::string(1, static_cast<char>('a' + i / cells % plan.zones));
         for (int shard = 0; shard < plan.shards; ++shard)
-            if (shard % cells == i % cells) made.facts.shards.push_back(shard);
-        made.work_duration = plan.work, made.drain_duration = 100 * kMs, made.start_duration = 50 * kMs;
-        made.warm_up_duration = 300 * kMs;
-        machines_[made.facts.name] = made;
-        last_states_[made.facts.name] = made.state, changed_versions_[made.facts.name] = 1,
-        started_at_[made.facts.name] = 0;
+            if (shard % cells == i % cells) created.facts.shards.push_back(shard);
+        created.work_duration = plan.work, created.drain_duration = 100 * kMs,
+        created.start_duration = 50 * kMs;
+        created.warm_up_duration = 300 * kMs;
+        machines_[created.facts.name] = created;
+        last_states_[created.facts.name] = created.state, changed_versions_[created.facts.name] = 1,
+        started_at_[created.facts.name] = 0;
     }
     fronts_.resize(static_cast<std::size_t>(plan.fronts));
     for (int i = 0; i < plan.fronts; ++i) {
@@ -82,10 +84,10 @@
         front.listen = front.bound = host_ + ":" + std::to_string(kFirstPort + i);
         front.relay = std::make_unique<transport::Source>(loop_, transport::bind_datagrams(host_ + ":0"));
         front.advertised = host_ + ":" + std::to_string(transport::port_of(front.relay->descriptor()));
-        SimulatedMachine made;
-        made.facts.name = name_of(i), made.facts.front_node = true;
-        made.work_duration = plan.work, made.start_duration = 0, made.never_drains = true;
-        machines_[name_of(i)] = made;
+        SimulatedMachine created;
+        created.facts.name = name_of(i), created.facts.front_node = true;
+        created.work_duration = plan.work, created.start_duration = 0, created.never_drains = true;
+        machines_[name_of(i)] = created;
         for (int target = kMachineController; target < plan.servers; ++target)
             listeners_.push_back({i, target, host_ + ":0", {}, {}});
     }
@@ -95,7 +97,7 @@
         write_files(i);
     }
     began_ = machines_updated_at_ = loop_.now();
-    for (int i = 0; i < plan.fronts; ++i) spawn(i, true); // before any thread of ours
+    for (int i = 0; i < plan.fronts; ++i) spawn(i, true); // forks before any thread starts
     thread_ = std::thread([this] { run(); });
 }
 
@@ -171,23 +173,24 @@
         if (other < plan_.candidates)
             candidates += "\"" + name_of(other) + "\": \"" + fronts_[other].advertised + "\", ";
     }
-    std::string words = "members = {\"address\": \"" + fronts_[i].advertised + "\", \"bind\": \"" +
-                        fronts_[i].bound + "\", \"peers\": [" + peers +
-                        "], \"secret\": \"secret\", \"probe_ms\": 200}\n";
+    std::string operator_file = "members = {\"address\": \"" + fronts_[i].advertised + "\", \"bind\": \"" +
+                                fronts_[i].bound + "\", \"peers\": [" + peers +
+                                "], \"secret\": \"secret\", \"probe_ms\": 200}\n";
     if (plan_.with_maintenance)
-        words += "rota = {\"candidates\": {" + candidates +
-                 "}, \"council\": " + std::to_string(plan_.voter_count) +
-                 ", \"ledger\": \"rota/ledger.db\", \"witness\": \"rota/witness\", \"heartbeat_ms\": 50, "
-                 "\"replace_after_s\": 5,\n  \"keeper\": {\"address\": \"" +
-                 listener(kMachineController) +
-                 "\"},\n"
-                 "  \"limits\": {\"replicas_stay\": 2, \"zone_share\": 0.5, \"fleet_share\": 0.34, "
-                 "\"front_share\": 0.25},\n"
-                 "  \"spans\": {\"grant_ms\": 1500, \"act_ms\": 400, \"drain_ms\": 4000, \"work_ms\": 6000, "
-                 "\"back_ms\": 5000, \"warm_ms\": 5000, \"settle_ms\": 300, \"strain\": 0.3},\n"
-                 "  \"work_ms\": {\"other\": 1000, \"front\": 1500}}\n";
-    if (!plan_.with_membership) words = "audit = {\"lines_a_second\": 20}\n";
-    program::write_file(at + "/ivyrill.star", words + plan_.more, false);
+        operator_file +=
+            "rota = {\"candidates\": {" + candidates +
+            "}, \"council\": " + std::to_string(plan_.voter_count) +
+            ", \"ledger\": \"rota/ledger.db\", \"witness\": \"rota/witness\", \"heartbeat_ms\": 50, "
+            "\"replace_after_s\": 5,\n  \"keeper\": {\"address\": \"" +
+            listener(kMachineController) +
+            "\"},\n"
+            "  \"limits\": {\"replicas_stay\": 2, \"zone_share\": 0.5, \"fleet_share\": 0.34, "
+            "\"front_share\": 0.25},\n"
+            "  \"spans\": {\"grant_ms\": 1500, \"act_ms\": 400, \"drain_ms\": 4000, \"work_ms\": 6000, "
+            "\"back_ms\": 5000, \"warm_ms\": 5000, \"settle_ms\": 300, \"strain\": 0.3},\n"
+            "  \"work_ms\": {\"other\": 1000, \"front\": 1500}}\n";
+    if (!plan_.with_membership) operator_file = "audit = {\"lines_a_second\": 20}\n";
+    program::write_file(at + "/ivyrill.star", operator_file + plan_.more, false);
 }
 
 // ---- processes
@@ -201,15 +204,15 @@
                       log = at + "/log";
     std::array<const char*, 7> argv{program.c_str(), "serve",      "--config", config.c_str(),
                                     "--operator",    star.c_str(), nullptr};
-    const pid_t made = fork();
-    if (made == 0) {
-        prctl(PR_SET_PDEATHSIG, SIGKILL); // who fails leaves nobody behind
+    const pid_t created = fork();
+    if (created == 0) {
+        prctl(PR_SET_PDEATHSIG, SIGKILL); // the child ends with its parent
         const int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
         if (out >= 0) dup2(out, 1), dup2(out, 2);
         execv(argv[0], const_cast<char* const*>(argv.data()));
         _exit(127);
     }
-    front.process = made;
+    front.process = created;
 }
 
 void ProcessHarness::start(int i) {
@@ -226,7 +229,7 @@
         [&] {
             try {
                 Client client(fronts_[i].listen, 300);
-                client.say("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                client.send_bytes("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 return client.answer().status == 200;
             } catch (const std::exception&) { return false; }
         },
@@ -251,7 +254,7 @@
     faults_ += on ? 1 : 0;
     ::kill(front.process, on ? SIGSTOP : SIGCONT);
     front.stalled = on, ++front.epoch;
-    record({ProcessHarnessEvent::What::kFault, loop_.now(), i, name_of(i), on ? "stalled" : "goes on", 0});
+    record({ProcessHarnessEvent::What::kFault, loop_.now(), i, name_of(i), on ? "stalled" : "resumed", 0});
 }
 
 void ProcessHarness::lose_disk(int i) { fs::remove_all(file(name_of(i) + "/rota")), ++faults_; }
@@ -326,7 +329,7 @@
     }
 }
 
-// ---- the loop
+// ---- event loop
 
 void ProcessHarness::run() {
     for (std::size_t i = 0; i < fronts_.size(); ++i)
@@ -397,13 +400,13 @@
     };
     while (!stream.ended()) {
         while (stream.unread()) {
-            bool silent = false;
+            bool services_cut = false;
             {
                 const std::lock_guard lock(mutex_);
-                silent = services_cut_.contains(peer.front);
+                services_cut = services_cut_.contains(peer.front);
             }
-            if (silent) {                // it lies where it is until the link is whole again
-                co_await stream.changed; // woken when it is
+            if (services_cut) {          // unread until the link is restored
+                co_await stream.changed; // woken when the link is restored
                 continue;
             }
             if (peer.target == kMachineController) {
@@ -451,7 +454,7 @@
     }
 }
 
-// ACT MACHINE NUMBER SERIAL
+// Request line: ACTION MACHINE FENCE SERIAL
 void ProcessHarness::answer_machine_command(Peer& peer) {
     const auto words = protocol::split(std::string_view(peer.line).substr(0, peer.line.find('\n')), ' ');
     if (words.size() != 4) return void(peer.closed = true);
@@ -467,13 +470,14 @@
                                               : words[0] == "back" ? maintenance::MachineAction::kBringBack
                                                                    : maintenance::MachineAction::kQueryState;
     const maintenance::FencingToken before = machine.highest_fence;
-    const SimulatedMachine::State was = machine.state;
+    const SimulatedMachine::State previous_state = machine.state;
     const MachineStatus status = machine.execute(loop_.now(), action, fence);
     record({status == MachineStatus::kRefused ? ProcessHarnessEvent::What::kRefusedCommand
                                               : ProcessHarnessEvent::What::kCommand,
             loop_.now(), peer.front, name, std::string(words[0]), fence.value});
-    if (fence < before && machine.state != was) violations_.push_back("a stale act was accepted at " + name);
-    if (machine.facts.front_node && was == SimulatedMachine::State::kServing &&
+    if (fence < before && machine.state != previous_state)
+        violations_.push_back("a stale act was accepted at " + name);
+    if (machine.facts.front_node && previous_state == SimulatedMachine::State::kServing &&
         machine.state == SimulatedMachine::State::kDraining) {
         const int own = std::stoi(name.substr(1));
         if (fronts_[own].process > 0) ::kill(fronts_[own].process, SIGTERM);
@@ -484,19 +488,20 @@
     peer.line.clear();
 }
 
-// What becomes of machines by themselves: servers stop and come back, front nodes end and are started.
+// Applies time-driven transitions: servers stop and return, front nodes end and are restarted.
 void ProcessHarness::update_machines() {
     const Tenths now = loop_.now();
     std::map<int, int> replicas_in_service;
     for (auto& [name, machine] : machines_) {
-        machine.pass(now);
+        machine.advance(now);
         if (machine.facts.front_node) {
             const int own = std::stoi(name.substr(1));
             Front& front = fronts_[own];
             if (front.process > 0 && waitpid(front.process, nullptr, WNOHANG) != 0) front.process = -1;
             if (machine.state == SimulatedMachine::State::kDraining && front.process < 0)
                 machine.state = SimulatedMachine::State::kDrained, machine.since = now;
-            // One that is put back while it still ends is started once it has ended.
+            // A front node brought back while its process is still ending is started after the process has
+            // ended.
             if (machine.state == SimulatedMachine::State::kServing && front.ending && front.process < 0)
                 front.wanted = true, front.ending = false, spawn(own, true);
         } else if (machine.state != last_states_[name]) {
@@ -519,7 +524,8 @@
     for (const auto& [shard, count] : replicas_in_service)
         if (count < 2) {
             time_below_min_replicas_ += now - machines_updated_at_;
-            violations_.push_back("shard " + std::to_string(shard) + " is under its number by plan");
+            violations_.push_back("shard " + std::to_string(shard) +
+                                  " is below its minimum number of replicas during planned maintenance");
             break;
         }
     machines_updated_at_ = now;
@@ -574,42 +580,42 @@
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(timeout_ms);
     while (!holds()) {
         if (std::chrono::steady_clock::now() >= end) return false;
-        poll(nullptr, 0, 10); // until it is looked at again: what is awaited is another process
+        poll(nullptr, 0, 10); // polling interval: the condition depends on other processes
     }
     return true;
 }
 
 // ---- operators
 
-std::pair<int, std::string> ProcessHarness::run_work_command(int i, const std::vector<std::string>& words,
+std::pair<int, std::string> ProcessHarness::run_work_command(int i, const std::vector<std::string>& arguments,
                                                              const std::string& request) const {
-    std::vector<std::string> all{plan_.program, "work"};
-    all.insert(all.end(), words.begin(), words.end());
-    if (words.front() != "chart") {
+    std::vector<std::string> command_line{plan_.program, "work"};
+    command_line.insert(command_line.end(), arguments.begin(), arguments.end());
+    if (arguments.front() != "chart") {
         for (const std::string& more :
              {std::string("--node"), fronts_[i].bound, std::string("--secret"), file(name_of(i) + "/secret"),
               std::string("--patience-ms"), std::string("10000")})
-            all.push_back(more);
-        if (!request.empty()) all.push_back("--request"), all.push_back(request);
+            command_line.push_back(more);
+        if (!request.empty()) command_line.push_back("--request"), command_line.push_back(request);
     }
     std::vector<char*> argv;
-    for (std::string& word : all) argv.push_back(word.data());
+    for (std::string& word : command_line) argv.push_back(word.data());
     argv.push_back(nullptr);
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    int pipe_ends[2];
+    if (pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     const pid_t process = fork();
     if (process == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
-        dup2(ends[1], 1), dup2(ends[1], 2);
+        dup2(pipe_ends[1], 1), dup2(pipe_ends[1], 2);
         execv(argv[0], argv.data());
         _exit(127);
     }
-    close(ends[1]);
+    close(pipe_ends[1]);
     std::string out;
     std::array<char, 4096> bytes;
-    for (ssize_t count; (count = read(ends[0], bytes.data(), bytes.size())) > 0;)
+    for (ssize_t count; (count = read(pipe_ends[0], bytes.data(), bytes.size())) > 0;)
         out.append(bytes.data(), static_cast<std::size_t>(count));
-    close(ends[0]);
+    close(pipe_ends[0]);
     int status = 0;
     waitpid(process, &status, 0);
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, out};
@@ -654,33 +660,33 @@
     return counts_;
 }
 
-// One client keeps a connection to each front node; it takes those that serve in turn, and every request
-// class.
+// One client keeps a connection to each front node and cycles through those in service and the request
+// classes.
 void ProcessHarness::client(int number, int per_second) {
     std::vector<std::unique_ptr<Client>> connections(fronts_.size());
     const auto gap = std::chrono::microseconds(1'000'000 / per_second);
     auto at = std::chrono::steady_clock::now();
-    for (std::uint64_t nth = 0; !clients_stopped_; ++nth) {
+    for (std::uint64_t request_number = 0; !clients_stopped_; ++request_number) {
         at += gap;
         const auto left =
             std::chrono::duration_cast<std::chrono::milliseconds>(at - std::chrono::steady_clock::now());
         if (left.count() > 0) poll(nullptr, 0, static_cast<int>(left.count()));
-        const std::size_t which = (nth + static_cast<std::size_t>(number)) % fronts_.size();
+        const std::size_t front_index = (request_number + static_cast<std::size_t>(number)) % fronts_.size();
         std::uint64_t epoch = 0;
         {
             const std::lock_guard lock(mutex_);
-            const Front& front = fronts_[which];
-            const auto state = machines_.at(name_of(static_cast<int>(which))).state;
+            const Front& front = fronts_[front_index];
+            const auto state = machines_.at(name_of(static_cast<int>(front_index))).state;
             if (front.process <= 0 || front.stalled || !front.wanted ||
                 state != SimulatedMachine::State::kServing) {
-                connections[which].reset();
+                connections[front_index].reset();
                 continue;
             }
             epoch = front.epoch;
         }
-        const std::size_t request_class = nth % kRequestClasses.size();
+        const std::size_t request_class = request_number % kRequestClasses.size();
         const std::string id =
-            "r" + std::to_string(run_) + "c" + std::to_string(number) + "x" + std::to_string(nth);
+            "r" + std::to_string(run_) + "c" + std::to_string(number) + "x" + std::to_string(request_number);
         nlohmann::json targets = nlohmann::json::array();
         for (int shard = 0; shard < plan_.shards; ++shard)
             targets.push_back({{"partition", shard}, {"share", 1.0 / plan_.shards}});
@@ -689,51 +695,53 @@
             std::string("POST /") + kRequestClasses[request_class] + (request_class == 2 ? "?k=" + id : "") +
             " HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id + "\r\nX-Timeout: " + std::to_string(kDeadlineMs) +
             "m\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        const auto begun = std::chrono::steady_clock::now();
+        const auto started = std::chrono::steady_clock::now();
         int status = 0;
         bool ended = false;
         for (int again = 0; again < 2 && status == 0; ++again) {
             {
-                // What may run once is not sent again where its front node may have sent it on before it
-                // ended.
+                // A search is not resent if its front node restarted: it may have forwarded the search before
+                // that.
                 const std::lock_guard lock(mutex_);
-                if (again > 0 && fronts_[which].epoch != epoch) break;
+                if (again > 0 && fronts_[front_index].epoch != epoch) break;
             }
             try {
                 ended = false;
-                if (!connections[which])
-                    connections[which] = std::make_unique<Client>(fronts_[which].listen, kDeadlineMs + 500);
-                ended = true; // unless an answer comes: it was taken, or closed between two requests
-                connections[which]->say(bytes);
-                const protocol::HttpMessage answer = connections[which]->answer();
+                if (!connections[front_index])
+                    connections[front_index] =
+                        std::make_unique<Client>(fronts_[front_index].listen, kDeadlineMs + 500);
+                ended = true; // cleared if a response arrives; otherwise the connection closed after
+                              // accepting the request or between requests
+                connections[front_index]->send_bytes(bytes);
+                const protocol::HttpMessage answer = connections[front_index]->answer();
                 status = answer.status;
-                if (answer.close) connections[which].reset();
+                if (answer.close) connections[front_index].reset();
             } catch (const std::exception&) {
-                connections[which].reset(); // it goes once more, on a new connection
+                connections[front_index].reset(); // retried once on a new connection
             }
         }
         const auto took =
-            std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - begun);
+            std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - started);
         const std::lock_guard lock(mutex_);
-        const Front& front = fronts_[which];
-        const bool there = front.epoch == epoch;
+        const Front& front = fronts_[front_index];
+        const bool same_epoch = front.epoch == epoch;
         ++counts_.asked;
         counts_.most_utility += 1;
         if (status == 200) ++counts_.delivered;
         if (status == 503) ++counts_.rejected;
         if (status == 502) ++counts_.failed;
         if (status == 0) ++counts_.incomplete;
-        if (status == 0 && there && ended)
-            ++counts_.lost, std::fprintf(stderr, "lost %s at n%zu after %lld ms\n", id.c_str(), which,
+        if (status == 0 && same_epoch && ended)
+            ++counts_.lost, std::fprintf(stderr, "lost %s at n%zu after %lld ms\n", id.c_str(), front_index,
                                          static_cast<long long>(took.count()));
-        if (status != 0 && took.count() > kDeadlineMs + 50 && there)
-            ++counts_.lost, std::fprintf(stderr, "late %s at n%zu after %lld ms\n", id.c_str(), which,
+        if (status != 0 && took.count() > kDeadlineMs + 50 && same_epoch)
+            ++counts_.lost, std::fprintf(stderr, "late %s at n%zu after %lld ms\n", id.c_str(), front_index,
                                          static_cast<long long>(took.count()));
         if (status == 200) counts_.utility += took.count() <= kLatencyTargetMs ? 1 : 0.1;
     }
 }
 
-// ---- judgement
+// ---- checks
 
 std::vector<ProcessHarnessEvent> ProcessHarness::history() const {
     const std::lock_guard lock(mutex_);
@@ -778,11 +786,12 @@
         violations_found = violations_;
         if (counts_.lost > 0)
             violations_found.push_back(std::to_string(counts_.lost) + " searches were lost");
-        // Rule 2: what may run once ran once; the second request class's searches are every third of each
-        // client's.
+        // Rule 2: non-idempotent searches are attempted at most once; they are every third search of each
+        // client.
         std::map<std::string, int> attempts;
         std::map<std::string, std::uint64_t> fences;
-        // Rule 3: nothing new once the news that it drains is a grace old at that front node.
+        // Rule 3: a front node starts no attempt at a draining server later than the grace period after it
+        // was notified.
         std::map<std::pair<int, std::string>, Tenths> drain_sent_at;
         std::set<std::string> draining;
         for (const ProcessHarnessEvent& event : history_) {
@@ -793,13 +802,13 @@
                 if (++attempts[event.name] == 2 && once)
                     violations_found.push_back("launched twice: " + event.name);
                 const auto since = drain_sent_at.find({event.front, event.detail});
-                if (since != drain_sent_at.end() && event.at > since->second + kGrace)
+                if (since != drain_sent_at.end() && event.at > since->second + kDrainGrace)
                     violations_found.push_back("launched at " + event.detail + " by " + name_of(event.front) +
-                                               " after it was told that it drains");
+                                               " after the drain notification");
             } else if (event.what == ProcessHarnessEvent::What::kCommand) {
                 std::uint64_t& highest_fence = fences[event.name];
                 if (event.fence < highest_fence)
-                    violations_found.push_back("an older number was taken at " + event.name);
+                    violations_found.push_back("an older number was accepted at " + event.name);
                 highest_fence = std::max(highest_fence, event.fence);
             } else if (event.what == ProcessHarnessEvent::What::kMachineUp) {
                 if (event.detail == std::to_string(static_cast<int>(SimulatedMachine::State::kDraining)))
@@ -814,7 +823,7 @@
             }
         }
     }
-    // One holder a number, one order of states a machine, on every front node that wrote of it.
+    // In the logs of all front nodes, each fencing token of a machine has one holder.
     std::map<std::string, std::string> holders;
     for (int i = 0; i < plan_.fronts; ++i) {
         std::istringstream lines(log_of(i));
@@ -829,9 +838,9 @@
             };
             const std::string holder = field("holder"), key = field("machine") + "#" + field("fence");
             if (holder == "-" || holder.empty()) continue;
-            const auto [place, fresh] = holders.emplace(key, holder);
-            if (!fresh && place->second != holder)
-                violations_found.push_back("two holders of " + key + ": " + place->second + " and " + holder);
+            const auto [entry, inserted] = holders.emplace(key, holder);
+            if (!inserted && entry->second != holder)
+                violations_found.push_back("two holders of " + key + ": " + entry->second + " and " + holder);
         }
     }
     return violations_found;
--- a/tests/lab/process_harness.hpp
+++ b/tests/lab/process_harness.hpp
@@ -1,8 +1,8 @@
-// Several processes of the program with faults between them: front nodes as they are served (`ivyrill
-// serve`), round them index servers, discovery, keepers and the links between any two, played in one thread
-// on loopback. Every link can be cut, one way or both, lose, double and delay; processes can be stalled,
-// killed and started with their disk or without. What servers, keepers and clients saw goes into one history,
-// by one clock, and is judged afterwards.
+// Test harness for several processes of the program with fault injection. Front nodes run as `ivyrill serve`;
+// one thread simulates the index servers, discovery, machine controllers and all links on loopback. Links can
+// be cut one way or both, and lose, duplicate and delay datagrams; processes can be stalled, killed and
+// restarted with or without their disk. Events are recorded in one history with one clock and checked
+// afterwards.
 #pragma once
 #include "lab/simulated_maintenance.hpp"
 #include "protocol/frames.hpp"
@@ -20,31 +20,31 @@
 namespace ivyrill::lab {
 
 struct ProcessHarnessPlan {
-    std::string program; // the path of `ivyrill`
+    std::string program; // path of the `ivyrill` executable
     int fronts = 5, candidates = 5, servers = 12, shards = 6, zones = 3, replicas = 3;
     std::size_t voter_count = 3;
     Tenths work = kTenthsPerSecond / 2;
-    std::string more;                                     // lines behind the operator's file
-    bool with_maintenance = true, with_membership = true; // the latter: they are members
-    int stated_nodes = 0; // what the settings say of the front nodes' number; 0: as many as there are
-    // What a part takes at a server, however many are there, and what the settings say of a cold one.
+    std::string more;                                     // lines appended to the operator file
+    bool with_maintenance = true, with_membership = true; // with_membership: nodes exchange membership
+    int stated_nodes = 0; // configured number of front nodes; 0: the actual number
+    // Service time of a part, independent of load, and the configured limits of a cold server.
     Tenths service = 0, warm_up_time = 3 * kTenthsPerSecond / 10;
     double cold_capacity_ratio = 0.3, overload_factor = 4;
 };
 
-// What was seen; `at` by the rig's own clock.
+// An observed event; `at` is the harness's clock.
 struct ProcessHarnessEvent {
     enum class What { kAttempt, kCommand, kRefusedCommand, kListSent, kMachineDown, kMachineUp, kFault } what;
     Tenths at = 0;
     int front = -1;
-    std::string name, detail; // a part's id or a machine; a request class, an act or a state
+    std::string name, detail; // part id or machine; server, action or state
     std::uint64_t fence = 0;
 };
 
 struct SearchCounts {
     std::uint64_t asked = 0, delivered = 0, rejected = 0, failed = 0,
-                  incomplete = 0; // the last: no whole answer
-    std::uint64_t lost = 0;       // not answered in time by one that was there all along
+                  incomplete = 0; // incomplete: no complete response
+    std::uint64_t lost = 0;       // not answered in time although the front node ran throughout
     double utility = 0, most_utility = 0;
 };
 
@@ -55,9 +55,9 @@
     ProcessHarness(const ProcessHarness&) = delete;
     ProcessHarness& operator=(const ProcessHarness&) = delete;
 
-    // Processes. Each waits until it has come to that, with a bound.
+    // Processes.
     void start(int front);
-    bool ready(int front, int timeout_ms = 10'000) const; // it serves
+    bool ready(int front, int timeout_ms = 10'000) const; // waits until it serves; false after the timeout
     void kill(int front);                                 // SIGKILL
     void stall(int front, bool on);                       // SIGSTOP, SIGCONT
     void lose_disk(int front);
@@ -65,28 +65,28 @@
     void restore_disk_copy(int front);
     bool running(int front) const;
 
-    // Links, by front node; -1 stands for all index servers, discovery and keepers.
+    // Links between front nodes, and from one to its services.
     void cut(const std::set<int>& one_side, bool both_ways = true);
-    void cut_services(int front, bool on); // its index servers, discovery and keeper fall silent
+    void cut_services(int front, bool on); // its servers, discovery and controller stop responding
     void set_packet_faults(double share, double duplicate_ratio, Tenths max_delay);
     void heal();
 
     void with_machine(const std::string& name, const std::function<void(SimulatedMachine&)>& change);
     bool await(const std::function<bool()>& holds, int timeout_ms = 20'000) const;
 
-    // Operators: the program's own command line against a running front node.
-    std::pair<int, std::string> run_work_command(int front, const std::vector<std::string>& words,
+    // Operators: runs the program's command line against a running front node.
+    std::pair<int, std::string> run_work_command(int front, const std::vector<std::string>& arguments,
                                                  const std::string& request = {}) const;
-    nlohmann::json show(int front) const; // null where it does not answer
+    nlohmann::json show(int front) const; // null if it does not answer
     bool maintenance_finished(int front) const;
 
-    // Clients, until `stop_clients`.
+    // Clients; they run until stop_clients().
     void start_clients(int threads, int per_second);
     SearchCounts stop_clients();
     SearchCounts counts() const;
 
     std::vector<ProcessHarnessEvent> history() const;
-    std::vector<std::string> check_history() const; // broken promises, in words
+    std::vector<std::string> check_history() const; // the violations found
     std::size_t jobs_done() const;
     std::uint64_t duplicate_attempts() const;
     std::string log_of(int front) const;
@@ -98,14 +98,14 @@
   private:
     struct Peer {
         Peer(transport::Loop& loop, int descriptor, int front, int target);
-        int front, target; // server's number; -1 discovery, -2 keeper
+        int front, target; // target: server index; -1 discovery, -2 machine controller
         transport::Stream stream;
         protocol::FrameParser frames;
         protocol::HttpParser requests{protocol::HttpParser::Side::kRequests};
         std::string line;
         std::int64_t watch_after = -1;
         Tenths watch_until = 0;
-        std::deque<std::pair<Tenths, std::string>> delayed_answers; // answers, when they are due
+        std::deque<std::pair<Tenths, std::string>> delayed_answers; // due time and answer
         bool closed = false;
         transport::Task task;
     };
@@ -116,12 +116,12 @@
         transport::Task task;
     };
     struct Front {
-        std::string listen, advertised, bound; // the members' address as others know it, and as it is
+        std::string listen, advertised, bound; // membership address as advertised and as bound
         std::unique_ptr<transport::Source> relay;
         transport::Task relaying;
         pid_t process = -1;
-        bool stalled = false, wanted = true, ending = false; // the last: told to, by its keeper
-        std::uint64_t epoch = 0;                             // raised whenever something befalls it
+        bool stalled = false, wanted = true, ending = false; // ending: stopped by its controller
+        std::uint64_t epoch = 0;                             // incremented at each start, stall and kill
     };
     struct DelayedDatagram {
         Tenths at;
@@ -151,20 +151,19 @@
 
     ProcessHarnessPlan plan_;
     std::string folder_, host_;
-    mutable std::mutex mutex_; // for all that follows but the loop's own
+    mutable std::mutex mutex_; // guards the members below, except those only the loop uses
     transport::Loop loop_;
     std::list<Listener> listeners_;
     std::vector<std::unique_ptr<Peer>> peers_;
     std::vector<Front> fronts_;
     std::map<std::string, SimulatedMachine> machines_;
     std::map<std::string, SimulatedMachine::State> last_states_;
-    std::map<std::string, std::int64_t>
-        changed_versions_; // the version in which a server's entry changed last
+    std::map<std::string, std::int64_t> changed_versions_; // list version of each server's last change
     std::map<std::string, Tenths> started_at_;
     std::int64_t version_ = 1;
     std::set<std::pair<int, int>> cuts_;
     std::set<int> services_cut_;
-    bool links_restored_ = false; // links are whole again
+    bool links_restored_ = false; // wakes streams that waited for a cut link
     double loss_ratio_ = 0, duplicate_ratio_ = 0;
     Tenths max_delay_ = 0;
     std::priority_queue<DelayedDatagram, std::vector<DelayedDatagram>, std::greater<>> delayed_datagrams_;
@@ -179,7 +178,7 @@
     std::thread thread_;
     std::vector<std::thread> clients_;
     Tenths began_ = 0;
-    int run_ = 0; // of the clients
+    int run_ = 0; // number of the client run
 };
 
 } // namespace ivyrill::lab
--- a/tests/lab/simulated_maintenance.cpp
+++ b/tests/lab/simulated_maintenance.cpp
@@ -19,7 +19,7 @@
 // ---- machines
 
 MachineStatus SimulatedMachine::execute(Tenths now, MachineAction what, FencingToken fence) {
-    pass(now);
+    advance(now);
     if (state == State::kDead) return MachineStatus::kUnknown;
     if (checks_fence && fence < highest_fence) return MachineStatus::kRefused;
     highest_fence = std::max(highest_fence, fence);
@@ -30,7 +30,7 @@
         if ((state == State::kWorked || state == State::kWorking) && !never_returns)
             state = State::kStarting, since = now;
     }
-    pass(now);
+    advance(now);
     switch (state) {
     case State::kServing:
         return MachineStatus::kServing;
@@ -52,7 +52,7 @@
     return MachineStatus::kUnknown;
 }
 
-void SimulatedMachine::pass(Tenths now) {
+void SimulatedMachine::advance(Tenths now) {
     if (state == State::kDraining && !never_drains && now >= since + drain_duration)
         state = State::kDrained, since += drain_duration;
     if (state == State::kWorking && now >= since + work_duration)
@@ -75,26 +75,26 @@
     }
 }
 
-// ---- the world
+// ---- simulation
 
 SimulatedMaintenance::SimulatedMaintenance(const SimulatedMaintenancePlan& plan,
                                            FaultInjection fault_injection)
     : plan_(plan), fault_injection_(std::move(fault_injection)), random_(plan.seed), codec_(kSecret) {
     operator_transport_ = std::make_unique<FragmentTransport>("operator", "operator", codec_, 1);
     for (int i = 0; i < plan.servers; ++i) {
-        SimulatedMachine made;
+        SimulatedMachine created;
         const int cells = std::max(1, plan.servers / plan.replicas);
-        made.facts.name = "s" + std::to_string(i);
-        made.facts.zone = std::string(1, static_cast<char>('a' + i / cells % plan.zones));
+        created.facts.name = "s" + std::to_string(i);
+        created.facts.zone = std::string(1, static_cast<char>('a' + i / cells % plan.zones));
         for (int shard = 0; shard < plan.shards; ++shard)
-            if (shard % cells == i % cells) made.facts.shards.push_back(shard);
+            if (shard % cells == i % cells) created.facts.shards.push_back(shard);
         const double stretch = plan.varied_work_duration ? 0.5 + random_.unit() : 1;
-        made.work_duration = static_cast<Tenths>(static_cast<double>(plan.work) * stretch);
-        made.drain_duration = plan.work / 8, made.start_duration = plan.work / 8,
-        made.warm_up_duration = plan.work / 4;
-        made.facts.duration =
-            made.work_duration + made.drain_duration + made.start_duration + made.warm_up_duration;
-        machines_[made.facts.name] = made;
+        created.work_duration = static_cast<Tenths>(static_cast<double>(plan.work) * stretch);
+        created.drain_duration = plan.work / 8, created.start_duration = plan.work / 8,
+        created.warm_up_duration = plan.work / 4;
+        created.facts.duration = created.work_duration + created.drain_duration + created.start_duration +
+                                 created.warm_up_duration;
+        machines_[created.facts.name] = created;
     }
     for (int i = 0; i < plan.fronts; ++i) {
         Front front;
@@ -105,11 +105,11 @@
             front.store =
                 fault_injection_.store ? fault_injection_.store() : std::make_shared<InMemoryRaftStore>();
         fronts_.push_back(std::move(front));
-        SimulatedMachine made; // front nodes are machines too
-        made.facts.name = name_of(i), made.facts.front_node = true;
-        made.drain_duration = plan.work / 8, made.start_duration = plan.work / 8,
-        made.work_duration = plan.work;
-        machines_[name_of(i)] = made;
+        SimulatedMachine created; // front nodes get maintenance too
+        created.facts.name = name_of(i), created.facts.front_node = true;
+        created.drain_duration = plan.work / 8, created.start_duration = plan.work / 8,
+        created.work_duration = plan.work;
+        machines_[name_of(i)] = created;
     }
     for (auto& [name, machine] : machines_) machine.checks_fence = !fault_injection_.machines_ignore_fencing;
     next_steps_.resize(fronts_.size());
@@ -147,36 +147,38 @@
     if (front.store && disk == Disk::kOld && disk_copies_.contains(i))
         front.store->copy_from(disk_copies_.at(i));
     if (front.store && disk != Disk::kKept) front.store->verified = false;
-    MaintenanceNodeSettings terms;
-    terms.name = front.name, terms.address = front.address, terms.secret = kSecret;
-    for (int c = 0; c < plan_.candidates; ++c) terms.candidates.push_back({name_of(c), fronts_[c].address});
-    if (plan_.candidates == 0) terms.peers = {fronts_[0].address, fronts_[1].address};
-    terms.voter_count = plan_.voter_count, terms.limits = plan_.limits, terms.timing = plan_.timing;
-    terms.failure_policy = plan_.failure_policy, terms.heartbeat = plan_.heartbeat;
-    terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(i) + 100 * ++front.starts;
-    terms.incarnation = ++front.incarnation;
-    terms.replace_voter_after = 15 * kTenthsPerSecond, terms.front_node_duration = plan_.work * 5 / 4;
-    if (fault_injection_.terms) fault_injection_.terms(i, terms);
-    front.node = std::make_unique<MaintenanceNode>(terms, front.store.get(), local_time(front), now_);
-    front.node->on_committed = [this, i](const Command& command, const CommandResult& verdict) {
+    MaintenanceNodeSettings settings;
+    settings.name = front.name, settings.address = front.address, settings.secret = kSecret;
+    for (int c = 0; c < plan_.candidates; ++c)
+        settings.candidates.push_back({name_of(c), fronts_[c].address});
+    if (plan_.candidates == 0) settings.peers = {fronts_[0].address, fronts_[1].address};
+    settings.voter_count = plan_.voter_count, settings.limits = plan_.limits, settings.timing = plan_.timing;
+    settings.failure_policy = plan_.failure_policy, settings.heartbeat = plan_.heartbeat;
+    settings.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(i) + 100 * ++front.starts;
+    settings.incarnation = ++front.incarnation;
+    settings.replace_voter_after = 15 * kTenthsPerSecond, settings.front_node_duration = plan_.work * 5 / 4;
+    if (fault_injection_.settings) fault_injection_.settings(i, settings);
+    front.node = std::make_unique<MaintenanceNode>(settings, front.store.get(), local_time(front), now_);
+    front.node->on_committed = [this, i](const Command& command, const CommandResult& result) {
         const MaintenanceSchedule& state =
-            fronts_[i].node->consensus()->schedule(); // seated or not, as it applies it
-        const std::string words = describe(command) + (verdict.accepted ? "" : " (refused)");
-        const auto [place, fresh] = committed_commands_.emplace(state.applied_commands(), words);
-        if (!fresh && place->second != words)
-            fail("two orders: " + place->second + " and " + words + " at " +
+            fronts_[i].node->consensus()->schedule(); // the state that this node has just applied, voter or
+                                                      // not
+        const std::string description = describe(command) + (result.accepted ? "" : " (refused)");
+        const auto [entry, inserted] = committed_commands_.emplace(state.applied_commands(), description);
+        if (!inserted && entry->second != description)
+            fail("two committed commands: " + entry->second + " and " + description + " at " +
                  std::to_string(state.applied_commands()));
-        if (!fresh || !verdict.accepted) return;
-        const auto* grant = std::get_if<GrantLease>(&command);
-        if (grant != nullptr && state.job(grant->machine)->state == JobState::kGranted &&
-            state.job(grant->machine)->reason == "granted") {
+        if (!inserted || !result.accepted) return;
+        const auto* lease_grant = std::get_if<GrantLease>(&command);
+        if (lease_grant != nullptr && state.job(lease_grant->machine)->state == JobState::kGranted &&
+            state.job(lease_grant->machine)->reason == "granted") {
             std::set<std::string> out = state.machines_out();
-            const Constraints room(state.limits(), state.fleet(), state.voters());
+            const Constraints constraints(state.limits(), state.fleet(), state.voters());
             for (const std::string& machine : out) {
                 std::set<std::string> others = out;
                 others.erase(machine);
-                if (const std::string why = room.violation(machine, others); !why.empty())
-                    fail("out together: " + machine + ": " + why);
+                if (const std::string why = constraints.violation(machine, others); !why.empty())
+                    fail("constraint violated: " + machine + ": " + why);
             }
         }
         if (const auto* move = std::get_if<AdvanceJob>(&command);
@@ -198,9 +200,9 @@
 }
 
 void SimulatedMaintenance::cut(std::set<int> one_side, bool both_ways) {
-    std::string words;
-    for (const int i : one_side) words += " " + name_of(i);
-    record_event("cut" + words + (both_ways ? "" : " one way"));
+    std::string description;
+    for (const int i : one_side) description += " " + name_of(i);
+    record_event("cut" + description + (both_ways ? "" : " one way"));
     for (int a = 0; a < plan_.fronts; ++a)
         for (int b = 0; b < plan_.fronts; ++b)
             if (one_side.contains(a) && !one_side.contains(b)) {
@@ -216,7 +218,7 @@
 }
 
 void SimulatedMaintenance::kill_machine(const std::string& name) {
-    record_event("machine " + name + " dies");
+    record_event("machine " + name + " fails");
     machines_.at(name).state = SimulatedMachine::State::kDead;
 }
 
@@ -233,7 +235,7 @@
 void SimulatedMaintenance::return_front_nodes() {
     for (auto& [name, machine] : machines_) {
         if (!machine.facts.front_node || machine.serves()) continue;
-        record_event("the operator brings back " + name);
+        record_event("the operator returns " + name);
         machine.state = SimulatedMachine::State::kStarting, machine.since = now_;
     }
 }
@@ -246,12 +248,12 @@
     for (auto& [name, machine] : machines_) {
         if (machine.facts.front_node) continue;
         MachineHealth health = machine.health(now_);
-        if (plan_.max_list_age > 0) { // as it was some time ago
+        if (plan_.max_list_age > 0) { // an outdated health state
             auto& past = health_history_[name];
             const Tenths then =
                 now_ - static_cast<Tenths>(random_.unit() * static_cast<double>(plan_.max_list_age));
-            for (const auto& [at, was] : past)
-                if (at <= then) health = was;
+            for (const auto& [at, previous_state] : past)
+                if (at <= then) health = previous_state;
         }
         servers[name] = {machine.facts, health};
     }
@@ -288,7 +290,7 @@
             if (command->action != MachineAction::kQueryState &&
                 command->action != MachineAction::kBringBack &&
                 !front.node->executor().holds_lease(command->machine, local_time(front)))
-                fail(front.name + " acts on " + command->machine + " without holding it");
+                fail(front.name + " sends a command to " + command->machine + " without holding its lease");
             machine_messages_.push({now_ + 10, ++next_sequence_, i, front.starts, *command});
         }
     }
@@ -297,40 +299,41 @@
 
 void SimulatedMaintenance::check() {
     if (now_ < checked_at_ + kTenthsPerSecond / 50) return;
-    // No two hold one machine at a time, each by its own clock.
+    // At most one node holds the lease of a machine, each by its own clock.
     std::map<std::string, std::string> holders;
     for (Front& front : fronts_) {
         if (!front.node) continue;
         for (const auto& [name, turn] : front.node->schedule().jobs()) {
             if (!front.node->executor().holds_lease(name, local_time(front))) continue;
-            const auto [place, fresh] = holders.emplace(name, front.name);
-            if (!fresh) fail("two holders of " + name + ": " + place->second + " and " + front.name);
+            const auto [entry, inserted] = holders.emplace(name, front.name);
+            if (!inserted) fail("two holders of " + name + ": " + entry->second + " and " + front.name);
         }
     }
-    // What is out by plan leaves every shard its number.
-    std::map<int, int> sound;
+    // Planned maintenance leaves every shard its minimum number of replicas.
+    std::map<int, int> replicas_in_service;
     int voters_out = 0;
     const std::set<std::string>& voters = schedule().voters();
     for (auto& [name, machine] : machines_) {
-        machine.pass(now_);
+        machine.advance(now_);
         const bool planned = machine.state == SimulatedMachine::State::kWorking ||
                              machine.state == SimulatedMachine::State::kWorked ||
                              machine.state == SimulatedMachine::State::kStarting;
-        for (const int shard : machine.facts.shards) sound[shard] += planned ? 0 : 1;
+        for (const int shard : machine.facts.shards) replicas_in_service[shard] += planned ? 0 : 1;
         voters_out += planned && voters.contains(name) ? 1 : 0;
     }
-    for (const auto& [shard, count] : sound) {
+    for (const auto& [shard, count] : replicas_in_service) {
         if (count >= plan_.limits.min_replicas) continue;
         time_below_min_replicas_ += now_ - checked_at_;
-        fail("shard " + std::to_string(shard) + " has " + std::to_string(count) + " replicas left by plan");
+        fail("shard " + std::to_string(shard) + " has " + std::to_string(count) +
+             " replicas left during planned maintenance");
     }
     if (!voters.empty() && voters_out > static_cast<int>(voters.size() - 1) / 2)
-        fail("the council's majority is out");
+        fail("a majority of the voters is out");
     checked_at_ = now_;
-    const bool led = leader() >= 0;
-    if (led && without_leader_ && last_leader_at_ != 0) failovers.push_back(now_ - last_leader_at_);
-    if (led) last_leader_at_ = now_;
-    without_leader_ = !led;
+    const bool has_leader = leader() >= 0;
+    if (has_leader && without_leader_ && last_leader_at_ != 0) failovers.push_back(now_ - last_leader_at_);
+    if (has_leader) last_leader_at_ = now_;
+    without_leader_ = !has_leader;
 }
 
 int SimulatedMaintenance::leader() const {
@@ -347,7 +350,7 @@
     return best;
 }
 
-void SimulatedMaintenance::pass(Tenths span) {
+void SimulatedMaintenance::advance(Tenths span) {
     const Tenths end = now_ + span;
     for (;;) {
         Tenths at = end;
@@ -377,19 +380,19 @@
             }
             SimulatedMachine& machine = machines_.at(message.command.machine);
             const FencingToken before = machine.highest_fence;
-            const SimulatedMachine::State was = machine.state;
+            const SimulatedMachine::State previous_state = machine.state;
             message.status = machine.execute(now_, message.command.action, message.command.fence);
             if (message.status == MachineStatus::kRefused)
                 ++counts_.refused_commands;
             else
                 ++counts_.accepted;
-            if (message.command.fence < before && machine.state != was)
+            if (message.command.fence < before && machine.state != previous_state)
                 fail("a stale act was accepted: " + std::string(to_string(message.command.action)) + " of " +
                      message.command.machine);
-            if (machine.facts.front_node) { // its process goes and comes with it
+            if (machine.facts.front_node) { // the process stops and starts with its machine
                 const int own = std::stoi(message.command.machine.substr(1));
                 if (machine.state == SimulatedMachine::State::kWorking && fronts_[own].node) kill(own);
-                if (machine.state == SimulatedMachine::State::kStarting && was != machine.state)
+                if (machine.state == SimulatedMachine::State::kStarting && previous_state != machine.state)
                     fronts_[own].failed = false;
             }
             message.answer = true;
@@ -405,7 +408,7 @@
             now_ = std::max(now_, datagram.at);
             Front& front = fronts_[datagram.to];
             if (!front.node) continue;
-            if (now_ < front.stalled_until) { // the system keeps it for a while
+            if (now_ < front.stalled_until) { // the socket buffer keeps it until the process resumes
                 DatagramInFlight later = datagram;
                 later.at = front.stalled_until, datagrams_in_flight_.push(later);
                 continue;
@@ -417,7 +420,7 @@
         now_ = std::max(now_, at);
         if (turn < 0) break;
         for (auto& [name, machine] : machines_) {
-            machine.pass(now_);
+            machine.advance(now_);
             if (plan_.max_list_age > 0) {
                 auto& past = health_history_[name];
                 if (past.empty() || past.back().second != machine.health(now_))
@@ -427,7 +430,7 @@
             if (!machine.facts.front_node || machine.state != SimulatedMachine::State::kServing) continue;
             const int own = std::stoi(name.substr(1));
             if (!fronts_[own].node && !fronts_[own].failed)
-                start(own, Disk::kRebooted); // its machine is back
+                start(own, Disk::kRebooted); // its machine serves again
         }
         update_server_list(turn);
         fronts_[turn].node->step(local_time(fronts_[turn]), now_);
@@ -442,7 +445,7 @@
     const Tenths end = now_ + bound;
     while (!holds()) {
         if (now_ >= end) return false;
-        pass(kTenthsPerSecond / 5);
+        advance(kTenthsPerSecond / 5);
     }
     return true;
 }
@@ -485,9 +488,9 @@
 void SimulatedMaintenance::add_maintenance_jobs(int i, const std::vector<std::string>& machines,
                                                 const std::string& request) {
     if (began == 0) began = now_;
-    std::string words;
-    for (const std::string& machine : machines) words += " " + machine;
-    record_event("order at " + name_of(i) + ":" + words);
+    std::string description;
+    for (const std::string& machine : machines) description += " " + machine;
+    record_event("maintenance request at " + name_of(i) + ":" + description);
     send_operator_request(i, {{"request", request}, {"verb", "add"}, {"machines", machines}});
 }
 
@@ -498,13 +501,13 @@
     operator_replies[row[0].get<std::string>()] = {row[1].get<bool>(), row[2].get<std::string>()};
 }
 
-// ---- schedules
+// ---- fault schedules
 
 FaultSchedule generate_fault_schedule(std::uint64_t seed) {
-    FaultSchedule made;
+    FaultSchedule created;
     Pcg random(seed * 7919 + 17);
     const auto below = [&](int count) { return static_cast<int>(random.unit() * count); };
-    SimulatedMaintenancePlan& plan = made.plan;
+    SimulatedMaintenancePlan& plan = created.plan;
     plan.seed = seed;
     plan.voter_count = below(2) == 0 ? 3 : 5;
     plan.candidates = static_cast<int>(plan.voter_count) + below(2);
@@ -517,11 +520,11 @@
     plan.heartbeat = kTenthsPerSecond / 3;
     const int count = 2 + below(7);
     for (int i = 0; i < count; ++i)
-        made.faults.push_back({static_cast<Tenths>(random.unit() * 20 * kTenthsPerSecond), below(14),
-                               below(1000), below(1000),
-                               static_cast<Tenths>((0.5 + 8 * random.unit()) * kTenthsPerSecond)});
-    std::ranges::stable_sort(made.faults, {}, &FaultSchedule::Fault::at);
-    return made;
+        created.faults.push_back({static_cast<Tenths>(random.unit() * 20 * kTenthsPerSecond), below(14),
+                                  below(1000), below(1000),
+                                  static_cast<Tenths>((0.5 + 8 * random.unit()) * kTenthsPerSecond)});
+    std::ranges::stable_sort(created.faults, {}, &FaultSchedule::Fault::at);
+    return created;
 }
 
 FaultScheduleResult run_fault_schedule(const FaultSchedule& schedule, const FaultInjection& fault_injection) {
@@ -537,49 +540,49 @@
     world.add_maintenance_jobs(static_cast<int>(schedule.plan.seed % static_cast<std::uint64_t>(fronts)),
                                ordered, "first");
     const Tenths begun = world.now();
-    struct Ends {
+    struct Recovery {
         Tenths at;
         std::function<void()> undo;
     };
-    std::vector<Ends> ends;
+    std::vector<Recovery> recoveries;
     int held = 0;
     std::set<int> disk_gone;
-    const auto pass_to = [&](Tenths at) {
+    const auto advance_to = [&](Tenths at) {
         for (;;) {
-            const auto next = std::ranges::min_element(ends, {}, &Ends::at);
-            if (next == ends.end() || next->at > at) break;
-            if (next->at > world.now()) world.pass(next->at - world.now());
+            const auto next = std::ranges::min_element(recoveries, {}, &Recovery::at);
+            if (next == recoveries.end() || next->at > at) break;
+            if (next->at > world.now()) world.advance(next->at - world.now());
             const auto undo = next->undo;
-            ends.erase(next);
+            recoveries.erase(next);
             undo();
         }
-        if (at > world.now()) world.pass(at - world.now());
+        if (at > world.now()) world.advance(at - world.now());
     };
     SimulationCounts extra;
     for (const FaultSchedule::Fault& fault : schedule.faults) {
-        pass_to(begun + fault.at);
+        advance_to(begun + fault.at);
         ++extra.faults;
         const int a = fault.a % fronts, b = fault.b % fronts;
         const int server = fault.a % schedule.plan.servers;
         const std::string machine = "s" + std::to_string(server);
-        const Tenths over = world.now() + fault.span;
+        const Tenths recover_at = world.now() + fault.span;
         switch (fault.kind) {
         case 0:
             world.cut({a});
-            ends.push_back({over, [&] { world.heal(); }});
+            recoveries.push_back({recover_at, [&] { world.heal(); }});
             break;
         case 1:
             world.cut({a, b});
-            ends.push_back({over, [&] { world.heal(); }});
+            recoveries.push_back({recover_at, [&] { world.heal(); }});
             break;
         case 2:
             world.cut({a}, false);
-            ends.push_back({over, [&] { world.heal(); }});
+            recoveries.push_back({recover_at, [&] { world.heal(); }});
             break;
         case 3:
             world.stall(a, fault.span);
             break;
-        case 4: // the leader, so that its turn goes to another before it wakes
+        case 4: // the leader, so that its job passes to another node before it resumes
             if (world.leader() >= 0) world.stall(world.leader(), fault.span);
             break;
         case 5:
@@ -587,47 +590,50 @@
             const int who = fault.kind == 6 && world.leader() >= 0 ? world.leader() : a;
             world.kill(who);
             world.front(who).failed = true;
-            ends.push_back({over, [&world, who] { world.front(who).failed = false, world.start(who); }});
+            recoveries.push_back(
+                {recover_at, [&world, who] { world.front(who).failed = false, world.start(who); }});
             break;
         }
-        case 7: // its disk is lost, or an old one comes back: one front node's at most
+        case 7: // a lost disk or a restored old copy, on one front node at most
             if (!disk_gone.empty() && !disk_gone.contains(a)) break;
             disk_gone.insert(a);
             world.save_disk_copy(a);
-            ends.push_back({over, [&world, a, b] {
-                                world.kill(a);
-                                world.start(a, b % 2 == 0 ? SimulatedMaintenance::Disk::kLost
-                                                          : SimulatedMaintenance::Disk::kOld);
-                            }});
+            recoveries.push_back({recover_at, [&world, a, b] {
+                                      world.kill(a);
+                                      world.start(a, b % 2 == 0 ? SimulatedMaintenance::Disk::kLost
+                                                                : SimulatedMaintenance::Disk::kOld);
+                                  }});
             break;
-        case 8: // all restarted, in one instant
+        case 8: // all front nodes restart at once
             for (int i = 0; i < fronts; ++i) world.kill(i), world.front(i).failed = true;
-            ends.push_back({world.now() + fault.span / 4, [&world, fronts] {
-                                for (int i = 0; i < fronts; ++i)
-                                    world.front(i).failed = false, world.start(i);
-                            }});
+            recoveries.push_back({world.now() + fault.span / 4, [&world, fronts] {
+                                      for (int i = 0; i < fronts; ++i)
+                                          world.front(i).failed = false, world.start(i);
+                                  }});
             break;
         case 9:
             world.machine(machine).never_drains = true;
-            ends.push_back({over, [&world, machine] { world.machine(machine).never_drains = false; }});
+            recoveries.push_back(
+                {recover_at, [&world, machine] { world.machine(machine).never_drains = false; }});
             break;
         case 10:
             world.machine(machine).never_returns = true;
-            ends.push_back({over, [&world, machine] { world.machine(machine).never_returns = false; }});
+            recoveries.push_back(
+                {recover_at, [&world, machine] { world.machine(machine).never_returns = false; }});
             break;
         case 11:
             if (world.machine(machine).state != SimulatedMachine::State::kServing) break;
             world.kill_machine(machine);
-            ends.push_back({over, [&world, machine] { world.revive_machine(machine); }});
+            recoveries.push_back({recover_at, [&world, machine] { world.revive_machine(machine); }});
             break;
-        case 12: { // keepers answer twice, late or never
+        case 12: { // machine controllers reply twice, late or never
             const int how = fault.b % 3;
             world.reply_delays = [how](const std::string&) -> std::vector<Tenths> {
                 if (how == 0) return {10, 200};
                 if (how == 1) return {kTenthsPerSecond * 3 / 2};
                 return {};
             };
-            ends.push_back({over, [&world] { world.reply_delays = {}; }});
+            recoveries.push_back({recover_at, [&world] { world.reply_delays = {}; }});
             break;
         }
         default:
@@ -642,17 +648,17 @@
             break;
         }
     }
-    pass_to(begun + 20 * kTenthsPerSecond);
-    while (!ends.empty()) pass_to(std::ranges::min_element(ends, {}, &Ends::at)->at);
+    advance_to(begun + 20 * kTenthsPerSecond);
+    while (!recoveries.empty()) advance_to(std::ranges::min_element(recoveries, {}, &Recovery::at)->at);
     world.heal();
-    // Whatever stopped the evening is over: the operator lets it go on, and it ends.
+    // All faults are over: the operator resumes the schedule, and maintenance must finish.
     int nth = 0;
     Tenths led_at = world.now();
     const bool finished = world.until(
         [&] {
             if (world.leader() >= 0) led_at = world.now();
-            // Of three voters one is out and one has lost its disk: nobody may know any more that the first
-            // is out, and the operator brings it back by hand.
+            // If one of three voters is out and another has lost its disk, no node may know that the first is
+            // out; the operator then brings it back by hand.
             if (world.now() > led_at + 60 * kTenthsPerSecond)
                 world.return_front_nodes(), led_at = world.now();
             if (world.schedule().held() && world.leader() >= 0)
@@ -660,7 +666,7 @@
                     world.leader(), {{"request", "resume" + std::to_string(++nth)}, {"verb", "resume"}});
             if (world.schedule().jobs().empty() && world.leader() >= 0)
                 world.add_maintenance_jobs(world.leader(), ordered,
-                                           "first"); // it was lost: the operator asks again
+                                           "first"); // the request was lost and is sent again
             return world.all_jobs_finished();
         },
         400 * kTenthsPerSecond);
@@ -672,35 +678,35 @@
                                world.failovers};
     result.counts.faults = extra.faults;
     if (!finished) {
-        std::string words = "the evening does not end:";
+        std::string description = "maintenance does not finish:";
         for (const auto& [name, turn] : world.schedule().jobs())
             if (!is_finished(turn.state))
-                words += " " + name + " " + to_string(turn.state) + " (" + turn.reason + ", holder " +
-                         turn.holder + ")";
+                description += " " + name + " " + to_string(turn.state) + " (" + turn.reason + ", holder " +
+                               turn.holder + ")";
         if (world.leader() < 0)
-            words += ", nobody leads";
+            description += ", no leader";
         else
-            words +=
+            description +=
                 ", waits: " +
                 world.front(world.leader()).node->answer_query({{"verb", "show"}}).value("waits_for", "");
-        result.violations.push_back(words);
+        result.violations.push_back(description);
     }
     return result;
 }
 
 FaultSchedule minimize_fault_schedule(const FaultSchedule& schedule) {
-    FaultSchedule least = schedule;
+    FaultSchedule smallest = schedule;
     for (bool smaller = true; smaller;) {
         smaller = false;
-        for (std::size_t i = 0; i < least.faults.size(); ++i) {
-            FaultSchedule trial = least;
+        for (std::size_t i = 0; i < smallest.faults.size(); ++i) {
+            FaultSchedule trial = smallest;
             trial.faults.erase(trial.faults.begin() + static_cast<std::ptrdiff_t>(i));
             if (run_fault_schedule(trial).violations.empty()) continue;
-            least = std::move(trial), smaller = true;
+            smallest = std::move(trial), smaller = true;
             break;
         }
     }
-    return least;
+    return smallest;
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/simulated_maintenance.hpp
+++ b/tests/lab/simulated_maintenance.hpp
@@ -1,7 +1,7 @@
-// Front nodes' wardens in virtual time, round them machines with their keepers, a network that loses, delays,
-// doubles and cuts as it is told, clocks that differ, stalls, crashes with and without their disks. Whatever
-// happens is checked as it happens; a broken promise is kept in words. From one seed all is the same each
-// time.
+// Deterministic simulation of maintenance nodes in virtual time: machines with their controllers, a network
+// that loses, delays, duplicates and partitions, clocks that drift, stalls, and crashes with or without the
+// disk. Invariants are checked at every step; each violation is kept as a text. A run is reproducible from
+// its seed.
 #pragma once
 #include "maintenance/maintenance_node.hpp"
 
@@ -15,19 +15,20 @@
 
 namespace ivyrill::lab {
 
-// A machine and its keeper: drains, goes out, works, comes back cold and warms up, or misbehaves as told.
+// A machine and its controller: it drains, goes out, is worked on, returns cold and warms up, or fails as the
+// test configures.
 struct SimulatedMachine {
     enum class State { kServing, kDraining, kDrained, kWorking, kWorked, kStarting, kBroken, kDead };
     maintenance::MachineFacts facts;
     State state = State::kServing;
     Tenths since = 0, warm_at = 0;
-    maintenance::FencingToken highest_fence; // that its keeper has heard
+    maintenance::FencingToken highest_fence; // highest token that the controller has seen
     bool never_drains = false, never_returns = false, returns_broken = false, checks_fence = true;
     Tenths drain_duration = 0, work_duration = 0, start_duration = 0, warm_up_duration = 0;
 
     maintenance::MachineStatus execute(Tenths now, maintenance::MachineAction what,
-                                       maintenance::FencingToken fence); // what the keeper answers
-    void pass(Tenths now);                                               // what comes by itself
+                                       maintenance::FencingToken fence); // the controller's reply
+    void advance(Tenths now);                                            // time-driven transitions
     bool serves() const {
         return state == State::kServing || state == State::kDraining || state == State::kDrained;
     }
@@ -52,11 +53,11 @@
                                0.05};
     maintenance::FailurePolicy failure_policy;
     Tenths heartbeat = kTenthsPerSecond / 4;
-    Tenths work = 4 * kTenthsPerSecond; // of each machine, mean
+    Tenths work = 4 * kTenthsPerSecond; // mean duration per machine
     double loss_ratio = 0, duplicate_ratio = 0;
     Tenths min_delay = 5, max_delay = 30;
-    double clock_error = 0;  // of the clocks' rates, at most
-    Tenths max_list_age = 0; // the list is so old, at most
+    double clock_error = 0;  // maximum relative drift of a clock
+    Tenths max_list_age = 0; // maximum age of the server list
     bool varied_work_duration = true;
 };
 
@@ -65,11 +66,11 @@
                   faults = 0, jobs_done = 0, crashes = 0;
 };
 
-// What a front node is given in place of what it should: faults that are planted.
+// Faults planted in the configuration of the nodes; the checks must find them.
 struct FaultInjection {
-    std::function<void(int, maintenance::MaintenanceNodeSettings&)> terms;
+    std::function<void(int, maintenance::MaintenanceNodeSettings&)> settings;
     std::function<std::shared_ptr<maintenance::InMemoryRaftStore>()> store;
-    bool machines_ignore_fencing = false; // older numbers are taken
+    bool machines_ignore_fencing = false; // old fencing tokens are accepted
 };
 
 class SimulatedMaintenance {
@@ -82,55 +83,56 @@
         Tenths offset = 0, stalled_until = 0, list_at = 0;
         std::uint64_t starts = 0;
         std::uint64_t incarnation = 0;
-        bool failed = false; // it may be started again
+        bool failed = false; // not restarted with its machine
     };
     explicit SimulatedMaintenance(const SimulatedMaintenancePlan& plan, FaultInjection fault_injection = {});
 
-    void pass(Tenths span);
-    // Passes until that holds, at most so long; whether it came to hold.
+    void advance(Tenths span);
+    // Advances time until the condition holds, for at most `bound`; returns whether it held.
     bool until(const std::function<bool()>& holds, Tenths bound);
 
     // Faults
     void kill(int front);
-    enum class Disk { kKept, kRebooted, kLost, kOld }; // the second: all is there, and nothing vouches for it
+    enum class Disk { kKept, kRebooted, kLost, kOld }; // kRebooted: data intact, but the store is unverified
     void start(int front, Disk disk = Disk::kKept);
-    void save_disk_copy(int front); // of its disk, to be put back later
+    void save_disk_copy(int front); // restored by start() with Disk::kOld
     void stall(int front, Tenths span);
-    void cut(std::set<int> one_side, bool both_ways = true); // from all others
+    void cut(std::set<int> one_side, bool both_ways = true); // separates these nodes from all others
     void heal();
     void kill_machine(const std::string& name);
-    void return_front_nodes(); // by hand
+    void return_front_nodes(); // the operator's manual recovery
     void revive_machine(const std::string& name);
     SimulatedMachine& machine(const std::string& name) { return machines_.at(name); }
-    std::function<bool(int, int)> drops; // a link at this moment, beside the cuts
-    // Of one keeper's answer: how often it comes, and how late; empty: once, at once.
+    std::function<bool(int, int)> drops; // drops a datagram in addition to the cuts
+    // Delays of the copies of a controller's reply; if unset, one copy arrives after 1 ms.
     std::function<std::vector<Tenths>(const std::string& machine)> reply_delays;
 
-    std::function<void(int, const maintenance::LogLine&)> on_line; // of a front node's log
+    std::function<void(int, const maintenance::LogLine&)> on_line; // receives each log line of a front node
 
     // Operators
     void add_maintenance_jobs(int front, const std::vector<std::string>& machines,
                               const std::string& request);
     nlohmann::json send_operator_request(int front,
-                                         nlohmann::json what); // sends it; the answer comes into `answers`
+                                         nlohmann::json what); // the reply arrives in `operator_replies`
     std::map<std::string, std::pair<bool, std::string>> operator_replies;
 
-    // What is
-    int leader() const;                                       // -1: none that a majority follows
-    const maintenance::MaintenanceSchedule& schedule() const; // as the node knows it that has applied most
-    bool all_jobs_finished() const;                           // every turn, and every machine serves again
+    // State
+    int leader() const; // -1: no leader
+    const maintenance::MaintenanceSchedule&
+    schedule() const;               // of the node that has applied the most commands
+    bool all_jobs_finished() const; // no job is open
     std::size_t count(maintenance::JobState state) const;
     std::set<std::string> machines_out() const;
     Front& front(int i) { return fronts_[i]; }
     std::size_t fronts() const { return fronts_.size(); }
     Tenths now() const { return now_; }
     const SimulationCounts& counts() const { return counts_; }
-    const std::vector<std::string>& violations() const { return violations_; } // promises
-    const std::vector<std::string>& event_log() const { return event_log_; }   // what was done to it
+    const std::vector<std::string>& violations() const { return violations_; }
+    const std::vector<std::string>& event_log() const { return event_log_; } // faults and requests so far
     Tenths time_below_min_replicas() const { return time_below_min_replicas_; }
-    std::vector<Tenths> failovers; // from a leader's end until another leads
+    std::vector<Tenths> failovers; // time without a leader, for each change
     const std::map<std::string, SimulatedMachine>& machines() const { return machines_; }
-    Tenths began = 0, ended = 0; // of the evening: the first order, the last turn's end
+    Tenths began = 0, ended = 0; // first request and end of the last job
     void record_event(std::string what) {
         event_log_.push_back(std::to_string(now_ / 10) + "ms " + std::move(what));
     }
@@ -139,14 +141,14 @@
     struct DatagramInFlight {
         Tenths at;
         std::uint64_t sequence;
-        int to, from;        // fronts; below zero: the operator
-        std::string address; // of the sender
+        int to, from;        // front node indexes; negative: the operator
+        std::string address; // sender
         std::string bytes;
         bool operator>(const DatagramInFlight& o) const {
             return std::pair(at, sequence) > std::pair(o.at, o.sequence);
         }
     };
-    struct MachineMessage { // an act on its way to the keeper, or an answer on its way back
+    struct MachineMessage { // a command to a machine controller, or its reply
         Tenths at;
         std::uint64_t sequence;
         int front;
@@ -183,7 +185,7 @@
     std::priority_queue<DatagramInFlight, std::vector<DatagramInFlight>, std::greater<>> datagrams_in_flight_;
     std::priority_queue<MachineMessage, std::vector<MachineMessage>, std::greater<>> machine_messages_;
     std::map<int, maintenance::InMemoryRaftStore> disk_copies_;
-    std::map<std::uint64_t, std::string> committed_commands_; // by position in the log
+    std::map<std::uint64_t, std::string> committed_commands_; // by log position
     std::map<std::string, Tenths> list_told_;
     std::map<std::string, std::deque<std::pair<Tenths, maintenance::MachineHealth>>> health_history_;
     membership::DatagramCodec codec_;
@@ -195,7 +197,8 @@
     SimulationCounts counts_;
 };
 
-// One seeded schedule of faults over an evening, healed at its end; what it breaks is in `broken`.
+// A seeded schedule of faults during maintenance; all faults end before the last check. The result lists the
+// violations.
 struct FaultSchedule {
     struct Fault {
         Tenths at = 0;
@@ -214,7 +217,7 @@
 };
 FaultScheduleResult run_fault_schedule(const FaultSchedule& schedule,
                                        const FaultInjection& fault_injection = {});
-// The fewest faults of it that still break something.
+// Removes faults one by one as long as a violation remains.
 FaultSchedule minimize_fault_schedule(const FaultSchedule& schedule);
 
 } // namespace ivyrill::lab
--- a/tests/lab/fleet.hpp
+++ b/tests/lab/simulated_servers.hpp
@@ -1,5 +1,5 @@
-// Stand-ins for index servers and discovery, on loopback in one thread: each index server holds one shard and
-// answers a part with its query's text, at once or when it is let. They keep account of every attempt.
+// Simulated index servers and discovery on loopback, in one thread. Each index server holds one shard and
+// answers a part with its query's text, at once or after hold(false). All attempts are counted.
 #pragma once
 #include "protocol/frames.hpp"
 #include "protocol/messages.hpp"
@@ -16,29 +16,29 @@
 
 namespace ivyrill::lab {
 
-class Fleet {
+class SimulatedServers {
   public:
-    explicit Fleet(int servers); // listens; nothing is answered before `start`
-    ~Fleet();
+    explicit SimulatedServers(int servers); // listens; answers only after start()
+    ~SimulatedServers();
     void start();
 
     std::string discovery() const;
     protocol::ServerList list() const;
-    void hold(bool on) { held_ = on; }           // parts wait unanswered meanwhile
-    int attempts(const std::string& part) const; // of a part's id, over all servers
+    void hold(bool on) { answers_held_ = on; }   // true: answers are withheld
+    int attempts(const std::string& part) const; // attempts of one part over all servers
     std::uint64_t attempts() const;
-    std::size_t max_attempts() const; // of any one part
-    bool await_attempt(const std::string& part, int patience_ms = 20'000) const;
+    std::size_t max_attempts() const; // maximum over all parts
+    bool await_attempt(const std::string& part, int timeout_ms = 20'000) const;
 
   private:
     struct Peer {
         Peer(transport::Loop& loop, int descriptor, int server);
-        int server; // below zero: a caller of discovery
+        int server; // negative: a client of discovery
         transport::Stream stream;
         protocol::FrameParser frames;
         protocol::HttpParser requests{protocol::HttpParser::Side::kRequests};
-        std::vector<std::string> waiting; // answers that are held back
-        bool over = false;
+        std::vector<std::string> waiting; // withheld answers
+        bool closed = false;
         transport::Task task;
     };
     struct Listener {
@@ -53,13 +53,13 @@
     std::string address(std::size_t listener) const;
 
     transport::Loop loop_;
-    std::vector<std::unique_ptr<Listener>> listeners_; // the last is discovery's
+    std::vector<std::unique_ptr<Listener>> listeners_; // the last one is for discovery
     std::vector<std::unique_ptr<Peer>> peers_;
     mutable std::mutex mutex_;
     mutable std::condition_variable attempted_;
     std::map<std::string, int> attempts_;
     std::uint64_t count_ = 0;
-    std::atomic<bool> held_ = false, stop_ = false;
+    std::atomic<bool> answers_held_ = false, stop_ = false;
     std::thread thread_;
 };
 
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -38,7 +38,7 @@
     int site = 0, cell = 0, busy = 0;
     bool alive = true;
     std::uint64_t incarnation = 1;
-    Tenths started_at = 0; // 0: long ago
+    Tenths started_at = 0; // 0: started long ago, warm
     std::deque<Job> queue;
     std::deque<Tenths> arrivals;
     double share(Tenths now, const SimulatedSitesPlan& plan) const {
@@ -77,7 +77,7 @@
     std::uint64_t next_job = 1;
     std::map<SearchId, OpenSearch> searches;
     std::map<PartId, PartState> parts;
-    std::deque<std::function<void()>> deferred; // what came while it was stalled
+    std::deque<std::function<void()>> deferred; // events received while stalled
 
     recovery::TrafficClass key(const OpenSearch& open) const {
         return {world->plan_.request_classes[open.request_class].name,
@@ -120,9 +120,9 @@
         double weight = 0;
         for (const PartId part : open.parts) weight += parts.at(part).answered ? parts.at(part).weight : 0;
         if (weight + 1e-6 < request_class.terms.floor)
-            world->violations_.push_back("an answer under its floor");
+            world->violations_.push_back("an answer is below its floor");
         if (whole && weight + 1e-6 < request_class.terms.need)
-            world->violations_.push_back("whole and is not");
+            world->violations_.push_back("an answer marked whole is incomplete");
         const bool in_time = world->now_ <= open.started + request_class.terms.latency_target;
         const double paid = request_class.terms.utility *
                             (in_time ? 1 : request_class.terms.late_utility_ratio) * std::min(1.0, weight);
@@ -142,7 +142,7 @@
         end(id, recovery::TrafficCounter::SearchEnd::kRejected);
         if (world->plan_.retry_ratio > 0 && world->random_.unit() < world->plan_.retry_ratio)
             world->at(world->now_ + std::max<Tenths>(retry_after, 10 * kMs), [w = world, n = number, open] {
-                int there = n; // whoever serves
+                int there = n; // the next front node that is alive
                 for (std::size_t i = 0; i < w->fronts() && !w->fronts_[there]->alive; ++i)
                     there = (there + 1) % static_cast<int>(w->fronts());
                 if (w->fronts_[there]->alive) w->search(there, open.request_class, open.tenant, true);
@@ -222,7 +222,7 @@
            static_cast<Tenths>(random_.unit() * static_cast<double>(plan_.max_delay - plan_.min_delay));
 }
 
-void SimulatedSites::pass(Tenths span) {
+void SimulatedSites::advance(Tenths span) {
     for (const Tenths end = now_ + span; !events_.empty() && events_.top().at <= end;) {
         now_ = events_.top().at;
         const auto what = std::move(const_cast<Event&>(events_.top()).what);
@@ -236,7 +236,7 @@
 }
 
 bool SimulatedSites::until(const std::function<bool()>& holds, Tenths bound) {
-    for (const Tenths end = now_ + bound; now_ < end && !holds();) pass(20 * kMs);
+    for (const Tenths end = now_ + bound; now_ < end && !holds();) advance(20 * kMs);
     return holds();
 }
 
@@ -330,7 +330,7 @@
                 at(now_ + delay(), [this, to, bytes = report->bytes] {
                     Front& other = *fronts_[to];
                     if (!other.alive) return;
-                    if (now_ < other.stalled_until) return; // its socket is full soon enough
+                    if (now_ < other.stalled_until) return; // a stalled process loses datagrams
                     other.controller->receive_report(now_, bytes);
                 });
             } else if (const auto* policy_update = std::get_if<FailoverPolicyUpdate>(&effect)) {
@@ -369,7 +369,7 @@
 // ---- clients
 
 void SimulatedSites::arrive(int number) {
-    // Whoever cannot reach one front node goes to another: those that live share all that comes.
+    // Clients that cannot reach one front node use another: the live ones share all searches.
     const auto alive = std::ranges::count_if(fronts_, [](const auto& front) { return front->alive; });
     const double mine = fronts_[number]->alive
                             ? rate_ * load_factor_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive))
@@ -429,7 +429,7 @@
         if (!front_node.alive || front_node.incarnation != incarnation || !front_node.searches.contains(id))
             return;
         if (now_ < front_node.stalled_until + kConnectTimeout)
-            return; // it could not; its clients went elsewhere
+            return; // a stalled node cannot answer; its clients have switched
         ++lost_;
         front_node.scheduler->handle(now_, SearchAbandoned{id});
         front_node.fail(id);
@@ -468,7 +468,7 @@
     }
     ++arrived_;
     if (once && !ran_.insert({from, incarnation, part}).second)
-        ++duplicate_attempts_; // it may have run before
+        ++duplicate_attempts_; // the earlier attempt may have been executed
     server.queue.push_back({from, incarnation, part, number});
     if (server.started_at > 0 && now_ < server.started_at + plan_.warm_up_time) {
         server.arrivals.push_back(now_);
@@ -539,7 +539,7 @@
     Server& server = *servers_[number];
     if (!server.alive) return;
     server.alive = false, ++server.incarnation, server.busy = 0;
-    // Connections break: what was there returns as that.
+    // Queued parts end with a lost connection.
     for (const Server::Job& job : std::exchange(server.queue, {}))
         at(now_ + delay(), [this, job] {
             complete_attempt(job.front, job.incarnation, job.part, job.number, Outcome::kConnectionLost,
@@ -568,7 +568,7 @@
     for (auto& front : fronts_)
         if (fronts_too && front->site == site) {
             front->alive = false, ++front->incarnation;
-            // What its clients had asked for is theirs to ask again; nobody here answers for it.
+            // Open searches of a killed front node are dropped; its clients may retry.
             front->searches.clear(), front->parts.clear();
         }
     at(now_ + plan_.member_lag, [this] { update_members(); });
@@ -632,7 +632,7 @@
     run_scheduler(front);
 }
 
-// All that changes in one instant is told at once.
+// Changes at one instant are published together.
 void SimulatedSites::update_server_lists() {
     if (lists_updated_at_ == now_) return;
     lists_updated_at_ = now_;
--- a/tests/lab/simulated_sites.hpp
+++ b/tests/lab/simulated_sites.hpp
@@ -1,8 +1,8 @@
-// Front nodes of several sites in virtual time: each with the decision module itself and its side of the plan
-// for lost sites; round them index servers with queues, power that rises after a start and a limit past which
-// a cold one falls, discovery that tells late, members that are noticed late, words that get lost. Sites are
-// killed, cut off and brought back as a script says. What clients get is paid as the request classes say; the
-// rules are judged as it goes. From one seed all is the same each time.
+// Deterministic simulation of front nodes at several sites in virtual time. Each runs the real scheduler and
+// failover controller. Index servers have queues, a capacity that rises after a start, and a limit at which a
+// cold one fails from overload; server lists and membership changes arrive late and reports can be lost.
+// Tests kill, isolate and restore sites. Delivered searches earn utility by request class, and the rules are
+// checked during the run. A run is reproducible from its seed.
 #pragma once
 #include "recovery/failover_controller.hpp"
 #include "recovery/traffic_counter.hpp"
@@ -19,7 +19,7 @@
 
 struct SiteRequestClass {
     std::string name;
-    double rate = 1; // of all searches, weight
+    double rate = 1; // relative share of all searches
     int parts = 6;
     RequestClassConfig terms;
 };
@@ -27,27 +27,28 @@
 struct SimulatedSitesPlan {
     std::uint64_t seed = 1;
     int fronts = 6, servers = 12, sites = 3, shards = 8, replicas = 3;
-    std::vector<SiteRequestClass> request_classes;       // empty: three of their kinds
-    std::vector<std::pair<std::string, double>> tenants; // name, share of the searches; empty: two
-    double load = 0.55;                                  // of the fleet's power
+    std::vector<SiteRequestClass> request_classes; // empty: three default classes
+    std::vector<std::pair<std::string, double>>
+        tenants;        // name and share of the searches; empty: two defaults
+    double load = 0.55; // fraction of the fleet's capacity
     int cores = 4;
-    Tenths service = 80; // a part, mean
+    Tenths service = 80; // mean time of a part
     double cold_capacity_ratio = 0.3, overload_factor = 2;
     Tenths warm_up_time = 5 * kTenthsPerSecond, overload_window = kTenthsPerSecond;
     Tenths list_lag = kTenthsPerSecond / 5, member_lag = kTenthsPerSecond;
-    Tenths min_delay = 5, max_delay = 20; // of a datagram or a frame, one way
+    Tenths min_delay = 5, max_delay = 20; // one-way delay of a datagram or frame
     double report_loss_ratio = 0;
-    double retry_ratio = 0; // share of those rejected that come again when they were told to
+    double retry_ratio = 0; // share of rejected searches retried after Retry-After
     bool with_failover = true, exchange_reports = true;
     bool may_probe = true;
-    int stated_nodes = 0;       // 0: as many as there are
-    double stated_capacity = 0; // by the operator
+    int stated_nodes = 0;       // 0: the actual number
+    double stated_capacity = 0; // capacity that the operator configures
 };
 
-struct SiteTotals { // over a span
+struct SiteTotals { // totals since the last take_totals()
     std::uint64_t asked = 0, delivered = 0, in_time = 0, rejected = 0, failed = 0, in_part = 0, attempts = 0;
     double utility = 0, most_utility = 0;
-    std::map<std::string, std::pair<double, double>> request_classes; // utility in time, asked for
+    std::map<std::string, std::pair<double, double>> request_classes; // earned and requested utility
     std::map<std::string, std::pair<double, double>> tenants;
 };
 
@@ -58,34 +59,35 @@
     SimulatedSites(const SimulatedSites&) = delete;
     SimulatedSites& operator=(const SimulatedSites&) = delete;
 
-    void pass(Tenths span);
+    void advance(Tenths span);
     bool until(const std::function<bool()>& holds, Tenths bound);
 
-    // Faults. A site is its index servers and its front nodes.
+    // Faults. A site comprises its index servers and its front nodes.
     void kill_site(int site, bool fronts_too = true);
-    void return_site(int site);                     // cold, all in one instant
-    void cut_site(int site, bool both_ways = true); // from all others; alive
+    void return_site(int site);                     // all servers start cold at once
+    void cut_site(int site, bool both_ways = true); // partitions it from all others; its processes stay alive
     void cut_between(int a, int b);
     void heal();
     void kill_server(int server);
     void start_server(int server);
     void stall_front(int front, Tenths span);
-    void start_front(int front);                     // with the list as it knows it
-    void block_reports(const std::set<int>& fronts); // they hear no word of any other
+    void start_front(int front);                     // with the current server list
+    void block_reports(const std::set<int>& fronts); // they receive no reports
     void lag_lists(Tenths lag) { plan_.list_lag = lag; }
     void set_load_factor(double factor) { load_factor_ = factor; }
     void apply_override(int front, recovery::SiteOverride site_override);
 
-    // What is
+    // State
     Tenths now() const { return now_; }
     const recovery::FailoverController* controller(int front) const;
     recovery::SiteState state(int front, int site) const;
-    std::size_t count_front_nodes_seeing(int site,
-                                         recovery::SiteState state) const; // front nodes that see it so
+    std::size_t
+    count_front_nodes_seeing(int site,
+                             recovery::SiteState state) const; // number of front nodes with this view
     static std::string site_name(int site) { return std::string(1, static_cast<char>('a' + site)); }
     SiteTotals take_totals() { return std::exchange(totals_, {}); }
     const SiteTotals& totals() const { return totals_; }
-    // What perfect knowledge would earn of the present demand with what is there now: share of all utility.
+    // Share of all utility that an optimal plan could earn from the present demand with the present servers.
     double best_share() const;
     std::uint64_t arrived() const { return arrived_; } // attempts at servers
     double cold_limit_used() const { return cold_limit_used_; }
@@ -97,7 +99,7 @@
     std::size_t fronts() const { return static_cast<std::size_t>(plan_.fronts); }
     bool serves(int server) const;
     const SimulatedSitesPlan& plan() const { return plan_; }
-    double power(int server) const; // now, parts a second
+    double power(int server) const; // current capacity in parts per second
 
   private:
     struct Front;
@@ -145,7 +147,7 @@
     Tenths lists_updated_at_ = 0;
     double load_factor_ = 1, rate_ = 0, cold_limit_used_ = 0;
     std::uint64_t overload_failures_ = 0, lost_ = 0, duplicate_attempts_ = 0, arrived_ = 0;
-    std::set<std::tuple<int, std::uint64_t, PartId>> ran_; // parts that may run once
+    std::set<std::tuple<int, std::uint64_t, PartId>> ran_; // executed non-idempotent parts
     std::vector<std::string> violations_;
 };
 
--- a/tests/maintenance_tests.cpp
+++ b/tests/maintenance_tests.cpp
@@ -205,13 +205,13 @@
     const int old = world.leader();
     world.cut({old});
     world.add_maintenance_jobs(old, {"s1"}, "cut off");
-    world.pass(2 * kS);
+    world.advance(2 * kS);
     assert(world.until([&] { return world.leader() >= 0 && world.leader() != old; }, 30 * kS));
     const int fresh = world.leader();
     world.add_jobs({"s0"}, fresh);
     assert(world.reaches("s0", JobState::kDone));
     assert(world.front(old).node->schedule().job("s0") == nullptr);
-    world.pass(12 * kS);
+    world.advance(12 * kS);
     assert(world.operator_replies.contains("cut off") &&
            !world.operator_replies["cut off"].first); // and its operator gets an error
     world.heal();
@@ -231,7 +231,7 @@
     ReadyWorld world(five_voters());
     world.cut({0, 1}), world.cut({1, 2}), world.cut({3});
     world.add_maintenance_jobs(0, {"s0"}, "a"), world.add_maintenance_jobs(4, {"s1"}, "b");
-    world.pass(60 * kS);
+    world.advance(60 * kS);
     assert(world.machines_out().empty() && world.counts().jobs_done == 0);
     world.heal();
     world.add_jobs({"s3"}, 2);
@@ -252,7 +252,7 @@
     world.add_jobs({"s0", "s1", "s2", "s3"});
     world.cut({old}, false); // it receives but cannot send
     assert(world.until([&] { return world.leader() >= 0 && world.leader() != old; }, 40 * kS));
-    world.pass(10 * kS);
+    world.advance(10 * kS);
     world.heal();
     assert(world.all_jobs_end() && world.rules_hold());
 }
@@ -263,7 +263,7 @@
     world.add_jobs({"s0", "s1", "s2"});
     assert(world.reaches("s0", JobState::kOut));
     for (int i = 0; i < 5; ++i) world.kill(i), world.front(i).failed = true;
-    world.pass(kS);
+    world.advance(kS);
     for (int i = 0; i < 5; ++i) world.front(i).failed = false, world.start(i);
     assert(world.until([&] { return world.schedule().job("s0") != nullptr; }, 60 * kS));
     assert(world.all_jobs_end() && world.rules_hold() && world.counts().jobs_done >= 3);
@@ -380,7 +380,7 @@
 void requests_on_both_sides_of_a_partition() {
     ReadyWorld world(five_voters());
     world.cut({0, 1});
-    world.pass(10 * kS);
+    world.advance(10 * kS);
     world.add_maintenance_jobs(0, {"s0", "s1"}, "minority"),
         world.add_maintenance_jobs(3, {"s1", "s2"}, "majority");
     assert(world.until(
@@ -468,7 +468,7 @@
     assert(world.until([&] { return world.schedule().held(); }, 100 * kS));
     assert(world.schedule().hold_reason().find("broken") != std::string::npos);
     const std::size_t done = world.counts().jobs_done;
-    world.pass(20 * kS);
+    world.advance(20 * kS);
     assert(world.counts().jobs_done <= done + 1); // machines that are out come back, no further one goes out
     world.revive_machine("s0");
     world.send_operator_request(0, {{"request", "on"}, {"verb", "resume"}});
@@ -502,7 +502,7 @@
 // A fifth process has the name of the first one and a store of its own.
 void two_nodes_with_one_name_do_no_harm() {
     FaultInjection fault_injection;
-    fault_injection.terms = [](int front, MaintenanceNodeSettings& settings) {
+    fault_injection.settings = [](int front, MaintenanceNodeSettings& settings) {
         settings.name = front == 4 ? "n0" : settings.name;
     };
     SimulatedMaintenancePlan plan;
@@ -519,7 +519,7 @@
     for (const auto& [name, machine] : world.machines())
         if (machine.facts.zone == "b") world.kill_machine(name);
     world.add_maintenance_jobs(0, {"s0"}, "again");
-    world.pass(20 * kS);
+    world.advance(20 * kS);
     assert(world.leader() >= 0);
     const auto reply_json = world.front(world.leader()).node->answer_query({{"verb", "show"}});
     assert(reply_json.value("waits_for", "").find("zone b is lost") != std::string::npos);
@@ -531,7 +531,7 @@
     world.send_operator_request(0, {{"request", "h"}, {"verb", "hold"}, {"why", "the final is on"}});
     assert(world.until([&] { return world.schedule().held(); }, 20 * kS));
     world.add_jobs({"s0"});
-    world.pass(20 * kS);
+    world.advance(20 * kS);
     assert(world.state("s0") == JobState::kProposed && world.machines_out().empty());
     world.send_operator_request(1, {{"request", "r"}, {"verb", "resume"}});
     assert(world.all_jobs_end() && world.rules_hold());
@@ -543,7 +543,7 @@
     ReadyWorld world(plan);
     world.add_jobs({"s0", "s1", "s2", "s3", "s4"});
     for (int i = 0; i < 5; ++i) {
-        world.pass(3 * kS);
+        world.advance(3 * kS);
         world.stall(i, 6 * kS);
     }
     assert(world.all_jobs_end() && world.rules_hold());
@@ -620,7 +620,7 @@
 }
 template <class Set> FaultInjection with_settings(Set set) {
     FaultInjection fault_injection;
-    fault_injection.terms = [set](int front, MaintenanceNodeSettings& settings) { set(front, settings); };
+    fault_injection.settings = [set](int front, MaintenanceNodeSettings& settings) { set(front, settings); };
     return fault_injection;
 }
 
--- a/tests/rig_tests.cpp
+++ b/tests/rig_tests.cpp
@@ -49,7 +49,7 @@
                 if (job["machine"] == machine) return job[field].get<std::string>();
         return {};
     }
-    void pass(Tenths span) const {
+    void advance(Tenths span) const {
         const Tenths end = now() + span;
         assert(await([&] { return now() >= end; }));
     }
@@ -121,11 +121,11 @@
     RunningFleet fleet(5);
     fleet.set_packet_faults(0.2, 0.1, kS / 50);
     assert(fleet.run_work_command(0, {"add", "s0", "s1", "s2", "s3", "n3"}).first == 0);
-    fleet.pass(kS);
+    fleet.advance(kS);
     fleet.cut({1}, false);
-    fleet.pass(2 * kS);
+    fleet.advance(2 * kS);
     fleet.cut({0, 2});
-    fleet.pass(2 * kS);
+    fleet.advance(2 * kS);
     fleet.heal();
     fleet.expect_finish_without_violations(0);
 }
