--- a/fuzz/certificate.cpp
+++ b/fuzz/certificate.cpp
@@ -1,5 +1,5 @@
-// Fuzzes certificate chains, authorities and CRLs with arbitrary bytes, and the mapping rules with arbitrary
-// names.
+// Feeds arbitrary bytes to the parsers of certificate chains, authorities and CRLs, and arbitrary names to
+// the mapping rules.
 #include "access/certificate.hpp"
 
 #include <cstdint>
--- a/fuzz/script.cpp
+++ b/fuzz/script.cpp
@@ -1,5 +1,5 @@
-// Fuzzes the operators' script: any text must terminate within its limits with the same result each time, and
-// the result must be accepted or rejected by the settings reader.
+// Runs arbitrary text as an operator script. It must end within its bounds with the same result each time,
+// and the settings reader must accept or reject that result.
 #include "script/script.hpp"
 #include "operator/operator_settings.hpp"
 
@@ -11,7 +11,7 @@
     const std::string text(reinterpret_cast<const char*>(data), size);
     const script::Limits limits{20'000, 1U << 20U, 4};
     std::string first, second;
-    for (std::string* result : {&first, &second}) {
+    for (std::string* output : {&first, &second}) {
         try {
             const auto outcome = script::run_script(
                 "a.star", [&](const std::string&) { return text; }, limits);
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -1,4 +1,5 @@
-// Fuzzes tokens: arbitrary bytes must never be admitted without a valid signature and never crash.
+// Feeds arbitrary bytes to the token parser and the authorizer: no crash, and no admission without a valid
+// signature.
 #include "access/authorizer.hpp"
 #include "access/encoding.hpp"
 
@@ -29,20 +30,19 @@
 } // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static Fixture fixture;
+    static TestAuthorizer test;
     const std::string bytes(reinterpret_cast<const char*>(data), size);
-    if (fixture.authorizer.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
+    if (test.authorizer.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
         std::abort();
-    // The same bytes as header and payload with a valid signature: what is parsed must satisfy the
-    // invariants.
+    // The same bytes as header and payload with a valid signature: the parsed values must be valid.
     const std::size_t half = size / 2;
     const std::string body = base64url(bytes.substr(0, half)) + "." + base64url(bytes.substr(half));
-    const TokenParseResult parsed = parse_token(body + "." + base64url(fixture.key.signing.sign(body)), 8192);
+    const TokenParseResult parsed = parse_token(body + "." + base64url(test.key.signing.sign(body)), 8192);
     if (const auto* token = std::get_if<ParsedToken>(&parsed)) {
         if (token->claims.expires < 0 || !is_valid_name(token->claims.caller.club)) std::abort();
-        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, fixture.key)) std::abort();
+        if (token->algorithm == Algorithm::kHs256 && !has_valid_signature(*token, test.key)) std::abort();
     }
-    // Decoding and encoding again yields the same text, or the text is rejected.
+    // Accepted base64url text must survive decoding and encoding unchanged.
     if (const auto raw = read_base64url(bytes); raw && base64url(*raw) != bytes) std::abort();
     try {
         read_key({"f", bytes});
--- a/tests/access_tests.cpp
+++ b/tests/access_tests.cpp
@@ -373,9 +373,9 @@
 // ---- certificates
 
 struct CertificateAuthority { // a root CA and certificates that it issues
-    lab::Authority root{"root", kNow - s(1000), kNow + s(100'000)};
-    lab::Issued anna = issue({"spiffe://trinacria.example/etna/anna"});
-    lab::Issued issue(std::vector<std::string> uris, std::vector<std::string> dns = {}) const {
+    lab::CertificateAuthority root{"root", kNow - s(1000), kNow + s(100'000)};
+    lab::IssuedCertificate anna = issue({"spiffe://trinacria.example/etna/anna"});
+    lab::IssuedCertificate issue(std::vector<std::string> uris, std::vector<std::string> dns = {}) const {
         return root.issue({"x", std::move(uris), std::move(dns), kNow - s(10), kNow + s(1000), false});
     }
     NamedText file() const { return {"ca.pem", root.certificate()}; }
@@ -420,15 +420,17 @@
     Fixture fixture;
     fixture.authorities = {ca.file()};
     assert(fixture.reload().empty());
-    const lab::Authority below = ca.root.below("below", kNow - s(10), kNow + s(1000));
-    const lab::Wish wish{"x",  {"spiffe://trinacria.example/etna/anna"}, {}, kNow - s(10), kNow + s(1000),
-                         false};
-    assert(fixture.certificate_reason({{below.issue(wish).der, below.der()}}) == Reason::kAdmitted);
-    assert(fixture.certificate_reason({{below.issue(wish).der}}) == Reason::kUnknownKey);
-    lab::Authority last = ca.root;
+    const lab::CertificateAuthority intermediate =
+        ca.root.issue_intermediate("below", kNow - s(10), kNow + s(1000));
+    const lab::CertificateRequest wish{
+        "x", {"spiffe://trinacria.example/etna/anna"}, {}, kNow - s(10), kNow + s(1000), false};
+    assert(fixture.certificate_reason({{intermediate.issue(wish).der, intermediate.der()}}) ==
+           Reason::kAdmitted);
+    assert(fixture.certificate_reason({{intermediate.issue(wish).der}}) == Reason::kUnknownKey);
+    lab::CertificateAuthority last = ca.root;
     Chain ten;
     for (int i = 0; i < 9; ++i) {
-        last = last.below("n" + std::to_string(i), kNow - s(10), kNow + s(1000));
+        last = last.issue_intermediate("n" + std::to_string(i), kNow - s(10), kNow + s(1000));
         ten.certificates.insert(ten.certificates.begin(), last.der());
     }
     ten.certificates.insert(ten.certificates.begin(), last.issue(wish).der);
