--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -152,7 +152,7 @@
     if (client.answer().status != 200) throw std::runtime_error("a valid certificate was rejected");
     const auto started = Clock::now();
     fixture.revoke_serials({issued.serial});
-    if (!client.ends()) throw std::runtime_error("a revoked connection sent data");
+    if (!client.closed_by_peer()) throw std::runtime_error("a revoked connection sent data");
     ++counted.open_connections;
     counted.longest_ms = std::max(counted.longest_ms, micros(Clock::now() - started) / 1000);
 }
--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -245,7 +245,7 @@
 double measure_utility(bool seen) {
     ProcessHarnessPlan plan;
     plan.program = IVYRILL_PROGRAM;
-    plan.stated_nodes = 40, plan.with_maintenance = false, plan.with_membership = seen;
+    plan.configured_node_count = 40, plan.with_maintenance = false, plan.with_membership = seen;
     ProcessHarness harness(plan);
     for (int i = 0; i < plan.fronts; ++i) harness.ready(i);
     harness.start_clients(4, 250);
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -124,7 +124,7 @@
                   ClientTlsOptions{bruno.certificate, bruno.key, false, {}});
     assert(status(first, {"a1"}) == 200 && status(second, {"b1"}) == 200);
     fixture.revoke_serials({anna.serial});
-    assert(first.ends()); // idle and open: it need not ask anything
+    assert(first.closed_by_peer()); // idle and open: it need not ask anything
     assert(status(second, {"b2"}) == 200);
     Client again(fixture.client_certificate_address(),
                  ClientTlsOptions{anna.certificate, anna.key, false, {}});
@@ -144,7 +144,7 @@
     fixture.revoke_serials({anna.serial});
     assert(fixture.await_audit("\"what\":\"barred\""));
     fixture.fleet.hold(false);
-    assert(client.answer().status == 200 && client.ends());
+    assert(client.answer().status == 200 && client.closed_by_peer());
     assert(fixture.fleet.attempts("a1.0") == 1 && fixture.exit_status() == 0);
 }
 
@@ -175,7 +175,7 @@
     assert(status(plain, {"a1", "find", "", token}) == 200);
     Client tls_client(fixture.tls_address(), ClientTlsOptions{});
     assert(status(tls_client, {"a2", "find", "", token}) == 200);
-    for (Client& client : half) assert(client.ends()); // crowded out, or at the end of their time
+    for (Client& client : half) assert(client.closed_by_peer()); // crowded out, or at the end of their time
     Client noise(fixture.tls_address());
     noise.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n"); // no TLS at all: an alert, then the end
     while (!noise.receive_bytes().empty()) {}
--- a/tests/lab/client.cpp
+++ b/tests/lab/client.cpp
@@ -51,13 +51,15 @@
     for (;;) {
         const int done = SSL_connect(session_);
         if (done == 1) return;
-        const int why = SSL_get_error(session_, done);
+        const int error = SSL_get_error(session_, done);
         ERR_clear_error();
-        const short wanted = why == SSL_ERROR_WANT_READ ? POLLIN : why == SSL_ERROR_WANT_WRITE ? POLLOUT : 0;
-        if (wanted != 0 && await(wanted)) continue;
+        const short events = error == SSL_ERROR_WANT_READ    ? POLLIN
+                             : error == SSL_ERROR_WANT_WRITE ? POLLOUT
+                                                             : 0;
+        if (events != 0 && await(events)) continue;
         SSL_free(session_), SSL_CTX_free(context_), close(descriptor_);
         session_ = nullptr, context_ = nullptr, descriptor_ = -1;
-        throw std::runtime_error("no handshake with " + address);
+        throw std::runtime_error("TLS handshake failed with " + address);
     }
 }
 
@@ -72,8 +74,8 @@
 }
 
 bool Client::await(short what) const {
-    pollfd wanted{descriptor_, what, 0};
-    return poll(&wanted, 1, timeout_ms_) == 1;
+    pollfd events{descriptor_, what, 0};
+    return poll(&events, 1, timeout_ms_) == 1;
 }
 
 void Client::send_bytes(std::string_view bytes) {
@@ -92,7 +94,7 @@
                                ? SSL_get_error(session_, static_cast<int>(count)) == SSL_ERROR_WANT_WRITE
                                : errno == EAGAIN;
         ERR_clear_error();
-        if (!later || !await(POLLOUT)) throw std::runtime_error("the connection takes nothing more");
+        if (!later || !await(POLLOUT)) throw std::runtime_error("the connection accepts no more data");
     }
 }
 
@@ -111,7 +113,7 @@
         }
         if (count > 0) return {bytes, static_cast<std::size_t>(count)};
         if (!later) return {};
-        if (!await(POLLIN)) throw std::runtime_error("nothing came in time");
+        if (!await(POLLIN)) throw std::runtime_error("timed out waiting for data");
     }
 }
 
@@ -119,14 +121,14 @@
     protocol::HttpParser parser(protocol::HttpParser::Side::kResponses);
     while (!parser.complete()) {
         const std::string bytes = receive_bytes();
-        if (bytes.empty()) throw std::runtime_error("the connection ended before its answer");
+        if (bytes.empty()) throw std::runtime_error("the connection ended before the response");
         if (parser.feed(bytes) != bytes.size() || parser.broken() != 0)
-            throw std::runtime_error("more or other than one answer came");
+            throw std::runtime_error("received something other than one response");
     }
     return parser.take();
 }
 
-bool Client::ends() { return receive_bytes().empty(); }
+bool Client::closed_by_peer() { return receive_bytes().empty(); }
 
 std::string Client::peer_serial() const {
     X509* certificate = session_ != nullptr ? SSL_get0_peer_certificate(session_) : nullptr;
@@ -152,9 +154,9 @@
     for (int tries = 0; tries < 50; ++tries) {
         const int done = SSL_do_handshake(session_);
         if (done == 1) return SSL_renegotiate_pending(session_) == 0 && tries > 0;
-        const int why = SSL_get_error(session_, done);
+        const int error = SSL_get_error(session_, done);
         ERR_clear_error();
-        if (why != SSL_ERROR_WANT_READ || !await(POLLIN)) return false;
+        if (error != SSL_ERROR_WANT_READ || !await(POLLIN)) return false;
     }
     return false;
 }
--- a/tests/lab/client.hpp
+++ b/tests/lab/client.hpp
@@ -30,7 +30,7 @@
     void send_bytes(std::string_view bytes);
     std::string receive_bytes();     // reads available bytes; empty at the end of the stream
     protocol::HttpMessage answer();  // throws if the connection ends first
-    bool ends();                     // waits for the peer to close; false if it sends data
+    bool closed_by_peer();           // waits for the peer to close; false if it sends data
     std::string peer_serial() const; // serial of the server certificate, lower-case hex
     std::string protocol() const;    // protocol negotiated by ALPN
     bool renegotiate();              // requests TLS 1.2 renegotiation; whether it succeeded
--- a/tests/lab/front_node_fixture.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -24,7 +24,7 @@
 
 Tenths wall() { return transport::Loop::wall(); }
 
-constexpr const char* kOperatorFile = R"(# The hall's own file.
+constexpr const char* kOperatorFile = R"(# Operator file of the test fixture.
 _lines = 200
 access = {
     "issuer": "trinacria", "audience": "archive", "skew_s": 2, "crl_grace_s": 60,
@@ -141,11 +141,11 @@
 }
 
 std::string FrontNodeFixture::token(const std::string& member, const access::Key& key, Tenths lifetime,
-                                    std::vector<std::string> node, bool write) const {
+                                    std::vector<std::string> owned_keys, bool write) const {
     access::Claims claims;
     claims.issuer = "trinacria", claims.audience = {"archive"};
     claims.issued = wall(), claims.expires = wall() + lifetime;
-    claims.caller = {"circolo-etna", member, {true, write}, std::move(node)};
+    claims.caller = {"circolo-etna", member, {true, write}, std::move(owned_keys)};
     return access::sign_token(claims, key);
 }
 
--- a/tests/lab/front_node_fixture.hpp
+++ b/tests/lab/front_node_fixture.hpp
@@ -31,13 +31,12 @@
     const std::string& plain_address() const { return addresses_.at(0); }
     const std::string& tls_address() const { return addresses_.at(1); }
     const std::string& client_certificate_address() const { return addresses_.at(2); }
-    const std::string& h2_address() const {
-        return addresses_.at(3);
-    } // cleartext with prior knowledge, no access control
+    // Cleartext HTTP/2 with prior knowledge, without access control.
+    const std::string& h2_address() const { return addresses_.at(3); }
     const std::string& access_controlled_h2_address() const { return addresses_.at(4); }
 
     std::string token(const std::string& member, const access::Key& key,
-                      Tenths lifetime = 600 * kTenthsPerSecond, std::vector<std::string> node = {"g1"},
+                      Tenths lifetime = 600 * kTenthsPerSecond, std::vector<std::string> owned_keys = {"g1"},
                       bool write = true) const;
     const access::Key& key() const { return keys_.back(); } // the newest
     const std::vector<access::Key>& keys() const { return keys_; }
@@ -49,8 +48,8 @@
     std::string server_serial() const { return server_.serial; }
     void revoke_serials(std::vector<std::string> serials); // adds them to the CRL
     void revoke_member(const std::string& member, Tenths since);
-    void write(const std::string& name,
-               const std::string& text) const; // writes a file of the folder atomically
+    // Writes a file of the folder atomically.
+    void write(const std::string& name, const std::string& text) const;
     std::string folder() const { return folder_; }
 
     void signal(int number) const;
--- a/tests/lab/process_harness.cpp
+++ b/tests/lab/process_harness.cpp
@@ -133,7 +133,7 @@
                                    {"LateShare", 0.1}});
     nlohmann::json settings{
         {"Grades", request_classes},
-        {"PeersTotal", plan_.stated_nodes > 0 ? plan_.stated_nodes : plan_.fronts},
+        {"PeersTotal", plan_.configured_node_count > 0 ? plan_.configured_node_count : plan_.fronts},
         {"Limits",
          {{"ConnIdleUs", 15'000'000},
           {"ConnectTimeoutUs", 250'000},
@@ -295,10 +295,10 @@
         services_cut_.erase(i), links_restored_ = true;
 }
 
-void ProcessHarness::set_packet_faults(double share, double duplicate_ratio, Tenths max_delay) {
+void ProcessHarness::set_packet_faults(double loss_ratio, double duplicate_ratio, Tenths max_delay) {
     const std::lock_guard lock(mutex_);
-    faults_ += share > 0 ? 1 : 0;
-    loss_ratio_ = share, duplicate_ratio_ = duplicate_ratio, max_delay_ = max_delay;
+    faults_ += loss_ratio > 0 ? 1 : 0;
+    loss_ratio_ = loss_ratio, duplicate_ratio_ = duplicate_ratio, max_delay_ = max_delay;
 }
 
 void ProcessHarness::heal() {
@@ -333,7 +333,7 @@
 
 void ProcessHarness::run() {
     for (std::size_t i = 0; i < fronts_.size(); ++i)
-        fronts_[i].relaying = relay(static_cast<int>(i)), fronts_[i].relaying.start();
+        fronts_[i].relay_task = relay(static_cast<int>(i)), fronts_[i].relay_task.start();
     while (!stop_) {
         Tenths until = loop_.now() + 5 * kMs;
         {
@@ -359,7 +359,7 @@
     }
     peers_.clear();
     for (Listener& listener : listeners_) listener.task = {};
-    for (Front& front : fronts_) front.relaying = {};
+    for (Front& front : fronts_) front.relay_task = {};
 }
 
 void ProcessHarness::open_listeners(int target, bool on) {
@@ -664,10 +664,10 @@
 // classes.
 void ProcessHarness::client(int number, int per_second) {
     std::vector<std::unique_ptr<Client>> connections(fronts_.size());
-    const auto gap = std::chrono::microseconds(1'000'000 / per_second);
+    const auto interval = std::chrono::microseconds(1'000'000 / per_second);
     auto at = std::chrono::steady_clock::now();
     for (std::uint64_t request_number = 0; !clients_stopped_; ++request_number) {
-        at += gap;
+        at += interval;
         const auto left =
             std::chrono::duration_cast<std::chrono::milliseconds>(at - std::chrono::steady_clock::now());
         if (left.count() > 0) poll(nullptr, 0, static_cast<int>(left.count()));
@@ -698,12 +698,12 @@
         const auto started = std::chrono::steady_clock::now();
         int status = 0;
         bool ended = false;
-        for (int again = 0; again < 2 && status == 0; ++again) {
+        for (int attempt = 0; attempt < 2 && status == 0; ++attempt) {
             {
                 // A search is not resent if its front node restarted: it may have forwarded the search before
                 // that.
                 const std::lock_guard lock(mutex_);
-                if (again > 0 && fronts_[front_index].epoch != epoch) break;
+                if (attempt > 0 && fronts_[front_index].epoch != epoch) break;
             }
             try {
                 ended = false;
--- a/tests/lab/process_harness.hpp
+++ b/tests/lab/process_harness.hpp
@@ -26,7 +26,7 @@
     Tenths work = kTenthsPerSecond / 2;
     std::string more;                                     // lines appended to the operator file
     bool with_maintenance = true, with_membership = true; // with_membership: nodes exchange membership
-    int stated_nodes = 0; // configured number of front nodes; 0: the actual number
+    int configured_node_count = 0; // configured number of front nodes; 0: the actual number
     // Service time of a part, independent of load, and the configured limits of a cold server.
     Tenths service = 0, warm_up_time = 3 * kTenthsPerSecond / 10;
     double cold_capacity_ratio = 0.3, overload_factor = 4;
@@ -68,7 +68,7 @@
     // Links between front nodes, and from one to its services.
     void cut(const std::set<int>& one_side, bool both_ways = true);
     void cut_services(int front, bool on); // its servers, discovery and controller stop responding
-    void set_packet_faults(double share, double duplicate_ratio, Tenths max_delay);
+    void set_packet_faults(double loss_ratio, double duplicate_ratio, Tenths max_delay);
     void heal();
 
     void with_machine(const std::string& name, const std::function<void(SimulatedMachine&)>& change);
@@ -118,7 +118,7 @@
     struct Front {
         std::string listen, advertised, bound; // membership address as advertised and as bound
         std::unique_ptr<transport::Source> relay;
-        transport::Task relaying;
+        transport::Task relay_task;
         pid_t process = -1;
         bool stalled = false, wanted = true, ending = false; // ending: stopped by its controller
         std::uint64_t epoch = 0;                             // incremented at each start, stall and kill
--- a/tests/lab/simulated_maintenance.cpp
+++ b/tests/lab/simulated_maintenance.cpp
@@ -185,7 +185,7 @@
             move != nullptr && move->to == JobState::kDone)
             ++counts_.jobs_done, ended = now_;
     };
-    front.stalled_until = front.list_at = 0;
+    front.stalled_until = front.next_list_update_at = 0;
     next_steps_[i] = now_;
     update_server_list(i);
 }
@@ -242,8 +242,8 @@
 
 void SimulatedMaintenance::update_server_list(int i) {
     Front& front = fronts_[i];
-    if (!front.node || now_ < front.list_at) return;
-    front.list_at = now_ + kTenthsPerSecond / 10;
+    if (!front.node || now_ < front.next_list_update_at) return;
+    front.next_list_update_at = now_ + kTenthsPerSecond / 10;
     std::map<std::string, ObservedMachine> servers;
     for (auto& [name, machine] : machines_) {
         if (machine.facts.front_node) continue;
@@ -587,11 +587,11 @@
             break;
         case 5:
         case 6: {
-            const int who = fault.kind == 6 && world.leader() >= 0 ? world.leader() : a;
-            world.kill(who);
-            world.front(who).failed = true;
+            const int target = fault.kind == 6 && world.leader() >= 0 ? world.leader() : a;
+            world.kill(target);
+            world.front(target).failed = true;
             recoveries.push_back(
-                {recover_at, [&world, who] { world.front(who).failed = false, world.start(who); }});
+                {recover_at, [&world, target] { world.front(target).failed = false, world.start(target); }});
             break;
         }
         case 7: // a lost disk or a restored old copy, on one front node at most
@@ -627,10 +627,10 @@
             recoveries.push_back({recover_at, [&world, machine] { world.revive_machine(machine); }});
             break;
         case 12: { // machine controllers reply twice, late or never
-            const int how = fault.b % 3;
-            world.reply_delays = [how](const std::string&) -> std::vector<Tenths> {
-                if (how == 0) return {10, 200};
-                if (how == 1) return {kTenthsPerSecond * 3 / 2};
+            const int mode = fault.b % 3;
+            world.reply_delays = [mode](const std::string&) -> std::vector<Tenths> {
+                if (mode == 0) return {10, 200};
+                if (mode == 1) return {kTenthsPerSecond * 3 / 2};
                 return {};
             };
             recoveries.push_back({recover_at, [&world] { world.reply_delays = {}; }});
@@ -652,7 +652,7 @@
     while (!recoveries.empty()) advance_to(std::ranges::min_element(recoveries, {}, &Recovery::at)->at);
     world.heal();
     // All faults are over: the operator resumes the schedule, and maintenance must finish.
-    int nth = 0;
+    int request_number = 0;
     Tenths led_at = world.now();
     const bool finished = world.until(
         [&] {
@@ -663,7 +663,8 @@
                 world.return_front_nodes(), led_at = world.now();
             if (world.schedule().held() && world.leader() >= 0)
                 world.send_operator_request(
-                    world.leader(), {{"request", "resume" + std::to_string(++nth)}, {"verb", "resume"}});
+                    world.leader(),
+                    {{"request", "resume" + std::to_string(++request_number)}, {"verb", "resume"}});
             if (world.schedule().jobs().empty() && world.leader() >= 0)
                 world.add_maintenance_jobs(world.leader(), ordered,
                                            "first"); // the request was lost and is sent again
--- a/tests/lab/simulated_maintenance.hpp
+++ b/tests/lab/simulated_maintenance.hpp
@@ -80,7 +80,7 @@
         std::unique_ptr<maintenance::MaintenanceNode> node;
         std::shared_ptr<maintenance::InMemoryRaftStore> store;
         double rate = 1;
-        Tenths offset = 0, stalled_until = 0, list_at = 0;
+        Tenths offset = 0, stalled_until = 0, next_list_update_at = 0;
         std::uint64_t starts = 0;
         std::uint64_t incarnation = 0;
         bool failed = false; // not restarted with its machine
@@ -112,14 +112,14 @@
     // Operators
     void add_maintenance_jobs(int front, const std::vector<std::string>& machines,
                               const std::string& request);
-    nlohmann::json send_operator_request(int front,
-                                         nlohmann::json what); // the reply arrives in `operator_replies`
+    // Returns the request as sent; the reply arrives in `operator_replies`.
+    nlohmann::json send_operator_request(int front, nlohmann::json what);
     std::map<std::string, std::pair<bool, std::string>> operator_replies;
 
     // State
     int leader() const; // -1: no leader
-    const maintenance::MaintenanceSchedule&
-    schedule() const;               // of the node that has applied the most commands
+    // The schedule of the node that has applied the most commands.
+    const maintenance::MaintenanceSchedule& schedule() const;
     bool all_jobs_finished() const; // no job is open
     std::size_t count(maintenance::JobState state) const;
     std::set<std::string> machines_out() const;
@@ -186,7 +186,7 @@
     std::priority_queue<MachineMessage, std::vector<MachineMessage>, std::greater<>> machine_messages_;
     std::map<int, maintenance::InMemoryRaftStore> disk_copies_;
     std::map<std::uint64_t, std::string> committed_commands_; // by log position
-    std::map<std::string, Tenths> list_told_;
+    std::map<std::string, Tenths> last_list_updates_;
     std::map<std::string, std::deque<std::pair<Tenths, maintenance::MachineHealth>>> health_history_;
     membership::DatagramCodec codec_;
     std::unique_ptr<maintenance::FragmentTransport> operator_transport_;
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -57,7 +57,7 @@
         SearchId search;
         int shard = 0;
         double weight = 0;
-        bool answered = false, once = false;
+        bool answered = false, non_idempotent = false;
         std::vector<AttemptState> attempt_states;
     };
     struct OpenSearch {
@@ -124,13 +124,13 @@
         if (whole && weight + 1e-6 < request_class.terms.need)
             world->violations_.push_back("an answer marked whole is incomplete");
         const bool in_time = world->now_ <= open.started + request_class.terms.latency_target;
-        const double paid = request_class.terms.utility *
-                            (in_time ? 1 : request_class.terms.late_utility_ratio) * std::min(1.0, weight);
+        const double earned = request_class.terms.utility *
+                              (in_time ? 1 : request_class.terms.late_utility_ratio) * std::min(1.0, weight);
         SiteTotals& totals = world->totals_;
-        ++totals.delivered, totals.in_time += in_time, totals.in_part += whole ? 0 : 1,
-            totals.utility += paid;
-        totals.request_classes[request_class.name].first += paid;
-        totals.tenants[world->plan_.tenants[open.tenant].first].first += paid;
+        ++totals.delivered, totals.in_time += in_time, totals.partial += whole ? 0 : 1,
+            totals.utility += earned;
+        totals.request_classes[request_class.name].first += earned;
+        totals.tenants[world->plan_.tenants[open.tenant].first].first += earned;
         end(id, in_time ? recovery::TrafficCounter::SearchEnd::kInTime
                         : recovery::TrafficCounter::SearchEnd::kDelivered);
     }
@@ -154,14 +154,14 @@
     }
     void probe(ServerId server) override {
         const int target = static_cast<int>(server.value);
-        const bool good = world->servers_[target]->alive && world->linked(site, world->site_of(target)) &&
-                          world->linked(world->site_of(target), site);
-        const Tenths took = good ? world->delay() + world->delay() : kConnectTimeout;
-        world->at(world->now_ + took, [w = world, n = number, own = incarnation, server, good, took] {
+        const bool good = world->servers_[target]->alive && world->is_linked(site, world->site_of(target)) &&
+                          world->is_linked(world->site_of(target), site);
+        const Tenths elapsed = good ? world->delay() + world->delay() : kConnectTimeout;
+        world->at(world->now_ + elapsed, [w = world, n = number, own = incarnation, server, good, elapsed] {
             Front& front = *w->fronts_[n];
             if (!front.alive || front.incarnation != own) return;
             front.traffic.count_probe("s" + std::to_string(server.value), good);
-            front.scheduler->handle(w->now_, ProbeEnded{server, good, took, {}});
+            front.scheduler->handle(w->now_, ProbeEnded{server, good, elapsed, {}});
             w->run_scheduler(front);
         });
     }
@@ -193,7 +193,7 @@
     for (const auto& request_class : plan_.request_classes)
         parts += request_class.rate * request_class.parts, weight += request_class.rate;
     double capacity = 0;
-    for (int i = 0; i < plan_.servers; ++i) capacity += power(i);
+    for (int i = 0; i < plan_.servers; ++i) capacity += server_capacity(i);
     rate_ = plan_.load * capacity / (parts / weight);
     for (int i = 0; i < plan_.fronts; ++i) {
         fronts_.push_back(std::make_unique<Front>());
@@ -201,10 +201,10 @@
     }
     for (int i = 0; i < plan_.fronts; ++i) start_front_now(i);
     update_members();
-    for (int i = 0; i < plan_.fronts; ++i) arrive(i);
+    for (int i = 0; i < plan_.fronts; ++i) schedule_next_search(i);
 }
 
-double SimulatedSites::power(int number) const {
+double SimulatedSites::server_capacity(int number) const {
     const Server& server = *servers_[number];
     if (!server.alive) return 0;
     return server.share(now_, plan_) * plan_.cores * static_cast<double>(kTenthsPerSecond) /
@@ -261,7 +261,7 @@
     terms.seed = plan_.seed * 1000 + static_cast<std::uint64_t>(number) + 7 * front.incarnation;
     for (const auto& request_class : plan_.request_classes)
         terms.request_classes.push_back(request_class.terms);
-    const int nodes = plan_.stated_nodes > 0 ? plan_.stated_nodes : plan_.fronts;
+    const int nodes = plan_.configured_node_count > 0 ? plan_.configured_node_count : plan_.fronts;
     for (const auto& [name, share] : plan_.tenants) terms.tenants.push_back({rate_ * share * 2});
     terms.front_nodes = nodes, terms.decision_interval = kDecisionInterval;
     terms.warm_up_time = plan_.warm_up_time, terms.cold_capacity_ratio = plan_.cold_capacity_ratio;
@@ -293,7 +293,7 @@
         own.latency_target = due, own.warm_up_time = plan_.warm_up_time,
         own.cold_capacity_ratio = plan_.cold_capacity_ratio;
         own.max_retry_after = terms.max_retry_after, own.configured_nodes = nodes, own.shards = plan_.shards;
-        own.configured_capacity = plan_.stated_capacity;
+        own.configured_capacity = plan_.operator_capacity;
         front.controller = std::make_unique<recovery::FailoverController>(own, now_);
         const std::uint64_t incarnation = front.incarnation;
         at(now_ + static_cast<Tenths>(random_.unit() * static_cast<double>(due) / 8),
@@ -301,7 +301,7 @@
                if (fronts_[number]->incarnation == incarnation) step_controller(*fronts_[number]);
            });
     }
-    update_server_list(front, list_update(true), list_now());
+    update_server_list(front, list_update(true), current_servers());
 }
 
 void SimulatedSites::run_scheduler(Front& front) {
@@ -325,7 +325,7 @@
             if (const auto* report = std::get_if<recovery::OutgoingReport>(&effect)) {
                 const int to = std::stoi(report->to.substr(1));
                 if (!plan_.exchange_reports || random_.unit() < plan_.report_loss_ratio ||
-                    !linked(front.site, fronts_[to]->site) || reports_blocked_.contains(to))
+                    !is_linked(front.site, fronts_[to]->site) || reports_blocked_.contains(to))
                     continue;
                 at(now_ + delay(), [this, to, bytes = report->bytes] {
                     Front& other = *fronts_[to];
@@ -368,35 +368,37 @@
 
 // ---- clients
 
-void SimulatedSites::arrive(int number) {
+void SimulatedSites::schedule_next_search(int number) {
     // Clients that cannot reach one front node use another: the live ones share all searches.
     const auto alive = std::ranges::count_if(fronts_, [](const auto& front) { return front->alive; });
-    const double mine = fronts_[number]->alive
-                            ? rate_ * load_factor_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive))
-                            : 0;
-    const double gap = mine > 0 ? -std::log(1 - random_.unit()) / mine : 0.1;
-    at(now_ + static_cast<Tenths>(gap * static_cast<double>(kTenthsPerSecond)) + 1, [this, number, mine] {
-        if (mine > 0 && fronts_[number]->alive) {
-            double drawn = random_.unit(), all = 0;
-            for (const auto& request_class : plan_.request_classes) all += request_class.rate;
-            std::size_t request_class = 0, tenant = 0;
-            for (drawn *= all; request_class + 1 < plan_.request_classes.size() &&
-                               drawn >= plan_.request_classes[request_class].rate;
-                 ++request_class)
-                drawn -= plan_.request_classes[request_class].rate;
-            for (drawn = random_.unit();
-                 tenant + 1 < plan_.tenants.size() && drawn >= plan_.tenants[tenant].second; ++tenant)
-                drawn -= plan_.tenants[tenant].second;
-            search(number, request_class, tenant, false);
-        }
-        arrive(number);
-    });
-}
-
-void SimulatedSites::search(int number, std::size_t class_no, std::size_t tenant, bool again) {
+    const double own_rate =
+        fronts_[number]->alive
+            ? rate_ * load_factor_ / static_cast<double>(std::max<std::ptrdiff_t>(1, alive))
+            : 0;
+    const double interval = own_rate > 0 ? -std::log(1 - random_.unit()) / own_rate : 0.1;
+    at(now_ + static_cast<Tenths>(interval * static_cast<double>(kTenthsPerSecond)) + 1,
+       [this, number, own_rate] {
+           if (own_rate > 0 && fronts_[number]->alive) {
+               double drawn = random_.unit(), all = 0;
+               for (const auto& request_class : plan_.request_classes) all += request_class.rate;
+               std::size_t request_class = 0, tenant = 0;
+               for (drawn *= all; request_class + 1 < plan_.request_classes.size() &&
+                                  drawn >= plan_.request_classes[request_class].rate;
+                    ++request_class)
+                   drawn -= plan_.request_classes[request_class].rate;
+               for (drawn = random_.unit();
+                    tenant + 1 < plan_.tenants.size() && drawn >= plan_.tenants[tenant].second; ++tenant)
+                   drawn -= plan_.tenants[tenant].second;
+               search(number, request_class, tenant, false);
+           }
+           schedule_next_search(number);
+       });
+}
+
+void SimulatedSites::search(int number, std::size_t class_no, std::size_t tenant, bool is_retry) {
     Front& front = *fronts_[number];
     const SiteRequestClass& request_class = plan_.request_classes[class_no];
-    if (!again) {
+    if (!is_retry) {
         ++totals_.asked, totals_.most_utility += request_class.terms.utility;
         totals_.request_classes[request_class.name].second += request_class.terms.utility;
         totals_.tenants[plan_.tenants[tenant].first].second += request_class.terms.utility;
@@ -414,7 +416,7 @@
     const int count = std::min(request_class.parts, plan_.shards);
     front.scheduler->handle(now_, SearchAccepted{id, job, RequestClassNo{static_cast<std::int32_t>(class_no)},
                                                  TenantNo{static_cast<std::int32_t>(tenant)},
-                                                 request_class.terms.deadline, again});
+                                                 request_class.terms.deadline, is_retry});
     for (int i = 0; i < count; ++i) {
         const PartId part{front.next_id++};
         open.parts.push_back(part);
@@ -449,36 +451,37 @@
     at(now_ + time_out, [this, from, incarnation, part, number] {
         complete_attempt(from, incarnation, part, number, Outcome::kTimedOut, false, {});
     });
-    if (!linked(front.site, site_of(target))) return;
-    const bool once = part_state.once;
-    at(now_ + delay(), [this, target, from, incarnation, part, number, once] {
-        deliver_attempt(target, from, incarnation, part, number, once);
+    if (!is_linked(front.site, site_of(target))) return;
+    const bool non_idempotent = part_state.non_idempotent;
+    at(now_ + delay(), [this, target, from, incarnation, part, number, non_idempotent] {
+        deliver_attempt(target, from, incarnation, part, number, non_idempotent);
     });
 }
 
 void SimulatedSites::deliver_attempt(int target, int from, std::uint64_t incarnation, PartId part,
-                                     AttemptNo number, bool once) {
+                                     AttemptNo number, bool non_idempotent) {
     Server& server = *servers_[target];
     if (!server.alive) {
-        if (linked(server.site, fronts_[from]->site))
+        if (is_linked(server.site, fronts_[from]->site))
             at(now_ + delay(), [this, from, incarnation, part, number] {
                 complete_attempt(from, incarnation, part, number, Outcome::kConnectTimeout, false, {});
             });
         return;
     }
     ++arrived_;
-    if (once && !ran_.insert({from, incarnation, part}).second)
+    if (non_idempotent && !executed_parts_.insert({from, incarnation, part}).second)
         ++duplicate_attempts_; // the earlier attempt may have been executed
     server.queue.push_back({from, incarnation, part, number});
     if (server.started_at > 0 && now_ < server.started_at + plan_.warm_up_time) {
         server.arrivals.push_back(now_);
         while (server.arrivals.front() <= now_ - plan_.overload_window) server.arrivals.pop_front();
-        const double full =
+        const double warm_capacity =
             plan_.cores * static_cast<double>(plan_.overload_window) / static_cast<double>(plan_.service);
-        const double allowed = plan_.overload_factor * full * server.share(now_, plan_);
-        const double most = allowed + 3 * std::sqrt(allowed) + 3;
-        cold_limit_used_ = std::max(cold_limit_used_, static_cast<double>(server.arrivals.size()) / most);
-        if (static_cast<double>(server.arrivals.size()) > most) return fail_from_overload(target);
+        const double allowed = plan_.overload_factor * warm_capacity * server.share(now_, plan_);
+        const double max_arrivals = allowed + 3 * std::sqrt(allowed) + 3;
+        cold_limit_used_ =
+            std::max(cold_limit_used_, static_cast<double>(server.arrivals.size()) / max_arrivals);
+        if (static_cast<double>(server.arrivals.size()) > max_arrivals) return fail_from_overload(target);
     }
     start_parts(target);
 }
@@ -490,14 +493,14 @@
         server.queue.pop_front();
         ++server.busy;
         const double mean = static_cast<double>(plan_.service) / server.share(now_, plan_);
-        const auto took = static_cast<Tenths>(-std::log(1 - random_.unit()) * mean) + 1;
-        at(now_ + took, [this, target, job, incarnation = server.incarnation] {
+        const auto elapsed = static_cast<Tenths>(-std::log(1 - random_.unit()) * mean) + 1;
+        at(now_ + elapsed, [this, target, job, incarnation = server.incarnation] {
             Server& done = *servers_[target];
             if (!done.alive || done.incarnation != incarnation) return;
             --done.busy;
             start_parts(target);
             const LoadReport report{static_cast<double>(done.busy), static_cast<double>(done.queue.size())};
-            if (linked(done.site, fronts_[job.front]->site))
+            if (is_linked(done.site, fronts_[job.front]->site))
                 at(now_ + delay(), [this, job, report] {
                     complete_attempt(job.front, job.incarnation, job.part, job.number, Outcome::kAnswered,
                                      true, report);
@@ -521,15 +524,15 @@
     Front::PartState& part_state = found->second;
     Front::AttemptState& out = part_state.attempt_states[number.value];
     if (std::exchange(out.over, true)) return;
-    const Tenths took = now_ - out.sent;
+    const Tenths elapsed = now_ - out.sent;
     if (outcome == Outcome::kAnswered) part_state.answered = true;
     const ServerId server = out.server;
-    front.traffic.count_attempt("s" + std::to_string(server.value), outcome, took, report);
+    front.traffic.count_attempt("s" + std::to_string(server.value), outcome, elapsed, report);
     const SearchId search = part_state.search;
     if (!front.searches.contains(search) &&
         std::ranges::all_of(part_state.attempt_states, &Front::AttemptState::over))
         front.parts.erase(found);
-    front.scheduler->handle(now_, AttemptEnded{part, number, server, outcome, took, report});
+    front.scheduler->handle(now_, AttemptEnded{part, number, server, outcome, elapsed, report});
     run_scheduler(front);
 }
 
@@ -562,11 +565,11 @@
     at(now_ + kRestartDelay, [this, number] { start_server(number); });
 }
 
-void SimulatedSites::kill_site(int site, bool fronts_too) {
+void SimulatedSites::kill_site(int site, bool with_front_nodes) {
     for (int i = 0; i < plan_.servers; ++i)
         if (site_of(i) == site) kill_server(i);
     for (auto& front : fronts_)
-        if (fronts_too && front->site == site) {
+        if (with_front_nodes && front->site == site) {
             front->alive = false, ++front->incarnation;
             // Open searches of a killed front node are dropped; its clients may retry.
             front->searches.clear(), front->parts.clear();
@@ -610,7 +613,7 @@
 void SimulatedSites::start_front(int number) { start_front_now(number); }
 void SimulatedSites::block_reports(const std::set<int>& fronts) { reports_blocked_ = fronts; }
 
-std::map<std::string, recovery::ListedServer> SimulatedSites::list_now() const {
+std::map<std::string, recovery::ListedServer> SimulatedSites::current_servers() const {
     std::map<std::string, recovery::ListedServer> servers;
     const int cells = plan_.servers / plan_.replicas;
     for (int i = 0; i < plan_.servers; ++i) {
@@ -636,7 +639,7 @@
 void SimulatedSites::update_server_lists() {
     if (lists_updated_at_ == now_) return;
     lists_updated_at_ = now_;
-    const auto servers = list_now();
+    const auto servers = current_servers();
     const ServerListUpdate update = list_update(false);
     for (auto& front : fronts_) update_server_list(*front, update, servers);
 }
@@ -646,8 +649,8 @@
         if (!front->alive || !front->controller || !plan_.exchange_reports) continue;
         std::set<std::string> others;
         for (const auto& other : fronts_)
-            if (other->alive && other != front && linked(front->site, other->site) &&
-                linked(other->site, front->site))
+            if (other->alive && other != front && is_linked(front->site, other->site) &&
+                is_linked(other->site, front->site))
                 others.insert("n" + std::to_string(other->number));
         front->controller->set_peers(now_, others);
     }
@@ -658,7 +661,7 @@
     terms.unit_capacity =
         plan_.cores * static_cast<double>(kTenthsPerSecond) / static_cast<double>(plan_.service);
     terms.headroom = 1;
-    terms.servers = list_now();
+    terms.servers = current_servers();
     for (int i = 0; i < plan_.servers; ++i)
         terms.available_share["s" + std::to_string(i)] = servers_[i]->share(now_, plan_);
     double all = 0;
--- a/tests/lab/simulated_sites.hpp
+++ b/tests/lab/simulated_sites.hpp
@@ -28,8 +28,8 @@
     std::uint64_t seed = 1;
     int fronts = 6, servers = 12, sites = 3, shards = 8, replicas = 3;
     std::vector<SiteRequestClass> request_classes; // empty: three default classes
-    std::vector<std::pair<std::string, double>>
-        tenants;        // name and share of the searches; empty: two defaults
+    // Name and share of the searches; empty: two defaults.
+    std::vector<std::pair<std::string, double>> tenants;
     double load = 0.55; // fraction of the fleet's capacity
     int cores = 4;
     Tenths service = 80; // mean time of a part
@@ -41,12 +41,12 @@
     double retry_ratio = 0; // share of rejected searches retried after Retry-After
     bool with_failover = true, exchange_reports = true;
     bool may_probe = true;
-    int stated_nodes = 0;       // 0: the actual number
-    double stated_capacity = 0; // capacity that the operator configures
+    int configured_node_count = 0; // 0: the actual number
+    double operator_capacity = 0;  // capacity that the operator configures
 };
 
 struct SiteTotals { // totals since the last take_totals()
-    std::uint64_t asked = 0, delivered = 0, in_time = 0, rejected = 0, failed = 0, in_part = 0, attempts = 0;
+    std::uint64_t asked = 0, delivered = 0, in_time = 0, rejected = 0, failed = 0, partial = 0, attempts = 0;
     double utility = 0, most_utility = 0;
     std::map<std::string, std::pair<double, double>> request_classes; // earned and requested utility
     std::map<std::string, std::pair<double, double>> tenants;
@@ -63,7 +63,7 @@
     bool until(const std::function<bool()>& holds, Tenths bound);
 
     // Faults. A site comprises its index servers and its front nodes.
-    void kill_site(int site, bool fronts_too = true);
+    void kill_site(int site, bool with_front_nodes = true);
     void return_site(int site);                     // all servers start cold at once
     void cut_site(int site, bool both_ways = true); // partitions it from all others; its processes stay alive
     void cut_between(int a, int b);
@@ -73,7 +73,7 @@
     void stall_front(int front, Tenths span);
     void start_front(int front);                     // with the current server list
     void block_reports(const std::set<int>& fronts); // they receive no reports
-    void lag_lists(Tenths lag) { plan_.list_lag = lag; }
+    void set_list_lag(Tenths lag) { plan_.list_lag = lag; }
     void set_load_factor(double factor) { load_factor_ = factor; }
     void apply_override(int front, recovery::SiteOverride site_override);
 
@@ -81,25 +81,23 @@
     Tenths now() const { return now_; }
     const recovery::FailoverController* controller(int front) const;
     recovery::SiteState state(int front, int site) const;
-    std::size_t
-    count_front_nodes_seeing(int site,
-                             recovery::SiteState state) const; // number of front nodes with this view
+    std::size_t count_front_nodes_seeing(int site, recovery::SiteState state) const;
     static std::string site_name(int site) { return std::string(1, static_cast<char>('a' + site)); }
     SiteTotals take_totals() { return std::exchange(totals_, {}); }
     const SiteTotals& totals() const { return totals_; }
     // Share of all utility that an optimal plan could earn from the present demand with the present servers.
     double best_share() const;
-    std::uint64_t arrived() const { return arrived_; } // attempts at servers
+    std::uint64_t arrived() const { return arrived_; } // attempts that reached a server
     double cold_limit_used() const { return cold_limit_used_; }
     std::uint64_t overload_failures() const { return overload_failures_; }
     std::uint64_t lost() const { return lost_; }
-    std::uint64_t duplicate_attempts() const { return duplicate_attempts_; } // of what may run once
+    std::uint64_t duplicate_attempts() const { return duplicate_attempts_; } // of non-idempotent parts
     const std::vector<std::string>& violations() const { return violations_; }
     std::function<void(int, const recovery::SiteLogLine&)> on_line;
     std::size_t fronts() const { return static_cast<std::size_t>(plan_.fronts); }
     bool serves(int server) const;
     const SimulatedSitesPlan& plan() const { return plan_; }
-    double power(int server) const; // current capacity in parts per second
+    double server_capacity(int server) const; // current capacity in parts per second
 
   private:
     struct Front;
@@ -112,19 +110,19 @@
     };
     void at(Tenths when, std::function<void()> what);
     Tenths delay();
-    bool linked(int from_site, int to_site) const { return !cuts_.contains({from_site, to_site}); }
-    void arrive(int front);
-    void search(int front, std::size_t request_class, std::size_t tenant, bool again);
+    bool is_linked(int from_site, int to_site) const { return !cuts_.contains({from_site, to_site}); }
+    void schedule_next_search(int front);
+    void search(int front, std::size_t request_class, std::size_t tenant, bool is_retry);
     void run_scheduler(Front& front);
     void step_controller(Front& front);
     void attempt(Front& front, PartId part, ServerId server, Tenths time_out);
     void deliver_attempt(int server, int front, std::uint64_t incarnation, PartId part, AttemptNo number,
-                         bool once);
+                         bool non_idempotent);
     void start_parts(int server);
     void complete_attempt(int front, std::uint64_t incarnation, PartId part, AttemptNo number,
                           Outcome outcome, bool from_server, LoadReport report);
     void fail_from_overload(int server);
-    std::map<std::string, recovery::ListedServer> list_now() const;
+    std::map<std::string, recovery::ListedServer> current_servers() const;
     void update_server_list(Front& front, const ServerListUpdate& update,
                             const std::map<std::string, recovery::ListedServer>& servers);
     void update_server_lists();
@@ -147,7 +145,7 @@
     Tenths lists_updated_at_ = 0;
     double load_factor_ = 1, rate_ = 0, cold_limit_used_ = 0;
     std::uint64_t overload_failures_ = 0, lost_ = 0, duplicate_attempts_ = 0, arrived_ = 0;
-    std::set<std::tuple<int, std::uint64_t, PartId>> ran_; // executed non-idempotent parts
+    std::set<std::tuple<int, std::uint64_t, PartId>> executed_parts_; // executed non-idempotent parts
     std::vector<std::string> violations_;
 };
 
