--- a/bench/access.cpp
+++ b/bench/access.cpp
@@ -318,8 +318,7 @@
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(300)); // load between changes
         {
-            const std::lock_guard lock(
-                signers.mutex); // within the overlap, clients have taken up the new key
+            const std::lock_guard lock(signers.mutex); // clients switch to the new key within the overlap
             signers.has_before = false;
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(400));
--- a/bench/rota.cpp
+++ b/bench/rota.cpp
@@ -59,7 +59,7 @@
                         std::fprintf(stderr, "  %s\n", line.c_str());
             }
         });
-    for (auto& player : workers) player.join();
+    for (auto& worker : workers) worker.join();
     report["failover_ms_p99"] = percentile_ms(failovers, 0.99);
     return report;
 }
--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -1,5 +1,5 @@
-// Tests over loopback of who is calling: a front node with an operator's file in a process of its own,
-// tokens and certificates that change while it serves. Every wait ends with what it waits for or fails.
+// Tests of authentication over loopback: a front node process with an operator file; tokens and certificates
+// change while it serves. Waits fail after a timeout.
 #include "fake_host.hpp"
 #include "lab/front_node_fixture.hpp"
 
@@ -23,7 +23,7 @@
 
 constexpr Tenths kHour = 3600 * kTenthsPerSecond;
 
-void token_opens_the_plain_port_and_the_sealed_one() {
+void token_is_accepted_on_plain_and_tls_listeners() {
     FrontNodeFixture fixture({});
     const std::string token = fixture.token("anna", fixture.key());
     Client plain(fixture.plain_address()), tls_client(fixture.tls_address(), ClientTlsOptions{}),
@@ -34,7 +34,7 @@
         client->send_bytes(search_bytes({id}));
         const auto refused = client->answer();
         assert(refused.status == 401 && refused.header("www-authenticate") == "Bearer realm=\"ivyrill\"");
-        assert(status(*client, {id + "b", "find", "", token}) == 200); // the connection goes on
+        assert(status(*client, {id + "b", "find", "", token}) == 200); // the connection stays usable
         assert(status(*client, {id + "c", "annotate", "g1", token}) == 200);
         assert(status(*client, {id + "d", "annotate", "g2", token}) == 403);
         assert(status(*client, {id + "e", "find", "", token, "conca"}) == 403);
@@ -44,35 +44,36 @@
            fixture.fleet.attempts("q1d.0") == 0);
     assert(fixture.await_audit("\"reason\":\"not-owner\"", 3) &&
            fixture.await_audit("\"reason\":\"wrong-club\"", 3));
-    assert(fixture.count_audit_lines(token.substr(0, 30)) == 0); // nothing secret
+    assert(fixture.count_audit_lines(token.substr(0, 30)) == 0); // the audit log contains no token
 }
 
-void certificate_names_its_bearer() {
+void certificate_identifies_the_client() {
     FrontNodeFixture fixture({});
     const IssuedCertificate anna = fixture.issue("anna");
     Client client(fixture.client_certificate_address(),
                   ClientTlsOptions{anna.certificate, anna.key, false, {}});
     assert(status(client, {"a1"}) == 200 && status(client, {"a2", "annotate", "g7"}) == 200);
     assert(status(client, {"a3", "annotate", "g1"}) == 403);
-    Client none(fixture.client_certificate_address(), ClientTlsOptions{}); // optional there: a token does
+    Client none(fixture.client_certificate_address(),
+                ClientTlsOptions{}); // client certificates are optional here; a token is enough
     assert(status(none, {"b1"}) == 401 &&
            status(none, {"b2", "find", "", fixture.token("anna", fixture.key())}) == 200);
-    const CertificateAuthority strange("root", 0, 4'000'000'000 * kTenthsPerSecond);
-    const IssuedCertificate stranger = strange.issue(
+    const CertificateAuthority unknown_authority("root", 0, 4'000'000'000 * kTenthsPerSecond);
+    const IssuedCertificate stranger = unknown_authority.issue(
         {"x", {"spiffe://trinacria.example/etna/anna"}, {}, 0, 4'000'000'000 * kTenthsPerSecond, false});
     Client other(fixture.client_certificate_address(),
                  ClientTlsOptions{stranger.certificate, stranger.key, false, {}});
     assert(status(other, {"c1"}) == 401 && fixture.fleet.attempts("c1.0") == 0);
 }
 
-void keys_change_and_tokens_of_both_count() {
+void tokens_of_old_and_new_keys_are_accepted_during_rotation() {
     FrontNodeFixture fixture({});
     Client client(fixture.plain_address());
     const access::Key first = fixture.key();
     const std::string old = fixture.token("anna", first);
     assert(status(client, {"a1", "find", "", old}) == 200);
     fixture.rotate("k1", Algorithm::kEs256, kHour);
-    assert(fixture.await_audit("swapped", 2)); // the fresh key, then the times of the first
+    assert(fixture.await_audit("swapped", 2)); // the new key, then the changed times of the first
     assert(status(client, {"a2", "find", "", old}) == 200);
     assert(status(client, {"a3", "find", "", fixture.token("anna", fixture.key())}) == 200);
     access::Key gone = first;
@@ -84,7 +85,7 @@
     assert(status(client, {"a5", "find", "", fixture.token("anna", fixture.key())}) == 200);
 }
 
-void reload_that_is_not_sound_keeps_everything() {
+void invalid_reload_keeps_the_old_files() {
     FrontNodeFixture fixture({});
     Client client(fixture.plain_address());
     const std::string token = fixture.token("anna", fixture.key());
@@ -92,10 +93,10 @@
     assert(fixture.await_audit("\"what\":\"kept\""));
     assert(status(client, {"a1", "find", "", token}) == 200);
     std::size_t kept = fixture.count_audit_lines("kept");
-    fixture.signal(SIGHUP), fixture.signal(SIGHUP); // two at once
+    fixture.signal(SIGHUP), fixture.signal(SIGHUP); // two reloads at once
     assert(fixture.await_audit("kept", ++kept) && status(client, {"a2", "find", "", token}) == 200);
     kept = fixture.count_audit_lines("kept");
-    fixture.write("server.key", fixture.issue("x").key); // it does not fit the certificate
+    fixture.write("server.key", fixture.issue("x").key); // does not match the certificate
     assert(fixture.await_audit("kept", kept + 1));
     Client tls_client(fixture.tls_address(), ClientTlsOptions{});
     assert(tls_client.peer_serial() == fixture.server_serial() && fixture.running());
@@ -110,12 +111,13 @@
     assert(fixture.server_serial() != first && fixture.await_audit("swapped"));
     std::string serial = first;
     while (serial == first)
-        serial = Client(fixture.tls_address(), ClientTlsOptions{}).peer_serial(); // until both files are in
+        serial =
+            Client(fixture.tls_address(), ClientTlsOptions{}).peer_serial(); // until both files are loaded
     assert(serial == fixture.server_serial() && before.peer_serial() == first);
     assert(status(before, {"a1", "find", "", token}) == 200);
 }
 
-void revoked_certificate_ends_its_idle_connection() {
+void revoked_certificate_closes_its_idle_connection() {
     FrontNodeFixture fixture({});
     const IssuedCertificate anna = fixture.issue("anna"), bruno = fixture.issue("bruno");
     Client first(fixture.client_certificate_address(),
@@ -124,15 +126,15 @@
                   ClientTlsOptions{bruno.certificate, bruno.key, false, {}});
     assert(status(first, {"a1"}) == 200 && status(second, {"b1"}) == 200);
     fixture.revoke_serials({anna.serial});
-    assert(first.closed_by_peer()); // idle and open: it need not ask anything
+    assert(first.closed_by_peer()); // closed while idle, without a further request
     assert(status(second, {"b2"}) == 200);
     Client again(fixture.client_certificate_address(),
                  ClientTlsOptions{anna.certificate, anna.key, false, {}});
     assert(status(again, {"a2"}) == 401 && fixture.await_audit("distrusted"));
 }
 
-// With a search out, during a drain: its one answer comes, then the connection ends.
-void revoked_with_a_search_out_gets_its_answer_and_the_end() {
+// A revoked connection with a search in flight during a drain gets its one answer and is then closed.
+void revoked_client_with_a_search_in_flight_gets_its_answer() {
     FrontNodeFixture fixture({});
     const IssuedCertificate anna = fixture.issue("anna");
     Client client(fixture.client_certificate_address(),
@@ -148,7 +150,7 @@
     assert(fixture.fleet.attempts("a1.0") == 1 && fixture.exit_status() == 0);
 }
 
-void order_to_stop_behind_a_reload_is_kept() {
+void stop_signal_during_a_reload_is_handled() {
     FrontNodeFixture fixture({2, Idempotency::kNonIdempotent, true, {}, 512});
     Client client(fixture.plain_address());
     fixture.fleet.hold(true);
@@ -161,28 +163,29 @@
     assert(answer.status == 200 && fixture.exit_status() == 0);
 }
 
-// Half handshakes, and clients that read nothing during theirs, hold up nobody on the plain port.
-void half_handshakes_delay_nobody() {
+// Incomplete handshakes, and clients that do not read during theirs, must not delay the plain port.
+void incomplete_handshakes_delay_no_other_client() {
     FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, "tls = {\"open_handshakes\": 16}\n", 512});
-    std::vector<Client> half;
-    const std::string hello("\x16\x03\x01\x02\x00\x01", 6); // of a ClientHello that never ends
+    std::vector<Client> incomplete_handshakes;
+    const std::string hello("\x16\x03\x01\x02\x00\x01", 6); // start of a ClientHello that is never completed
     for (int i = 0; i < 100; ++i) {
-        half.emplace_back(fixture.tls_address());
-        half.back().send_bytes(hello);
+        incomplete_handshakes.emplace_back(fixture.tls_address());
+        incomplete_handshakes.back().send_bytes(hello);
     }
     const std::string token = fixture.token("anna", fixture.key());
     Client plain(fixture.plain_address());
     assert(status(plain, {"a1", "find", "", token}) == 200);
     Client tls_client(fixture.tls_address(), ClientTlsOptions{});
     assert(status(tls_client, {"a2", "find", "", token}) == 200);
-    for (Client& client : half) assert(client.closed_by_peer()); // crowded out, or at the end of their time
-    Client noise(fixture.tls_address());
-    noise.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n"); // no TLS at all: an alert, then the end
-    while (!noise.receive_bytes().empty()) {}
+    for (Client& client : incomplete_handshakes) assert(client.closed_by_peer()); // evicted or timed out
+    Client plaintext_client(fixture.tls_address());
+    plaintext_client.send_bytes(
+        "GET /-/ready HTTP/1.1\r\n\r\n"); // not TLS: the server sends an alert and closes
+    while (!plaintext_client.receive_bytes().empty()) {}
     assert(status(plain, {"a3", "find", "", token}) == 200);
 }
 
-void nobody_renegotiates_and_protocols_are_agreed() {
+void renegotiation_is_rejected_and_alpn_is_negotiated() {
     FrontNodeFixture fixture({});
     Client old(fixture.tls_address(), ClientTlsOptions{{}, {}, true, std::string("\x02h2\x08http/1.1")});
     assert(old.protocol() == "http/1.1" && !old.renegotiate());
@@ -195,8 +198,8 @@
     assert(status(client, {"a1", "find", "", fixture.token("anna", fixture.key())}) == 200);
 }
 
-// Refusals, which any stranger can cause by the thousand, crowd no change out of the audit log.
-void flood_of_refusals_hides_no_change() {
+// Refusals, which any client can cause in large numbers, must not displace changes in the audit log.
+void refusals_do_not_displace_changes_in_the_audit_log() {
     FrontNodeFixture fixture({});
     Client client(fixture.plain_address());
     for (int i = 0; i < 1000; ++i)
@@ -209,25 +212,25 @@
     assert(fixture.await_audit("kept"));
 }
 
-void without_an_operators_file_nobody_is_asked() {
+void without_an_operator_file_access_is_open() {
     FrontNodeFixture fixture({2, Idempotency::kIdempotent, false, {}, 512});
     assert(once(fixture.plain_address(), {"a1"}) == 200 &&
            once(fixture.plain_address(), {"a2", "find", "", "nonsense"}) == 200);
 }
 
 const Test kTests[] = {
-    TEST(token_opens_the_plain_port_and_the_sealed_one),
-    TEST(certificate_names_its_bearer),
-    TEST(keys_change_and_tokens_of_both_count),
-    TEST(reload_that_is_not_sound_keeps_everything),
+    TEST(token_is_accepted_on_plain_and_tls_listeners),
+    TEST(certificate_identifies_the_client),
+    TEST(tokens_of_old_and_new_keys_are_accepted_during_rotation),
+    TEST(invalid_reload_keeps_the_old_files),
     TEST(own_certificate_changes_and_closes_nothing),
-    TEST(revoked_certificate_ends_its_idle_connection),
-    TEST(revoked_with_a_search_out_gets_its_answer_and_the_end),
-    TEST(order_to_stop_behind_a_reload_is_kept),
-    TEST(half_handshakes_delay_nobody),
-    TEST(nobody_renegotiates_and_protocols_are_agreed),
-    TEST(flood_of_refusals_hides_no_change),
-    TEST(without_an_operators_file_nobody_is_asked),
+    TEST(revoked_certificate_closes_its_idle_connection),
+    TEST(revoked_client_with_a_search_in_flight_gets_its_answer),
+    TEST(stop_signal_during_a_reload_is_handled),
+    TEST(incomplete_handshakes_delay_no_other_client),
+    TEST(renegotiation_is_rejected_and_alpn_is_negotiated),
+    TEST(refusals_do_not_displace_changes_in_the_audit_log),
+    TEST(without_an_operator_file_access_is_open),
 };
 
 } // namespace
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -1,5 +1,5 @@
-// Tests of HTTP/2 over loopback: a front node in a process of its own, clients that behave and clients that
-// do not. Every wait ends with what it waits for or fails.
+// Tests of HTTP/2 over loopback: a front node process with well-behaved and misbehaving clients. Waits fail
+// after a timeout.
 #include "fake_host.hpp"
 #include "lab/front_node_fixture.hpp"
 #include "lab/h2_client.hpp"
@@ -27,13 +27,13 @@
     return client.await(send(client, request)).status;
 }
 
-void go_on(H2Client& client) { // something more is to come
+void step_or_fail(H2Client& client) { // processes the next bytes; the connection must not end
     const bool open = client.step();
-    if (!open) std::cerr << "ended, last word " << client.goaway_code << "\n";
+    if (!open) std::cerr << "connection ended, GOAWAY code " << client.goaway_code << "\n";
     assert(open);
 }
 
-bool served(const FrontNodeFixture& fixture, const std::string& id) { // by another client
+bool served(const FrontNodeFixture& fixture, const std::string& id) { // checks that another client is served
     H2Client other(fixture.h2_address());
     const H2Answer& answer = other.await(send(other, ask_for(id)));
     return answer.status == 200 && answer.ended && fixture.fleet.attempts(id + ".0") == 1;
@@ -42,7 +42,8 @@
 void many_searches_on_one_connection() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address());
-    for (int round = 0; round < 6; ++round) { // ten at once: an untaught module lets no more in
+    for (int round = 0; round < 6;
+         ++round) { // ten at once: the scheduler admits no more before it has latency estimates
         std::vector<std::int32_t> streams;
         for (int i = 0; i < 10; ++i) {
             SearchRequest request = ask_for("q" + std::to_string(round) + "-" + std::to_string(i));
@@ -75,8 +76,8 @@
     assert(status(certified, ask_for("d")) == 200 && status(certified, ask_for("e")) == 200);
 }
 
-// Taken back before its attempt, between attempt and answer, twice: one attempt at most, no answer, and the
-// other streams go on. What was non-idempotent is not sent again either.
+// A stream is reset before its attempt, between attempt and answer, and twice: at most one attempt, no
+// answer, and the other streams continue. Non-idempotent searches are not sent again either.
 void stream_that_is_reset_is_attempted_once_and_not_answered() {
     for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNonIdempotent}) {
         FrontNodeFixture fixture({2, idempotency, true, {}, 512});
@@ -88,7 +89,7 @@
         };
         fixture.fleet.hold(true);
         const auto early = write("early");
-        client.reset(early); // in the same breath
+        client.reset(early); // right after the request
         const auto out = write("out"), kept = write("kept");
         assert(fixture.fleet.await_attempt("out.0") && fixture.fleet.await_attempt("kept.0"));
         client.reset(out);
@@ -105,32 +106,33 @@
     }
 }
 
-void stream_reset_with_its_answer_half_written() {
+void stream_reset_with_its_answer_partly_written() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address(), {false, 100});
     const auto half = send(client, ask_for("half", 20'000));
-    while (client.answer(half).body.size() < 100) go_on(client);
+    while (client.answer(half).body.size() < 100) step_or_fail(client);
     client.reset(half);
     assert(client.await(send(client, ask_for("small", 2))).ended);
     assert(client.answer(half).body.size() == 100 && fixture.fleet.attempts("half.0") == 1);
 }
 
-void drain_answers_all_that_were_open_and_those_that_cross() {
+void drain_answers_open_streams_and_late_requests() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address());
     fixture.fleet.hold(true);
-    client.hold_ping_replies = true; // all answers come before the last notice
+    client.hold_ping_replies = true; // delays the last GOAWAY until all answers have arrived
     std::vector<std::int32_t> streams;
     for (int i = 0; i < 98; ++i) streams.push_back(send(client, ask_for("q" + std::to_string(i))));
-    assert(fixture.fleet.await_attempt("q0.0")); // others wait for an attempt
+    assert(fixture.fleet.await_attempt("q0.0")); // the first search must be in flight
     Client plain(fixture.plain_address());
     fixture.signal(SIGTERM);
-    for (int code = 200; code == 200;) { // until it has heard
+    for (int code = 200; code == 200;) { // until the server has received the signal
         plain.send_bytes("GET /-/ready HTTP/1.1\r\n\r\n");
         code = plain.answer().status;
     }
     for (int i = 98; i < 100; ++i)
-        streams.push_back(send(client, ask_for("q" + std::to_string(i)))); // unheard yet
+        streams.push_back(
+            send(client, ask_for("q" + std::to_string(i)))); // sent before the client has read the GOAWAY
     fixture.fleet.hold(false);
     int delivered = 0;
     for (const std::int32_t stream : streams) {
@@ -139,30 +141,30 @@
         delivered += answer.status == 200 ? 1 : 0;
     }
     assert(delivered > 0);
-    while (client.shutdown_frames.size() < 2) go_on(client);
+    while (client.shutdown_frames.size() < 2) step_or_fail(client);
     client.send_held_ping_reply();
     client.await_end();
     assert(client.goaways == 2 && client.goaway_code == NGHTTP2_NO_ERROR &&
            client.goaway_last == streams.back());
-    assert(client.shutdown_frames == "GPG"); // else its answer to the PING tells nothing of the notice
+    assert(client.shutdown_frames == "GPG"); // otherwise the PING reply would not confirm the GOAWAY
     assert(fixture.exit_status() == 0 && fixture.fleet.max_attempts() == 1);
 }
 
-// It goes on asking after both notices: what it asks then is not taken, and nobody waits for it.
-void client_that_ignores_the_notices_holds_up_no_stop() {
+// A client that sends requests after both GOAWAY frames is ignored and must not delay the stop.
+void client_that_ignores_goaway_does_not_delay_the_stop() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address());
     assert(status(client, ask_for("a")) == 200);
     fixture.signal(SIGTERM);
     while (client.goaways < 2 && client.step()) {}
-    // An index of the static table each, for as much as a search needs; it need not be a good one.
+    // Fields by static table index, enough for a request; the request need not be valid.
     client.raw(raw_frame(NGHTTP2_HEADERS, 5, 101, "\x83\x86\x84"));
     client.await_end();
     assert(fixture.exit_status() == 0 && fixture.fleet.attempts() == 1);
 }
 
-// A window that never opens: its answers wait, bounded, and delay nobody else's.
-void closed_window_delays_nobody_and_is_bounded() {
+// Answers behind a window that never opens wait within a bound and do not delay other connections.
+void closed_window_is_bounded_and_delays_no_other_connection() {
     FrontNodeFixture fixture({2, Idempotency::kIdempotent, true, "http2 = {\"held_bytes\": 300000}\n", 512});
     H2Client blocked(fixture.h2_address(), {false, 0});
     std::vector<std::int32_t> streams;
@@ -177,49 +179,50 @@
         waiting += blocked.answer(stream).status == 200 ? 1 : 0;
         assert(blocked.answer(stream).body.empty());
     }
-    assert(waiting == 5 && refused == 35); // 300,000 bytes, of which a request may need 65,536
+    assert(waiting == 5 && refused == 35); // limit of 300,000 bytes; a request may need 65,536
     assert(served(fixture, "other"));
-    blocked.open_window(streams[0], 1); // by one byte
-    while (blocked.answer(streams[0]).body.empty()) go_on(blocked);
+    blocked.open_window(streams[0], 1); // opens the window by one byte
+    while (blocked.answer(streams[0]).body.empty()) step_or_fail(blocked);
     assert(blocked.answer(streams[0]).body.size() == 1);
-    blocked.set_window(65'535); // while answers are half sent
-    const auto all = [&] {      // of what came; the connection's own window stays at its first size
+    blocked.set_window(65'535); // while answers are partly sent
+    const auto all = [&] {      // counts received bytes; the connection window keeps its initial size
         std::size_t sum = 0;
         for (const std::int32_t stream : streams) sum += blocked.answer(stream).body.size();
         return sum;
     };
-    while (all() < 65'535) go_on(blocked);
-    blocked.open_window(streams[1], 0x7FFFFFFF); // past what a window can be (RFC 9113, 6.9.1)
+    while (all() < 65'535) step_or_fail(blocked);
+    blocked.open_window(streams[1], 0x7FFFFFFF); // exceeds the maximum window (RFC 9113, 6.9.1)
     assert(blocked.await(streams[1]).error == NGHTTP2_FLOW_CONTROL_ERROR);
     assert(served(fixture, "another"));
 }
 
-// Its time runs out while its client lets nothing through: it hears that, and no more than that.
-void expiry_behind_a_closed_window_is_heard_as_far_as_it_goes() {
+// A search that expires behind a closed window: the client receives as much of the answer as the window
+// allows.
+void expiry_behind_a_closed_window_sends_what_the_window_allows() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address(), {false, 0});
     fixture.fleet.hold(true);
     SearchRequest request = ask_for("late");
     request.left_ms = 300;
     const auto stream = send(client, request);
-    while (client.answer(stream).status == 0) go_on(client);
+    while (client.answer(stream).status == 0) step_or_fail(client);
     assert(client.answer(stream).status >= 500 && client.answer(stream).body.empty() &&
            !client.answer(stream).ended);
     client.set_window(1000);
     assert(client.await(stream).ended);
 }
 
-void connection_that_breaks_takes_its_streams_along() {
+void broken_connection_cancels_its_streams() {
     FrontNodeFixture fixture({});
     fixture.fleet.hold(true);
     {
         H2Client client(fixture.h2_address(), {false, 10});
         send(client, ask_for("out"));
-        client.request(search_fields(ask_for("half")), {}, false); // its body does not come
+        client.request(search_fields(ask_for("half")), {}, false); // the body is never sent
         assert(fixture.fleet.await_attempt("out.0"));
         fixture.fleet.hold(false);
         const auto answered = send(client, ask_for("answered", 5000));
-        while (client.answer(answered).body.size() < 10) go_on(client);
+        while (client.answer(answered).body.size() < 10) step_or_fail(client);
         fixture.fleet.hold(true);
         send(client, ask_for("again"));
         assert(fixture.fleet.await_attempt("again.0"));
@@ -239,7 +242,8 @@
         request.token = fixture.token("anna", fixture.key()), request.shard = i % 2;
         streams.push_back(send(client, request));
     }
-    for (int i = 0; i < 10; ++i) // all are out: one that came later would be refused, not barred
+    // All are in flight: a later one would be refused, not ended by the revocation.
+    for (int i = 0; i < 10; ++i)
         assert(fixture.fleet.await_attempt("q" + std::to_string(i) + "." + std::to_string(i % 2)));
     fixture.revoke_member("anna", transport::Loop::wall() + 10 * kTenthsPerSecond);
     assert(fixture.await_audit("\"what\":\"barred\"", 10));
@@ -266,7 +270,7 @@
     assert(preface.answer().status == 400);
 }
 
-// As strictly as on HTTP/1.1, by the same reading where the protocol leaves it to us.
+// Requests are validated as strictly as on HTTP/1.1, by the same rules where HTTP/2 leaves a choice.
 void requests_are_read_strictly() {
     FrontNodeFixture fixture({});
     H2Client client(fixture.h2_address());
@@ -295,8 +299,8 @@
     assert(fixture.fleet.attempts() == 0 && status(client, good) == 200 && !client.ended);
 }
 
-// Each flood ends its own connection, in words that say so, and nobody else's.
-void floods_end_their_own_connection() {
+// Each flood closes its own connection with a stated reason, and no other connection.
+void floods_close_only_their_own_connection() {
     FrontNodeFixture fixture({});
     const std::string eight(8, 'p'), settings, priority("\0\0\0\0\0", 5);
     const auto flood = [&](const char* name, const std::function<void(H2Client&, int)>& act) {
@@ -304,7 +308,7 @@
         int sent = 0;
         try {
             for (; sent < 20'000; ++sent) act(client, sent);
-        } catch (const std::runtime_error&) {} // it takes no more
+        } catch (const std::runtime_error&) {} // the server accepts no more bytes
         client.await_end();
         const bool ended = client.ended && (client.goaways == 0 || client.goaway_code != NGHTTP2_NO_ERROR);
         if (!ended) std::cerr << name << " went on\n";
@@ -346,7 +350,7 @@
     assert(resets == 20 && !budget.spend(ClientAction::kReset, 999) &&
            budget.spend(ClientAction::kReset, kTenthsPerSecond));
     assert(budget.spend(ClientAction::kPing, 0) &&
-           budget.count(ClientAction::kReset) == 23); // each has its own
+           budget.count(ClientAction::kReset) == 23); // each connection has its own budget
     assert(budget.allows_stream(9, 900) && !budget.allows_stream(10, 0) && !budget.allows_stream(0, 901));
 }
 
@@ -354,16 +358,16 @@
     TEST(many_searches_on_one_connection),
     TEST(access_applies_to_each_stream),
     TEST(stream_that_is_reset_is_attempted_once_and_not_answered),
-    TEST(stream_reset_with_its_answer_half_written),
-    TEST(drain_answers_all_that_were_open_and_those_that_cross),
-    TEST(client_that_ignores_the_notices_holds_up_no_stop),
-    TEST(closed_window_delays_nobody_and_is_bounded),
-    TEST(expiry_behind_a_closed_window_is_heard_as_far_as_it_goes),
-    TEST(connection_that_breaks_takes_its_streams_along),
+    TEST(stream_reset_with_its_answer_partly_written),
+    TEST(drain_answers_open_streams_and_late_requests),
+    TEST(client_that_ignores_goaway_does_not_delay_the_stop),
+    TEST(closed_window_is_bounded_and_delays_no_other_connection),
+    TEST(expiry_behind_a_closed_window_sends_what_the_window_allows),
+    TEST(broken_connection_cancels_its_streams),
     TEST(caller_revoked_with_ten_streams_open),
     TEST(upgrade_on_the_plain_port_stays_http_1),
     TEST(requests_are_read_strictly),
-    TEST(floods_end_their_own_connection),
+    TEST(floods_close_only_their_own_connection),
     TEST(share_of_a_connection_shrinks_beside_others),
 };
 
