--- a/tests/lab/consensus_history.cpp
+++ b/tests/lab/consensus_history.cpp
@@ -1,4 +1,4 @@
-// What happens by itself in a history drawn from a seed: clients, faults, and calm at the end.
+// The random part of a seeded history: client operations, faults, and a fault-free period at the end.
 #include "lab/consensus_world.hpp"
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 constexpr Ticks kFaultsFrom = 2 * kTicksPerSecond, kFaultsFor = 16 * kTicksPerSecond;
 constexpr Ticks kCalm = 6 * kTicksPerSecond, kNewWriteWithin = kTicksPerSecond;
 constexpr Ticks kMostClientPause = 800;
-constexpr std::array<Ticks, 4> kMostFaultPauses{4000, 12000, 30000, 80000}; // one of them for a whole history
-constexpr Ticks kCountedLost = 4 * kTicksPerSecond; // after the successor of a lost disk is up
+constexpr std::array<Ticks, 4> kMostFaultPauses{4000, 12000, 30000,
+                                                80000}; // one value is drawn for the whole history
+constexpr Ticks kCountedLost = 4 * kTicksPerSecond;     // after the replacement of a lost disk has started
 constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
 constexpr double kVoterKilled = 0.4, kSplitAtChange = 0.5, kLeaderTaken = 0.01;
 constexpr Ticks kMostStrikeDelay = 30, kMostLinkCut = 6 * kTicksPerSecond;
-constexpr std::array<double, 3> kStrikes{0, 0.3,
-                                         1}; // how often strikes come, as a share of their usual number
+constexpr std::array<double, 3> kStrikes{0, 0.3, 1}; // multipliers of the usual rate of targeted faults
 constexpr int kFaultKinds = 15;
 constexpr Ticks kSlowStore = 2000; // 200 ms
 constexpr std::size_t kClients = 3;
@@ -32,7 +32,7 @@
     faults_until_ = kFaultsFrom + kFaultsFor;
     most_fault_pause_ = kMostFaultPauses[index(any(static_cast<int>(kMostFaultPauses.size())))];
     for (int kind = 0; kind < kFaultKinds;
-         ++kind) // histories differ more where each has faults of some kinds only
+         ++kind) // restricting each history to a few fault kinds makes histories differ more
         if (chance(0.5)) fault_kinds_.push_back(kind);
     if (fault_kinds_.empty()) fault_kinds_.push_back(any(kFaultKinds));
     strikes_ = kStrikes[index(any(static_cast<int>(kStrikes.size())))];
@@ -53,7 +53,7 @@
     return up[index(any(static_cast<int>(up.size())))];
 }
 
-// Some ask whoever says that it leads, also one that was cut off; some ask anyone.
+// Some clients ask any machine that claims to lead, including an isolated one; others ask any machine.
 void ConsensusWorld::clients_act() {
     schedule(now_ + between(10, kMostClientPause), [this] { clients_act(); });
     std::vector<int> leading;
@@ -75,7 +75,7 @@
     });
 }
 
-// The network's usual behaviour changes from time to time.
+// The network's default behavior changes from time to time.
 void ConsensusWorld::weather() {
     if (now_ >= faults_until_) return;
     schedule(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), [this] { weather(); });
@@ -117,7 +117,7 @@
         });
 }
 
-// Loses power right after it has voted for another.
+// Power fails right after the machine has voted for another member.
 void ConsensusWorld::kill_voter(int machine) {
     if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kVoterKilled * strikes_)) return;
     ++counts_.faults;
@@ -129,7 +129,8 @@
     });
 }
 
-// The leader of a change is cut off together with those who join, before any other has heard of it.
+// The leader of a membership change is isolated together with the joining members, before any other member
+// has received it.
 void ConsensusWorld::split_at_change(int machine, const std::vector<Member>& before,
                                      const std::vector<Member>& after) {
     if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kSplitAtChange * strikes_)) return;
@@ -147,7 +148,7 @@
     cut_until(std::min(now_ + between(kTicksPerSecond, 4 * kTicksPerSecond), faults_until_), links);
 }
 
-// A leader is gone as soon as its own disk holds a new entry, which nobody else has heard of.
+// The leader crashes as soon as its own disk holds a new entry that no other member has received.
 void ConsensusWorld::take_leader_with_entry(int machine) {
     if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kLeaderTaken * strikes_)) return;
     std::vector<std::pair<int, int>> links;
@@ -157,13 +158,13 @@
     ++counts_.faults;
     cut_until(now_ + 10, links);
     const Ticks back_at = std::min(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), faults_until_);
-    schedule_on(machine, now_, [this, machine, back_at](Replica&) { // what it does now comes first
+    schedule_on(machine, now_, [this, machine, back_at](Replica&) { // its current actions come first
         schedule(now_, [this, machine] { crash(machine, true); });
         schedule(back_at, [this, machine] { start(machine); });
     });
 }
 
-// Two members that don't hear each other both find that the leader is silent, with slow disks.
+// Two members that cannot reach each other both detect that the leader is silent, while disks are slow.
 void ConsensusWorld::contest() {
     const int one = any(size()), other = any(size());
     if (one == other) return;
@@ -177,7 +178,7 @@
     }
 }
 
-// One whose disk is writing, where there is one; it is back before the others have noticed.
+// Crashes a machine whose disk is writing, if there is one; it restarts before the others have noticed.
 void ConsensusWorld::kill_while_storing() {
     std::vector<int> storing;
     for (int i = 0; i < size(); ++i)
@@ -222,7 +223,7 @@
         crash(machine);
         later_start(machine, over);
         break;
-    case 5: // killed and back at once
+    case 5: // killed and restarted at once
         crash(machine);
         later_start(machine, now_ + between(10, 1000));
         break;
@@ -301,8 +302,8 @@
         std::ranges::count_if(counted_lost_until_, [&](Ticks until) { return now_ < until; }));
 }
 
-// Within what the group tolerates: fewer than half of the members count as lost, and in no set of voters that
-// anyone holds are half or more lost, with this machine.
+// Whether losing this machine stays within the group's fault tolerance: fewer than half of the members count
+// as lost, and no voter set held by any machine has lost half or more of its voters.
 bool ConsensusWorld::may_lose(int machine) const {
     if (counted_lost() + 1 > index(plan_.members - 1) / 2) return false;
     const auto is_lost = [&](const Member& voter) {
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -11,9 +11,9 @@
 
 constexpr Ticks kLookInterval = 2000; // 200 ms
 constexpr Ticks kLeastStore = 5;
-// Shares of events that draw further faults at once.
+// Probabilities that an event triggers further faults at once.
 constexpr double kStrikeAfterAcknowledgement = 0.02, kStrikeInChange = 0.3, kStrikeInElection = 0.1;
-constexpr Ticks kThawSpread = 20; // in which what waited for a frozen machine is handled
+constexpr Ticks kThawSpread = 20; // period in which events that waited for a frozen machine are handled
 
 template <class V> std::string bytes_of(const V& value) {
     std::string bytes(sizeof value, '\0');
@@ -268,7 +268,7 @@
     for (int i = 0; i < copies; ++i) {
         const Ticks delay = chance(network_.late) ? between(network_.most_delay, network_.most_late)
                                                   : between(network_.least_delay, network_.most_delay);
-        schedule(now_ + delay, [this, to = *to, message] { // whichever process is there then
+        schedule(now_ + delay, [this, to = *to, message] { // delivered to the process running at that time
             act_on(to, at(to).incarnation,
                    [this, message](Replica& replica) { replica.receive(*message, now_); });
         });
@@ -294,7 +294,7 @@
                 [this, machine, ticket](Replica&) { finish_store(machine, ticket); });
 }
 
-// Moments that are worth a fault.
+// Points at which faults are injected.
 void ConsensusWorld::watch_store(int machine, const DurableState& state) {
     const DurableState& before = at(machine).disk.state;
     if (state.term > before.term) strike(kStrikeInElection);
@@ -316,7 +316,8 @@
         return schedule_on(machine, disk.stalled_until,
                            [this, machine, ticket](Replica&) { finish_store(machine, ticket); });
     const bool is_full = disk.full_until > now_;
-    if (!is_full || chance(0.2)) disk.state = std::move(disk.pending->state); // failed after the rename
+    if (!is_full || chance(0.2))
+        disk.state = std::move(disk.pending->state); // the write failed after the rename
     disk.pending.reset();
     if (is_full)
         m.replica->store_failed(ticket, now_);
@@ -330,7 +331,7 @@
     check_chain(value_of<Value>(committed.entry.payload));
 }
 
-// Each committed value descends from the committed one before it, whoever reports it and when.
+// Each committed value descends from the previous committed one, regardless of who reports it and when.
 void ConsensusWorld::check_chain(const Value& value) {
     if (writes_[value.write].state == WriteState::kRejected)
         promise_broken("write " + std::to_string(value.write) + " was rejected, and is committed");
@@ -408,7 +409,7 @@
         if (seen->second.alive != is_there) seen->second = {is_there, false, now_};
         found.push_back({member(other), is_there, true, false, seen->second.since});
         if (!is_there || !m.replica->newest()) continue;
-        for (const Member& voter : m.replica->newest()->voters) // its address is held by another disk
+        for (const Member& voter : m.replica->newest()->voters) // the voter's address is held by another disk
             if (voter.address == o.address && voter.id != o.id)
                 found.push_back({voter, false, false, true, now_});
     }
--- a/tests/lab/consensus_world.hpp
+++ b/tests/lab/consensus_world.hpp
@@ -1,8 +1,8 @@
-// Members of one consensus group in virtual time: a network that loses, delays, doubles, reorders and cuts
-// one way; disks that stall, are full, lose what was not yet durable, or are wiped; machines that are killed,
-// frozen, ended as planned and replaced. Clients replace a version number by compare-and-set and read. What
-// is promised is checked as it happens; a broken promise is kept in words. From one seed all is the same each
-// time.
+// Simulates the members of one consensus group in virtual time. The network loses, delays, duplicates,
+// reorders and cuts messages in one direction; disks stall, fill up, lose data that is not yet durable, or
+// are wiped; machines are killed, frozen, stopped as planned and replaced. Clients read, and replace a
+// version by compare-and-set. Guarantees are checked during the run; a violation is recorded as text. A run
+// is determined by its seed.
 #pragma once
 #include "consensus/replica.hpp"
 
@@ -19,14 +19,14 @@
 
 struct ConsensusPlan {
     std::uint64_t seed = 1;
-    int members = 3;       // most voters
-    int spares = 0;        // machines beyond these, from the beginning
-    std::size_t least = 2; // voters, under which a removal alone never goes
-    bool tells = false;    // keeps a story of what happens
+    int members = 3;       // maximum number of voters
+    int spares = 0;        // additional machines from the start
+    std::size_t least = 2; // minimum number of voters; a removal alone never goes below it
+    bool tells = false;    // records a trace of events
 };
 
-struct Network {                            // of all links
-    double loss = 0, doubled = 0, late = 0; // shares of the messages
+struct Network {                            // applies to all links
+    double loss = 0, doubled = 0, late = 0; // probabilities per message
     Ticks least_delay = 1, most_delay = 10, most_late = 3000, most_store = 20;
 };
 
@@ -43,37 +43,37 @@
   public:
     explicit ConsensusWorld(ConsensusPlan plan);
 
-    // One at a time, by tests; machines are named by their number from 0.
+    // Single operations for tests; machines are identified by their number, from 0.
     void run_for(Ticks span);
-    bool run_until(const std::function<bool()>& holds, Ticks limit); // whether it came to hold
-    void cut(int from, int to, bool is_cut = true);                  // one way
-    void isolate(int machine, bool is_cut = true);                   // both ways, from all
-    void crash(int machine); // what its disk was writing may or may not be there
+    bool run_until(const std::function<bool()>& holds, Ticks limit); // returns whether the condition was met
+    void cut(int from, int to, bool is_cut = true);                  // one direction only
+    void isolate(int machine, bool is_cut = true);                   // both directions, to all others
+    void crash(int machine); // a write in progress may or may not survive
     void crash(int machine, bool pending_is_kept);
     void start(int machine);
-    void wipe(int machine);   // crashes it; a later start is on an empty disk
-    int replace(int machine); // crashes it for good; the number of its successor, not yet started
+    void wipe(int machine);   // crashes it; the next start has an empty disk
+    int replace(int machine); // crashes it permanently; returns the number of its unstarted replacement
     void stall_disk(int machine, Ticks span);
     void fill_disk(int machine, Ticks span);
     void freeze(int machine, Ticks span);
     void resign(int machine);
     std::size_t write(int machine,
-                      std::optional<std::uint64_t> expected = std::nullopt); // number of the write
+                      std::optional<std::uint64_t> expected = std::nullopt); // returns the write's number
     void read(int machine);
     WriteState state_of(std::size_t write) const { return writes_[write].state; }
-    std::optional<int> leader() const; // that leads, of the newest term
+    std::optional<int> leader() const; // the leader of the newest term
     consensus::Replica& replica(int machine) { return *machines_[index(machine)].replica; }
     const consensus::DurableState& durable(int machine) const { return machines_[index(machine)].disk.state; }
     consensus::MemberId id(int machine) const { return machines_[index(machine)].id; }
     bool is_up(int machine) const { return machines_[index(machine)].replica.has_value(); }
-    bool
-    agrees() const; // every machine that is up: same commitment, same voters, which are just these machines
+    bool agrees() const; // whether all running machines have the same commit and voters, and the voters are
+                         // exactly these machines
     Ticks now() const { return now_; }
-    int machines() const { return size(); } // that ever were
+    int machines() const { return size(); } // including those that were replaced
     Network& network() { return network_; }
     std::uint64_t highest_acknowledged() const { return highest_seen_; }
 
-    // The whole history of the seed: founding, faults under load, calm, agreement.
+    // The whole history of the seed: founding, faults under load, a fault-free period, agreement.
     void play();
 
     const std::vector<std::string>& broken() const { return broken_; }
@@ -106,7 +106,7 @@
         Disk disk;
         Ticks frozen_until = 0, tick_at = 0;
         std::map<consensus::ProposalId, std::size_t> proposals;
-        std::map<consensus::ReadId, std::uint64_t> reads; // the version known when it was asked for
+        std::map<consensus::ReadId, std::uint64_t> reads; // the version known when the read was sent
         std::map<consensus::MemberId, Seen> seen;
     };
     struct Event {
@@ -122,7 +122,7 @@
     Machine& at(int machine) { return machines_[index(machine)]; }
     int size() const { return static_cast<int>(machines_.size()); }
     void schedule(Ticks at, std::function<void()> act);
-    // Runs when the machine can act, and only while this process of it lives.
+    // Runs when the machine can act, and only if the same process is still running.
     void schedule_on(int machine, Ticks at, std::function<void(consensus::Replica&)> act);
     void act_on(int machine, int incarnation, std::function<void(consensus::Replica&)> act);
     bool step(Ticks until);
@@ -139,7 +139,7 @@
     void check_vote(const consensus::Message& message, const consensus::VoteReply& vote);
     void watch_store(int machine, const consensus::DurableState& state);
     void finish_store(int machine, consensus::StoreTicket ticket);
-    void look_around(int machine); // tells the replica who is there
+    void look_around(int machine); // tells the replica which machines are present
     bool reaches(int from, int to) const;
     std::optional<int> machine_at(const std::string& address) const;
     void check_chain(const Value& value);
@@ -149,15 +149,15 @@
     Ticks between(Ticks least, Ticks most);
     int any(int count) { return static_cast<int>(random_.next() % static_cast<std::uint32_t>(count)); }
 
-    // consensus_history.cpp: what happens by itself
+    // consensus_history.cpp: random faults and operations
     void clients_act();
     void fault();
-    void strike(double share); // where something has just happened
+    void strike(double share); // injects a fault where an event has just occurred
     void kill_while_storing();
     void fault_on(int machine);
     void weather();
     int victim();
-    std::optional<int> pick_up(); // a machine that is up
+    std::optional<int> pick_up(); // a running machine
     bool may_lose(int machine) const;
     void lose_disk(int machine, bool with_machine);
     void partition();
@@ -178,19 +178,19 @@
     std::priority_queue<Event> events_;
     std::vector<Machine> machines_;
     std::vector<consensus::Member> founders_;
-    std::vector<std::vector<int>> cut_; // how many faults cut the link, by sender and receiver
+    std::vector<std::vector<int>> cut_; // number of faults that cut the link, by sender and receiver
     Network network_;
     std::uint64_t next_id_ = 1;
     std::vector<Write> writes_;
     std::vector<std::uint64_t> chain_{0};                    // the write of each committed version
     std::map<std::uint64_t, std::uint64_t> acknowledged_on_; // base -> write
-    std::uint64_t highest_seen_ = 0; // version, by any acknowledged write or confirmed read
+    std::uint64_t highest_seen_ = 0; // highest version in any acknowledged write or confirmed read
     std::map<std::uint64_t, std::pair<int, int>> leader_of_; // term -> machine, incarnation
     std::map<std::pair<consensus::MemberId, std::uint64_t>, consensus::MemberId> votes_; // by voter and term
     std::vector<consensus::MemberId> lost_;                                              // disks
-    std::vector<Ticks> counted_lost_until_; // of each disk that is lost; kNever until its successor is up
+    std::vector<Ticks> counted_lost_until_; // for each lost disk; kNever until its replacement is running
     std::vector<std::uint64_t> known_;      // version, by each client
-    std::vector<int> fault_kinds_;          // that this history has
+    std::vector<int> fault_kinds_;          // enabled in this history
     double strikes_ = 0;
     std::set<consensus::Stamp> stored_stamps_;
     Ticks faults_until_ = 0, most_fault_pause_ = 0;
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -1,4 +1,4 @@
-// Of a ControlWorld: what is promised, looked at as a history goes on.
+// ControlWorld: checks of the guarantees during a history.
 #include "lab/control_world.hpp"
 
 #include "wire/cbor.hpp"
@@ -12,13 +12,13 @@
 
 constexpr Ticks kWatchInterval = 1000;
 constexpr Ticks kCatchUp = 4 * kTicksPerSecond;     // after which a lost disk no longer counts
-constexpr Ticks kCutOffBound = 3 * kTicksPerSecond; // within which a machine that is cut off stops serving
-constexpr Ticks kOpeningBound = 12'000;             // a leader that was replaced stops within it
-constexpr Ticks kAnswerUnderWay = kTicksPerSecond;  // at the most
-constexpr Ticks kLeavingKnownWithin = 500;          // to whoever leads
-constexpr Ticks kJoiningBound = 5000;               // after an acknowledged leaving: a change was under way
+constexpr Ticks kCutOffBound = 3 * kTicksPerSecond; // deadline for an isolated machine to stop serving
+constexpr Ticks kOpeningBound = 12'000;             // deadline for a replaced leader to stop
+constexpr Ticks kAnswerUnderWay = kTicksPerSecond;  // maximum
+constexpr Ticks kLeavingKnownWithin = 500;          // at the leader
+constexpr Ticks kJoiningBound = 5000; // after an acknowledged leave; a membership change was in progress
 constexpr int kMostVoters = 9;
-constexpr Ticks kReplacedBound = 18'000; // from a disk's first word; without it, a silence of 2 s
+constexpr Ticks kReplacedBound = 18'000; // from the disk's first message, or after 2 s of silence
 
 } // namespace
 
@@ -57,7 +57,7 @@
     watch_replaced_disks(voters);
 }
 
-// Whoever joins the voters knows what the voters know: a leaving stays known to every majority.
+// A joining voter knows what the voters know: every majority keeps the record of a leave.
 void ControlWorld::check_joining(MachineNumber machine) {
     for (const Server& server : servers_) {
         const bool was_acknowledged =
@@ -69,8 +69,8 @@
     }
 }
 
-// Where another disk holds a voter's address, the group soon bears as many further losses as one of all that
-// are there would. (A voter that is gone without a successor is noticed by its silence, which takes longer.)
+// If another disk holds a voter's address, the group soon tolerates as many further losses as one formed by
+// all present machines. (A voter lost without a replacement is detected by its silence, which takes longer.)
 void ControlWorld::watch_replaced_disks(const std::vector<consensus::Member>& voters) {
     int there = 0;
     bool is_replaced = false, is_missing = false;
@@ -97,7 +97,7 @@
     return network_.is_up(b) && network_.reaches(a, b) && network_.reaches(b, a);
 }
 
-// Nobody whom it reaches, nor itself, reaches a majority of those who vote, as each of them knows them.
+// Neither the machine nor any machine it reaches can reach a majority of the voters known to that machine.
 bool ControlWorld::is_cut_off(MachineNumber machine) const {
     if (!is_live(machine)) return false;
     if (node(machine)->group().voters().empty()) return false;
@@ -117,7 +117,7 @@
     for (const MachineNumber machine : control_) watch_contact(machine);
 }
 
-// Whoever is cut off from the majority stops serving within the bound.
+// A machine without a connection to the majority stops serving within the bound.
 void ControlWorld::watch_contact(MachineNumber machine) {
     Node& here = nodes_.at(machine);
     if (!is_cut_off(machine)) {
@@ -145,7 +145,7 @@
         promise_broken("machine " + std::to_string(machine) + " bears the identity of a lost disk");
 }
 
-// A feed that opens knows what was acknowledged before whoever leads now was heard.
+// A feed that opens includes what was acknowledged before the member heard of the current leader.
 void ControlWorld::watch_opening(MachineNumber machine) {
     Node& here = nodes_.at(machine);
     const bool serves = is_live(machine) && node(machine)->serves_feed();
@@ -161,7 +161,7 @@
     if (is_live(machine)) here.was_serving = serves;
 }
 
-// As its disk holds it, committed or not; 0 for none.
+// The version on its disk, committed or not; 0 for none.
 std::int64_t ControlWorld::version_on_disk(MachineNumber machine) const {
     const auto& values = network_.disk(machine).values;
     const auto state = values.find("state");
@@ -170,12 +170,13 @@
     return order ? history_.order(*order).version : 0;
 }
 
-// One that held what is answered for may have gone while the answer was on its way between two nodes.
+// A machine that held the acknowledged version may have been lost while the answer was in transit between
+// nodes.
 bool ControlWorld::lost_a_disk_lately() const { return network_.now() - last_disk_loss_ < kAnswerUnderWay; }
 
-// What is acknowledged is on more disks, of machines that stay, than may be lost at once.
+// An acknowledged version is on more disks of remaining machines than may be lost at once.
 void ControlWorld::check_order_lasts(OrderNumber order) {
-    if (!answered_orders_.insert(order).second) return; // later, copies may have been lost again
+    if (!answered_orders_.insert(order).second) return; // copies may be lost later
     if (lost_a_disk_lately()) return;
     int copies = 0;
     for (const MachineNumber machine : control_) {
@@ -190,7 +191,7 @@
                        std::to_string(copies) + " disks");
 }
 
-// An acknowledged leaving is on the disks of a majority of those who vote.
+// An acknowledged leave is on the disks of a majority of the voters.
 void ControlWorld::check_leaving_lasts(const std::string& server, MachineNumber answering) {
     if (!answered_leavings_.insert(server).second) return;
     if (lost_a_disk_lately()) return;
@@ -213,7 +214,7 @@
     const auto down = static_cast<std::size_t>(std::ranges::count_if(control_, [this](MachineNumber machine) {
         return !nodes_.at(machine).is_gone && !network_.is_up(machine);
     }));
-    if (2 * (copies + down) <= voters.size()) // those that are down may hold it
+    if (2 * (copies + down) <= voters.size()) // machines that are down may hold it
         promise_broken("the leaving of " + server + " is acknowledged on " + std::to_string(copies) +
                        " disks of " + std::to_string(voters.size()) + " voters");
 }
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -1,4 +1,4 @@
-// Of a ControlWorld: model servers, operators and readers.
+// ControlWorld: model servers, operators and readers.
 #include "lab/control_world.hpp"
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Ticks kCallPatience = kTicksPerSecond; // after which a caller turns elsewhere
+constexpr Ticks kCallPatience = kTicksPerSecond; // after which a caller tries another node
 constexpr Ticks kBeatInterval = 12'000, kReadInterval = 4'000;
-constexpr Ticks kFirstPause = 500, kLongestPause = 8'000; // of an operator that was not answered
-constexpr Ticks kDrainSpan = 25'000;                      // from an acknowledged leaving to the end
-constexpr Ticks kLeavePatience = 60'000;                  // servers end without an acknowledgement after it
+constexpr Ticks kFirstPause = 500, kLongestPause = 8'000; // retry delays of an operator without an answer
+constexpr Ticks kDrainSpan = 25'000;                      // from an acknowledged leave to the server's end
+constexpr Ticks kLeavePatience = 60'000; // without an acknowledgement, servers end after this time
 constexpr int kBeatTries = 3;
-constexpr std::int64_t kFirstMark = 10'000; // of an order, in a field that configurations may differ in
+constexpr std::int64_t kFirstMark = 10'000; // identifies an order, in a field that may differ
 constexpr const char* kService = "model";
 
 protocol::HttpMessage message_of(std::string method, std::string target, std::string body) {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-// Answers may be lost on their way; a caller waits for a second and hears no late one.
+// Answers may be lost in transit; a caller waits for one second and ignores later answers.
 void ControlWorld::call(MachineNumber machine, protocol::HttpMessage message,
                         std::function<void(const CallResult&)> done, std::function<void()> answering) {
     struct Open {
@@ -74,7 +74,7 @@
     read();
 }
 
-// A new one, at an address that another may have had.
+// Starts a new server, at an address that another may have used.
 void ControlWorld::replace_server(std::size_t number) {
     Server& server = servers_[number];
     const std::string address = fmt::format("10.0.9.{}:8080", number % 200 + 1);
@@ -133,7 +133,8 @@
     ++counts_.leavings;
 }
 
-// Some say that they drain before they delete their record, some delete it first; both serve on for a while.
+// Some servers report that they drain before they delete their record, some delete it first; both keep
+// serving for a while.
 void ControlWorld::leave(std::size_t number) {
     Server& server = servers_[number];
     if (server.drains || server.ended) return;
@@ -142,13 +143,13 @@
     server.asked_to_leave = network_.chance(0.5);
     const std::string id = server.id;
     if (server.asked_to_leave) {
-        server.ended = true; // it says nothing further by heartbeats
+        server.ended = true; // sends no further status by heartbeat
         send_leave(number);
     } else {
         ++server.sequence;
         send_beat(number, kBeatTries);
     }
-    // Whatever was acknowledged holds for as long as the world can tell; then another one takes its place.
+    // An acknowledged leave holds until the end of the history; then another server takes its place.
     network_.schedule(network_.now() + kLeavePatience + kDrainSpan, [this, number, id] {
         if (clients_act_ && servers_[number].id == id) replace_server(number);
     });
@@ -231,7 +232,7 @@
     if (!clients_act_) return;
     Operator& here = operators_[number];
     if (!here.order) {
-        // Two often build on the same version, under the same number.
+        // Operators often build on the same version under the same number.
         std::int64_t base = here.known;
         for (const Operator& other : operators_)
             base = network_.chance(0.7) ? std::max(base, other.known) : base;
@@ -248,7 +249,7 @@
                [this, number, order](int status) { operator_answered(number, order, status); });
 }
 
-// A clear answer ends an order; without one it is sent again as it was, to any node, with a growing pause.
+// A definite answer ends an order; without one it is resent unchanged, to any node, with increasing delays.
 void ControlWorld::operator_answered(std::size_t number, OrderNumber order, int status) {
     Operator& here = operators_[number];
     const bool is_final = status == 200 || (status >= 400 && status < 500);
@@ -257,7 +258,7 @@
         here.order.reset();
         if (status == 200) here.known = std::max(here.known, history_.order(order).version);
         if (status != 200) {
-            // It reads what won, and builds on that.
+            // It reads the accepted version and builds on that.
             call(any_control(), message_of("GET", "/config", ""), [this, number](const CallResult& result) {
                 if (result.status != 200) return;
                 if (const auto read = order_in(result.body))
@@ -269,7 +270,7 @@
     } else {
         pause = here.pause;
         here.pause = std::min(here.pause * 2, kLongestPause);
-        if (++here.tries > 12) here.order.reset(); // given up: it may be in force or not
+        if (++here.tries > 12) here.order.reset(); // abandoned: it may be in force or not
     }
     network_.schedule(network_.now() + pause, [this, number] { operate(number); });
 }
@@ -290,8 +291,8 @@
          });
 }
 
-// Cut off from all others since before the call, a machine can neither confirm nor refuse anything. (What a
-// server says again of its leaving may have been made durable before the cut.)
+// A machine that was isolated from all others before the call can neither confirm nor reject anything. (The
+// repeated leave of a server may have been made durable before the isolation.)
 void ControlWorld::note_call_of_cut_off(MachineNumber machine, Ticks asked_at, int status,
                                         const std::string& what) {
     const Node& here = nodes_.at(machine);
--- a/tests/lab/control_counts.cpp
+++ b/tests/lab/control_counts.cpp
@@ -1,5 +1,5 @@
-// Of a ControlWorld: the platform as it is told numbers of servers. What comes to it is judged whatever it
-// answers.
+// ControlWorld: the platform that receives desired server counts. Each call is checked, regardless of the
+// platform's answer.
 #include "lab/control_world.hpp"
 
 #include "protocol/json.hpp"
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -1,5 +1,5 @@
-// Of a ControlWorld: servers that take orders, whoever may act for a duty acting all the time, and the plan
-// that moves the duties between nodes.
+// ControlWorld: servers that receive orders, duty holders that act all the time, and the plan that moves the
+// duties between nodes.
 #include "lab/control_world.hpp"
 
 #include "control/http_order_client.hpp"
@@ -16,21 +16,21 @@
 
 constexpr int kEngines = 8;
 constexpr Ticks kEngineBeat = 12'000, kReportInterval = 5'000, kActInterval = 1'500;
-constexpr Ticks kPressureTurns = 60'000; // for so long one stage is short of servers, then the other
+constexpr Ticks kPressureTurns = 60'000; // period for which one stage lacks servers, before the other does
 constexpr Ticks kLease = 30'000;         // `leaseMs`
-constexpr Ticks kOrdersApart = 20'000; // at the least, to one server: its report tells whether one was taken
+constexpr Ticks kOrdersApart = 20'000;   // minimum for one server: its report shows whether one was accepted
 constexpr Ticks kHandOrdersFor = 15 * kTicksPerSecond;
 constexpr Ticks kActingWithin = 12 * kTicksPerSecond;
 constexpr std::int64_t kSlots = 8;
-constexpr std::uint64_t kFenceByHand = 1'000'000; // of an order that an operator gave
+constexpr std::uint64_t kFenceByHand = 1'000'000; // of an order given by an operator
 const duties::Duty kStages{duties::DutyKind::kServerStages, "model"};
 
-// The world's own acts, under the same fence as the orders of the program's duty beside them.
+// The simulation's own acts, under the same fence as the orders of the program's duty.
 std::string actor_of(MachineNumber machine) { return fmt::format("actor-{}", machine); }
 
 } // namespace
 
-// Carries a node's orders to the world's servers; each process of a machine uses the same one.
+// Delivers a node's orders to the simulated servers; all processes of a machine share it.
 class ControlWorld::WorldOrderLink : public duties::OrderClient {
   public:
     WorldOrderLink(ControlWorld& world, MachineNumber machine) : world_(world), machine_(machine) {}
@@ -65,7 +65,7 @@
     });
 }
 
-// What is not answered within the patience is reset: it has come in by then, or never does.
+// A call without an answer within the timeout is reset: by then it has arrived, or never will.
 void ControlWorld::order_leaves(MachineNumber machine, const duties::StageOrder& order,
                                 const std::string& holder,
                                 const std::function<void(duties::OrderOutcome)>& done) {
@@ -96,7 +96,7 @@
     });
 }
 
-// As a server does (PROTOCOL, `POST /order`), and as the rule ONE judges. 0: there is nobody.
+// Behaves like a server (PROTOCOL, `POST /order`), and as the rule ONE is judged. 0: no server is there.
 int ControlWorld::take_order(MachineNumber sender, const duties::StageOrder& order,
                              const std::string& request) {
     protocol::HttpParser parser(protocol::HttpParser::Side::kRequests);
@@ -130,7 +130,7 @@
     return 202;
 }
 
-// The rule ONE, of one subject: all acts that came before, to which this one is added.
+// Checks the rule ONE for one subject: all earlier acts, and this one, which is appended.
 void ControlWorld::judge_one(std::vector<Act>& acts, MachineNumber sender, std::uint64_t fence) {
     const std::string name = "machine " + std::to_string(sender);
     for (const Act& act : acts) {
@@ -138,7 +138,7 @@
             promise_broken("two holders share fence " + std::to_string(fence));
         if (act.fence > fence) promise_broken(name + " acts under a fence lower than one before");
     }
-    // Turns: this one, then another one, then this one again, within a lease.
+    // Alternation: this holder, then another, then this one again, within a lease.
     bool other_came = false;
     for (auto act = acts.rbegin(); act != acts.rend(); ++act) {
         if (network_.now() - act->at >= kLease) break;
@@ -167,13 +167,13 @@
         promise_broken(name + " orders on under a fence that was refused");
 }
 
-// From now on the node knows.
+// From now on the node knows its rejected fence.
 void ControlWorld::note_fenced_off(MachineNumber sender, const duties::StageOrder& order) {
     const auto engine = std::ranges::find(engines_, order.instance, &Engine::id);
     if (engine != engines_.end()) engine->fenced_off[sender] = order.fence;
 }
 
-// ---- what the servers say, and who acts
+// ---- server reports and duty holders
 
 void ControlWorld::start_engines() {
     for (int i = 0; i < kEngines; ++i) {
@@ -186,7 +186,7 @@
     act_for_duties();
 }
 
-// A new one at the same address, in the stage that the former one began in.
+// Starts a new server at the same address, in the initial stage of the former one.
 void ControlWorld::replace_engine(std::size_t number) {
     Engine& engine = engines_[number];
     Engine fresh;
@@ -211,7 +211,7 @@
     call(any_control(), std::move(message), [](const CallResult&) {});
 }
 
-// Through whichever agents are connected. One stage is short of servers for a while, then the other.
+// Reports through the connected agents. One stage lacks servers for a while, then the other.
 void ControlWorld::report_engines() {
     if (!clients_act_) return;
     network_.schedule(network_.now() + kReportInterval, [this] { report_engines(); });
@@ -237,7 +237,7 @@
     }
 }
 
-// Whoever may act now does, at some server, by an order that changes nothing.
+// Each node that may act now sends some server an order that changes nothing.
 void ControlWorld::act_for_duties() {
     network_.schedule(network_.now() + kActInterval, [this] { act_for_duties(); });
     for (const MachineNumber machine : control_) {
@@ -270,7 +270,7 @@
     start_engines();
     start_usage();
     run_until([this] { return duty_holder().has_value(); }, kActingWithin);
-    // At a server of which orders come again and again, while whoever holds the duty goes on holding it.
+    // Targets a server that receives repeated orders while the same node keeps holding the duty.
     if (network_.chance(0.4)) {
         for (Engine& engine : engines_)
             if (network_.chance(0.5)) engine.fence_by_hand = kFenceByHand;
@@ -289,10 +289,10 @@
     const MachineNumber holder = duty_holder().value_or(any_control());
     const Ticks span = network_.between(2'000, 60'000);
     switch (network_.any(12)) {
-    case 0: // told to end one after the other, each back soon
+    case 0: // stopped one after the other, each restarted soon
     case 1:
         for (int i = 0; i < 3; ++i) {
-            // One that stands still is lost already, and no more than that may be.
+            // A frozen machine already counts as lost, and no more may be lost.
             if (std::ranges::any_of(control_,
                                     [this](MachineNumber each) { return network_.is_frozen(each); }))
                 break;
@@ -307,7 +307,7 @@
         isolate(holder, true);
         network_.schedule(network_.now() + span, [this, holder] { isolate(holder, false); });
         break;
-    case 3: // cut off for just as long as it takes to elect another one, which goes as well
+    case 3: // isolated for just as long as an election takes; the new leader is isolated as well
         isolate(holder, true);
         run_for(network_.between(12'000, 30'000));
         isolate(holder, false);
@@ -317,7 +317,7 @@
         tell("freeze " + std::to_string(holder));
         network_.freeze(holder, network_.now() + span);
         break;
-    case 9: // for longer than a lease, often with an order whose connection is just coming up
+    case 9: // for longer than a lease, often with an order whose connection is being established
     case 10:
         tell("freeze " + std::to_string(holder));
         network_.freeze(holder, network_.now() + network_.between(45'000, 90'000));
@@ -332,12 +332,12 @@
     case 7:
         lose_a_disk();
         break;
-    case 8: { // a server starts anew at its address, while orders are on their way
+    case 8: { // a server restarts at its address while orders are in transit
         const auto number = static_cast<std::size_t>(network_.any(kEngines));
         replace_engine(number);
         break;
     }
-    default: { // somebody orders by hand, under a fence of his own
+    default: { // an operator gives orders under a separate fence
         Engine& engine = engines_[static_cast<std::size_t>(network_.any(kEngines))];
         engine.fence_by_hand = kFenceByHand;
     }
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -1,4 +1,4 @@
-// Of a ControlWorld: how a history goes, faults that happen by themselves, and what has to hold after them.
+// ControlWorld: the course of a history, random faults, and the conditions that must hold after them.
 #include "lab/control_world.hpp"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
     kAgentRestarted,
     kToldToEnd
 };
-// One is drawn; a lost disk twice as often as the others.
+// Draws one fault; a lost disk is twice as likely as the others.
 constexpr std::array<RandomFault, 16> kRandomFaults{
     RandomFault::kLinkCut,     RandomFault::kIsolated,     RandomFault::kHalves,
     RandomFault::kKilled,      RandomFault::kPowerLost,    RandomFault::kAllRestarted,
@@ -137,7 +137,7 @@
     if (network_.now() >= faults_until_) return;
     ++counts_.faults;
     mixed_fault();
-    // Often alone, at times at once with the next.
+    // Faults often occur alone, and sometimes together with the next one.
     const Ticks pause = network_.chance(0.3) ? network_.between(1, 300) : network_.between(2000, 25'000);
     network_.schedule(network_.now() + pause, [this] { fault(); });
 }
@@ -199,7 +199,7 @@
         if (!servers_.empty())
             leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
         break;
-    case RandomFault::kAgentRestarted: { // an agent starts anew
+    case RandomFault::kAgentRestarted: { // an agent restarts
         const auto number = static_cast<std::size_t>(network_.any(static_cast<int>(agents_.size())));
         network_.kill(agents_[number].machine);
         network_.schedule(network_.now() + network_.between(50, 3000),
@@ -216,8 +216,8 @@
     }
 }
 
-// Right after an acknowledgement: all lose power, or are killed, or as many as may lose their disks while all
-// others lose power.
+// Right after an acknowledgement, all machines lose power or are killed, or as many as tolerated lose their
+// disks while all others lose power.
 void ControlWorld::closing_fault() {
     const std::int64_t before = history_.newest_acknowledged();
     const bool is_disks = network_.chance(0.5);
@@ -278,8 +278,8 @@
         if (!network_.is_up(agents_[i].machine)) start_agent(i);
 }
 
-// All are back: within the bound there is one leader, feeds are served, an order is acknowledged, and all
-// know what was acknowledged last, of the configuration and of the servers.
+// All machines are running: within the bound there is one leader, feeds are served, an order is acknowledged,
+// and all machines know the configuration and servers acknowledged last.
 void ControlWorld::check_calm() {
     if (!settle(kRecoverWithin)) {
         tell_groups();
@@ -288,9 +288,9 @@
     const std::int64_t before = history_.newest_acknowledged();
     if (!run_until([this, before] { return history_.newest_acknowledged() > before; }, kRecoverWithin))
         return promise_broken("no order is acknowledged after the calm");
-    run_for(20'000); // reads go on
+    run_for(20'000); // reads continue
     clients_act_ = false;
-    run_for(15'000); // what is under way ends
+    run_for(15'000); // operations in progress end
     const auto has_newest = [this](MachineNumber machine) {
         if (nodes_.at(machine).is_gone) return true;
         return is_live(machine) && node(machine)->group().version() >= history_.newest_acknowledged();
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -1,4 +1,4 @@
-// Of a ControlWorld: the plans that bring about each of the five things on purpose.
+// ControlWorld: the plans that provoke each of the five failures.
 #include "lab/control_world.hpp"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 } // namespace
 
-// One machine is cut off for twenty seconds, often whoever leads, and both sides are asked all the while.
+// One machine, often the leader, is isolated for twenty seconds; both sides are queried during that time.
 void ControlWorld::cut_off_plan() {
     short_cuts();
     former_leader_is_heard();
@@ -34,7 +34,7 @@
         if (i == 5 && network_.chance(0.3)) network_.freeze(machine, network_.now() + 30'000);
     }
     if (fully) isolate(machine, false);
-    // Agents that start now may come to whoever has just rejoined.
+    // Agents that start now may connect to the machine that has just rejoined.
     for (int i = 0; i < 6; ++i) {
         const auto number = static_cast<std::size_t>(network_.any(static_cast<int>(agents_.size())));
         network_.kill(agents_[number].machine);
@@ -43,7 +43,7 @@
     }
 }
 
-// Long enough for a feed to close, too short for links to end: what the cut has held up comes when it heals.
+// Long enough for a feed to close, too short for links to end: delayed messages arrive when the cut ends.
 void ControlWorld::short_cuts() {
     quick_operators_ = true;
     for (int i = 0; i < 2; ++i) {
@@ -58,8 +58,9 @@
     quick_operators_ = false;
 }
 
-// Whoever was cut off hears what its leader sent before that was replaced, and the other members, but not yet
-// whoever leads now. What it says of an election is late as well, so that no answer to it tells of the term.
+// The isolated member receives what its leader sent before it was replaced, and messages of the other
+// members, but not yet those of the current leader. Its election messages are delayed as well, so that no
+// reply reveals the new term.
 void ControlWorld::former_leader_is_heard() {
     const auto former = leader();
     const MachineNumber machine = any_control();
@@ -71,11 +72,11 @@
                std::holds_alternative<consensus::VoteRequest>(said->body);
     };
     isolate(machine, true);
-    run_for(network_.between(1000, 3000)); // the former leader's heartbeats are held up
+    run_for(network_.between(1000, 3000)); // the former leader's heartbeats are delayed
     tell_to_end(*former);
     const auto is_replaced = [&] { return leader() && *leader() != *former; };
     if (run_until(is_replaced, 6000)) {
-        network_.freeze(*former, network_.now() + 25'000); // its links stand
+        network_.freeze(*former, network_.now() + 25'000); // its links remain open
         const MachineNumber successor = *leader();
         const std::int64_t base = history_.newest_acknowledged();
         send_order(new_order(base, base + 1), successor, {});
@@ -93,8 +94,8 @@
     run_for(10'000);
 }
 
-// The half without a majority holds whoever leads: it goes on sending until it steps down. A server leaves at
-// once; two seconds after that is acknowledged every agent knows, whichever half it was fed by.
+// The half without a majority contains the leader, which keeps sending until it steps down. A server leaves
+// at once; two seconds after the acknowledgement every agent knows, regardless of the half that feeds it.
 void ControlWorld::leader_is_in_the_smaller_half() {
     const auto leading = leader();
     const auto leaving = static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size())));
@@ -123,8 +124,8 @@
     run_for(60'000);
 }
 
-// Both operators build on the same version under the same number, again and again, while answers are lost and
-// the leader changes.
+// Both operators repeatedly build on the same version under the same number, while answers are lost and the
+// leader changes.
 void ControlWorld::races_plan() {
     quick_operators_ = true;
     answer_lost_ = 0.4;
@@ -146,8 +147,8 @@
     quick_operators_ = false;
 }
 
-// The moment a lost disk no longer counts, the next one goes; or a second one in the middle of the repair,
-// where two may be lost.
+// As soon as a lost disk no longer counts, the next one is lost; or a second one during the repair, where two
+// may be lost.
 void ControlWorld::second_loss_plan() {
     if (plan_.tolerance > 1) members_rejoin_without_records();
     for (int loss = 0; loss < 3; ++loss) {
@@ -160,7 +161,7 @@
         if (!may_lose_disk()) return;
         const MachineNumber repaired = network_.chance(0.4) ? replace(first, down) : first;
         if (repaired == first) wipe(first, down);
-        // As it comes back, another one's disk stands still, so that it can't be made a voter yet.
+        // As it returns, another member's disk stalls, so that it cannot become a voter yet.
         network_.schedule(network_.now() + down, [this, repaired] {
             if (!network_.chance(0.5)) return;
             for (const MachineNumber machine : control_)
@@ -176,12 +177,12 @@
             [this, repaired] { return !nodes_.at(repaired).disk_counts_as_lost; }, 30 * kTicksPerSecond);
         if (!is_counted_out) return promise_broken("a repaired disk does not come back");
         counts_.five[2] = true;
-        // Right after an acknowledgement, where there is one soon.
+        // Right after an acknowledgement, if one follows soon.
         const std::int64_t before = history_.newest_acknowledged();
         run_until([this, before] { return history_.newest_acknowledged() > before; }, 10'000);
     }
-    // One is told to end while another's disk is slow: what is acknowledged then is not on the leaving one
-    // alone.
+    // One member is told to stop while another's disk is slow: what is acknowledged then is not only on the
+    // leaving member.
     const MachineNumber leaving = any_control();
     const MachineNumber slow = any_control();
     network_.disk(slow).stalled_until = network_.now() + 6000;
@@ -194,8 +195,8 @@
     run_for(20'000);
 }
 
-// Members that were cut off for so long that they are no voters any more come back; a server has left
-// meanwhile, and they hear of it late.
+// Members return after an isolation so long that they are no longer voters; a server has left meanwhile, and
+// they learn of it late.
 void ControlWorld::members_rejoin_without_records() {
     std::set<MachineNumber> cut;
     while (std::cmp_less(cut.size(), plan_.tolerance)) {
@@ -204,7 +205,7 @@
     }
     ++counts_.faults;
     for (const MachineNumber machine : cut) isolate(machine, true);
-    run_for(network_.between(38'000, 45'000)); // replaced, or off the list
+    run_for(network_.between(38'000, 45'000)); // replaced, or removed from the list
     leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
     run_for(5000);
     hold_records_from(cut);
@@ -214,7 +215,7 @@
     run_for(5000);
 }
 
-// Hundreds of changes; meanwhile members restart, lose their disks and freeze, and each has to catch up.
+// Hundreds of changes, while members restart, lose their disks and freeze, and each has to catch up.
 void ControlWorld::many_changes_plan() {
     records_come_late();
     leader_goes_while_entries_are_late();
@@ -252,11 +253,12 @@
     run_for(5 * kTicksPerSecond);
 }
 
-// A member comes back that was down while a server left; what the others know of the servers reaches it late,
-// and an agent that starts then reaches nobody else.
+// A member returns that was down while a server left; the others' knowledge of the servers reaches it late,
+// and an agent that starts then reaches no other member.
 void ControlWorld::records_come_late() {
-    run_for(15'000); // every disk knows every server
-    MachineNumber machine = control_[static_cast<std::size_t>(network_.any(3))]; // agents start by these
+    run_for(15'000); // every disk has every server's record
+    MachineNumber machine =
+        control_[static_cast<std::size_t>(network_.any(3))]; // agents start by these addresses
     if (machine == leader()) machine = control_[static_cast<std::size_t>((machine + 1) % 3)];
     if (!is_live(machine)) return;
     ++counts_.faults;
@@ -266,7 +268,7 @@
     run_for(down - 100);
     hold_records_from({machine});
     network_.kill(agents_.front().machine);
-    run_for(1000); // it is back, and in touch with whoever leads
+    run_for(1000); // it is running again, and connected to the leader
     std::vector<std::pair<MachineNumber, MachineNumber>> links;
     for (const MachineNumber other : control_)
         if (other != machine) links.emplace_back(agents_.front().machine, other);
@@ -277,8 +279,8 @@
     run_for(5000);
 }
 
-// A member has just started, and the entries that its leader sends come late. The leader loses power; half a
-// second later all that it sent comes, in any order, to the member, which reaches nobody else.
+// A member has just started, and its leader's entries are delayed. The leader loses power; half a second
+// later all that it sent arrives, in any order, at the member, which reaches no other member.
 void ControlWorld::leader_goes_while_entries_are_late() {
     const auto leading = leader();
     MachineNumber machine = any_control();
@@ -301,8 +303,8 @@
     run_for(25'000);
 }
 
-// An order's answer is held up at a slow disk while the machine that was asked starts anew and asks again for
-// somebody else.
+// An order's answer is delayed by a slow disk while the machine that received it restarts and sends another
+// caller's request.
 void ControlWorld::late_answers_plan() {
     clients_act_ = false;
     run_for(20'000);
@@ -315,7 +317,7 @@
         }
         MachineNumber asked = any_control();
         while (asked == *owner) asked = any_control();
-        // A fresh process counts its questions from one.
+        // A new process numbers its requests from one.
         restart(asked, 200, false);
         run_for(15'000);
         const std::int64_t base = history_.newest_acknowledged();
@@ -347,8 +349,8 @@
     read();
 }
 
-// Orders come while the group is still founded; the disks that held the first acknowledged one go at once,
-// and come back while the settings still say that all starts for the first time.
+// Orders arrive while the group is still being founded; the disks that held the first acknowledged one are
+// lost at once, and return while the settings still declare a first start.
 void ControlWorld::early_losses() {
     run_for(3001); // all have been started
     start_clients();
@@ -367,7 +369,7 @@
     settle(kRecoverWithin);
 }
 
-// Whoever has just started hears whoever leads, but gets its entries late.
+// A member that has just started hears from the leader, but receives its entries late.
 void ControlWorld::hold_entries_from(MachineNumber machine) {
     hold_entries(machine);
     network_.schedule(network_.now() + 15'000, [this] {
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -1,5 +1,5 @@
-// Of a ControlWorld: the platform that usage is reported to. It may be slow, silent, busy, reset connections
-// or answer what is no answer; what comes to it is judged whatever it answers.
+// ControlWorld: the platform that receives usage reports. It may be slow, silent or busy, reset connections
+// or send invalid answers; each call is checked, regardless of the platform's answer.
 #include "lab/control_world.hpp"
 
 #include "control/http_platform_client.hpp"
@@ -19,16 +19,16 @@
 using duties::PlatformOutcome;
 
 const std::string kAddress = "10.0.9.1:8168";
-constexpr std::int64_t kLateMs = 10'000;                // `usageLateS`: in the calm
-constexpr Ticks kReportedWithin = 40 * kTicksPerSecond; // all that was missed, after the calm
+constexpr std::int64_t kLateMs = 10'000;                // `usageLateS`: in the fault-free period
+constexpr Ticks kReportedWithin = 40 * kTicksPerSecond; // all missed windows, once faults have ended
 constexpr Ticks kRequestInterval = 500;
-constexpr std::int64_t kMostStepMs = 3'000; // that a machine's time of day jumps
+constexpr std::int64_t kMostStepMs = 3'000; // maximum jump of a machine's time of day
 constexpr double kUsageError = 0.05;        // `usageError`
 const std::vector<std::string> kTenants{"nowu640", "goka901", "\"quoted\\"};
 
 } // namespace
 
-// Carries a node's calls to the world's platform; each process of a machine uses the same one.
+// Delivers a node's calls to the simulated platform; all processes of a machine share it.
 class ControlWorld::WorldPlatformLink : public PlatformClient {
   public:
     WorldPlatformLink(ControlWorld& world, MachineNumber machine) : world_(world), machine_(machine) {}
@@ -64,7 +64,7 @@
                       });
 }
 
-// By the group, as far as the sender's replica knows.
+// As determined by the group, to the knowledge of the sender's replica.
 void ControlWorld::check_is_agreed(MachineNumber machine, const PlatformCall& call) {
     const auto state = node(machine)->duty_partitions()->committed(duties::usage_report_duty());
     const bool is_agreed =
@@ -81,7 +81,7 @@
     check_is_agreed(machine, request.call);
 }
 
-// What does not come in within the delivery's patience never does.
+// A call that does not arrive within the delivery timeout never does.
 void ControlWorld::platform_call_leaves(MachineNumber machine, const PlatformRequest& request,
                                         const std::function<void(PlatformOutcome)>& done) {
     is_of_count(request) ? count_call_leaves(machine, request) : report_leaves(machine, request);
@@ -128,7 +128,7 @@
         return PlatformOutcome::kFailed;
     case PlatformMood::kFencesOff:
         return PlatformOutcome::kFencedOff;
-    case PlatformMood::kResets: // before or after it has taken the call
+    case PlatformMood::kResets: // before or after it has accepted the call
         if (is_report && network_.chance(0.5)) accept_report(message.body);
         return PlatformOutcome::kUnanswered;
     case PlatformMood::kSilent:
@@ -141,7 +141,7 @@
     return PlatformOutcome::kAccepted;
 }
 
-// As the rule ONE judges usage, and more strictly: what was not accepted counts as well.
+// Checks usage like the rule ONE, but more strictly: calls that were not accepted count as well.
 void ControlWorld::judge_report(const std::string& name, const std::string& body) {
     const protocol::Json report = protocol::read_json(body);
     const std::int64_t window = report.at("windowId").as_integer("windowId");
@@ -173,7 +173,7 @@
 
 void ControlWorld::begin_requests() {
     network_.schedule(network_.now() + kRequestInterval, [this] { begin_requests(); });
-    // Not at a window's very edge, where whole milliseconds of error decide where it counts.
+    // Not at the edge of a window, where an error of whole milliseconds decides in which window it counts.
     const std::int64_t in_window = true_ms() % window_ms();
     if (in_window < kClockErrorMs || in_window > window_ms() - kClockErrorMs) return;
     const auto agent = static_cast<std::size_t>(network_.any(static_cast<int>(agents_.size())));
@@ -190,7 +190,7 @@
     network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mood(); });
 }
 
-// One machine's at a time: more would outvote those that are right.
+// One machine's clock at a time: more would outvote the correct ones.
 void ControlWorld::step_a_clock() {
     if (stepped_) step_clock(*stepped_, 0);
     const bool is_agent = network_.chance(0.3);
@@ -201,7 +201,7 @@
     tell(fmt::format("the clock of {} is ahead by {} ms", *stepped_, ahead_ms));
 }
 
-// A platform that has fenced a holder off waits for one with a higher fence.
+// A platform that has rejected a holder's fence waits for a holder with a higher one.
 void ControlWorld::calm_platform() {
     platform_.mood = PlatformMood::kQuick;
     if (stepped_) step_clock(*stepped_, 0);
@@ -218,7 +218,7 @@
     return true;
 }
 
-// Every window that was missed has followed; in the calm each is in time and right.
+// Every missed window has been reported; in the fault-free period each report is on time and correct.
 void ControlWorld::check_usage_calm() {
     const std::int64_t missed = true_ms() / window_ms() - 1;
     if (!run_until([&] { return all_reported(missed); }, kReportedWithin))
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -1,4 +1,4 @@
-// Of the control world: proxies that count what began to run, and machines whose times of day differ.
+// ControlWorld: proxies that count started requests, and machines whose times of day differ.
 #include "lab/control_world.hpp"
 
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::int64_t kStartMs = 1'767'225'600'000; // true time when the world's clock stood at 0
+constexpr std::int64_t kStartMs = 1'767'225'600'000; // true time when the simulated clock was 0
 constexpr std::int64_t kTicksPerMs = kTicksPerSecond / 1000;
 constexpr Ticks kTellInterval = 2500;
 
@@ -20,7 +20,7 @@
     return true_ms() + (ahead == clocks_ahead_.end() ? 0 : ahead->second);
 }
 
-// As the agent's program does.
+// As in the agent's program.
 void ControlWorld::count_usage(std::size_t number, feed::Subscriber::Callbacks& callbacks) {
     agents_[number].usage = std::make_unique<agent::UsageRelay>(window_ms());
     callbacks.time_of_day = [this, machine = agents_[number].machine] { return time_of_day(machine); };
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -169,7 +169,7 @@
     return agent.control_nodes.next_candidates(std::move(seeds));
 }
 
-// Of one process: no version back, nothing of a refused order, no server that left is there again.
+// Checks one process: no version goes back, no rejected order is in force, no server that left reappears.
 void ControlWorld::agent_applied(std::size_t number, const feed::Tables::Applied& applied) {
     Agent& agent = agents_[number];
     ++counts_.batches;
@@ -297,7 +297,7 @@
     network_.power_off(machine);
 }
 
-// A disk that can't read what it wrote last has lost it.
+// A disk that cannot read its last write has lost it.
 void ControlWorld::spoil(MachineNumber machine, Ticks down_for) {
     tell("spoil " + std::to_string(machine));
     lose_disk_of(machine);
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -1,7 +1,7 @@
-// A whole control side in virtual time: control nodes as the program runs them (agreement, operator's calls,
-// servers' records, feed, files), agents that follow the feed, model servers that send heartbeats and leave,
-// operators that change the configuration, and readers. What is promised is checked as it happens; a broken
-// promise is kept in words. One seed is one history.
+// Simulates a whole control side in virtual time: control nodes running the program's code (consensus,
+// operator's calls, server records, feed, files), agents that follow the feed, model servers that send
+// heartbeats and leave, operators that change the configuration, and readers. Guarantees are checked during
+// the run; a violation is recorded as text. A history is determined by its seed.
 #pragma once
 #include "agent/usage_relay.hpp"
 #include "control/control_node.hpp"
@@ -23,21 +23,20 @@
 
 namespace ivyrill::lab {
 
-// The five things that a history may bring about on purpose, and one of everything.
+// The five failures that a history may provoke, and one plan that combines all.
 enum class ControlPlanKind : std::uint8_t {
-    kCutOff,      // a machine is cut off for long, and both sides are asked
-    kRaces,       // operators race under one number, answers are lost, orders sent again
-    kSecondLoss,  // a loss right after a repair or a replacement, or in the middle of it
+    kCutOff,      // a machine is isolated for long, and both sides are queried
+    kRaces,       // operators compete under one number, answers are lost, orders are resent
+    kSecondLoss,  // a loss right after a repair or a replacement, or during it
     kManyChanges, // hundreds of changes, with members restarted, wiped and frozen
-    kLateAnswers, // answers that come for a process that has started anew, or twice
+    kLateAnswers, // answers that arrive after the caller's process restarted, or twice
     kMixed,
-    kDuties // whoever holds the duties ends, is cut off or stands still, again and again
+    kDuties // duty holders are repeatedly stopped, isolated or frozen
 };
-inline constexpr int kControlPlanKinds =
-    6; // drawn by control_plan_of_seed; duties have histories of their own
+inline constexpr int kControlPlanKinds = 6; // of control_plan_of_seed; not duties
 inline constexpr Ticks kFirstOrderWithin = 8 * kTicksPerSecond;
 inline constexpr Ticks kRecoverWithin = 12 * kTicksPerSecond; // `recoveryS`
-inline constexpr Ticks kDrainBound = 2 * kTicksPerSecond;     // `drainMs`: after an acknowledged leaving
+inline constexpr Ticks kDrainBound = 2 * kTicksPerSecond;     // `drainMs`: after an acknowledged leave
 
 struct ControlPlan {
     std::uint64_t seed = 1;
@@ -45,8 +44,8 @@
     int control_machines = 3, spares = 0, agents = 2, servers = 3, operators = 2;
     int tolerance = 1;         // disks that may be lost at once
     Ticks faults_for = 0;      // from the first configuration on
-    bool tells = false;        // keeps a story of what happens
-    double usage_window_s = 0; // 0: nothing is counted
+    bool tells = false;        // records a trace of events
+    double usage_window_s = 0; // 0: usage is not counted
 };
 
 ControlPlan control_plan_of_seed(std::uint64_t seed);
@@ -58,7 +57,7 @@
                   disks_lost = 0, batches = 0, late_answers_passed_over = 0, orders_to_servers = 0,
                   orders_accepted = 0, platform_calls = 0, reports_accepted = 0, reports_acknowledged = 0,
                   count_calls = 0, counts_accepted = 0;
-    std::array<bool, 5> five{}; // which of the five were brought about, in the order of ControlPlanKind
+    std::array<bool, 5> five{}; // which of the five were provoked, in the order of ControlPlanKind
 };
 
 class ControlWorld {
@@ -68,38 +67,37 @@
     ControlWorld(const ControlWorld&) = delete;
     ControlWorld& operator=(const ControlWorld&) = delete;
 
-    void play(); // the whole history of the plan: start, faults under load, calm, last checks
+    void play(); // the whole history of the plan: start, faults under load, fault-free period, final checks
 
-    // For tests that bring one thing about.
+    // For tests that provoke a single failure.
     SimulatedNetwork& network() { return network_; }
     bool run_until(const std::function<bool()>& holds, Ticks limit) {
         return network_.run_until(holds, limit);
     }
     void run_for(Ticks span) { network_.run_for(span); }
     void start_all();
-    bool settle(Ticks limit); // until there is a leader, all that are up are in step, and feeds are served
+    bool settle(Ticks limit); // until there is a leader, all running machines agree, and feeds are served
     std::optional<MachineNumber> leader() const;
     const control::ControlNode* node(MachineNumber machine) const;
     const std::vector<MachineNumber>& control_machines() const { return control_; }
     void restart(MachineNumber machine, Ticks down_for, bool loses_power);
     void wipe(MachineNumber machine, Ticks down_for);
     MachineNumber replace(MachineNumber machine, Ticks down_for);
-    void spoil(MachineNumber machine, Ticks down_for); // the newest state file can't be read any more
-    void isolate(MachineNumber machine, bool is_cut);  // from all other control machines, both ways
+    void spoil(MachineNumber machine, Ticks down_for); // the newest state file becomes unreadable
+    void isolate(MachineNumber machine, bool is_cut);  // both directions, to all other control machines
     void set_first_start(bool first_start) { first_start_ = first_start; } // in settings of later starts
-    // Sends one order to one machine and waits for its answer there; 0: none within a second.
-    // Usage (control_usage.cpp): one proxy beside each agent, which lives on when the agent is killed.
-    std::int64_t true_ms() const; // the true time, since the start of 1970
+    // Usage (control_usage.cpp): one proxy beside each agent, which keeps running when the agent is killed.
+    std::int64_t true_ms() const; // the true time, in ms since the start of 1970
     void step_clock(MachineNumber machine, std::int64_t ahead_ms) { clocks_ahead_[machine] = ahead_ms; }
     MachineNumber agent_machine(std::size_t agent) const { return agents_.at(agent).machine; }
-    void begin_request(std::size_t agent, const std::string& tenant); // its first token comes now
+    void begin_request(std::size_t agent, const std::string& tenant); // its first token is produced now
     void kill_agent(std::size_t agent, Ticks down_for);
-    void kill_proxy(std::size_t agent); // it doesn't come back
-    // Of those begun, what no proxy had told its agent when it was killed.
+    void kill_proxy(std::size_t agent); // it does not restart
+    // Started requests that no proxy had reported to its agent when it was killed.
     const std::map<std::int64_t, std::map<std::string, std::int64_t>>& lost() const { return lost_; }
-    void end_proxy(std::size_t agent); // by plan
+    void end_proxy(std::size_t agent); // as planned
     std::optional<clock::FleetTime> proxy_time(std::size_t agent) const;
-    std::map<std::string, std::int64_t> begun(std::int64_t window) const; // the truth, by tenant
+    std::map<std::string, std::int64_t> begun(std::int64_t window) const; // the actual counts, by tenant
     std::int64_t window_ms() const { return static_cast<std::int64_t>(plan_.usage_window_s * 1000); }
     struct CallResult {
         int status = 0;
@@ -107,7 +105,7 @@
     };
     void call(MachineNumber machine, protocol::HttpMessage message,
               std::function<void(const CallResult&)> done,
-              std::function<void()> answering = {}); // in the moment in which the machine answers with 200
+              std::function<void()> answering = {}); // called when the machine answers with 200
     OrderNumber new_order(std::int64_t base, std::int64_t version);
     void send_order(OrderNumber order, MachineNumber machine, std::function<void(int status)> done);
     const ConfigurationHistory& history() const { return history_; }
@@ -118,25 +116,25 @@
   private:
     struct Node { // a control machine
         std::unique_ptr<control::ControlNode> process;
-        bool is_gone = false; // replaced for good
+        bool is_gone = false; // permanently replaced
         bool disk_counts_as_lost = false;
-        Ticks calm_for = 0; // since its disk was lost and it was back
+        Ticks calm_for = 0; // since its disk was lost and it restarted
         std::optional<Ticks> cut_off_since;
-        std::optional<Ticks> leaving_since; // told to end, and not started since
-        bool was_serving = false;           // its feed, at the last look
+        std::optional<Ticks> leaving_since; // told to stop, and not started since
+        bool was_serving = false;           // its feed, at the last check
     };
     struct Agent {
         MachineNumber machine = 0;
         std::unique_ptr<feed::Subscriber> process;
-        feed::PublisherList control_nodes{0};     // that this process knows of
+        feed::PublisherList control_nodes{0};     // known to this process
         std::int64_t version = 0;                 // in this process
         std::string fed_by;                       // address of the control node
         std::set<std::string> known_leaving;      // in this process
         std::unique_ptr<agent::UsageRelay> usage; // of this process
         std::unique_ptr<proxy::UsageMeter> proxy;
-        int proxy_linked_to = -1; // the agent's process that the proxy told last
-        Ticks time_told = 0;      // to the proxy
-        // Since it last told.
+        int proxy_linked_to = -1; // the agent's process that the proxy reported to last
+        Ticks time_told = 0;      // reported to the proxy
+        // Since its last report.
         std::map<std::int64_t, std::map<std::string, std::int64_t>> untold;
         Ticks told_at = 0;
     };
@@ -145,56 +143,56 @@
         std::uint64_t sequence = 0;
         bool drains = false, asked_to_leave = false, ended = false;
         std::string beat_address;
-        std::optional<Ticks> leaving_acknowledged; // when
+        std::optional<Ticks> leaving_acknowledged; // time of the acknowledgement
     };
-    struct Act { // an order that came to a server
+    struct Act { // an order that arrived at a server
         MachineNumber sender = 0;
         std::uint64_t fence = 0;
         Ticks at = 0;
     };
-    struct Engine { // a server that takes orders
+    struct Engine { // a server that receives orders
         std::string id, address;
         model::Stage stage = model::Stage::kDecode;
         bool is_up = false;
         std::uint64_t sequence = 0;
         std::int64_t orders_accepted = 0;
         Ticks changing_until = 0;
-        std::uint64_t fence_by_hand = 0; // lower ones are refused: of an order that no node gave
+        std::uint64_t fence_by_hand = 0; // lower ones are rejected: of an order given by an operator
         std::vector<Act> acts;
         std::optional<Ticks> ordered_at; // by a node's duty, and under which fence
         std::uint64_t ordered_under = 0;
-        std::set<std::pair<std::uint64_t, std::int64_t>> taken; // fence, and how many had been taken
-        std::map<MachineNumber, std::uint64_t> fenced_off;      // the last fence that was refused
+        std::set<std::pair<std::uint64_t, std::int64_t>> taken; // fence, accepted orders
+        std::map<MachineNumber, std::uint64_t> fenced_off;      // last rejected fence
     };
     enum class PlatformMood : std::uint8_t { kQuick, kSlow, kSilent, kBusy, kResets, kFails, kFencesOff };
     struct PlatformRequest {
         duties::PlatformCall call;
         std::string holder;
     };
-    struct CountSubject { // numbers of servers of one zone
+    struct CountSubject { // server counts of one zone
         std::vector<Act> acts;
-        std::map<MachineNumber, std::uint64_t> fenced_off; // the last fence that was refused, as told
-        std::set<std::pair<MachineNumber, int>> under_way; // machine and incarnation of who awaits an answer
+        std::map<MachineNumber, std::uint64_t> fenced_off; // last rejected fence, as reported
+        std::set<std::pair<MachineNumber, int>> under_way; // machine and incarnation of callers
     };
     struct Platform {
         PlatformMood mood = PlatformMood::kQuick;
         std::vector<Act> acts;
-        std::map<std::int64_t, std::string> reports;       // by window: the body that came first
-        std::map<std::int64_t, std::int64_t> accepted;     // by window: when, in true ms
-        std::map<MachineNumber, std::uint64_t> fenced_off; // the last fence that was refused, as told
+        std::map<std::int64_t, std::string> reports;       // by window: the first body received
+        std::map<std::int64_t, std::int64_t> accepted;     // by window: time, in true ms
+        std::map<MachineNumber, std::uint64_t> fenced_off; // last rejected fence, as reported
         std::map<std::string, CountSubject> count_subjects;
     };
-    static constexpr std::int64_t kClockErrorMs = 100; // that the fleet's time may be off
+    static constexpr std::int64_t kClockErrorMs = 100; // maximum error of the fleet's time
     class WorldOrderLink;
     class WorldPlatformLink;
     struct Operator {
-        std::int64_t known = 0; // the newest version that it knows of
+        std::int64_t known = 0; // the newest version it knows
         std::optional<OrderNumber> order;
         Ticks pause = 0;
         int tries = 0;
     };
 
-    // control_world.cpp: machines and what they run
+    // control_world.cpp: machines and their programs
     settings::Settings settings_of(MachineNumber machine) const;
     void start_control(MachineNumber machine);
     void start_agent(std::size_t agent);
@@ -209,9 +207,9 @@
     void tell_to_end(MachineNumber machine);
     void promise_broken(std::string what);
     void tell(const std::string& what);
-    void tell_groups(); // who votes, as each machine knows it
+    void tell_groups(); // the voters known to each machine
 
-    // control_checks.cpp: what is promised
+    // control_checks.cpp: checks of the guarantees
     void watch();
     bool reach_each_other(MachineNumber a, MachineNumber b) const;
     bool is_cut_off(MachineNumber machine) const;
@@ -248,7 +246,7 @@
     std::optional<OrderNumber> order_in(const std::string& body) const;
     void note_call_of_cut_off(MachineNumber machine, Ticks asked_at, int status, const std::string& what);
 
-    // control_duties.cpp: servers that take orders, and who acts
+    // control_duties.cpp: servers that receive orders, and duty holders
     duties::OrderClient& order_link(MachineNumber machine);
     void open_order_connection(MachineNumber machine, const duties::StageOrder& order,
                                const std::string& holder, std::function<bool()> may_send,
@@ -270,7 +268,7 @@
     void move_the_duties();
     void check_duties_calm();
 
-    // control_platform.cpp: the platform that usage is reported to
+    // control_platform.cpp: the platform that receives usage reports
     duties::PlatformClient& platform_link(MachineNumber machine);
     void open_platform_connection(MachineNumber machine, const PlatformRequest& request,
                                   std::function<bool()> may_send,
@@ -290,7 +288,7 @@
     void calm_platform();
     bool all_reported(std::int64_t last) const;
     void check_usage_calm();
-    // control_counts.cpp: the platform as it is told numbers of servers
+    // control_counts.cpp: the platform that receives server counts
     static bool is_of_count(const PlatformRequest& request) { return request.call.path == "/scale"; }
     CountSubject& count_subject(const PlatformRequest& request);
     void count_call_leaves(MachineNumber machine, const PlatformRequest& request);
@@ -304,7 +302,7 @@
     void tell_usage(std::size_t agent);
     void hand_to_agent(std::size_t agent, std::vector<model::ProcessUsage> counts);
 
-    // control_faults.cpp: what happens by itself; control_plans.cpp: what is brought about
+    // control_faults.cpp: random faults; control_plans.cpp: planned failures
     void fault();
     void mixed_fault();
     void cut_off_plan();
@@ -319,7 +317,7 @@
     void records_come_late();
     void members_rejoin_without_records();
     void leader_goes_while_entries_are_late();
-    void hold_entries_from(MachineNumber machine); // for a while
+    void hold_entries_from(MachineNumber machine); // for a limited time
     void hold_entries(MachineNumber machine);
     void hold_records_from(const std::set<MachineNumber>& machines);
     void let_records_go();
@@ -333,7 +331,7 @@
 
     ControlPlan plan_;
     SimulatedNetwork network_;
-    std::vector<MachineNumber> control_; // that ever were
+    std::vector<MachineNumber> control_; // including those that were replaced
     std::map<MachineNumber, Node> nodes_;
     std::vector<std::string> seeds_;
     bool first_start_ = true;
@@ -345,13 +343,13 @@
     std::map<MachineNumber, std::unique_ptr<duties::OrderClient>> order_links_;
     std::map<MachineNumber, std::unique_ptr<duties::PlatformClient>> platform_links_;
     Platform platform_;
-    std::optional<MachineNumber> stepped_; // whose time of day has jumped
+    std::optional<MachineNumber> stepped_; // machines whose time of day has jumped
     ConfigurationHistory history_;
     std::map<std::int64_t, OrderNumber> orders_by_mark_;
     std::set<std::uint64_t> lost_identities_;
-    std::set<std::uint64_t> voters_;        // of whoever leads, at the last look
-    Ticks disk_replaced_for_ = 0;           // so long does the group bear fewer losses than it could
-    std::set<OrderNumber> answered_orders_; // with 200, also where the answer was lost
+    std::set<std::uint64_t> voters_;        // of the leader, at the last check
+    Ticks disk_replaced_for_ = 0;           // how long the group has tolerated fewer losses than it could
+    std::set<OrderNumber> answered_orders_; // with 200, even if the answer was lost
     std::set<std::string> answered_leavings_;
     bool message_faults_ = false;
     Ticks last_disk_loss_ = 0;
