--- a/src/access/keys.cpp
+++ b/src/access/keys.cpp
@@ -118,7 +118,7 @@
                               "a new key needs a new name");
         ring.keys_.emplace(key.name, std::move(key));
     }
-    if (ring.fingerprints_.size() > 16 * kMaxKeys) { // bounded: old names may be reused
+    if (ring.fingerprints_.size() > 16 * kMaxKeys) { // forgets deleted keys, whose names can then be reused
         std::erase_if(ring.fingerprints_, [&](auto& entry) { return !ring.keys_.contains(entry.first); });
     }
     return ring;
--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -239,7 +239,7 @@
     section.number("maxAttempts", route.max_attempts, 1);
     section.flag("sticky", route.sticky);
     section.flag("resumable", route.resumable);
-    section.number("gap_aim_ms", route.longest_gap_ms);
+    section.number("gap_aim_ms", route.max_event_gap_ms);
     section.flag("public", route.is_public);
     read_services_of(section, route);
     return route;
@@ -252,8 +252,8 @@
     section.number("tokenKvBytes", engine.token_bytes);
     section.number("linkMbps", engine.link_mbps);
     section.number("stride", engine.stride, 1);
-    section.number("handleHoldS", engine.handle_hold_s);
-    section.number("roleSwitchS", engine.role_switch_s);
+    section.number("handleHoldS", engine.kv_handle_hold_s);
+    section.number("roleSwitchS", engine.stage_switch_s);
     section.for_each("models", [&](Section item) {
         item.require("name");
         item.text("name", engine.models.emplace_back());
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -73,7 +73,7 @@
 // Whether another disk uses the voter's address now. A leader that has just started may never have seen the
 // former disk.
 bool Replica::disk_was_replaced(const Member& voter) const {
-    if (planted(PlantedFault::kReplacedDiskAwaited)) return false;
+    if (planted(PlantedFault::kReplacedDiskAwaited)) return false; // fault injected by tests
     return std::ranges::any_of(member_statuses_, [&](const MemberStatus& listed) {
         return listed.alive && listed.member.address == voter.address && listed.member.id != voter.id;
     });
@@ -142,7 +142,7 @@
 // of four tolerates no more than the five do, so the lost voter stays and counts again when it returns; with
 // two of five lost, a group of three tolerates one more loss.
 std::optional<std::vector<Member>> Replica::without_lost_voters(Ticks now) const {
-    if (planted(PlantedFault::kDeadVotersKept)) return std::nullopt;
+    if (planted(PlantedFault::kDeadVotersKept)) return std::nullopt; // fault injected by tests
     std::vector<Member> voters = newest_->voters;
     std::optional<std::vector<Member>> best;
     int most = tolerable_losses(voters, now);
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -395,7 +395,7 @@
         group_->receive(*consensus_message);
         if (!feed_gate_.is_open()) update_gate();
     } else if (const auto* status = std::get_if<feed::PeerStatus>(&message)) {
-        registry_->compare_digests(peer, *status);
+        registry_->handle_digests(peer, *status);
         if (stage_duty_)
             stage_duty_->demand().update_from_peer(peer.address, status->demands, reactor_.now());
         if (usage_exchange_) usage_exchange_->on_peer_status(peer.address, *status, reactor_.now());
@@ -415,11 +415,11 @@
     } else if (const auto* records = std::get_if<feed::Replicate>(&message)) {
         registry_->handle_replicate(peer, *records);
     } else if (const auto* acknowledgement = std::get_if<feed::Replicated>(&message)) {
-        registry_->handle_replicated(peer, *acknowledgement);
+        registry_->handle_replicate_ack(peer, *acknowledgement);
     } else if (const auto* range_request = std::get_if<feed::RangeRequest>(&message)) {
-        registry_->send_ranges(peer, *range_request);
+        registry_->handle_range_request(peer, *range_request);
     } else if (const auto* instances = std::get_if<feed::Instances>(&message)) {
-        registry_->receive_records(peer, *instances);
+        registry_->handle_records(peer, *instances);
         update_gate();
     } else if (auto* call = std::get_if<feed::ForwardedCall>(&message)) {
         operator_calls_->handle_forwarded_call(peer, std::move(*call));
--- a/src/control/failure_detector.hpp
+++ b/src/control/failure_detector.hpp
@@ -19,11 +19,11 @@
     void record_heartbeat(const std::string& id, Ticks now) { last_heard_[id] = now; }
     void forget(const std::string& id) { last_heard_.erase(id); }
     // Excludes a time in which this process itself was suspended and received nothing.
-    void discount_pause(Ticks span) {
+    void exclude_suspension(Ticks span) {
         for (auto& [id, at] : last_heard_) at += span;
     }
-    // Restarts the timeouts of all servers after a partition, in which their heartbeats reached only other
-    // nodes.
+    // Restarts the timeouts of all servers after a partition, during which their heartbeats reached only
+    // other nodes.
     void restart_timeouts(Ticks now) {
         for (auto& [id, at] : last_heard_) at = now;
     }
--- a/src/control/http_order_client.hpp
+++ b/src/control/http_order_client.hpp
@@ -1,5 +1,5 @@
 // Sends orders to servers over HTTP/1.1, each on its own connection that is reset afterwards: data held up by
-// a network partition is then lost instead of arriving after the holder's lease.
+// a network partition is then lost instead of arriving after the lease of the duty's holder has expired.
 #pragma once
 #include "duties/order_client.hpp"
 #include "transport/async.hpp"
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -134,7 +134,7 @@
     if (callbacks_.survives_losses(found->second.members)) found->second.durable->resolve(true);
 }
 
-void InstanceRegistry::handle_replicated(const model::ControlNode& peer, const feed::Replicated& message) {
+void InstanceRegistry::handle_replicate_ack(const model::ControlNode& peer, const feed::Replicated& message) {
     if (!sync_tracker_.is_own_request(message.id)) return;
     if (!pending_departures_.contains(message.id.number)) return sync_tracker_.count_unsolicited();
     record_copy(message.id.number, peer.member);
@@ -182,7 +182,7 @@
     callbacks_.loads_changed(changed);
 }
 
-void InstanceRegistry::compare_digests(const model::ControlNode& peer, const feed::PeerStatus& status) {
+void InstanceRegistry::handle_digests(const model::ControlNode& peer, const feed::PeerStatus& status) {
     request_sync(peer);
     const auto ranges = feed::InstanceTable::differing_ranges(digests(), status.instances);
     int& mismatches = digest_mismatches_[peer.address];
@@ -197,11 +197,12 @@
     if (request && !callbacks_.send(peer.address, *request)) sync_tracker_.request_failed(peer.member);
 }
 
-void InstanceRegistry::send_ranges(const model::ControlNode& peer, const feed::RangeRequest& wanted) {
+void InstanceRegistry::handle_range_request(const model::ControlNode& peer,
+                                            const feed::RangeRequest& wanted) {
     callbacks_.send(peer.address, feed::Instances{table_.records_in_ranges(wanted.ranges), true, wanted.id});
 }
 
-void InstanceRegistry::receive_records(const model::ControlNode& peer, const feed::Instances& records) {
+void InstanceRegistry::handle_records(const model::ControlNode& peer, const feed::Instances& records) {
     if (merge(records.records)) callbacks_.changed();
     sync_tracker_.reply_received(peer.member, records.in_reply_to);
 }
@@ -249,7 +250,7 @@
     notify_watchers();
     partitions_.count_servers(table_);
     if (const Ticks suspended = reactor_.stalled_for(); suspended > kCheckInterval / 5)
-        failure_detector_.discount_pause(suspended);
+        failure_detector_.exclude_suspension(suspended);
     std::vector<Instance> changes;
     const bool in_contact = callbacks_.in_contact();
     if (in_contact && std::exchange(was_out_of_contact_, false))
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -43,7 +43,7 @@
         // Calls back with whether the current state is durable on this node's disk.
         std::function<void(std::function<void(bool)>)> make_durable;
         std::function<bool()> in_contact; // with a leader that has a majority
-        std::function<bool()> serves;     // the feed gate is open: servers' calls may be confirmed
+        std::function<bool()> serves;     // whether servers' calls may be confirmed (see FeedGate)
         std::function<std::string(const std::string& peer)>
             call_address;              // a peer's address for calls of servers
         std::function<void()> changed; // instances in the log have changed
@@ -57,13 +57,13 @@
 
     void set_nodes(std::vector<std::string> alive); // includes this node
     void handle_replicate(const model::ControlNode& peer, const feed::Replicate& message);
-    void handle_replicated(const model::ControlNode& peer, const feed::Replicated& message);
-    void compare_digests(const model::ControlNode& peer, const feed::PeerStatus& status);
-    void send_ranges(const model::ControlNode& peer, const feed::RangeRequest& wanted);
+    void handle_replicate_ack(const model::ControlNode& peer, const feed::Replicated& message);
+    void handle_digests(const model::ControlNode& peer, const feed::PeerStatus& status);
+    void handle_range_request(const model::ControlNode& peer, const feed::RangeRequest& wanted);
     // Requests all records of a peer, unless this process already has them: digests don't cover servers that
     // are gone.
     void request_sync(const model::ControlNode& peer);
-    void receive_records(const model::ControlNode& peer, const feed::Instances& records);
+    void handle_records(const model::ControlNode& peer, const feed::Instances& records);
     // The members whose records were all merged by this process.
     const std::set<std::uint64_t>& synced_members() const { return sync_tracker_.synced_members(); }
     // Call after a partition: others may have acknowledged further records, so all peers are asked again.
@@ -84,6 +84,7 @@
     void record_copy(std::uint64_t number, std::uint64_t member);
     bool merge(const std::vector<model::Instance>& records); // returns whether any has changed
     bool accept(const model::Instance& record);              // merges and publishes; false if unchanged
+    // Marks the other records with the same address as gone.
     void retire_predecessors(const model::Instance& record);
     transport::Async<bool> replicate_durably(std::vector<model::Instance> records);
     void check_failures();
--- a/src/control/stage_duty.cpp
+++ b/src/control/stage_duty.cpp
@@ -73,7 +73,7 @@
         controllers_.erase(service.name);
         return;
     }
-    const auto stage_change_time = static_cast<Ticks>(service.engine->role_switch_s * kTicksPerSecond);
+    const auto stage_change_time = static_cast<Ticks>(service.engine->stage_switch_s * kTicksPerSecond);
     duties::StageController& controller = controllers_.try_emplace(service.name).first->second;
     controller.set_stage_change_time(stage_change_time);
     const std::vector<StagedServer> servers = servers_of(service.name);
--- a/src/limits/slow_start.hpp
+++ b/src/limits/slow_start.hpp
@@ -1,4 +1,4 @@
-// Slow start (rule 4): how far apart one front node's attempts to a recently started server must be, so that
+// Slow start: how far apart one front node's attempts to a recently started server must be, so that
 // all front nodes together stay within its budget. Pure; shared by the search scheduler and by the planning
 // of site recovery. Times are tenths of a millisecond.
 #pragma once
@@ -15,7 +15,7 @@
     Ticks overload_window = 0;      // in which its load is limited
     double overload_factor = 1;     // limit of the load, as a multiple of the capacity
 
-    // Share of its capacity at this age: a linear rise, the least that is assumed.
+    // Share of its capacity at this age. A lower bound: linear in the age.
     double share(Ticks age) const {
         return std::min(1.0, cold_capacity_ratio + slope() * static_cast<double>(std::max<Ticks>(0, age)));
     }
--- a/src/model/configuration.hpp
+++ b/src/model/configuration.hpp
@@ -9,7 +9,8 @@
 
 namespace ivyrill::model {
 
-// Whether requests may be retried. Streaming responses are unsafe to retry unless their route is resumable.
+// Retry safety and response form of a route's requests. Streaming responses are unsafe to retry unless their
+// route is resumable.
 enum class RouteKind : std::uint8_t { kSafe, kUnsafe, kStreaming };
 constexpr RouteKind last_of(RouteKind) { return RouteKind::kStreaming; }
 
@@ -26,14 +27,13 @@
     std::int64_t timeout_ms = 0, latency_target_ms = 0;
     std::int64_t priority = 0;             // 0 is the most urgent
     std::vector<WeightedService> services; // one, or a split by weight
-    std::int64_t max_attempts = 1;         // servers that one attempt may be sent to
+    std::int64_t max_attempts = 1;         // times that one request may be sent to a server
     bool sticky = false, resumable = false;
-    std::int64_t longest_gap_ms =
-        0;                  // longest interval between two events of a stream that is on time; 0: none stated
-    bool is_public = false; // needs no API key
+    std::int64_t max_event_gap_ms = 0; // target for the longest time between two events of a stream; 0: none
+    bool is_public = false;            // needs no API key
     template <class Self> static auto tie(Self& s) {
         return std::tie(s.name, s.host, s.path_prefix, s.kind, s.timeout_ms, s.latency_target_ms, s.priority,
-                        s.services, s.max_attempts, s.sticky, s.resumable, s.longest_gap_ms, s.is_public);
+                        s.services, s.max_attempts, s.sticky, s.resumable, s.max_event_gap_ms, s.is_public);
     }
     friend bool operator==(const Route&, const Route&) = default;
     bool idempotent() const {
@@ -46,11 +46,11 @@
     std::int64_t slots = 1, memory_tokens = 0;
     double token_bytes = 0, link_mbps = 0; // memory of one token; bandwidth of a server's link
     std::int64_t stride = 1;               // tokens per event
-    double handle_hold_s = 0, role_switch_s = 0;
+    double kv_handle_hold_s = 0, stage_switch_s = 0;
     std::vector<std::string> models;
     template <class Self> static auto tie(Self& s) {
-        return std::tie(s.slots, s.memory_tokens, s.token_bytes, s.link_mbps, s.stride, s.handle_hold_s,
-                        s.role_switch_s, s.models);
+        return std::tie(s.slots, s.memory_tokens, s.token_bytes, s.link_mbps, s.stride, s.kv_handle_hold_s,
+                        s.stage_switch_s, s.models);
     }
     friend bool operator==(const Engine&, const Engine&) = default;
 };
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -47,8 +47,9 @@
         node_settings.incarnation = static_cast<std::uint64_t>(Loop::wall());
         if (settings.maintenance) {
             const operators::MaintenanceSettings& maintenance_settings = *settings.maintenance;
-            work = maintenance_settings.work;
-            if (const auto front = work.find("front"); front != work.end())
+            maintenance_durations = maintenance_settings.work;
+            // By server kind; "front": the front nodes, "": kinds without an entry.
+            if (const auto front = maintenance_durations.find("front"); front != maintenance_durations.end())
                 node_settings.front_node_duration = front->second;
             for (const auto& [candidate_name, candidate_address] : maintenance_settings.candidates)
                 node_settings.candidates.push_back({candidate_name, candidate_address});
@@ -102,9 +103,10 @@
             if (loop.now() >= next_observation_at || observed_version != current_list.version) {
                 next_observation_at = loop.now() + kTicksPerSecond / 10,
                 observed_version = current_list.version;
-                maintenance_node->update_servers(
-                    CoordinationThread::observe_machines(current_list, config, work, Loop::wall()),
-                    rejected_share);
+                maintenance_node->update_servers(CoordinationThread::observe_machines(current_list, config,
+                                                                                      maintenance_durations,
+                                                                                      Loop::wall()),
+                                                 rejected_share);
             }
             maintenance_node->step(loop.now(), Loop::wall());
             if (leaving && !leave_sent) leave_sent = true, maintenance_node->leave(loop.now());
@@ -149,9 +151,9 @@
         const auto& codec_counts = maintenance_node->codec_counts();
         const auto& executor_counts = maintenance_node->executor().counts();
         log().info(
-            "members present={} sent={} heard={} suspected={} refuted={} stalls={} twins={} strangers={} "
-            "spoilt={} too_long={} crowded={} parcels={} pieces={} asked_again={} acts={} strange={} "
-            "refused={} lapsed={} proposals={}",
+            "members present={} sent={} received={} suspected={} refuted={} stalls={} name_conflicts={} "
+            "unauthenticated={} malformed={} too_long={} rate_limited={} fragmented={} fragments={} "
+            "resend_requests={} acts={} unmatched_replies={} refused={} expired_leases={} proposals={}",
             maintenance_node->member_list().present_count(), member_counts.sent, member_counts.received,
             member_counts.suspected, member_counts.refuted, member_counts.stalls,
             member_counts.name_conflicts, codec_counts.unauthenticated, codec_counts.malformed,
@@ -163,7 +165,7 @@
     }
 
     protocol::FrontNodeConfig config;
-    std::map<std::string, Ticks> work;
+    std::map<std::string, Ticks> maintenance_durations;
     Loop loop;
     transport::Source socket, wake_up_event; // the latter: written by the front node's thread
     int member_count_event;
@@ -176,7 +178,7 @@
     Ticks next_observation_at = 0;
     bool leave_sent = false;
 
-    std::mutex mutex; // for the next two
+    std::mutex mutex; // guards list and list_changed
     protocol::ServerList list;
     bool list_changed = false;
     std::atomic<double> rejected_share = 0;
@@ -206,7 +208,7 @@
     state_->thread = std::thread([state = state_.get()] {
         try {
             state->run();
-        } catch (const std::exception& error) { log().error("members: {}", error.what()); }
+        } catch (const std::exception& error) { log().error("coordination thread ended: {}", error.what()); }
     });
 }
 
@@ -250,7 +252,7 @@
 std::map<std::string, maintenance::ObservedMachine>
 CoordinationThread::observe_machines(const protocol::ServerList& list,
                                      const protocol::FrontNodeConfig& config,
-                                     const std::map<std::string, Ticks>& work, Ticks wall) {
+                                     const std::map<std::string, Ticks>& maintenance_durations, Ticks wall) {
     std::map<std::string, maintenance::ObservedMachine> result;
     for (const protocol::ServerEntry& entry : list.servers) {
         maintenance::ObservedMachine machine;
@@ -259,9 +261,9 @@
         for (int shard = 0; shard < config.shards; ++shard)
             if (config.scheduler.holds(CellNo{entry.cell}, ShardNo{shard}))
                 machine.facts.shards.push_back(shard);
-        auto known = work.find(entry.kind);
-        if (known == work.end()) known = work.find("");
-        machine.facts.duration = known == work.end() ? 600 * kTicksPerSecond : known->second;
+        auto known = maintenance_durations.find(entry.kind);
+        if (known == maintenance_durations.end()) known = maintenance_durations.find("");
+        machine.facts.duration = known == maintenance_durations.end() ? 600 * kTicksPerSecond : known->second;
         const Ticks started = entry.started_ms * (kTicksPerSecond / 1000);
         machine.health = entry.listed == ListedState::kGone       ? maintenance::MachineHealth::kGone
                          : entry.listed == ListedState::kDraining ? maintenance::MachineHealth::kDraining
--- a/src/program/operator_files.cpp
+++ b/src/program/operator_files.cpp
@@ -86,12 +86,12 @@
             result.tls.push_back(nullptr);
             continue;
         }
-        transport::TlsOptions terms;
-        terms.protocols = listener.protocols;
-        terms.certificate = load(listener.certificate).text, terms.key = load(listener.key).text;
-        terms.clients = listener.client_certificates, terms.tickets = tickets;
+        transport::TlsOptions tls_options;
+        tls_options.protocols = listener.protocols;
+        tls_options.certificate = load(listener.certificate).text, tls_options.key = load(listener.key).text;
+        tls_options.clients = listener.client_certificates, tls_options.tickets = tickets;
         try {
-            result.tls.push_back(std::make_shared<const transport::TlsContext>(terms));
+            result.tls.push_back(std::make_shared<const transport::TlsContext>(tls_options));
         } catch (const transport::TlsError& error) {
             throw std::runtime_error("listener '" + listener.name + "': " + error.what());
         }
@@ -115,10 +115,10 @@
         throw std::runtime_error(std::string("access: the configuration has no ") + what + " named '" + name +
                                  "'" + (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
     };
-    for (const auto& [club, tenant] : settings.access->options.clubs)
+    for (const auto& [organization, tenant] : settings.access->options.clubs)
         require_known(tenant, tenants, "tenant");
     for (const auto& [request_class, right] : settings.access->options.request_classes)
-        require_known(request_class, request_classes, "product");
+        require_known(request_class, request_classes, "request class");
 }
 
 void write_file(const std::string& path, const std::string& text, bool secret) {
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -121,7 +121,7 @@
     config.max_retry_after = reader.duration_rounded_down("Limits.MaxRetryAfterUs");
     config.max_attempts = reader.at_least_one("Limits.MostTries", 1);
     config.connect_timeout = reader.duration_rounded_down("Limits.ConnectTimeoutUs");
-    config.retries_marked = reader.flag("Clients.MarksRetry");
+    config.clients_mark_retries = reader.flag("Clients.MarksRetry");
     config.may_cancel = reader.flag("Limits.MayCancel");
     config.may_probe = reader.flag("Limits.Probes");
     config.may_send_retry_after = reader.flag("Limits.RetryAfter");
@@ -131,7 +131,7 @@
         reader.word("MembershipMode", "push") == "ask" ? ListMode::kQueried : ListMode::kPushed;
     config.cells = reader.at_least_one("Specifics.Places", 1);
     config.span = reader.at_least_one("Specifics.Span", 1);
-    config.call_work = reader.duration_rounded_down("Specifics.PerCallWorkUs");
+    config.call_overhead = reader.duration_rounded_down("Specifics.PerCallWorkUs");
     return config;
 }
 
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -16,7 +16,7 @@
 struct FrontNodeConfig {
     SchedulerConfig scheduler;
     int max_open = 0;                 // concurrent searches and parts, 0: no limit
-    int batch = 1;                    // parts per call
+    int batch = 1;                    // maximum number of parts per call
     int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
     Ticks idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
--- a/src/proxy/exchange_relay.cpp
+++ b/src/proxy/exchange_relay.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxBuffered =
     256 * 1024; // of an answer that is not streamed, while it may still be retried elsewhere
-constexpr std::size_t kClientRoom =
+constexpr std::size_t kMinClientBuffer =
     64 * 1024; // free buffer space that a slow client must leave before more is read
 
 bool implies_not_run(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
@@ -32,7 +32,7 @@
         finish_call(false);
         co_return RelayResult::kIncomplete;
     }
-    // These statuses imply that the request has not run, which the server has not stated.
+    // These statuses would tell the client that the request has not run, but the server has not confirmed it.
     if (implies_not_run(answer_.status) && !route_->idempotent()) {
         finish_call(false);
         co_return RelayResult::kIncomplete;
@@ -77,7 +77,7 @@
             co_return RelayResult::kIncomplete;
         if (client_gone()) co_return RelayResult::kClientGone;
         if (now() >= deadline_) co_return RelayResult::kDeadlineExceeded;
-        if (client_.room() < kClientRoom && !co_await await_client_room(kClientRoom))
+        if (client_.room() < kMinClientBuffer && !co_await await_client_room(kMinClientBuffer))
             co_return RelayResult::kClientGone;
         co_await wait(deadline_);
     }
@@ -93,7 +93,7 @@
         const bool complete = parser.complete() || (until_close && !connection_->stream().was_reset());
         if (complete) {
             if (!std::exchange(head_sent_, true)) {
-                if (!co_await await_client_room(held.size() + kClientRoom))
+                if (!co_await await_client_room(held.size() + kMinClientBuffer))
                     co_return RelayResult::kClientGone;
                 client_.send(answer_head(answer_, held.size(), close_));
                 client_.send(held);
@@ -105,7 +105,8 @@
         }
         if (held.size() > kMaxBuffered) {
             if (!std::exchange(head_sent_, true)) client_.send(answer_head(answer_, std::nullopt, close_));
-            if (!co_await await_client_room(held.size() + kClientRoom)) co_return RelayResult::kClientGone;
+            if (!co_await await_client_room(held.size() + kMinClientBuffer))
+                co_return RelayResult::kClientGone;
             client_.send(chunk(std::exchange(held, {})));
         }
         if (parser.broken() != 0 || connection_->stream().ended()) co_return RelayResult::kIncomplete;
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -53,7 +53,7 @@
 
 bool nearly_equal(const FailoverPolicyUpdate& a, const FailoverPolicyUpdate& b, double step) {
     if (a.lost_shards != b.lost_shards || a.sites.size() != b.sites.size() ||
-        a.rows.size() != b.rows.size() || std::abs(a.attempt_budget_share - b.attempt_budget_share) >= step ||
+        a.rows.size() != b.rows.size() || std::abs(a.retry_budget_share - b.retry_budget_share) >= step ||
         a.retry_after != b.retry_after || a.capacity_shares.size() != b.capacity_shares.size())
         return false;
     for (std::size_t i = 0; i < a.sites.size(); ++i)
@@ -326,7 +326,7 @@
     for (const auto& [shard, served] : plan.assignment.served_share)
         if (served < 1 - kMinChange) policy.capacity_shares.emplace_back(ShardNo{shard}, served);
     const double utilization = plan.assignment.max_utilization;
-    policy.attempt_budget_share =
+    policy.retry_budget_share =
         !admits_all
             ? 0
             : std::clamp(1 - (utilization - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
@@ -357,7 +357,7 @@
             now_ + static_cast<Ticks>(kReplanInterval * static_cast<double>(options_.latency_target) *
                                       (0.75 + 0.5 * rng_.unit()));
         planned_shares_ = std::move(shares);
-        plan_ = plan_without(plan_input(), unavailable_sites());
+        plan_ = plan_for_lost_sites(plan_input(), unavailable_sites());
         ++counts_.plans;
     }
     FailoverPolicyUpdate policy = policy_for(plan_);
@@ -407,9 +407,9 @@
         if (query.contains("without")) {
             std::set<SiteName> without;
             for (const auto& site : query["without"]) without.insert(site.get<std::string>());
-            plans.push_back(plan_without(input, without));
+            plans.push_back(plan_for_lost_sites(input, without));
         } else {
-            plans = plan_each_loss(input);
+            plans = plan_all_losses(input);
         }
         result["plans"] = Json::array();
         for (const Plan& plan : plans) {
--- a/src/recovery/failover_policy.cpp
+++ b/src/recovery/failover_policy.cpp
@@ -10,7 +10,7 @@
     lost_shards_.insert(policy_update.lost_shards.begin(), policy_update.lost_shards.end());
     for (const auto& row : policy_update.rows) admission_rows_[{row.request_class, row.tenant}] = row;
     for (const auto& [shard, share] : policy_update.capacity_shares) capacity_share_[shard] = share;
-    attempt_budget_share_ = std::clamp(policy_update.attempt_budget_share, 0.0, 1.0);
+    attempt_budget_share_ = std::clamp(policy_update.retry_budget_share, 0.0, 1.0);
     max_retry_after_ = std::max<Ticks>(0, policy_update.retry_after);
 }
 
@@ -56,7 +56,7 @@
     const double min_weight = std::max(floor, row->weight);
     for (Part* part : parts) {
         if (served_share(part) >= 1 || remaining_weight - part->weight < min_weight) continue;
-        part->left_out = true, remaining_weight -= part->weight;
+        part->omitted = true, remaining_weight -= part->weight;
     }
 }
 
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -32,7 +32,7 @@
     // first, never below `floor` of the weight.
     void omit_parts(Search& search, double floor, TenantNo tenant) const;
     // Share of the budget for further attempts that may be used.
-    double attempt_budget_share() const { return attempt_budget_share_; }
+    double retry_budget_share() const { return attempt_budget_share_; }
     // Delay to advise to a rejected client: random, so that clients don't return at the same time.
     Ticks retry_after(Ticks usual, Pcg& rng) const;
 
--- a/src/recovery/load_shedding.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -15,7 +15,7 @@
 
 struct Admission {
     double admitted_share = 1; // of its searches
-    double answer_weight = 1;  // 1 unless parts are omitted
+    double answer_weight = 1;  // minimum weight of an answer; 1 unless parts are omitted
     bool impossible = false;   // it needs shards of which no replica is left
 };
 
--- a/src/recovery/peer_reports.cpp
+++ b/src/recovery/peer_reports.cpp
@@ -129,8 +129,9 @@
 std::vector<SiteOverride> PeerReports::overrides(Ticks wall) const {
     std::vector<SiteOverride> result;
     for (const auto& [site, site_override] : overrides_)
-        if (site_override.kind == SiteOverride::Kind::kNone ? wall < site_override.until + kReleaseLifetime
-                                                            : wall < site_override.until)
+        if (site_override.kind == SiteOverride::Kind::kNone
+                ? wall < site_override.until + kOverrideReleaseLifetime
+                : wall < site_override.until)
             result.push_back(site_override);
     return result;
 }
--- a/src/recovery/peer_reports.hpp
+++ b/src/recovery/peer_reports.hpp
@@ -48,8 +48,8 @@
 
     static constexpr int kObservationLifetime = 2, kDemandLifetime = 20; // report intervals
     static constexpr std::size_t kMaxReports = 512, kMaxOverrides = 64;
-    static constexpr Ticks kReleaseLifetime =
-        3600 * kTicksPerSecond; // so that a release reaches every front node
+    static constexpr Ticks kOverrideReleaseLifetime =
+        3600 * kTicksPerSecond; // so that the release of an override reaches every front node
 
     PeerReportsOptions options_;
     std::map<std::string, ReceivedReport> reports_;
--- a/src/recovery/plan.cpp
+++ b/src/recovery/plan.cpp
@@ -16,7 +16,7 @@
            });
 }
 
-Plan plan_without(const PlanInput& input, const std::set<SiteName>& without) {
+Plan plan_for_lost_sites(const PlanInput& input, const std::set<SiteName>& without) {
     Plan result;
     result.without = without;
     result.demand = input.demand.parts();
@@ -60,13 +60,13 @@
     return result;
 }
 
-std::vector<Plan> plan_each_loss(const PlanInput& input) {
-    std::vector<Plan> result{plan_without(input, {})};
+std::vector<Plan> plan_all_losses(const PlanInput& input) {
+    std::vector<Plan> result{plan_for_lost_sites(input, {})};
     const std::set<SiteName> sites = sites_of(input);
-    for (const SiteName& site : sites) result.push_back(plan_without(input, {site}));
+    for (const SiteName& site : sites) result.push_back(plan_for_lost_sites(input, {site}));
     for (auto first = sites.begin(); first != sites.end(); ++first)
         for (auto second = std::next(first); second != sites.end(); ++second)
-            result.push_back(plan_without(input, {*first, *second}));
+            result.push_back(plan_for_lost_sites(input, {*first, *second}));
     return result;
 }
 
--- a/src/recovery/plan.hpp
+++ b/src/recovery/plan.hpp
@@ -30,9 +30,9 @@
     bool serves_all() const;                     // nothing is shed or lost
 };
 
-Plan plan_without(const PlanInput& input, const std::set<SiteName>& without);
+Plan plan_for_lost_sites(const PlanInput& input, const std::set<SiteName>& without);
 // Plans for no loss, for the loss of each site and of each pair of sites.
-std::vector<Plan> plan_each_loss(const PlanInput& input);
+std::vector<Plan> plan_all_losses(const PlanInput& input);
 std::set<SiteName> sites_of(const PlanInput& input);
 
 } // namespace ivyrill::recovery
--- a/src/replica_selection/pair_selector.cpp
+++ b/src/replica_selection/pair_selector.cpp
@@ -265,7 +265,7 @@
 // Silence counts as a response of that length.
 double PairSelector::response_of(const Server& server, Work work, double usual, Ticks now) const {
     const double known = server.estimates[index(work)].response * usual;
-    if (!in_use(Mechanism::kSilenceCounts) || server.unanswered.empty()) return known;
+    if (!in_use(Mechanism::kTimeoutsAsResponseTimes) || server.unanswered.empty()) return known;
     const Ticks oldest = server.unanswered.begin()->second; // attempts are numbered in send order
     return std::max(known, static_cast<double>(now - std::max(oldest, server.last_answer)));
 }
--- a/src/replica_selection/retry_budget.hpp
+++ b/src/replica_selection/retry_budget.hpp
@@ -1,6 +1,7 @@
 // Retry budget: how many sends beyond the first of each request this node may make. The limit is for all
-// nodes together: each node uses the ratio for its own requests, and a share of the slack by the largest
-// number of nodes that may share it, so that the limit holds during a partition too.
+// nodes together: each node uses the ratio for its own requests, and an equal part
+// of the slack: the slack divided by the largest number of nodes that may be using it, so that the limit
+// holds during a partition too.
 #pragma once
 #include "base/time.hpp"
 
@@ -45,7 +46,7 @@
     }
 
   private:
-    static constexpr double kSafety = 0.8; // the benchmark's windows are aligned differently
+    static constexpr double kSafety = 0.8; // keeps the rate below the limit in windows of any alignment
     void add(std::deque<Ticks>& times, Ticks now) { expire(times, now), times.push_back(now); }
     void expire(std::deque<Ticks>& times, Ticks now) const {
         while (!times.empty() && times.front() <= now - limits_.window) times.pop_front();
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -18,7 +18,7 @@
                std::size_t descriptors, Ticks now)
     : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.scheduler)),
       descriptors_(descriptors), now_(now), discovery_(std::move(discovery)) {
-    apply_list(known, ListKind::kSaved);
+    apply_list(known, ServerListKind::kPersisted);
 }
 
 void Router::handle(Ticks now, Event event) {
@@ -834,7 +834,7 @@
     }
 }
 
-void Router::apply_list(const protocol::ServerList& list, ListKind kind) {
+void Router::apply_list(const protocol::ServerList& list, ServerListKind kind) {
     version_ = list.version;
     ServerListUpdate update{kind, {}};
     std::set<ServerId> named;
@@ -860,7 +860,7 @@
         update.entries.push_back(entry);
     }
     for (auto& [id, server] : servers_) {
-        if (kind != ListKind::kChanges && !named.contains(id)) server.listed = ListedState::kGone;
+        if (kind != ServerListKind::kDelta && !named.contains(id)) server.listed = ListedState::kGone;
         if (server.listed == ListedState::kLive) continue;
         withdraw_waiting(server);
         if (server.listed == ListedState::kGone) retire_connections(server);
@@ -891,7 +891,7 @@
     if (discovery_call_ != event.call) return;
     ++counts_.lists;
     const bool behind = !event.list.full && event.list.version < version_; // discovery has restarted
-    if (!behind) apply_list(event.list, event.list.full ? ListKind::kWhole : ListKind::kChanges);
+    if (!behind) apply_list(event.list, event.list.full ? ServerListKind::kFull : ServerListKind::kDelta);
     full_list_wanted_ = behind;
     query_discovery();
 }
@@ -900,7 +900,7 @@
     if (discovery_call_ != event.call) return;
     discovery_call_.reset();
     ++counts_.lists_lost;
-    notify(ServerListUpdate{ListKind::kLost, {}});
+    notify(ServerListUpdate{ServerListKind::kQueryFailed, {}});
 }
 
 void Router::on_timer(const DiscoveryTimeout& what) {
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -256,7 +256,7 @@
     void check_idle(ConnectionId id);
     void retire_connections(Server& server);
     void withdraw_waiting(Server& server);
-    void apply_list(const protocol::ServerList& list, ListKind kind);
+    void apply_list(const protocol::ServerList& list, ServerListKind kind);
     ServerId server_id(const std::string& name);
     void query_discovery();
     void start_client_timeout(ClientId id, Client& client);
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -97,17 +97,19 @@
         // Unmarked retries are recognized by a time left that differs from the usual one (a majority vote).
         const Ticks difference = std::abs(event.time_left - request_class.usual_time_left);
         const bool usual = difference < kSameTime * request_class.usual_time_left;
-        const bool retry = config_.retries_marked ? event.is_retry : !usual && request_class.votes > 0;
-        request_class.votes += usual ? 1 : -1;
-        if (request_class.votes < 0) request_class.usual_time_left = event.time_left, request_class.votes = 1;
+        const bool retry =
+            config_.clients_mark_retries ? event.is_retry : !usual && request_class.usual_time_left_votes > 0;
+        request_class.usual_time_left_votes += usual ? 1 : -1;
+        if (request_class.usual_time_left_votes < 0)
+            request_class.usual_time_left = event.time_left, request_class.usual_time_left_votes = 1;
         // A time left far below the latency target is a hasty client, not a late retry.
-        const bool hasty =
-            !config_.retries_marked && event.time_left < kShortTime * request_class.config.latency_target;
+        const bool hasty = !config_.clients_mark_retries &&
+                           event.time_left < kShortTime * request_class.config.latency_target;
         const Ticks spent =
             retry && !hasty ? std::max<Ticks>(0, request_class.config.deadline - event.time_left) : 0;
-        search.due = now_ + request_class.config.latency_target - spent;
-        search.expiry = now_ + event.time_left;
-        if (search.due <= now_) search.utility *= request_class.config.late_utility_ratio;
+        search.target_at = now_ + request_class.config.latency_target - spent;
+        search.deadline = now_ + event.time_left;
+        if (search.target_at <= now_) search.utility *= request_class.config.late_utility_ratio;
         if (!within_quota(event.tenant)) search.utility *= config_.over_quota_utility_ratio;
         jobs_[event.id] = event.job;
         arrivals_.push_back(now_);
@@ -130,15 +132,15 @@
     void apply(const FrontNodeCount& event) { front_nodes_ = std::max(1, event.count); }
     void apply(const FailoverPolicyUpdate& event) { failover_policy_.update(event); }
     void apply(const ServerListUpdate& update) {
-        if (update.kind == ListKind::kLost) {
+        if (update.kind == ServerListKind::kQueryFailed) {
             subscribe_wanted_ = config_.list_mode == ListMode::kQueried;
             // Backs off, but notices in time that discovery has recovered.
             const double wait = std::min(++failed_queries_ * target_, kQueryWait * config_.list_propagation);
             subscribe_at_ = now_ + static_cast<Ticks>(wait * (0.5 + random_.unit() / 2));
             return;
         }
-        if (update.kind != ListKind::kSaved) failed_queries_ = 0, subscribe_wanted_ = false;
-        if (update.kind != ListKind::kChanges)
+        if (update.kind != ServerListKind::kPersisted) failed_queries_ = 0, subscribe_wanted_ = false;
+        if (update.kind != ServerListKind::kDelta)
             for (auto& [id, server] : servers_) server.entry.listed = ListedState::kGone;
         for (const ListEntry& entry : update.entries) {
             IndexServer& server = servers_[entry.server];
@@ -156,13 +158,14 @@
         const auto found = servers_.find(event.server);
         if (found == servers_.end()) return;
         IndexServer& server = found->second;
-        server.probe_out = false;
+        server.probe_in_flight = false;
         record_group_result(server, event.passed, event.took);
         if (event.passed) apply_report(server, event.report);
         if (server.health != Health::kEjected) return;
-        server.next_probe = now_ + probe_interval(server.setbacks);
-        server.passes = event.passed && event.took < target_ * kSilenceLimit ? server.passes + 1 : 0;
-        if (server.passes < kTrialProbes) return;
+        server.next_probe = now_ + probe_interval(server.failed_trials);
+        server.passed_probes =
+            event.passed && event.took < target_ * kSilenceLimit ? server.passed_probes + 1 : 0;
+        if (server.passed_probes < kTrialProbes) return;
         server.health = Health::kTrial, server.trial_limit = 1;
         server.failure_rate = 0, server.measured = false, server.silent = 0;
         server.last_answer = now_; // attempts from before the trial do not count as silent
@@ -212,7 +215,9 @@
         const bool success = event.outcome == Outcome::kAnswered;
         if (event.outcome == Outcome::kNotSent) return;
         // A lost connection ends all its attempts: they count as one failure.
-        if (event.outcome == Outcome::kConnectionLost && std::exchange(server.lost_at, now_) == now_) return;
+        if (event.outcome == Outcome::kConnectionLost &&
+            std::exchange(server.connection_lost_at, now_) == now_)
+            return;
         if (event.outcome != Outcome::kCancelled && event.outcome != Outcome::kTimedOut)
             record_group_result(server, success, event.took);
         if (event.outcome == Outcome::kCancelled) {
@@ -246,7 +251,7 @@
         server.measured = server.measured || success;
         mix(server.failure_rate, success ? 0 : 1, kNewWeight);
         if (success && server.health == Health::kTrial && ++server.trial_limit >= kTrialAttempts)
-            server.health = Health::kInService, server.setbacks = 0;
+            server.health = Health::kInService, server.failed_trials = 0;
         // A full server is healthy, so it is not ejected, but gets nothing for a latency target or the usual
         // interval between its answers, doubled each time. Parts sent to it would keep it busy with abandoned
         // work, and each of many front nodes would retry too early. Known weakness: a burst fills one.
@@ -277,7 +282,8 @@
         if (outcome == Outcome::kAnswered) search.has_answer = true;
         if (outcome != Outcome::kConnectionLost || search.has_answer) return;
         search.crashed.insert(attempt.server);
-        search.crashing = search.crashed.size() >= kMaxCrashes || (attempt.alone && crashes() >= kCrashLimit);
+        search.is_query_of_death =
+            search.crashed.size() >= kMaxCrashes || (attempt.is_crash_test && crashes() >= kCrashLimit);
     }
 
     void apply_report(IndexServer& server, const LoadReport& report) {
@@ -291,7 +297,7 @@
     // others do. They are then closed before use for a while, unless new ones fail as well. With many front
     // nodes nearly every connection is idle, so two slow parts in a row must not be enough.
     void record_connection_result(const SentAttempt& sent, bool lost, bool refused) {
-        if (sent.is_new) mix(new_loss_, refused || lost ? 1 : 0, kNewLossWeight);
+        if (sent.on_new_connection) mix(new_loss_, refused || lost ? 1 : 0, kNewLossWeight);
         if (refused) return;
         mix(sent.was_idle ? idle_loss_ : busy_loss_, lost ? 1 : 0, kLossWeight);
         if (!lost || !sent.was_idle || idle_loss_ < kLossLimit || idle_loss_ < 2 * busy_loss_) return;
@@ -333,11 +339,11 @@
             IndexServer* target = nullptr;
             int seen = 0;
             for (auto& [id, server] : servers_)
-                if (std::ranges::count(server.groups(), group) > 0 && !server.probe_out &&
+                if (std::ranges::count(server.groups(), group) > 0 && !server.probe_in_flight &&
                     server.entry.listed == ListedState::kLive && random_.unit() < 1.0 / ++seen)
                     target = &server;
             view.next_probe = now_ + probe_interval(0);
-            if (target != nullptr) target->probe_wanted = true, watch(*target);
+            if (target != nullptr) target->probe_due = true, watch(*target);
         }
     }
     Ticks silence_limit(const IndexServer& server) const {
@@ -347,15 +353,16 @@
     void eject(IndexServer& server) {
         if (server.health == Health::kEjected) return;
         const int failed_trial = server.health == Health::kTrial ? 1 : 0;
-        server.setbacks = std::min(server.setbacks + failed_trial, kMaxDoublings);
-        server.health = Health::kEjected, server.passes = server.silent = 0, watch(server);
-        server.next_probe = now_ + probe_interval(server.setbacks);
+        server.failed_trials = std::min(server.failed_trials + failed_trial, kMaxDoublings);
+        server.health = Health::kEjected, server.passed_probes = server.silent = 0, watch(server);
+        server.next_probe = now_ + probe_interval(server.failed_trials);
     }
 
     // At least the interval between answers: 300 front nodes probing each latency target would be a load.
-    Ticks probe_interval(int setbacks) {
+    Ticks probe_interval(int failed_trials) {
         const double base = std::max(target_, answer_interval_);
-        return static_cast<Ticks>(base * kProbeInterval * (1 << setbacks) * (0.75 + 0.5 * random_.unit()));
+        return static_cast<Ticks>(base * kProbeInterval * (1 << failed_trials) *
+                                  (0.75 + 0.5 * random_.unit()));
     }
     bool backlogged(const IndexServer& server) const {
         return std::ranges::any_of(
@@ -422,29 +429,30 @@
     double score(const IndexServer& server) const {
         const double service = service_time(server);
         // An attempt in the same call saves the work of a separate one, and no other front node sends it.
-        const double joined = config_.call_work > 0 ? service / (service + config_.call_work) : front_nodes_;
-        const double before = (server.in_flight() - server.joining) * front_nodes_;
-        const double waiting = 1 + before + server.joining * joined + queue_of(server);
+        const double joined =
+            config_.call_overhead > 0 ? service / (service + config_.call_overhead) : front_nodes_;
+        const double before = (server.in_flight() - server.batched_this_turn) * front_nodes_;
+        const double waiting = 1 + before + server.batched_this_turn * joined + queue_of(server);
         return replica_selection::score(response_of(server), service, waiting);
     }
 
     bool check_server(IndexServer& server) {
         decay_means(server);
-        server.joining = 0;
+        server.batched_this_turn = 0;
         // The network may lose one attempt, so ejection takes two; after one the server only ranks lower.
-        if (now_ >= server.silent_at + of_target(2)) server.silent = 0;
+        if (now_ >= server.last_overdue_at + of_target(2)) server.silent = 0;
         for (auto& [attempt, sent] : server.sent_at) {
             if (sent.at < server.last_answer) continue;
             const Ticks limit = sent.at + silence_limit(server);
             wake_by(limit);
             if (now_ < limit || sent.overdue) continue;
-            sent.overdue = true, ++server.silent, server.silent_at = now_;
+            sent.overdue = true, ++server.silent, server.last_overdue_at = now_;
             record_group_result(server, false, 0);
         }
         if (server.silent >= (server.health == Health::kTrial ? 1 : kMaxSilentAttempts)) eject(server);
         if (server.health != Health::kEjected || server.entry.listed != ListedState::kLive)
             return server.in_flight() > 0 || now_ < server.watched_at + of_target(2);
-        server.probe_wanted = config_.may_probe && !server.probe_out && now_ >= server.next_probe;
+        server.probe_due = config_.may_probe && !server.probe_in_flight && now_ >= server.next_probe;
         wake_by(server.next_probe);
         return true;
     }
@@ -460,7 +468,7 @@
 
     // All front nodes learn of a start at about the same time, so each picks a random point of the first gap.
     void start_warm_up(IndexServer& server, Ticks from) {
-        server.started_at = from, server.cold_next = cold_attempt_time(server, random_.unit());
+        server.started_at = from, server.next_cold_attempt_at = cold_attempt_time(server, random_.unit());
     }
     bool is_cold(const IndexServer& server) const {
         return server.started_at > 0 && now_ < server.started_at + config_.warm_up_time;
@@ -468,8 +476,8 @@
 
     // Rules 3 and 4.
     bool may_serve(const IndexServer& server) {
-        const bool room = !is_cold(server) || now_ >= server.cold_next;
-        if (!room) wake_by(server.cold_next);
+        const bool room = !is_cold(server) || now_ >= server.next_cold_attempt_at;
+        if (!room) wake_by(server.next_cold_attempt_at);
         return room && server.entry.listed == ListedState::kLive;
     }
 
@@ -511,8 +519,8 @@
             else if (rank == best_rank && random_.unit() < 1.0 / ++ties)
                 best = server;
         }
-        if (best == nullptr && limited && !part.backlogged) ++backlog_[part.shard];
-        part.backlogged = best == nullptr && limited;
+        if (best == nullptr && limited && !part.waits_for_capacity) ++backlog_[part.shard];
+        part.waits_for_capacity = best == nullptr && limited;
         return best;
     }
 
@@ -557,18 +565,18 @@
         const bool partial = request_class.config.floor < request_class.config.need;
         if (omits && possible + kWeightSlack < request_class.config.floor) return reject_or_fail(search);
         const bool enough = partial && answered + kWeightSlack >= request_class.config.floor;
-        const bool over = now_ >= search.expiry - margin(), late = now_ >= search.due - margin();
+        const bool over = now_ >= search.deadline - margin(), late = now_ >= search.target_at - margin();
         const bool no_more = !in_flight && (omits ? !waits : hopeless);
         if (enough && (over || late || no_more)) return void(search.status = Status::kPartial);
         const bool pointless = late && request_class.config.late_utility_ratio <= overload_; // costs others
         if (over || pointless || (hopeless && !(partial && in_flight))) reject_or_fail(search);
-        wake_by(late ? search.expiry - margin() : std::min(search.due, search.expiry) - margin());
+        wake_by(late ? search.deadline - margin() : std::min(search.target_at, search.deadline) - margin());
     }
 
     void reject_or_fail(Search& search) {
         const RequestClassState& request_class = request_classes_[search.request_class.value];
         const bool ran = std::ranges::any_of(search.parts, &Part::may_have_run);
-        const bool harmless = !search.crashing && // a retry would crash more
+        const bool harmless = !search.is_query_of_death && // a retry would crash more
                               (request_class.config.idempotency != Idempotency::kNonIdempotent || !ran);
         search.status = harmless ? Status::kRejected : Status::kFailed;
         const double wait = std::min(target_ * kSilenceLimit, static_cast<double>(config_.max_retry_after));
@@ -577,7 +585,7 @@
         search.retry_after = config_.may_send_retry_after ? failover_policy_.retry_after(usual, random_) : 0;
     }
     bool is_omitted(const Part& part) const {
-        return part.left_out || failover_policy_.shard_lost(part.shard);
+        return part.omitted || failover_policy_.shard_lost(part.shard);
     }
 
     // Rule 2 and the limit on attempts, for a part without an answer.
@@ -606,7 +614,7 @@
         while (!retries_.empty() && retries_.front() <= now_ - config_.retry_window - 1) retries_.pop_front();
         const double share = config_.retry_ratio * (1 - overload_);
         return retries_.size() + 1 <=
-               (config_.retry_slack + share * arrivals_.size()) * failover_policy_.attempt_budget_share();
+               (config_.retry_slack + share * arrivals_.size()) * failover_policy_.retry_budget_share();
     }
 
     // Expected time of a part at its best replica, preferring healthy ones.
@@ -659,7 +667,7 @@
             best = std::max(best, other.config.utility / other.parts);
         const double value = std::sqrt(std::min(1.0, search.utility / search.parts.size() / best));
         const int steps = request_class.config.follow_up_parts > 0 ? 2 : 1;
-        const Ticks left = (search.due > now_ ? search.due : search.expiry) - now_;
+        const Ticks left = (search.target_at > now_ ? search.target_at : search.deadline) - now_;
         const double wait_share = kMinWaitShare + (kMaxWaitShare - kMinWaitShare) * value;
         // Where a partial answer is allowed, the parts' mean wait decides, else that of each part.
         const bool whole = request_class.config.floor >= request_class.config.need;
@@ -682,7 +690,7 @@
         const bool begun = std::ranges::any_of(search.parts, [](auto& p) { return !p.attempts.empty(); });
         if (!begun) failover_policy_.omit_parts(search, request_class.config.floor, search.tenant);
         if (!begun && (search.shed || !admit(search))) return reject_or_fail(search); // also while backlogged
-        if (search.crashing) return reject_or_fail(search);
+        if (search.is_query_of_death) return reject_or_fail(search);
         const bool singly = !search.has_answer && crashes() >= kCrashLimit;
         const bool in_flight = search.in_flight();
         Part* first = nullptr; // the one with the least expected time
@@ -698,7 +706,8 @@
                      !in_flight && (first == nullptr || wait < least))
                 first = &part, least = wait;
         }
-        if (first != nullptr && start_attempt(*first, request_class)) first->attempts.back().alone = true;
+        if (first != nullptr && start_attempt(*first, request_class))
+            first->attempts.back().is_crash_test = true;
     }
 
     bool is_slow(const Part& part, const RequestClassState& request_class) const {
@@ -723,7 +732,7 @@
         const Ticks overdue = last->sent + hedge_delay(request_class);
         if (!ejected && now_ < overdue) return wake_by(overdue);
         if (copies > 1 && alive > 0) return wake_by(overdue + of_target(kMinHedgeDelay));
-        if (now_ >= search.due || !retry_budget_left() || !may_attempt(part, request_class)) return;
+        if (now_ >= search.target_at || !retry_budget_left() || !may_attempt(part, request_class)) return;
         // The search itself is slow, not its servers: repeating its parts would only double the work.
         const bool costly =
             !search.has_fast_part && std::ranges::count_if(search.parts, &Part::slow) >= kCostlySlowParts;
@@ -733,7 +742,7 @@
         if (healthy_only) wake_by(last->sent + 2 * hedge_delay(request_class));
         IndexServer* other = choose_replica(part, request_class, healthy_only);
         if (other != nullptr && config_.hedging_enabled) plan_attempt(part, *other);
-        if (other != nullptr && !config_.hedging_enabled && config_.may_cancel) last->wanted = false;
+        if (other != nullptr && !config_.hedging_enabled && config_.may_cancel) last->result_needed = false;
     }
 
     bool start_attempt(Part& part, const RequestClassState& request_class) {
@@ -755,12 +764,13 @@
         part.attempts.push_back({server.id, AttemptState::kPlanned, true, false, true, false, now_});
         const bool idle = server.used > 0 && server.in_flight() == 0 && now_ > server.used + of_target(kIdle);
         const bool trusted = now_ >= renew_until_ || new_loss_ >= kLossLimit;
-        server.renew = server.renew || (idle && !trusted);
+        server.close_idle_before_next_attempt = server.close_idle_before_next_attempt || (idle && !trusted);
         const AttemptNo number{static_cast<std::uint32_t>(part.attempts.size() - 1)};
-        server.sent_at[{part.id, number}] = {now_, idle && !server.renew, false, server.renew};
-        server.used = now_, server.limiter.sent(now_), ++server.joining;
+        server.sent_at[{part.id, number}] = {now_, idle && !server.close_idle_before_next_attempt, false,
+                                             server.close_idle_before_next_attempt};
+        server.used = now_, server.limiter.sent(now_), ++server.batched_this_turn;
         watch(server);
-        if (is_cold(server)) server.cold_next = cold_attempt_time(server, 0.5 + random_.unit());
+        if (is_cold(server)) server.next_cold_attempt_at = cold_attempt_time(server, 0.5 + random_.unit());
     }
 
     // How long a server's means stay valid: a latency target, or several intervals between its answers.
@@ -786,13 +796,16 @@
             for (Part& part : search.parts) {
                 for (std::size_t i = 0; i < part.attempts.size(); ++i) {
                     Attempt& attempt = part.attempts[i];
-                    const bool wanted = attempt.wanted && !part.answered && search.status == Status::kOpen;
+                    const bool wanted =
+                        attempt.result_needed && !part.answered && search.status == Status::kOpen;
                     if (attempt.state == AttemptState::kPlanned) {
                         IndexServer& server = servers_.at(attempt.server);
-                        if (server.renew) host.close_idle_connections(attempt.server), server.renew = false;
+                        if (server.close_idle_before_next_attempt)
+                            host.close_idle_connections(attempt.server),
+                                server.close_idle_before_next_attempt = false;
                         const Ticks by = dedup_deadline(part, request_classes_[search.request_class.value]);
-                        host.attempt(part.id, attempt.server, search.expiry - now_,
-                                     std::min(search.expiry, by) - now_);
+                        host.attempt(part.id, attempt.server, search.deadline - now_,
+                                     std::min(search.deadline, by) - now_);
                         attempt.state = AttemptState::kInFlight;
                     } else if (attempt.state == AttemptState::kInFlight && !wanted && !attempt.cancelled &&
                                config_.may_cancel) {
@@ -800,14 +813,14 @@
                             attempt.cancelled = true;
                     }
                 }
-                if (part.backlogged && search.status == Status::kOpen) ++backlog_[part.shard];
+                if (part.waits_for_capacity && search.status == Status::kOpen) ++backlog_[part.shard];
             }
             if (search.status == Status::kEnded) forget(job);
         }
         for (auto& [id, server] : watched_) {
-            if (!server->probe_wanted) continue;
+            if (!server->probe_due) continue;
             host.probe(id);
-            server->probe_wanted = false, server->probe_out = true;
+            server->probe_due = false, server->probe_in_flight = true;
         }
         if (wakeup_ != kNever && (armed_ <= now_ || wakeup_ < armed_))
             host.schedule_wakeup(wakeup_ - now_), armed_ = wakeup_;
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -53,14 +53,14 @@
     bool may_probe = false;
     bool may_send_retry_after = false;
     bool hedging_enabled = false;
-    bool retries_marked = false; // clients mark their retries
+    bool clients_mark_retries = false;
     double over_quota_utility_ratio = 1;
     ListMode list_mode = ListMode::kPushed;
-    // From the protocol: a change of the server list counts as known to all this long after it was published.
+    // Time after which a published change of the server list is assumed to be known to all front nodes.
     Ticks list_propagation = 6 * kTicksPerSecond;
-    int cells = 1; // shard s is held by cells (s + j) mod this, j from 0 to span - 1
+    int cells = 1; // shard s has replicas in the `span` consecutive cells from s mod `cells` on, cyclically
     int span = 1;
-    Ticks call_work = 0; // server time of a call in addition to its parts
+    Ticks call_overhead = 0; // server time of a call in addition to its parts
     bool holds(CellNo cell, ShardNo shard) const {
         return (cell.value - shard.value % cells + cells) % cells < span;
     }
@@ -83,14 +83,14 @@
     kNotSent
 };
 enum class ListedState { kLive, kDraining, kGone };
-enum class ListKind { kChanges, kWhole, kSaved, kLost }; // kSaved: from the last run; kLost: the query failed
+enum class ServerListKind { kDelta, kFull, kPersisted, kQueryFailed }; // kPersisted: from the last run
 
 struct SearchAccepted {
     SearchId id;
     JobNo job;
     RequestClassNo request_class;
     TenantNo tenant;
-    Ticks time_left = 0; // until this try expires
+    Ticks time_left = 0; // until the client's current request expires
     bool is_retry = false;
 };
 struct PartAdded {
@@ -116,7 +116,7 @@
 struct SearchAbandoned { // expired, or given up by its client
     SearchId id;
 };
-// The caller has lost its right to the search: attempts in flight may still answer, no further one is made.
+// The client's access was revoked: attempts in flight may still answer, no further one is made.
 struct SearchRevoked {
     SearchId id;
 };
@@ -130,7 +130,7 @@
     Ticks started = 0; // 0: long ago
 };
 struct ServerListUpdate {
-    ListKind kind = ListKind::kChanges;
+    ServerListKind kind = ServerListKind::kDelta;
     std::vector<ListEntry> entries;
 };
 
@@ -143,7 +143,7 @@
 struct FailoverPolicyUpdate {
     struct Site {
         ZoneNo zone;
-        double share = 1; // of the choices in which its servers take part; 0: in none
+        double share = 1; // share of replica selections that may consider its servers; 0: none
     };
     struct Row { // tenant -1: all tenants without a row of their own
         RequestClassNo request_class;
@@ -155,8 +155,8 @@
     std::vector<Row> rows;
     // Shards short of capacity: share of the demand that fits.
     std::vector<std::pair<ShardNo, double>> capacity_shares;
-    double attempt_budget_share = 1; // of the retry budget that may be used
-    Ticks retry_after = 0;           // maximum for rejected searches; 0: no change
+    double retry_budget_share = 1; // of the retry budget that may be used
+    Ticks retry_after = 0;         // maximum for rejected searches; 0: no change
 };
 
 using Event = std::variant<SearchAccepted, PartAdded, AttemptEnded, ProbeEnded, SearchAbandoned,
@@ -169,7 +169,7 @@
     // An attempt that has not been sent after `send_within` must not be sent any more.
     virtual void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) = 0;
     virtual void cancel_attempt(PartId part, AttemptNo attempt) = 0;
-    virtual void answer(SearchId search, bool whole) = 0;
+    virtual void answer(SearchId search, bool complete) = 0;
     virtual void reject(SearchId search, Ticks retry_after) = 0; // retry_after 0: no advice
     virtual void fail(SearchId search) = 0;
     virtual void probe(ServerId server) = 0;
--- a/src/search_scheduler_state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -33,8 +33,8 @@
 struct Attempt {
     ServerId server;
     AttemptState state = AttemptState::kPlanned;
-    bool wanted = true, cancelled = false, may_have_run = true;
-    bool alone = false; // its search's only attempt, sent to learn whether the search crashes servers
+    bool result_needed = true, cancelled = false, may_have_run = true;
+    bool is_crash_test = false; // its search's only attempt, sent to learn whether the search crashes servers
     Ticks sent = 0;
 };
 
@@ -42,13 +42,14 @@
     PartId id;
     ShardNo shard;
     double weight = 0;
-    bool answered = false, backlogged = false;
-    bool slow = false;     // overdue at a server that answers others
-    bool left_out = false; // omitted from the answer while its shard lacks capacity
-    Ticks not_before = 0;  // no attempt until then
+    bool answered = false, waits_for_capacity = false; // no server of its shard may take it yet
+    bool slow = false;                                 // overdue at a server that answers others
+    bool omitted = false; // omitted from the answer while its shard lacks capacity
+    Ticks not_before = 0; // no attempt until then
     std::vector<Attempt> attempts{};
     bool in_flight() const {
-        return std::ranges::any_of(attempts, [](auto& l) { return l.state != AttemptState::kEnded; });
+        return std::ranges::any_of(attempts,
+                                   [](auto& attempt) { return attempt.state != AttemptState::kEnded; });
     }
     bool may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
 };
@@ -57,7 +58,7 @@
     SearchId id;
     RequestClassNo request_class;
     TenantNo tenant;
-    Ticks due = 0, expiry = 0, retry_after = 0;
+    Ticks target_at = 0, deadline = 0, retry_after = 0; // target_at: by the latency target
     double utility = 0;
     int step = 1;
     bool complete = true; // so far
@@ -66,10 +67,10 @@
     std::size_t step_begin = 0; // index of the current step's first part
     std::set<ServerId> crashed; // servers that lost the connection during one of its attempts
     bool has_answer = false;
-    bool crashing = false; // a "query of death"
-    bool has_fast_part = false;
-    bool revoked = false; // no further attempts
-    bool shed = false;    // not admitted under the recovery plan
+    bool is_query_of_death = false; // crashes the servers that it is sent to
+    bool has_fast_part = false;     // a part was answered within the hedge delay
+    bool revoked = false;           // no further attempts
+    bool shed = false;              // not admitted under the recovery plan
     bool in_flight() const { return std::ranges::any_of(parts, &Part::in_flight); }
 };
 
@@ -77,7 +78,7 @@
     Ticks at = 0;
     bool was_idle = false; // sent over a connection that had been idle for long
     bool overdue = false;
-    bool is_new = false;
+    bool on_new_connection = false;
 };
 
 struct IndexServer {
@@ -87,20 +88,20 @@
     bool measured = false;
     double response = 0, queue = 0, service = 0;
     replica_selection::SendRateLimiter limiter;
-    int in_flight_at_report = 0, joining = 0; // joining: attempts that share this turn's call
+    int in_flight_at_report = 0, batched_this_turn = 0; // attempts that share this turn's call
     // health
     std::map<std::pair<PartId, AttemptNo>, SentAttempt> sent_at;
     Health health = Health::kInService;
     double failure_rate = 0;
-    int setbacks = 0, passes = 0, trial_limit = 0; // failed trials; passed probes; attempts during a trial
-    int silent = 0;                                // overdue attempts since its last answer
-    Ticks silent_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, lost_at = 0;
-    Ticks watched_at = 0, used = 0;      // used: traffic on a connection to it
-    Ticks started_at = 0, cold_next = 0; // last start, listed or inferred; next attempt while cold
-    int rejections = 0;                  // in a row
-    Ticks backoff_until = 0;             // after rejections
-    bool known = false, unreachable = false, refused = false, probe_wanted = false, probe_out = false;
-    bool renew = false; // idle connections are to be closed before the next attempt
+    int failed_trials = 0, passed_probes = 0, trial_limit = 0; // trial_limit: attempts during a trial
+    int silent = 0;                                            // overdue attempts since its last answer
+    Ticks last_overdue_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, connection_lost_at = 0;
+    Ticks watched_at = 0, used = 0;                 // used: traffic on a connection to it
+    Ticks started_at = 0, next_cold_attempt_at = 0; // last start, listed or inferred; next attempt while cold
+    int rejections = 0;                             // in a row
+    Ticks backoff_until = 0;                        // after rejections
+    bool known = false, unreachable = false, refused = false, probe_due = false, probe_in_flight = false;
+    bool close_idle_before_next_attempt = false;
 
     std::array<Group, 2> groups() const { return {Group{0, entry.zone.value}, Group{1, entry.kind.value}}; }
     int in_flight() const { return static_cast<int>(sent_at.size()); }
@@ -113,7 +114,7 @@
 
 struct GroupStats {
     double failure_rate = 0; // mean over attempts and probes
-    double response = 0;     // mean, losses counted as a latency target
+    double response = 0;     // mean; a lost attempt counts as the latency target
     Ticks next_probe = 0;
     void record(bool failed, double took, double weight) {
         mix(failure_rate, failed ? 1 : 0, weight), mix(response, took, weight);
@@ -124,9 +125,9 @@
     RequestClassConfig config;
     double response = 0, deviation = 0; // of answered attempts, fleet-wide
     bool measured = false;
-    double parts = 1;          // mean number for one search
-    Ticks usual_time_left = 0; // of first tries
-    int votes = 0;
+    double parts = 1;              // mean number for one search
+    Ticks usual_time_left = 0;     // of first requests, not of clients' retries; by majority vote
+    int usual_time_left_votes = 0; // of the majority vote
 };
 
 struct TenantState { // token bucket of its quota
--- a/src/sessions/http1/session.cpp
+++ b/src/sessions/http1/session.cpp
@@ -27,7 +27,7 @@
     events_.emplace_back(AnsweredLocally{});
 }
 
-// The connection closes after an answer if the reducer or the client's request says so.
+// The connection closes after an answer if the caller (`last`) or the client's request asks for it.
 void Http1Session::send_reply(const protocol::Reply& reply, bool last) {
     busy_ = false, closing_ = closing_ || last;
     out_ += protocol::write_reply(reply, closing_);
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -63,7 +63,7 @@
     // RING only triggers the decision that follows every event. Other messages are ignored.
 }
 
-void Instance::apply_list(Ticks now, ListKind kind, const EndpointList& endpoints) {
+void Instance::apply_list(Ticks now, ServerListKind kind, const EndpointList& endpoints) {
     ServerListUpdate update{kind, {}};
     for (const ListedEndpoint& row : endpoints) {
         update.entries.push_back(row.entry);
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -22,7 +22,7 @@
         : connect_timeout_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
 
     void apply(Ticks now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
-    void apply_list(Ticks now, ListKind kind, const EndpointList& endpoints);
+    void apply_list(Ticks now, ServerListKind kind, const EndpointList& endpoints);
     std::string decide(Ticks now); // the actions, one line each
 
     void attempt(PartId part, ServerId server, Ticks time_out, Ticks send_within) override;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -66,8 +66,8 @@
         const auto found = instances_.find(*current_node_);
         if (found == instances_.end()) return; // the instance does not run: no reply is due
         if (message.name() == "ENDPOINTS") {
-            const ListKind kind = read_list_kind(message.text("Scope"));
-            const bool listed = kind != ListKind::kLost;
+            const ServerListKind kind = read_list_kind(message.text("Scope"));
+            const bool listed = kind != ServerListKind::kQueryFailed;
             found->second.apply_list(
                 now_, kind, listed ? endpoint_lists_.at(endpoint_list_index(message)) : EndpointList{});
         } else {
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -87,11 +87,11 @@
     throw WireError("Availability: unknown value: " + quoted(value));
 }
 
-ListKind read_list_kind(std::string_view value) {
-    if (value == "incr") return ListKind::kChanges;
-    if (value == "total") return ListKind::kWhole;
-    if (value == "warm_copy") return ListKind::kSaved;
-    if (value == "lost") return ListKind::kLost;
+ServerListKind read_list_kind(std::string_view value) {
+    if (value == "incr") return ServerListKind::kDelta;
+    if (value == "total") return ServerListKind::kFull;
+    if (value == "warm_copy") return ServerListKind::kPersisted;
+    if (value == "lost") return ServerListKind::kQueryFailed;
     throw WireError("Scope: unknown value: " + quoted(value));
 }
 
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -40,6 +40,6 @@
 LoadReport read_report(const Message& message);
 Outcome read_outcome(std::string_view value);
 ListedState read_listed(std::string_view value);
-ListKind read_list_kind(std::string_view value);
+ServerListKind read_list_kind(std::string_view value);
 
 } // namespace ivyrill::simulator
--- a/tests/configuration_tests.cpp
+++ b/tests/configuration_tests.cpp
@@ -96,7 +96,7 @@
     BOOST_TEST(stream.max_attempts == 2);
     BOOST_TEST(stream.sticky);
     BOOST_TEST(stream.resumable);
-    BOOST_TEST(stream.longest_gap_ms == 150);
+    BOOST_TEST(stream.max_event_gap_ms == 150);
     const Route& split = read.routes[1];
     BOOST_TEST((split.kind == RouteKind::kUnsafe));
     BOOST_TEST(split.timeout_ms == 2000);
@@ -109,7 +109,7 @@
     BOOST_TEST(split.max_attempts == 1);
     BOOST_TEST(!split.sticky);
     BOOST_TEST(!split.resumable);
-    BOOST_TEST(split.longest_gap_ms == 152);
+    BOOST_TEST(split.max_event_gap_ms == 152);
 }
 
 BOOST_AUTO_TEST_CASE(services_and_limits_of_the_example_are_read) {
@@ -126,8 +126,8 @@
     BOOST_TEST(engine.token_bytes == 131072);
     BOOST_TEST(engine.link_mbps == 3400000);
     BOOST_TEST(engine.stride == 63);
-    BOOST_TEST(engine.handle_hold_s == 5);
-    BOOST_TEST(engine.role_switch_s == 0.5);
+    BOOST_TEST(engine.kv_handle_hold_s == 5);
+    BOOST_TEST(engine.stage_switch_s == 0.5);
     BOOST_TEST(engine.models == std::vector<std::string>{"m"});
     BOOST_TEST(!read.services[1].engine.has_value());
     BOOST_TEST(read.services[1].health_path == "/alive");
--- a/tests/fake_host.hpp
+++ b/tests/fake_host.hpp
@@ -66,7 +66,7 @@
   public:
     explicit FakeHost(const SchedulerConfig& config, int servers = 3)
         : scheduler(make_search_scheduler(config)) {
-        ServerListUpdate update{ListKind::kSaved, {}};
+        ServerListUpdate update{ServerListKind::kPersisted, {}};
         for (int i = 0; i < servers; ++i) update.entries.push_back(entry(i));
         handle(update);
     }
--- a/tests/feed_tests.cpp
+++ b/tests/feed_tests.cpp
@@ -198,7 +198,7 @@
                               [](auto& to) { to.routes[0].max_attempts = 2; },
                               [](auto& to) { to.routes[0].sticky = true; },
                               [](auto& to) { to.routes[0].resumable = true; },
-                              [](auto& to) { to.routes[0].longest_gap_ms = 1; },
+                              [](auto& to) { to.routes[0].max_event_gap_ms = 1; },
                               [](auto& to) { to.routes[0].path_prefix = "/x/"; },
                               [](auto& to) { to.routes.clear(); },
                               [](auto& to) { to.services[0].health_path = "/h"; },
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -46,7 +46,7 @@
             const auto* replicate = std::get_if<Replicate>(&message);
             if (replicate == nullptr || replicate->id.number == 0) return;
             for (const model::ControlNode& peer : acknowledging)
-                registry.handle_replicated(peer, Replicated{replicate->id});
+                registry.handle_replicate_ack(peer, Replicated{replicate->id});
         };
         made.send = [this](const std::string& peer, const feed::Message& message) {
             if (peer == unreachable) return false;
@@ -122,7 +122,7 @@
 // Simulates a peer that answers the request without any new record.
 void complete_sync(Node& node, const model::ControlNode& peer) {
     node.registry.request_sync(peer);
-    node.registry.receive_records(peer, {{}, true, last_sync_request(node)});
+    node.registry.handle_records(peer, {{}, true, last_sync_request(node)});
     node.sent.clear();
 }
 
@@ -183,14 +183,14 @@
         BOOST_REQUIRE(message.instances.size() == 1U);
         BOOST_TEST((message.instances[0].state == InstanceState::kDraining));
         const feed::RequestId id = message.id;
-        node.registry.handle_replicated(kPeerNode, {id});
-        node.registry.handle_replicated(kPeerNode, {id}); // the same peer is not counted twice
-        node.registry.handle_replicated(
+        node.registry.handle_replicate_ack(kPeerNode, {id});
+        node.registry.handle_replicate_ack(kPeerNode, {id}); // the same peer is not counted twice
+        node.registry.handle_replicate_ack(
             kThirdNode, {{id.incarnation, id.number + 17}}); // a reply to another request is not counted
         int checks = 0;
         co_await script.until([&] { return ++checks > 5; });
         BOOST_TEST(!done);
-        node.registry.handle_replicated(kThirdNode, {id});
+        node.registry.handle_replicate_ack(kThirdNode, {id});
         const bool holds = co_await script.until([&] { return done; }, kTicksPerSecond / 2);
         BOOST_TEST(holds);
         // Once durable, the next heartbeat needs no further replication.
@@ -416,16 +416,16 @@
         complete_sync(node, kPeerNode);
         feed::PeerStatus lacks, same;
         same.instances = node.registry.digests();
-        node.registry.compare_digests(kPeerNode, lacks);
-        node.registry.compare_digests(kPeerNode, same); // the difference was in transit
-        node.registry.compare_digests(kPeerNode, lacks);
+        node.registry.handle_digests(kPeerNode, lacks);
+        node.registry.handle_digests(kPeerNode, same); // the difference was in transit
+        node.registry.handle_digests(kPeerNode, lacks);
         BOOST_TEST(node.sent.empty());
-        node.registry.compare_digests(kPeerNode, lacks);
+        node.registry.handle_digests(kPeerNode, lacks);
         BOOST_REQUIRE(node.sent.size() == 1U);
         BOOST_TEST(node.sent[0].peer == kPeer);
         const auto wanted = std::get<feed::RangeRequest>(node.sent[0].message);
         BOOST_TEST((wanted.ranges == std::vector<std::uint64_t>{feed::InstanceTable::range_of("i-1")}));
-        node.registry.send_ranges(kPeerNode, wanted);
+        node.registry.handle_range_request(kPeerNode, wanted);
         BOOST_TEST(std::get<feed::Instances>(node.sent.back().message).records.size() == 1U);
         co_return Done{};
     });
@@ -485,15 +485,15 @@
     script.run([&]() -> ReactorScript::Step {
         script.reactor.spawn(drain());
         const feed::RequestId id = std::get<Replicate>(node.sent.back().message).id;
-        node.registry.handle_replicated(kPeerNode, {{id.incarnation + 1, id.number}});
+        node.registry.handle_replicate_ack(kPeerNode, {{id.incarnation + 1, id.number}});
         BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
         int checks = 0;
         co_await script.until([&] { return ++checks > 5; });
         BOOST_TEST(!done);
-        node.registry.handle_replicated(kPeerNode, {id});
+        node.registry.handle_replicate_ack(kPeerNode, {id});
         const bool holds = co_await script.until([&] { return done; }, kTicksPerSecond / 2);
         BOOST_TEST(holds);
-        node.registry.handle_replicated(kPeerNode, {id}); // a duplicate matches no pending request
+        node.registry.handle_replicate_ack(kPeerNode, {id}); // a duplicate matches no pending request
         BOOST_TEST(node.registry.dropped_replies().unsolicited == 1U);
         co_return Done{};
     });
@@ -579,13 +579,13 @@
     node.registry.request_sync(kPeerNode); // a request is pending
     BOOST_TEST(node.sent.size() == 1U);
     Instance left = server("i-1", 4, InstanceState::kGone);
-    node.registry.receive_records(kPeerNode, {{left}, true, {request.incarnation + 1, request.number}});
-    node.registry.receive_records(kPeerNode, {{left}, true, {request.incarnation, request.number + 1}});
-    node.registry.receive_records(kThirdNode, {{left}, true, request}); // no request was sent to it
+    node.registry.handle_records(kPeerNode, {{left}, true, {request.incarnation + 1, request.number}});
+    node.registry.handle_records(kPeerNode, {{left}, true, {request.incarnation, request.number + 1}});
+    node.registry.handle_records(kThirdNode, {{left}, true, request}); // no request was sent to it
     BOOST_TEST(node.registry.synced_members().empty());
     BOOST_TEST(node.registry.dropped_replies().other_process == 1U);
     BOOST_TEST(node.registry.dropped_replies().unsolicited == 2U);
-    node.registry.receive_records(kPeerNode, {{left}, true, request});
+    node.registry.handle_records(kPeerNode, {{left}, true, request});
     BOOST_TEST((node.registry.synced_members() == std::set<std::uint64_t>{kPeerNode.member}));
     BOOST_TEST((node.state("i-1") == InstanceState::kGone));
     BOOST_TEST(node.registry.table().find("i-1") != nullptr); // records of gone servers are included
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -242,7 +242,7 @@
 // ---- front nodes
 
 ServerListUpdate SimulatedSites::list_update(bool whole) const {
-    ServerListUpdate update{whole ? ListKind::kSaved : ListKind::kChanges, {}};
+    ServerListUpdate update{whole ? ServerListKind::kPersisted : ServerListKind::kDelta, {}};
     for (int i = 0; i < plan_.servers; ++i) {
         const Server& server = *servers_[i];
         update.entries.push_back({ServerId{static_cast<std::uint32_t>(i)}, ZoneNo{server.site}, KindNo{0},
@@ -673,7 +673,7 @@
                 static_cast<double>(std::min(request_class.parts, plan_.shards))};
     }
     for (int shard = 0; shard < plan_.shards; ++shard) terms.demand.shards[shard] = 1.0 / plan_.shards;
-    const recovery::Plan plan = recovery::plan_without(terms, {});
+    const recovery::Plan plan = recovery::plan_for_lost_sites(terms, {});
     return plan.shedding.max_utility > 0 ? plan.shedding.utility / plan.shedding.max_utility : 0;
 }
 
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -264,14 +264,14 @@
 
 // The simulator's opening message and the front node's JSON are read by the same parser.
 void simulator_and_front_node_read_equal_settings() {
-    const std::string orders =
+    const std::string start_config_json =
         R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",)"
         R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":0,"full":true,"servers":[]},)"
         R"("settings":{"Grades":[{"AimUs":1000000,"DeadlineUs":2500000,"Idempotency":"non_idempotent",)"
         R"("Name":"game annotate","Worth":2.0}],"Limits":{"MostTries":3,"MaxOpen":203,"ConnIdleUs":15000000},)"
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
-    const StartConfig read = read_start_config(orders);
+    const StartConfig read = read_start_config(start_config_json);
     const SchedulerConfig simulated = simulator::read_scheduler_config(simulator::Message(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
--- a/tests/search_scheduler_tests.cpp
+++ b/tests/search_scheduler_tests.cpp
@@ -86,7 +86,7 @@
 void new_server_scores_as_the_mean() {
     FakeHost host(default_config(), 2);
     host.warm(2, ms(50));
-    host.handle(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(2)}});
+    host.handle(ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(2)}});
     host.sent.clear();
     host.search({0, 0, 0}); // as good as the others and no better
     assert(host.sent_to(0) == 1 && host.sent_to(1) == 1 && host.sent_to(2) == 1);
@@ -98,7 +98,7 @@
         SchedulerConfig config = default_config();
         config.seed = seed;
         FakeHost separate(config, 2);
-        config.call_work = ms(100);
+        config.call_overhead = ms(100);
         FakeHost together(config, 2);
         for (FakeHost* host : {&separate, &together}) {
             host->search({0});    // one server has an attempt in flight
@@ -203,12 +203,12 @@
 void draining_and_gone_servers_get_nothing() {
     FakeHost host(default_config());
     host.handle(ServerListUpdate{
-        ListKind::kChanges,
+        ServerListKind::kDelta,
         {FakeHost::entry(0, ListedState::kDraining), FakeHost::entry(1, ListedState::kGone)}});
     for (int i = 0; i < 6; ++i) host.search({0});
     assert(host.sent_to(2) == 6);
     host.handle(
-        ServerListUpdate{ListKind::kWhole, {FakeHost::entry(0)}}); // the whole list replaces the old one
+        ServerListUpdate{ServerListKind::kFull, {FakeHost::entry(0)}}); // the whole list replaces the old one
     host.sent.clear();
     host.search({0, 0});
     assert(host.sent_to(0) == 2);
@@ -217,7 +217,7 @@
 void cold_server_gets_reduced_load() {
     FakeHost host(default_config(), 2);
     host.warm(2, ms(100));
-    host.handle(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
+    host.handle(ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(1, ListedState::kLive, host.now)}});
     host.sent.clear();
     for (int i = 0; i < 50; ++i) host.search({0}), host.pass(ms(20));
     // Overload factor 2, a fifth of the capacity and rising, 20 parts a second, three front nodes.
@@ -253,7 +253,8 @@
         config.front_nodes = 60, config.seed = seed;
         FakeHost host(config, 2);
         host.warm(2, ms(100));
-        host.handle(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
+        host.handle(
+            ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         for (int i = 0; i < 50; ++i) host.search({0}), host.pass(ms(20));
         sum += host.sent_to(1);
@@ -270,7 +271,8 @@
         config.front_nodes = 60, config.seed = seed;
         FakeHost host(config, 2);
         host.warm(2, ms(100));
-        host.handle(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
+        host.handle(
+            ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         const auto second = [&] {
             const int before = host.sent_to(1);
@@ -305,7 +307,7 @@
         for (auto& host : hosts) {
             host->now = now, host->sent.clear();
             host->handle(
-                ServerListUpdate{ListKind::kChanges, {FakeHost::entry(0, ListedState::kLive, start)}});
+                ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(0, ListedState::kLive, start)}});
         }
         Pcg chance(static_cast<std::uint64_t>(nodes));
         std::deque<Ticks> sent;
@@ -367,7 +369,8 @@
         if (!from_nothing) config.overload_window = 0;
         FakeHost host(config, 2);
         host.warm(2, ms(100));
-        host.handle(ServerListUpdate{ListKind::kChanges, {FakeHost::entry(1, ListedState::kLive, host.now)}});
+        host.handle(
+            ServerListUpdate{ServerListKind::kDelta, {FakeHost::entry(1, ListedState::kLive, host.now)}});
         host.sent.clear();
         for (int i = 0; i < 180; ++i)
             host.search({0}), host.pass(ms(50)), host.end_all(Outcome::kAnswered, ms(100));
@@ -575,7 +578,7 @@
 // Servers 6 to 29 share a zone or kind and fail. New servers of that group must rank below other new ones.
 void check_degraded_group(ListEntry like, Outcome outcome, Ticks took) {
     FakeHost host(default_config(), 0);
-    ServerListUpdate update{ListKind::kWhole, {}}, more{ListKind::kChanges, {}};
+    ServerListUpdate update{ServerListKind::kFull, {}}, more{ServerListKind::kDelta, {}};
     for (int i = 0; i < 36; ++i) {
         ListEntry entry = FakeHost::entry(i);
         if (i >= 6 && i < 33) entry.zone = like.zone, entry.kind = like.kind;
@@ -637,7 +640,7 @@
     FakeHost host(config);
     host.turn();
     assert(host.subscribed == 1);
-    host.handle(ServerListUpdate{ListKind::kLost, {}});
+    host.handle(ServerListUpdate{ServerListKind::kQueryFailed, {}});
     host.turn();
     assert(host.subscribed == 1); // not at once: other nodes have lost theirs too
     host.pass(ms(2000));
@@ -664,7 +667,7 @@
         config.request_classes[0].floor = 0.5;
         config.request_classes.push_back(config.request_classes[0]);
         FakeHost host(config, 1);
-        ServerListUpdate update{ListKind::kChanges, {}};
+        ServerListUpdate update{ServerListKind::kDelta, {}};
         for (std::uint32_t i = 1; i <= sound; ++i)
             update.entries.push_back({ServerId{i}, {}, {}, CellNo{1}, ListedState::kLive, 1, 0});
         host.handle(update);
--- a/tests/service_partitions_tests.cpp
+++ b/tests/service_partitions_tests.cpp
@@ -114,7 +114,7 @@
     BOOST_REQUIRE(silent.size() == 1U);
     BOOST_TEST(silent.front().id == "i-1");
     BOOST_TEST((silent.front().state == model::InstanceState::kSilent));
-    detector.discount_pause(2 * kInterval); // this process itself was suspended
+    detector.exclude_suspension(2 * kInterval); // this process itself was suspended
     BOOST_TEST(detector.check(table, owned, kStart + 4 * kInterval).empty());
     detector.restart_timeouts(kStart + 20 * kInterval);
     BOOST_TEST(detector.check(table, owned, kStart + 22 * kInterval).empty());
