--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -43,11 +43,12 @@
     }
     const protocol::StartConfig configuration = read_configuration(path);
     if (loaded)
-        check_names(loaded->settings, configuration.terms.request_classes, configuration.terms.tenants);
+        check_names(loaded->settings, configuration.front_node_config.request_classes,
+                    configuration.front_node_config.tenants);
     std::cout << path << ": valid; " << configuration.name << " on " << configuration.listen
               << ", discovery at " << configuration.discovery << ", " << configuration.known.servers.size()
-              << " index servers known, " << configuration.terms.request_classes.size() << " products, "
-              << configuration.sockets << " sockets, " << configuration.memory_mb << " MB\n";
+              << " index servers known, " << configuration.front_node_config.request_classes.size()
+              << " products, " << configuration.sockets << " sockets, " << configuration.memory_mb << " MB\n";
     return 0;
 }
 
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -91,22 +91,23 @@
     : configuration_(std::move(configuration)), reload_(std::move(reload)), operator_file_(operator_file) {
     signals_.emplace(loop_, open_signals());
     listeners_.push_back(std::make_unique<Listener>(loop_, configuration_.listen));
-    for (const RequestClassConfig& request_class : configuration_.terms.scheduler.request_classes)
+    for (const RequestClassConfig& request_class : configuration_.front_node_config.scheduler.request_classes)
         stall_timeout_ = std::max(stall_timeout_, request_class.deadline);
-    router_ = std::make_unique<routing::Router>(configuration_.terms, configuration_.known,
+    router_ = std::make_unique<routing::Router>(configuration_.front_node_config, configuration_.known,
                                                 configuration_.discovery, descriptors(configuration_.sockets),
                                                 loop_.now());
     if (operator_file_.empty()) return;
     tickets_.emplace(loop_, Ticks{0});
     operator_settings_ = load_operator_files(operator_file_, nullptr, transport::Loop::wall(), &*tickets_);
     const operators::OperatorSettings& settings = operator_settings_->settings;
-    check_names(settings, configuration_.terms.request_classes, configuration_.terms.tenants);
+    check_names(settings, configuration_.front_node_config.request_classes,
+                configuration_.front_node_config.tenants);
     tickets_.emplace(loop_, settings.ticket_lifetime);
     audit_.emplace(settings.audit);
     if (settings.membership) {
-        coordination_ =
-            std::make_unique<CoordinationThread>(settings, operator_settings_->secret, configuration_.terms,
-                                                 configuration_.name, configuration_.terms.scheduler.seed);
+        coordination_ = std::make_unique<CoordinationThread>(
+            settings, operator_settings_->secret, configuration_.front_node_config, configuration_.name,
+            configuration_.front_node_config.scheduler.seed);
         member_count_source_.emplace(loop_, dup(coordination_->member_count_descriptor()));
         protocol::ServerList known = configuration_.known;
         known.full = true;
@@ -237,7 +238,8 @@
     try {
         LoadedSettings loaded = load_operator_files(operator_file_, operator_settings_->policy.get(),
                                                     transport::Loop::wall(), &*tickets_);
-        check_names(loaded.settings, configuration_.terms.request_classes, configuration_.terms.tenants);
+        check_names(loaded.settings, configuration_.front_node_config.request_classes,
+                    configuration_.front_node_config.tenants);
         const auto same = [](auto& a, auto& b) { return a.name == b.name && a.address == b.address; };
         if (!std::ranges::equal(loaded.settings.listeners, operator_settings_->settings.listeners, same) ||
             (loaded.policy == nullptr) != (operator_settings_->policy == nullptr))
@@ -564,8 +566,9 @@
     const int descriptor = transport::connect_to(effect.address);
     if (descriptor < 0) return post(routing::ConnectionClosed{effect.connection});
     try {
-        auto connection = std::make_unique<Connection>(effect.connection, loop_, descriptor,
-                                                       kRequestBufferPerPart * configuration_.terms.batch);
+        auto connection = std::make_unique<Connection>(
+            effect.connection, loop_, descriptor,
+            kRequestBufferPerPart * configuration_.front_node_config.max_parts_per_call);
         connection->task = serve_connection(*connection);
         connections_.emplace(effect.connection, std::move(connection)).first->second->task.start();
     } catch (const std::system_error& error) {
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -142,7 +142,7 @@
     for (RequestClassConfig& request_class : config.scheduler.request_classes)
         request_class.follow_up_parts = 0; // follow-up parts exist in the simulator only
     config.max_open = reader.whole("Limits.MaxOpen", 0);
-    config.batch = reader.at_least_one("Specifics.Batch", 1);
+    config.max_parts_per_call = reader.at_least_one("Specifics.Batch", 1);
     config.max_calls_per_connection = reader.at_least_one("Limits.StreamsPerConn", 1);
     config.shards = reader.at_least_one("Specifics.Slabs", 1);
     config.idle_timeout = reader.duration_rounded_down("Limits.ConnIdleUs");
@@ -152,7 +152,7 @@
     config.request_classes = reader.names_of_rows("Grades");
     config.tenants = reader.names_of_rows("Tenants");
     config.zones = reader.names("Zones");
-    config.kinds = reader.names("Kinds");
+    config.server_kinds = reader.names("Kinds");
     return config;
 }
 
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -15,13 +15,13 @@
 // The configuration of the network layer, and that of the scheduler in `scheduler`.
 struct FrontNodeConfig {
     SchedulerConfig scheduler;
-    int max_open = 0;                 // concurrent searches and parts, 0: no limit
-    int batch = 1;                    // maximum number of parts per call
+    int max_open = 0; // concurrent searches and parts, 0: no limit
+    int max_parts_per_call = 1;
     int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
     Ticks idle_timeout = 0;  // after which the index server closes an idle connection, 0: never
     Ticks watch_timeout = 0; // list changes count as delivered to a node that has not polled for this long
-    std::vector<std::string> request_classes, tenants, zones, kinds;
+    std::vector<std::string> request_classes, tenants, zones, server_kinds;
 };
 
 // Replaces spaces and commas by _; applied wherever a name of the settings is read or looked up.
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -219,7 +219,7 @@
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
     if (error != std::errc{} || end != digits.data() + digits.size())
         throw ProtocolError("seed: not a hexadecimal number: " + quoted(digits));
-    config.terms = read_front_node_config(flatten(json.at("settings")), seed);
+    config.front_node_config = read_front_node_config(flatten(json.at("settings")), seed);
     return config;
 }
 
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -79,7 +79,7 @@
     std::string name, listen, discovery;
     std::int64_t sockets = 0, memory_mb = 0;
     ServerList known;
-    FrontNodeConfig terms;
+    FrontNodeConfig front_node_config;
 };
 StartConfig read_start_config(std::string_view text); // throws ProtocolError
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-Router::Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
+Router::Router(protocol::FrontNodeConfig config, const protocol::ServerList& known, std::string discovery,
                std::size_t descriptors, Ticks now)
-    : terms_(std::move(terms)), scheduler_(make_search_scheduler(terms_.scheduler)),
+    : config_(std::move(config)), scheduler_(make_search_scheduler(config_.scheduler)),
       descriptors_(descriptors), now_(now), discovery_(std::move(discovery)) {
     apply_list(known, ServerListKind::kPersisted);
 }
@@ -175,15 +175,15 @@
     const auto decision = admit(found->second, event);
     if (decision && decision->reason != access::Reason::kAdmitted)
         return refuse(event.client, event.stream, decision->reason);
-    const auto request_class = std::ranges::find(terms_.request_classes, request.request_class);
-    if (request_class == terms_.request_classes.end()) return reject(404, "unknown product");
-    if (std::ranges::any_of(request.targets, [&](auto& t) { return t.shard >= terms_.shards; }))
+    const auto request_class = std::ranges::find(config_.request_classes, request.request_class);
+    if (request_class == config_.request_classes.end()) return reject(404, "unknown product");
+    if (std::ranges::any_of(request.targets, [&](auto& t) { return t.shard >= config_.shards; }))
         return reject(400, "unknown partition");
     if (open_ids_.contains(request.id)) return reject(409, "a search with this id is already open");
     ++counts_.searches;
     const Ticks left = ticks_rounded_down(request.timeout_us) - event.age;
-    const bool full =
-        terms_.max_open > 0 && searches_.size() + parts_.size() >= static_cast<std::size_t>(terms_.max_open);
+    const bool full = config_.max_open > 0 &&
+                      searches_.size() + parts_.size() >= static_cast<std::size_t>(config_.max_open);
     if (full || left <= 0 || over_fair_share(event.client, found->second)) {
         ++counts_.over_limit, ++counts_.rejected;
         effects_.push_back(AnswerClient{
@@ -192,10 +192,10 @@
     }
     const SearchId id{next_id_++};
     const JobNo job{id.value};
-    const auto tenant = std::ranges::find(terms_.tenants, decision ? decision->tenant : request.tenant);
+    const auto tenant = std::ranges::find(config_.tenants, decision ? decision->tenant : request.tenant);
     const TenantNo tenant_no{
-        tenant == terms_.tenants.end() ? -1 : static_cast<std::int32_t>(tenant - terms_.tenants.begin())};
-    const RequestClassNo number{static_cast<std::int32_t>(request_class - terms_.request_classes.begin())};
+        tenant == config_.tenants.end() ? -1 : static_cast<std::int32_t>(tenant - config_.tenants.begin())};
+    const RequestClassNo number{static_cast<std::int32_t>(request_class - config_.request_classes.begin())};
     Search& search = searches_[id];
     search.client = event.client, search.stream = event.stream, search.wire_id = request.id,
     search.query = request.query;
@@ -283,12 +283,12 @@
 // A connection with many searches may hold only its fair share of the front node's capacity while others
 // search too. The first search of a connection always passes.
 bool Router::over_fair_share(ClientId id, const Client& client) const {
-    if (client.searches.empty() || terms_.max_open <= 0) return false;
+    if (client.searches.empty() || config_.max_open <= 0) return false;
     const auto others = std::ranges::count_if(
         clients_, [id](auto& held) { return held.first != id && !held.second.searches.empty(); });
     std::size_t held = client.searches.size();
     for (const auto& [stream, search] : client.searches) held += searches_.at(search).parts.size();
-    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(terms_.max_open),
+    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(config_.max_open),
                                                   static_cast<std::size_t>(others));
 }
 
@@ -322,8 +322,8 @@
     ++counts_.attempts;
     const auto at_server = servers_.find(server);
     const bool allowed = at_server != servers_.end() && at_server->second.listed == ListedState::kLive &&
-                         terms_.scheduler.holds(at_server->second.cell, state.shard) && time_out > 0 &&
-                         key.second.value < static_cast<std::uint32_t>(terms_.scheduler.max_attempts);
+                         config_.scheduler.holds(at_server->second.cell, state.shard) && time_out > 0 &&
+                         key.second.value < static_cast<std::uint32_t>(config_.scheduler.max_attempts);
     if (!allowed) return end_attempt_later(key, Outcome::kNotSent);
     schedule(now_ + time_out, AttemptTimeout{key});
     if (send_within < time_out) schedule(now_ + send_within, AttemptTimeout{key});
@@ -334,9 +334,10 @@
 void Router::send_calls() {
     for (auto& [server, keys] : std::exchange(new_attempts_, {})) {
         std::erase_if(keys, [this](auto& key) { return attempts_.at(key).withdrawn; });
-        for (std::size_t begin = 0; begin < keys.size(); begin += static_cast<std::size_t>(terms_.batch)) {
+        for (std::size_t begin = 0; begin < keys.size();
+             begin += static_cast<std::size_t>(config_.max_parts_per_call)) {
             const auto first = keys.begin() + static_cast<std::ptrdiff_t>(begin);
-            const auto size = std::min<std::size_t>(terms_.batch, keys.size() - begin);
+            const auto size = std::min<std::size_t>(config_.max_parts_per_call, keys.size() - begin);
             enqueue_call(server, Call(first, first + static_cast<std::ptrdiff_t>(size)));
         }
     }
@@ -402,7 +403,7 @@
         connection.bytes_queued += bytes.size(), connection.last_used = now_;
         effects_.push_back(WriteConnection{attempt.connection, std::move(bytes)});
         // An early disconnect or a complete answer withdraws attempts that were not overdue.
-        if (parts_.contains(key.first) || now_ >= attempt.created_at + terms_.scheduler.connect_timeout)
+        if (parts_.contains(key.first) || now_ >= attempt.created_at + config_.scheduler.connect_timeout)
             suspect_connection(attempt.connection, attempt);
         arm_send_timeout(attempt.connection, connection);
     }
@@ -433,7 +434,7 @@
 
 // Delayed so that a replacement does not reach its server before the cancellation reaches this one.
 void Router::end_cancelled_attempt(const AttemptKey& key) {
-    schedule(now_ + terms_.scheduler.decision_interval, DeferredAttemptEnd{key, Outcome::kCancelled});
+    schedule(now_ + config_.scheduler.decision_interval, DeferredAttemptEnd{key, Outcome::kCancelled});
 }
 
 void Router::on_timer(const AttemptTimeout& what) {
@@ -487,7 +488,7 @@
 
 // Closes before the index server does: a request written to a connection that it is closing is lost.
 Ticks Router::idle_limit() const {
-    return std::max(terms_.idle_timeout / 2, terms_.idle_timeout - 2 * terms_.scheduler.connect_timeout);
+    return std::max(config_.idle_timeout / 2, config_.idle_timeout - 2 * config_.scheduler.connect_timeout);
 }
 
 std::optional<ConnectionId> Router::connection_for(ServerId server, const Call& call) {
@@ -497,7 +498,7 @@
     for (const ConnectionId id : servers_.at(server).connections) {
         Connection& connection = connections_.at(id);
         if (connection.retired || connection.frame_started_at > 0) continue;
-        if (idle(connection) && terms_.idle_timeout > 0 && now_ >= connection.last_used + idle_limit()) {
+        if (idle(connection) && config_.idle_timeout > 0 && now_ >= connection.last_used + idle_limit()) {
             stale.push_back(id);
             continue;
         }
@@ -508,7 +509,7 @@
         });
         if (known) continue; // an answer there could belong to the earlier attempt
         const int then = occupied_slots(connection) + static_cast<int>(call.size());
-        if (then <= terms_.max_calls_per_connection && (!fallback || then < least))
+        if (then <= config_.max_calls_per_connection && (!fallback || then < least))
             fallback = id, least = then;
         if (then > max_occupied_slots()) continue;
         const auto rank = [](const Connection& held) { return held.up ? (held.suspect ? 1 : 2) : 0; };
@@ -562,7 +563,7 @@
     servers_.at(server).connections.insert(id);
     ++counts_.connections_opened;
     effects_.push_back(OpenConnection{id, servers_.at(server).address});
-    schedule(now_ + terms_.scheduler.connect_timeout, ConnectTimeout{id});
+    schedule(now_ + config_.scheduler.connect_timeout, ConnectTimeout{id});
     return id;
 }
 
@@ -617,7 +618,7 @@
 // is closed; without its last byte it never ran.
 void Router::arm_send_timeout(ConnectionId id, const Connection& connection) {
     if (!connection.write_queue.empty())
-        schedule(now_ + std::max<Ticks>(1, terms_.scheduler.decision_interval), SendTimeout{id});
+        schedule(now_ + std::max<Ticks>(1, config_.scheduler.decision_interval), SendTimeout{id});
 }
 
 void Router::on_timer(const SendTimeout& what) {
@@ -666,7 +667,7 @@
     effects_.push_back(CloseConnection{id});
     // Neither has run; only a failed connect says something about the server.
     const bool overdue =
-        now_ >= connection.last_used + terms_.scheduler.connect_timeout; // last_used: when it was opened
+        now_ >= connection.last_used + config_.scheduler.connect_timeout; // last_used: when it was opened
     const Outcome unsent = connection.up ? Outcome::kNotSent
                            : overdue     ? Outcome::kConnectTimeout
                                          : Outcome::kConnectionRefused;
@@ -708,13 +709,13 @@
     const auto found = connections_.find(event.connection);
     if (found == connections_.end() || found->second.frame_started_at > 0) return;
     found->second.frame_started_at = now_;
-    schedule(now_ + terms_.scheduler.connect_timeout, FrameTimeout{event.connection});
+    schedule(now_ + config_.scheduler.connect_timeout, FrameTimeout{event.connection});
 }
 
 void Router::on_timer(const FrameTimeout& what) {
     const auto found = connections_.find(what.connection);
     if (found == connections_.end() || found->second.frame_started_at == 0) return;
-    if (now_ >= found->second.frame_started_at + terms_.scheduler.connect_timeout)
+    if (now_ >= found->second.frame_started_at + config_.scheduler.connect_timeout)
         apply(MalformedDataReceived{what.connection, {}});
 }
 
@@ -733,7 +734,7 @@
     if (connection.retired || occupied_slots(connection) >= max_occupied_slots() ||
         (connection.suspect && has_healthy_connection(servers_.at(connection.server), true)))
         return close_connection(id);
-    if (terms_.idle_timeout == 0 || std::exchange(connection.idle_armed, true)) return;
+    if (config_.idle_timeout == 0 || std::exchange(connection.idle_armed, true)) return;
     schedule(connection.last_used + idle_limit(), IdleTimeout{id});
 }
 
@@ -768,7 +769,7 @@
     if (!id) return schedule(now_ + 1, DeferredProbeEnd{server});
     Connection& connection = connections_.at(*id);
     connection.probes.push_back({next_probe_++, now_, false});
-    schedule(now_ + terms_.scheduler.connect_timeout, ProbeTimeout{*id, connection.probes.back().serial});
+    schedule(now_ + config_.scheduler.connect_timeout, ProbeTimeout{*id, connection.probes.back().serial});
     connection.waiting.push_back({});
     write_calls(*id);
 }
@@ -852,8 +853,8 @@
         server.listed = row.listed, server.cell = cell;
         ListEntry entry;
         entry.server = id;
-        entry.zone = ZoneNo{index_of(terms_.zones, row.zone)};
-        entry.kind = KindNo{index_of(terms_.kinds, row.kind)};
+        entry.zone = ZoneNo{index_of(config_.zones, row.zone)};
+        entry.kind = KindNo{index_of(config_.server_kinds, row.kind)};
         entry.cell = cell;
         entry.listed = row.listed, entry.weight = row.weight;
         entry.started = std::max<Ticks>(0, row.started_ms) * (kTicksPerSecond / 1000);
@@ -877,7 +878,7 @@
 // two more calls.
 void Router::query_discovery() {
     discovery_call_ = DiscoveryCallId{next_call_++}, discovery_connected_ = false;
-    const Ticks wait = std::min(terms_.watch_timeout, terms_.scheduler.list_propagation) / 2;
+    const Ticks wait = std::min(config_.watch_timeout, config_.scheduler.list_propagation) / 2;
     effects_.push_back(QueryDiscovery{*discovery_call_, discovery_, version_, wait / 10, full_list_wanted_});
     schedule(now_ + wait / 5, DiscoveryTimeout{*discovery_call_, false});
     schedule(now_ + wait + wait / 5, DiscoveryTimeout{*discovery_call_});
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -31,13 +31,13 @@
 class Router : private SchedulerHost {
   public:
     // `descriptors`: limit on connections to clients and index servers together.
-    Router(protocol::FrontNodeConfig terms, const protocol::ServerList& known, std::string discovery,
+    Router(protocol::FrontNodeConfig config, const protocol::ServerList& known, std::string discovery,
            std::size_t descriptors, Ticks now);
 
     // From here on searches need a credential, on the listeners that require one.
     void enable_access_control(std::shared_ptr<const access::Policy> policy, bool key_is_query, Ticks now,
                                Ticks wall);
-    void limit_handshakes(access::HandshakeLimits terms, Ticks now);
+    void limit_handshakes(access::HandshakeLimits limits, Ticks now);
 
     void handle(Ticks now, Event event); // one event
     std::vector<Effect> turn(Ticks now); // expired timers, one decision, and all resulting effects
@@ -250,7 +250,7 @@
     void suspect_connection(ConnectionId id, const Attempt& attempt);
     void record_activity(Connection& connection);
     int occupied_slots(const Connection& connection) const;
-    int max_occupied_slots() const { return std::max(1, terms_.max_calls_per_connection - 1); }
+    int max_occupied_slots() const { return std::max(1, config_.max_calls_per_connection - 1); }
     Ticks idle_limit() const;
     void close_connection(ConnectionId id, bool malformed = false);
     void check_idle(ConnectionId id);
@@ -276,7 +276,7 @@
     std::size_t max_clients() const { return descriptors_ - max_connections() - max_half_closed(); }
     std::int32_t index_of(std::vector<std::string>& names, const std::string& name);
 
-    protocol::FrontNodeConfig terms_;
+    protocol::FrontNodeConfig config_;
     std::unique_ptr<SearchScheduler> scheduler_;
     std::size_t descriptors_;
     Ticks now_ = 0, armed_ = 0;
--- a/src/search_scheduler_state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -18,6 +18,7 @@
 
 enum class Health { kInService, kEjected, kTrial };
 enum class AttemptState { kPlanned, kInFlight, kEnded };
+// kEnded: the outcome was passed to the host; attempts may still be in flight.
 enum class Status { kOpen, kComplete, kPartial, kRejected, kFailed, kEnded };
 
 // Updates an exponentially weighted mean.
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -18,8 +18,8 @@
 
 class Instance : public SchedulerHost {
   public:
-    explicit Instance(SchedulerConfig terms)
-        : connect_timeout_(terms.connect_timeout), scheduler_(make_search_scheduler(std::move(terms))) {}
+    explicit Instance(SchedulerConfig config)
+        : connect_timeout_(config.connect_timeout), scheduler_(make_search_scheduler(std::move(config))) {}
 
     void apply(Ticks now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
     void apply_list(Ticks now, ServerListKind kind, const EndpointList& endpoints);
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -12,21 +12,22 @@
 constexpr Ticks s(std::int64_t count) { return count * kTicksPerSecond; }
 constexpr Ticks kWall = s(1'800'000'000);
 
-AccessOptions terms_of_access() {
-    AccessOptions terms;
-    terms.issuer = "trinacria", terms.audience = "archive";
-    terms.skew = s(5), terms.settle = s(10), terms.max_token_bytes = 4096, terms.max_cached_tokens = 8;
-    terms.clubs = {{"etna", "acme"}};
-    terms.request_classes = {{"find", Right::kRead}};
-    terms.names = {{"spiffe://t/*", "", "etna", "{rest}", {true, false}, {}}};
-    return terms;
+AccessOptions make_access_options() {
+    AccessOptions access_options;
+    access_options.issuer = "trinacria", access_options.audience = "archive";
+    access_options.skew = s(5), access_options.settle = s(10), access_options.max_token_bytes = 4096,
+    access_options.max_cached_tokens = 8;
+    access_options.clubs = {{"etna", "acme"}};
+    access_options.request_classes = {{"find", Right::kRead}};
+    access_options.names = {{"spiffe://t/*", "", "etna", "{rest}", {true, false}, {}}};
+    return access_options;
 }
 
 // A router with access control and one signing key, for the members anna and bruno.
 struct AccessFixture : RouterFixture {
     explicit AccessFixture(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent,
                            int servers = 2)
-        : RouterFixture(node_terms(idempotency), servers) {
+        : RouterFixture(front_node_config(idempotency), servers) {
         router.limit_handshakes({8, 1000, 4}, now);
         router.enable_access_control(policy(), false, now, kWall);
     }
@@ -35,7 +36,7 @@
         files.keys = {{"k.jwk", write_key(key, false)}};
         files.authorities = {{"ca.pem", root.certificate()}};
         files.revocations = NamedText{"revocations.json", revoked.write()};
-        return current = read_policy(terms_of_access(), files, current.get(), kWall);
+        return current = read_policy(make_access_options(), files, current.get(), kWall);
     }
     void reload() { handle(PolicyLoaded{policy()}); }
     std::string token(const std::string& member) {
--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -345,9 +345,10 @@
     using namespace limits;
     assert(fair_share_of_searches(200, 0) == 200 && fair_share_of_searches(200, 3) == 50 &&
            fair_share_of_searches(2, 9) == 1);
-    ConnectionLimits terms;
-    terms.max_streams = 10, terms.max_buffered_bytes = 1000, terms.max_body_bytes = 100;
-    ConnectionBudget budget(terms, 0);
+    ConnectionLimits connection_limits;
+    connection_limits.max_streams = 10, connection_limits.max_buffered_bytes = 1000,
+    connection_limits.max_body_bytes = 100;
+    ConnectionBudget budget(connection_limits, 0);
     int resets = 0;
     while (budget.spend(ClientAction::kReset, 0)) ++resets;
     assert(resets == 20 && !budget.spend(ClientAction::kReset, 999) &&
--- a/tests/lab/front_node_fixture.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -64,7 +64,7 @@
     start_config.name = "hall", start_config.listen = "127.0.0.1:0",
     start_config.discovery = fleet.discovery();
     start_config.sockets = plan.sockets, start_config.memory_mb = 192, start_config.known = fleet.list();
-    SchedulerConfig& terms = start_config.terms.scheduler;
+    SchedulerConfig& terms = start_config.front_node_config.scheduler;
     for (const Idempotency idempotency : {Idempotency::kIdempotent, plan.idempotency}) {
         RequestClassConfig request_class;
         request_class.latency_target = kTicksPerSecond, request_class.deadline = 2 * kTicksPerSecond,
@@ -77,13 +77,14 @@
     terms.overload_window = kTicksPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
     terms.may_cancel = terms.may_probe = true, terms.list_mode = ListMode::kQueried;
     terms.cells = plan.servers;
-    start_config.terms.request_classes = {"find", "annotate"}, start_config.terms.tenants = {"etna", "conca"};
-    start_config.terms.zones = {"a"}, start_config.terms.kinds = {"m"},
-    start_config.terms.shards = plan.servers;
-    start_config.terms.max_calls_per_connection = 100,
-    start_config.terms.scheduler.connect_timeout = kTicksPerSecond / 4;
-    start_config.terms.idle_timeout = 15 * kTicksPerSecond,
-    start_config.terms.watch_timeout = 100 * kTicksPerSecond;
+    start_config.front_node_config.request_classes = {"find", "annotate"},
+    start_config.front_node_config.tenants = {"etna", "conca"};
+    start_config.front_node_config.zones = {"a"}, start_config.front_node_config.server_kinds = {"m"},
+    start_config.front_node_config.shards = plan.servers;
+    start_config.front_node_config.max_calls_per_connection = 100,
+    start_config.front_node_config.scheduler.connect_timeout = kTicksPerSecond / 4;
+    start_config.front_node_config.idle_timeout = 15 * kTicksPerSecond,
+    start_config.front_node_config.watch_timeout = 100 * kTicksPerSecond;
 
     int pipe_ends[2];
     if (pipe(pipe_ends) != 0) throw std::runtime_error("cannot create a pipe");
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -276,16 +276,18 @@
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
-    const SchedulerConfig& terms = read.terms.scheduler;
-    assert(terms.seed == 255 && simulated.seed == 255 && terms.front_nodes == 2 &&
+    const SchedulerConfig& scheduler_config = read.front_node_config.scheduler;
+    assert(scheduler_config.seed == 255 && simulated.seed == 255 && scheduler_config.front_nodes == 2 &&
            simulated.front_nodes == 2);
-    assert(terms.request_classes.size() == 1 &&
-           terms.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
-    assert(terms.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
-           terms.request_classes[0].floor == 0.5);
-    assert(terms.cells == 4 && simulated.cells == 4 && terms.max_attempts == 3);
-    assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
-    assert(read.terms.max_open == 203 && read.terms.idle_timeout == ms(15'000) && read.sockets == 1024);
+    assert(scheduler_config.request_classes.size() == 1 &&
+           scheduler_config.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
+    assert(scheduler_config.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
+           scheduler_config.request_classes[0].floor == 0.5);
+    assert(scheduler_config.cells == 4 && simulated.cells == 4 && scheduler_config.max_attempts == 3);
+    assert(read.front_node_config.request_classes[0] == "game_annotate" &&
+           read.front_node_config.zones[0] == "a_b");
+    assert(read.front_node_config.max_open == 203 && read.front_node_config.idle_timeout == ms(15'000) &&
+           read.sockets == 1024);
 }
 
 constexpr Test kTests[] = {
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -11,17 +11,18 @@
 using protocol::Verdict;
 
 inline protocol::FrontNodeConfig
-node_terms(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
-    protocol::FrontNodeConfig terms;
-    terms.scheduler = default_config();
-    terms.scheduler.hedging_enabled = false;
-    terms.scheduler.list_mode = ListMode::kQueried;
-    terms.scheduler.request_classes[0].idempotency = idempotency;
-    terms.request_classes = {"find"}, terms.tenants = {"acme"}, terms.zones = {"a"}, terms.kinds = {"m"};
-    terms.max_calls_per_connection = 100, terms.shards = 2;
-    terms.scheduler.connect_timeout = ms(250), terms.idle_timeout = ms(15'000),
-    terms.watch_timeout = ms(10'000);
-    return terms;
+front_node_config(ivyrill::Idempotency idempotency = ivyrill::Idempotency::kIdempotent) {
+    protocol::FrontNodeConfig config;
+    config.scheduler = default_config();
+    config.scheduler.hedging_enabled = false;
+    config.scheduler.list_mode = ListMode::kQueried;
+    config.scheduler.request_classes[0].idempotency = idempotency;
+    config.request_classes = {"find"}, config.tenants = {"acme"}, config.zones = {"a"},
+    config.server_kinds = {"m"};
+    config.max_calls_per_connection = 100, config.shards = 2;
+    config.scheduler.connect_timeout = ms(250), config.idle_timeout = ms(15'000),
+    config.watch_timeout = ms(10'000);
+    return config;
 }
 
 inline protocol::ServerEntry entry(int number, ListedState listed = ListedState::kLive,
@@ -38,9 +39,9 @@
 
 // A router and the effects that it has returned so far.
 struct RouterFixture {
-    explicit RouterFixture(protocol::FrontNodeConfig terms = node_terms(), int servers = 2,
+    explicit RouterFixture(protocol::FrontNodeConfig config = front_node_config(), int servers = 2,
                            std::size_t descriptors = 1000)
-        : router(std::move(terms), list(servers), "10.0.1.1:1", descriptors, ms(1000)) {
+        : router(std::move(config), list(servers), "10.0.1.1:1", descriptors, ms(1000)) {
         turn();
     }
     static protocol::ServerList list(int servers) {
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -26,9 +26,9 @@
 }
 
 void parts_for_one_server_are_batched() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.batch = 2, terms.shards = 3;
-    RouterFixture fixture(terms, 1);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_parts_per_call = 2, config.shards = 3;
+    RouterFixture fixture(config, 1);
     const ClientId client = fixture.search({0, 1, 2});
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection), fixture.wrote_all(connection);
@@ -40,9 +40,9 @@
 }
 
 void full_connection_opens_a_second_one() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.max_calls_per_connection = 3; // of which one slot stays free
-    RouterFixture fixture(terms, 1);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_calls_per_connection = 3; // of which one slot stays free
+    RouterFixture fixture(config, 1);
     fixture.search({0, 1});
     assert(fixture.all<OpenConnection>().size() == 1);
     fixture.search({0, 1});
@@ -57,7 +57,7 @@
 // A search that was not completely written has not run.
 void lost_before_the_last_byte_never_ran() {
     for (const bool written : {false, true}) {
-        RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
+        RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent), 1);
         const ClientId client = fixture.search();
         const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
         fixture.up(connection);
@@ -73,7 +73,7 @@
 }
 
 void each_frame_is_tracked_separately() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId first = fixture.search(), second = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection);
@@ -88,7 +88,7 @@
 }
 
 void refused_connection_moves_the_part() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent));
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent));
     fixture.search();
     const ConnectionId refused = fixture.all<OpenConnection>()[0].connection;
     fixture.handle(ConnectionClosed{refused});
@@ -98,7 +98,7 @@
 }
 
 void connect_times_out() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent));
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent));
     fixture.search();
     fixture.pass(ms(249));
     assert(fixture.all<OpenConnection>().size() == 1);
@@ -108,7 +108,7 @@
 
 // One answer per attempt, and never that of an earlier attempt of the same part.
 void late_answer_is_not_taken_for_a_later_attempt() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     const ClientId client = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection);
@@ -134,9 +134,9 @@
 void frame_stuck_in_the_write_queue_closes_its_connection() {
     enum { kItsTime, kItsClient, kItsServer };
     for (const int ends : {kItsTime, kItsClient, kItsServer}) {
-        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kNonIdempotent);
-        terms.scheduler.may_cancel = false;
-        RouterFixture fixture(terms, 1);
+        protocol::FrontNodeConfig config = front_node_config(ivyrill::Idempotency::kNonIdempotent);
+        config.scheduler.may_cancel = false;
+        RouterFixture fixture(config, 1);
         const ClientId client = fixture.search({0}, ends == kItsTime ? 400'000 : 2'000'000);
         const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
         fixture.up(connection);
@@ -156,9 +156,9 @@
 // cancellation: withdrawn parts keep their slots until answered, and one slot stays free for the
 // cancellation.
 void withdrawn_part_keeps_its_slot() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.max_calls_per_connection = 4, terms.shards = 4;
-    RouterFixture fixture(terms, 1);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_calls_per_connection = 4, config.shards = 4;
+    RouterFixture fixture(config, 1);
     const ClientId leaving = fixture.search({0, 1});
     const ClientId staying = fixture.search({0});
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
@@ -179,9 +179,9 @@
 
 // It could get no new calls, and closing it lets the server drop the withdrawn parts.
 void connection_full_of_withdrawn_parts_is_closed() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.max_calls_per_connection = 3;
-    RouterFixture fixture(terms, 1);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_calls_per_connection = 3;
+    RouterFixture fixture(config, 1);
     const ClientId leaving = fixture.search({0, 1});
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection), fixture.wrote_all(connection);
@@ -193,9 +193,9 @@
 
 // If no other connection can be opened, the last slot is used, but the limit is never exceeded.
 void limit_of_a_connection_is_never_exceeded() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.max_calls_per_connection = 2;
-    RouterFixture fixture(terms, 1, 2); // one connection to index servers
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_calls_per_connection = 2;
+    RouterFixture fixture(config, 1, 2); // one connection to index servers
     for (int i = 0; i < 3; ++i) fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection);
@@ -209,7 +209,7 @@
 // cancelled, and all three are retried at the same server on a new connection.
 void malformed_answer_closes_its_connection_only() {
     for (const bool named : {true, false}) {
-        RouterFixture fixture(node_terms(), 1);
+        RouterFixture fixture(front_node_config(), 1);
         for (int i = 0; i < 3; ++i) fixture.search();
         const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
         fixture.up(connection), fixture.wrote_all(connection), fixture.wrote_all(connection),
@@ -231,7 +231,7 @@
 // The attempts may have run, so non-idempotent searches fail, the malformed one and those cancelled with it.
 // One that was not sent is retried.
 void malformed_answer_may_have_run() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId malformed = fixture.search(), beside = fixture.search(), unsent = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection);
@@ -244,7 +244,7 @@
 }
 
 void incomplete_frame_blocks_nobody() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     const ClientId first = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection);
@@ -264,7 +264,7 @@
 }
 
 void unsolicited_answer_closes_its_connection() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection);
@@ -283,7 +283,7 @@
 // received in between, make it suspect; one may be a slow part, and 300 front nodes that open a connection
 // for each would overload their servers. A second connection is opened and preferred once it is established.
 void silent_connection_is_replaced_before_its_server_is_ejected() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     fixture.search();
     const ConnectionId first = fixture.all<OpenConnection>()[0].connection;
     fixture.up(first), fixture.wrote_all(first), fixture.answers(first, "q1.0");
@@ -333,7 +333,7 @@
 }
 
 void draining_server_gets_no_waiting_attempt() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent));
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent));
     fixture.search();
     const OpenConnection first = fixture.all<OpenConnection>()[0];
     const int number = first.address == "10.0.0.0:1" ? 0 : 1;
@@ -347,7 +347,7 @@
 }
 
 void moved_server_is_used_at_its_new_address() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     fixture.search();
     const ConnectionId old = fixture.all<OpenConnection>()[0].connection;
     fixture.up(old), fixture.wrote_all(old), fixture.answers(old, "q1.0");
@@ -360,7 +360,7 @@
 
 // Another server, without that shard, may have the old address by now.
 void attempt_waiting_for_a_moved_server_is_withdrawn() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent), 1);
     fixture.search();
     const ConnectionId old = fixture.all<OpenConnection>()[0].connection;
     fixture.handle(ServerListReceived{fixture.all<QueryDiscovery>()[0].call,
@@ -372,7 +372,7 @@
 
 // A search that was buffered while the front node was stalled has less time left, or none.
 void age_of_a_search_counts() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     const ClientId aged = fixture.client(), dead = fixture.client();
     fixture.handle(
         SearchReceived{aged, {"a", "find", "acme", "text", 1'000'000, false, {{0, 1.0}}}, ms(400)});
@@ -384,7 +384,7 @@
 
 // A request written to a connection that the index server is closing as idle would be lost.
 void idle_connection_is_closed_before_the_server_does() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection), fixture.answers(connection, "q1.0");
@@ -395,7 +395,7 @@
 }
 
 void unanswered_probe_retires_its_connection() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     const ClientId client = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.search(), fixture.wrote_all(connection), fixture.wrote_all(connection);
@@ -447,9 +447,9 @@
 }
 
 void searches_over_the_limit_are_rejected_at_once() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.max_open = 3;
-    RouterFixture fixture(terms);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.max_open = 3;
+    RouterFixture fixture(config);
     const ClientId first = fixture.search({0, 1}), second = fixture.search();
     assert(!fixture.verdict(first) && fixture.verdict(second) == Verdict::kRejected);
     assert(fixture.router.counts().over_limit == 1 && fixture.router.open_searches() == 1);
@@ -486,7 +486,7 @@
 }
 
 void longest_idle_client_is_evicted_at_the_limit() {
-    RouterFixture fixture(node_terms(), 2, 8); // four for clients, four for index servers
+    RouterFixture fixture(front_node_config(), 2, 8); // four for clients, four for index servers
     const ClientId busy = fixture.search();
     fixture.pass(1);
     const ClientId oldest = fixture.client();
@@ -501,7 +501,7 @@
 
 // A request that crosses the half-close is still answered.
 void search_that_crosses_the_half_close_is_answered() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     const ClientId idle = fixture.client();
     fixture.handle(TrafficStopped{});
     assert(fixture.all<HalfCloseClient>().size() == 1 && fixture.all<CloseClient>().empty());
@@ -515,7 +515,7 @@
 
 // The only idle client has just been answered: evicting it must not drop the answer that is not yet written.
 void eviction_does_not_lose_an_answer() {
-    RouterFixture fixture(node_terms(), 1, 30); // five may have searched
+    RouterFixture fixture(front_node_config(), 1, 30); // five may have searched
     for (int i = 0; i < 6; ++i) fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection);
@@ -526,9 +526,9 @@
 
 // The client has disconnected and nothing may be cancelled: an unsent attempt is not sent later.
 void nothing_is_sent_for_a_disconnected_client() {
-    protocol::FrontNodeConfig terms = node_terms();
-    terms.scheduler.may_cancel = false;
-    RouterFixture fixture(terms, 1);
+    protocol::FrontNodeConfig config = front_node_config();
+    config.scheduler.may_cancel = false;
+    RouterFixture fixture(config, 1);
     const ClientId client = fixture.search();
     fixture.handle(ClientDisconnected{client});
     fixture.up(fixture.all<OpenConnection>()[0].connection);
@@ -539,7 +539,7 @@
 
 // The process was stalled: a connection is established in the turn in which the search expires.
 void connection_up_at_the_deadline_sends_nothing() {
-    RouterFixture fixture(node_terms(), 1);
+    RouterFixture fixture(front_node_config(), 1);
     fixture.search({0}, 100'000);
     fixture.now += ms(150);
     fixture.router.handle(fixture.now, ConnectionEstablished{fixture.all<OpenConnection>()[0].connection});
@@ -550,9 +550,9 @@
 // Servers drop repeats for 300 ms; the second connection is established later than that.
 void keyed_part_is_not_sent_after_its_dedup_window() {
     for (const bool in_time : {true, false}) {
-        protocol::FrontNodeConfig terms = node_terms(ivyrill::Idempotency::kIdempotencyKey);
-        terms.scheduler.request_classes[0].dedup_window = ms(300);
-        RouterFixture fixture(terms);
+        protocol::FrontNodeConfig config = front_node_config(ivyrill::Idempotency::kIdempotencyKey);
+        config.scheduler.request_classes[0].dedup_window = ms(300);
+        RouterFixture fixture(config);
         fixture.search();
         const ConnectionId first = fixture.all<OpenConnection>()[0].connection;
         fixture.up(first), fixture.wrote_all(first);
@@ -568,7 +568,7 @@
 
 // Queued and closed in one turn: an attempt that counts as not sent is not written either.
 void attempt_withdrawn_with_its_connection_is_not_written() {
-    RouterFixture fixture(node_terms(ivyrill::Idempotency::kNonIdempotent), 1);
+    RouterFixture fixture(front_node_config(ivyrill::Idempotency::kNonIdempotent), 1);
     const ClientId client = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.router.handle(fixture.now, ConnectionEstablished{connection});
@@ -606,7 +606,7 @@
 
 // By contract clients may hold a third of the descriptors and need not close connections after use.
 void idle_clients_are_evicted_for_new_ones() {
-    RouterFixture fixture(node_terms(), 1, 60);
+    RouterFixture fixture(front_node_config(), 1, 60);
     const auto served = [&fixture] {
         const ClientId client = fixture.search();
         const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
@@ -625,7 +625,7 @@
 }
 
 void clients_without_a_search_are_evicted_first() {
-    RouterFixture fixture(node_terms(), 2, 8);
+    RouterFixture fixture(front_node_config(), 2, 8);
     const ClientId asked = fixture.search();
     const ConnectionId connection = fixture.all<OpenConnection>()[0].connection;
     fixture.up(connection), fixture.wrote_all(connection), fixture.answers(connection, "q1.0");
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -124,23 +124,25 @@
     // With `start`, the front node listens but does not run before `start` is released.
     explicit World(Idempotency idempotency = Idempotency::kIdempotent, std::int64_t sockets = 256,
                    const Start* start = nullptr, Ticks due = ms(1000), int max_calls_per_connection = 100) {
-        protocol::StartConfig orders;
-        orders.listen = "127.0.0.1:0", orders.discovery = discovery.address(), orders.sockets = sockets;
-        orders.terms.scheduler = default_config();
-        orders.terms.scheduler.list_mode = ListMode::kQueried;
-        orders.terms.scheduler.hedging_enabled = false;
-        orders.terms.scheduler.cells = 2;
-        orders.terms.scheduler.request_classes[0].idempotency = idempotency,
-        orders.terms.scheduler.request_classes[0].latency_target = due;
-        orders.terms.request_classes = {"find"}, orders.terms.shards = 2;
-        orders.terms.max_calls_per_connection = max_calls_per_connection;
-        orders.terms.scheduler.connect_timeout = ms(250);
-        orders.terms.idle_timeout = ms(15'000), orders.terms.watch_timeout = ms(100'000);
-        orders.known.version = 1;
+        protocol::StartConfig start_config;
+        start_config.listen = "127.0.0.1:0", start_config.discovery = discovery.address(),
+        start_config.sockets = sockets;
+        start_config.front_node_config.scheduler = default_config();
+        start_config.front_node_config.scheduler.list_mode = ListMode::kQueried;
+        start_config.front_node_config.scheduler.hedging_enabled = false;
+        start_config.front_node_config.scheduler.cells = 2;
+        start_config.front_node_config.scheduler.request_classes[0].idempotency = idempotency,
+        start_config.front_node_config.scheduler.request_classes[0].latency_target = due;
+        start_config.front_node_config.request_classes = {"find"}, start_config.front_node_config.shards = 2;
+        start_config.front_node_config.max_calls_per_connection = max_calls_per_connection;
+        start_config.front_node_config.scheduler.connect_timeout = ms(250);
+        start_config.front_node_config.idle_timeout = ms(15'000),
+        start_config.front_node_config.watch_timeout = ms(100'000);
+        start_config.known.version = 1;
         for (int i = 0; i < 2; ++i)
-            orders.known.servers.push_back(
+            start_config.known.servers.push_back(
                 {"s" + std::to_string(i), servers[i].address(), "a", "m", i, ListedState::kLive, 1, 0});
-        protocol::StartConfig changed = orders;
+        protocol::StartConfig changed = start_config;
         changed.discovery = moved.address();
         int ends[2];
         assert(pipe(ends) == 0);
@@ -155,7 +157,7 @@
             int status = 2;
             try {
                 int readings = 0;
-                Node own(orders, [&] { // the first reload fails
+                Node own(start_config, [&] { // the first reload fails
                     if (++readings == 1) throw std::runtime_error("half a file");
                     return changed;
                 });
@@ -568,11 +570,11 @@
 
 void address_in_use_is_a_clear_error() {
     Listener taken;
-    protocol::StartConfig orders;
-    orders.listen = taken.address(), orders.sockets = 256;
+    protocol::StartConfig start_config;
+    start_config.listen = taken.address(), start_config.sockets = 256;
     bool thrown = false;
     try {
-        Node node(orders);
+        Node node(start_config);
     } catch (const std::exception& error) { thrown = std::string_view(error.what()).starts_with("bind"); }
     assert(thrown);
 }
