--- a/src/limits/slow_start.hpp
+++ b/src/limits/slow_start.hpp
@@ -21,16 +21,18 @@
     }
     // Attempts per tenth of a millisecond, of all front nodes together, that it may get at full capacity,
     // with `concurrency` parts at a time that take `service` each.
-    double full(double concurrency, double service) const { return concurrency * overload_factor / service; }
+    double full_attempt_rate(double concurrency, double service) const {
+        return concurrency * overload_factor / service;
+    }
 
     // Time until `attempts` more are due at one front node of `nodes`. Where a node's share of a window is
     // less than one attempt, the total is random: the budget is lowered by about one standard deviation of
     // it. One gap may outlast the warm-up, so it accounts for the rise during the gap.
-    Ticks gap(Ticks age, double full, double nodes, double attempts) const {
-        const double now = share(age), budget = full * now * static_cast<double>(overload_window);
+    Ticks time_until_due(Ticks age, double full_rate, double nodes, double attempts) const {
+        const double now = share(age), budget = full_rate * now * static_cast<double>(overload_window);
         // The rate at which the mean plus one standard deviation is the budget.
-        const double safe = budget > 0 ? std::pow(std::sqrt(budget + 0.25) - 0.5, 2) / budget : 1;
-        const double need = attempts * nodes / full / (budget < nodes ? safe : 1);
+        const double safe_share = budget > 0 ? std::pow(std::sqrt(budget + 0.25) - 0.5, 2) / budget : 1;
+        const double need = attempts * nodes / full_rate / (budget < nodes ? safe_share : 1);
         const double rise = slope();
         return static_cast<Ticks>(rise > 0 ? (std::sqrt(now * now + 2 * rise * need) - now) / rise
                                            : need / now);
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -101,8 +101,8 @@
             read_idempotency(reader.word(row + "Idempotency", "read_like"), row + "Idempotency");
         request_class.utility = reader.number(row + "Worth", 1);
         request_class.late_utility_ratio = reader.number(row + "LateShare", 0);
-        request_class.floor = reader.listed("Specifics.ClassFloor", i, 1);
-        request_class.need = reader.listed("Specifics.ClassNeed", i, 1);
+        request_class.min_answer_weight = reader.listed("Specifics.ClassFloor", i, 1);
+        request_class.full_answer_weight = reader.listed("Specifics.ClassNeed", i, 1);
         request_class.follow_up_parts = static_cast<int>(reader.listed("Specifics.FollowUp", i, 0));
         config.request_classes.push_back(request_class);
     }
--- a/src/recovery/failover_policy.cpp
+++ b/src/recovery/failover_policy.cpp
@@ -10,7 +10,7 @@
     lost_shards_.insert(policy_update.lost_shards.begin(), policy_update.lost_shards.end());
     for (const auto& row : policy_update.rows) admission_rows_[{row.request_class, row.tenant}] = row;
     for (const auto& [shard, share] : policy_update.capacity_shares) capacity_share_[shard] = share;
-    attempt_budget_share_ = std::clamp(policy_update.retry_budget_share, 0.0, 1.0);
+    retry_budget_share_ = std::clamp(policy_update.retry_budget_share, 0.0, 1.0);
     max_retry_after_ = std::max<Ticks>(0, policy_update.retry_after);
 }
 
@@ -40,7 +40,7 @@
     return row == nullptr || row->admitted >= 1 || rng.unit() < row->admitted;
 }
 
-void FailoverPolicy::omit_parts(Search& search, double floor, TenantNo tenant) const {
+void FailoverPolicy::omit_parts(Search& search, double min_answer_weight, TenantNo tenant) const {
     if (admission_rows_.empty() || capacity_share_.empty()) return;
     const auto* row = find_row(search.request_class, tenant);
     if (row == nullptr || row->weight >= 1) return;
@@ -53,7 +53,7 @@
         return found == capacity_share_.end() ? 1.0 : found->second;
     };
     std::ranges::stable_sort(parts, [&](auto* a, auto* b) { return served_share(a) < served_share(b); });
-    const double min_weight = std::max(floor, row->weight);
+    const double min_weight = std::max(min_answer_weight, row->weight);
     for (Part* part : parts) {
         if (served_share(part) >= 1 || remaining_weight - part->weight < min_weight) continue;
         part->omitted = true, remaining_weight -= part->weight;
--- a/src/recovery/failover_policy.hpp
+++ b/src/recovery/failover_policy.hpp
@@ -1,11 +1,11 @@
 // The part of a failover plan that the search scheduler consults: which sites take part in replica selection,
-// which searches are rejected, which parts are left out. Set by `FailoverPolicyUpdate`
+// which searches are rejected, which parts are omitted. Set by `FailoverPolicyUpdate`
 // (search_scheduler.hpp); it does not expire, so the failover controller must withdraw it. Without one,
 // nothing is restricted.
 //
 // A policy only restricts, so a wrong one cannot break an invariant: an excluded site gets fewer attempts, a
-// search that is not admitted has had no attempt, parts are left out only down to the request class's floor
-// (and the answer is marked as partial), and the budget of further attempts is only reduced.
+// search that is not admitted has had no attempt, parts are omitted only down to the request class's minimum
+// weight (and the answer is marked as partial), and the retry budget is only reduced.
 #pragma once
 #include "base/pcg.hpp"
 #include "search_scheduler_state.hpp"
@@ -28,11 +28,11 @@
     bool shard_lost(ShardNo shard) const { return lost_shards_.contains(shard); } // no replica is left
     // Whether to admit a search; random, to be called once per search.
     bool admits(RequestClassNo request_class, TenantNo tenant, Pcg& rng) const;
-    // Marks the parts to leave out of a search that allows a partial answer: of the most overloaded shards
-    // first, never below `floor` of the weight.
-    void omit_parts(Search& search, double floor, TenantNo tenant) const;
-    // Share of the budget for further attempts that may be used.
-    double retry_budget_share() const { return attempt_budget_share_; }
+    // Marks the parts to omit from a search that allows a partial answer: of the most overloaded shards
+    // first, never below `min_answer_weight`.
+    void omit_parts(Search& search, double min_answer_weight, TenantNo tenant) const;
+    // Share of the retry budget that may be used.
+    double retry_budget_share() const { return retry_budget_share_; }
     // Delay to advise to a rejected client: random, so that clients don't return at the same time.
     Ticks retry_after(Ticks usual, Pcg& rng) const;
 
@@ -44,7 +44,7 @@
     std::set<ShardNo> lost_shards_;
     std::map<std::pair<RequestClassNo, TenantNo>, FailoverPolicyUpdate::Row> admission_rows_;
     std::map<ShardNo, double> capacity_share_;
-    double attempt_budget_share_ = 1;
+    double retry_budget_share_ = 1;
     Ticks max_retry_after_ = 0;
 };
 
--- a/src/recovery/load_shedding.cpp
+++ b/src/recovery/load_shedding.cpp
@@ -32,15 +32,15 @@
             if (info == input.request_classes.end() || row.searches <= 0) continue;
             Candidate candidate{key, &info->second, row.searches, row.parts, info->second.utility, 0, 1,
                                 {},  false};
-            const bool partial = info->second.floor < info->second.need;
+            const bool partial = info->second.min_answer_weight < info->second.full_answer_weight;
             // Shards without a replica are missing from every answer.
             double lost_weight = 0;
             for (const auto& [shard, share] : input.demand.shards)
                 if (!input.capacity.contains(shard))
                     lost_weight += shard_share(shard), candidate.omitted_shards.insert(shard);
             candidate.answer_weight = 1 - lost_weight;
-            candidate.impossible =
-                lost_weight > kSlack && (!partial || candidate.answer_weight + kSlack < info->second.floor);
+            candidate.impossible = lost_weight > kSlack && (!partial || candidate.answer_weight + kSlack <
+                                                                            info->second.min_answer_weight);
             candidates_.push_back(std::move(candidate));
         }
         std::ranges::stable_sort(
@@ -121,8 +121,9 @@
     // Leaves out the most overloaded shards for a request class that allows partial answers, if this admits
     // more of it. Applies to all its searches.
     void omit_shards(Candidate& candidate) {
-        const double floor = candidate.info->floor;
-        if (candidate.impossible || candidate.admitted_share >= 1 - kSlack || floor >= candidate.info->need)
+        const double min_answer_weight = candidate.info->min_answer_weight;
+        if (candidate.impossible || candidate.admitted_share >= 1 - kSlack ||
+            min_answer_weight >= candidate.info->full_answer_weight)
             return;
         std::vector<int> most_loaded_first;
         for (const auto& [shard, capacity] : remaining_capacity_)
@@ -134,7 +135,7 @@
                                  [&](int a, int b) { return remaining_share(a) < remaining_share(b); });
         Candidate trial = candidate;
         for (const int shard : most_loaded_first) {
-            if (trial.answer_weight - shard_share(shard) + kSlack < floor) break;
+            if (trial.answer_weight - shard_share(shard) + kSlack < min_answer_weight) break;
             if (remaining_share(shard) >= 1 - candidate.admitted_share) break; // its capacity suffices
             trial.omitted_shards.insert(shard), trial.answer_weight -= shard_share(shard);
         }
--- a/src/recovery/load_shedding.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -1,6 +1,7 @@
 // Decides what to shed when demand exceeds capacity. Traffic classes are admitted by utility per unit of
 // work. Each tenant gets its quota, scaled to the remaining capacity, before any tenant gets more. Parts are
-// omitted, down to the request class's floor, before whole searches of that request class are rejected. Pure.
+// omitted, down to the request class's minimum weight, before whole searches of that request class are
+// rejected. Pure.
 #pragma once
 #include "recovery/types.hpp"
 
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -45,8 +45,8 @@
 
 struct RequestClassInfo {
     double utility = 1;            // of a complete answer in time
-    double floor = 1;              // least weight of a partial answer
-    double need = 1;               // weight of a complete answer
+    double min_answer_weight = 1;  // of a partial answer
+    double full_answer_weight = 1; // weight of a complete answer
     double late_utility_ratio = 0; // share of the utility that a late answer earns
     Ticks latency_target = 0;
     bool at_most_once = false; // must not be executed twice
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -463,7 +463,8 @@
         const Ticks age = now_ - server.started_at; // its service time is longer while it is cold
         const double slow = std::max(service_time(server) * slow_start_.share(age), kSlower * mean_service());
         const double nodes = std::max<double>(front_nodes_, config_.front_nodes); // fewer may be a partition
-        return now_ + slow_start_.gap(age, slow_start_.full(kConcurrency, slow), nodes, attempts);
+        return now_ + slow_start_.time_until_due(age, slow_start_.full_attempt_rate(kConcurrency, slow),
+                                                 nodes, attempts);
     }
 
     // All front nodes learn of a start at about the same time, so each picks a random point of the first gap.
@@ -559,12 +560,13 @@
             omits = omits || omitted, waits = waits || (missing && !exhausted && !omitted);
             if (!omitted) possible += part.weight;
         }
-        const double need = search.step == 1 ? request_class.config.need : 1;
+        const double need = search.step == 1 ? request_class.config.full_answer_weight : 1;
         if (all || (need < 1 && answered + kWeightSlack >= need))
             return void(search.status = search.complete ? Status::kComplete : Status::kPartial);
-        const bool partial = request_class.config.floor < request_class.config.need;
-        if (omits && possible + kWeightSlack < request_class.config.floor) return reject_or_fail(search);
-        const bool enough = partial && answered + kWeightSlack >= request_class.config.floor;
+        const bool partial = request_class.config.min_answer_weight < request_class.config.full_answer_weight;
+        if (omits && possible + kWeightSlack < request_class.config.min_answer_weight)
+            return reject_or_fail(search);
+        const bool enough = partial && answered + kWeightSlack >= request_class.config.min_answer_weight;
         const bool over = now_ >= search.deadline - margin(), late = now_ >= search.target_at - margin();
         const bool no_more = !in_flight && (omits ? !waits : hopeless);
         if (enough && (over || late || no_more)) return void(search.status = Status::kPartial);
@@ -670,7 +672,7 @@
         const Ticks left = (search.target_at > now_ ? search.target_at : search.deadline) - now_;
         const double wait_share = kMinWaitShare + (kMaxWaitShare - kMinWaitShare) * value;
         // Where a partial answer is allowed, the parts' mean wait decides, else that of each part.
-        const bool whole = request_class.config.floor >= request_class.config.need;
+        const bool whole = request_class.config.min_answer_weight >= request_class.config.full_answer_weight;
         double missing = 0, wait_ratio = 0;
         for (Part& part : search.parts) {
             if (is_omitted(part)) continue; // update_state() checks the rest
@@ -680,7 +682,9 @@
             wait_ratio += part.weight * std::min(1.5, wait / room);
         }
         if (!whole && wait_ratio > 1) return false;
-        missing -= (1 - std::min(request_class.config.floor, request_class.config.need)) * (1 - overload_);
+        missing -=
+            (1 - std::min(request_class.config.min_answer_weight, request_class.config.full_answer_weight)) *
+            (1 - overload_);
         return missing <= kWeightSlack;
     }
 
@@ -688,7 +692,8 @@
         RequestClassState& request_class = request_classes_[search.request_class.value];
         if (search.parts.empty() || search.revoked) return;
         const bool begun = std::ranges::any_of(search.parts, [](auto& p) { return !p.attempts.empty(); });
-        if (!begun) failover_policy_.omit_parts(search, request_class.config.floor, search.tenant);
+        if (!begun)
+            failover_policy_.omit_parts(search, request_class.config.min_answer_weight, search.tenant);
         if (!begun && (search.shed || !admit(search))) return reject_or_fail(search); // also while backlogged
         if (search.is_query_of_death) return reject_or_fail(search);
         const bool singly = !search.has_answer && crashes() >= kCrashLimit;
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -23,8 +23,8 @@
     Idempotency idempotency = Idempotency::kIdempotent;
     double utility = 1;
     double late_utility_ratio = 0; // share of the utility that a late answer earns
-    double floor = 1;              // minimum weight of a partial answer
-    double need = 1;               // weight of a complete answer
+    double min_answer_weight = 1;  // of a partial answer
+    double full_answer_weight = 1; // weight of a complete answer
     int follow_up_parts = 0;       // parts of the second step, 0: there is no second step
 };
 
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -17,7 +17,8 @@
     const auto terms = [](Idempotency idempotency, double utility, double floor) {
         RequestClassConfig made;
         made.latency_target = 500 * kMs, made.deadline = 1500 * kMs, made.idempotency = idempotency;
-        made.utility = utility, made.late_utility_ratio = 0.1, made.floor = floor, made.need = 1;
+        made.utility = utility, made.late_utility_ratio = 0.1, made.min_answer_weight = floor,
+        made.full_answer_weight = 1;
         return made;
     };
     return {{"find", 6, 6, terms(Idempotency::kIdempotent, 3, 1)},
@@ -118,9 +119,9 @@
         const SiteRequestClass& request_class = world->plan_.request_classes[open.request_class];
         double weight = 0;
         for (const PartId part : open.parts) weight += parts.at(part).answered ? parts.at(part).weight : 0;
-        if (weight + 1e-6 < request_class.terms.floor)
+        if (weight + 1e-6 < request_class.terms.min_answer_weight)
             world->violations_.push_back("an answer is below its floor");
-        if (whole && weight + 1e-6 < request_class.terms.need)
+        if (whole && weight + 1e-6 < request_class.terms.full_answer_weight)
             world->violations_.push_back("an answer marked whole is incomplete");
         const bool in_time = world->now_ <= open.started + request_class.terms.latency_target;
         const double paid = request_class.terms.utility *
@@ -277,13 +278,13 @@
         Ticks due = plan_.request_classes[0].terms.latency_target;
         for (const auto& request_class : plan_.request_classes) {
             own.request_classes.push_back(request_class.name);
-            own.request_class_info[request_class.name] = {
-                request_class.terms.utility,
-                request_class.terms.floor,
-                request_class.terms.need,
-                request_class.terms.late_utility_ratio,
-                request_class.terms.latency_target,
-                request_class.terms.idempotency == Idempotency::kNonIdempotent};
+            own.request_class_info[request_class.name] = {request_class.terms.utility,
+                                                          request_class.terms.min_answer_weight,
+                                                          request_class.terms.full_answer_weight,
+                                                          request_class.terms.late_utility_ratio,
+                                                          request_class.terms.latency_target,
+                                                          request_class.terms.idempotency ==
+                                                              Idempotency::kNonIdempotent};
             due = std::min(due, request_class.terms.latency_target);
         }
         for (const auto& [name, share] : plan_.tenants)
@@ -663,10 +664,12 @@
     double all = 0;
     for (const auto& request_class : plan_.request_classes) all += request_class.rate;
     for (const auto& request_class : plan_.request_classes) {
-        terms.request_classes[request_class.name] = {
-            request_class.terms.utility,        request_class.terms.floor,
-            request_class.terms.need,           request_class.terms.late_utility_ratio,
-            request_class.terms.latency_target, false};
+        terms.request_classes[request_class.name] = {request_class.terms.utility,
+                                                     request_class.terms.min_answer_weight,
+                                                     request_class.terms.full_answer_weight,
+                                                     request_class.terms.late_utility_ratio,
+                                                     request_class.terms.latency_target,
+                                                     false};
         for (const auto& [tenant, share] : plan_.tenants)
             terms.demand.rows[{request_class.name, tenant}] = {
                 rate_ * load_factor_ * request_class.rate / all * share,
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -282,7 +282,7 @@
     assert(scheduler_config.request_classes.size() == 1 &&
            scheduler_config.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
     assert(scheduler_config.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
-           scheduler_config.request_classes[0].floor == 0.5);
+           scheduler_config.request_classes[0].min_answer_weight == 0.5);
     assert(scheduler_config.cells == 4 && simulated.cells == 4 && scheduler_config.max_attempts == 3);
     assert(read.front_node_config.request_classes[0] == "game_annotate" &&
            read.front_node_config.zones[0] == "a_b");
--- a/tests/search_scheduler_tests.cpp
+++ b/tests/search_scheduler_tests.cpp
@@ -151,7 +151,7 @@
 
 void partial_answer_at_the_latency_target() {
     SchedulerConfig config = default_config();
-    config.request_classes[0].floor = 0.5;
+    config.request_classes[0].min_answer_weight = 0.5;
     FakeHost host(config);
     const SearchId enough = host.search({0, 1}), none = host.search({0, 1});
     host.end(0, Outcome::kAnswered, ms(40));
@@ -664,7 +664,7 @@
          {1U, 20U}) { // servers of the other shard; the first shard has one slow server
         SchedulerConfig config = default_config();
         config.cells = 2;
-        config.request_classes[0].floor = 0.5;
+        config.request_classes[0].min_answer_weight = 0.5;
         config.request_classes.push_back(config.request_classes[0]);
         FakeHost host(config, 1);
         ServerListUpdate update{ServerListKind::kDelta, {}};
