--- a/src/maintenance/fleet_observation.hpp
+++ b/src/maintenance/fleet_observation.hpp
@@ -21,7 +21,7 @@
     std::set<std::string> unreachable; // front nodes that do not answer, suspected ones included
     bool voters_settled = true;        // the group has all its voters, and the schedule lists the same ones
     std::set<std::string> lost_store;  // voters whose store was lost or replaced
-    double rejected_share = 0;         // share of recent searches that this node has rejected
+    double rejected_search_share = 0;  // share of recent searches that this node has rejected
     std::string lost_zone; // zone that has lost most of its machines outside of maintenance; empty: none
 };
 
--- a/src/maintenance/maintenance_node.cpp
+++ b/src/maintenance/maintenance_node.cpp
@@ -179,8 +179,8 @@
 }
 
 void MaintenanceNode::update_servers(const std::map<std::string, ObservedMachine>& servers,
-                                     double rejected_share) {
-    servers_ = servers, rejected_share_ = rejected_share;
+                                     double rejected_search_share) {
+    servers_ = servers, rejected_search_share_ = rejected_search_share;
 }
 
 void MaintenanceNode::on_machine_status(Ticks now, std::uint64_t serial, const std::string& machine,
@@ -351,7 +351,7 @@
 FleetObservation MaintenanceNode::observe_fleet() const {
     FleetObservation observed;
     observed.self = settings_.name, observed.wall_time = wall_time_,
-    observed.rejected_share = rejected_share_;
+    observed.rejected_search_share = rejected_search_share_;
     observed.machines = servers_;
     observed.voters = is_voter() ? consensus_->voters() : remote_voters_;
     const auto add_front_node = [&](const std::string& name, bool reachable) {
--- a/src/maintenance/maintenance_node.hpp
+++ b/src/maintenance/maintenance_node.hpp
@@ -64,7 +64,7 @@
 
     void receive(Ticks now, const std::string& from, std::string_view bytes);
     // The index servers from the list, and the share of recent searches that this node has rejected.
-    void update_servers(const std::map<std::string, ObservedMachine>& servers, double rejected_share);
+    void update_servers(const std::map<std::string, ObservedMachine>& servers, double rejected_search_share);
     void on_machine_status(Ticks now, std::uint64_t serial, const std::string& machine, MachineStatus status);
     void step(Ticks now, Ticks wall_time);
     void leave(Ticks now);
@@ -137,7 +137,7 @@
     Ticks remote_schedule_at_ = 0, request_schedule_at_ = 0, executor_at_ = 0, scheduler_at_ = 0;
     Pcg random_;
     std::map<std::string, ObservedMachine> servers_;
-    double rejected_share_ = 0;
+    double rejected_search_share_ = 0;
     std::map<std::string, TokenBucket> peer_buckets_;
     TokenBucket total_bucket_;
     std::map<std::string, PendingRequest> pending_requests_; // by request id
--- a/src/maintenance/scheduler.cpp
+++ b/src/maintenance/scheduler.cpp
@@ -210,7 +210,7 @@
                              const std::set<std::string>& down, SchedulerDecision& decision) {
     if (schedule.held()) return void(decision.reason = "held: " + schedule.hold_reason());
     if (!observed.lost_zone.empty()) return void(decision.reason = "zone " + observed.lost_zone + " is lost");
-    if (observed.rejected_share > settings_.timing.max_rejected_share) {
+    if (observed.rejected_search_share > settings_.timing.max_rejected_share) {
         // The cause may be local: a leader that is cut off from the servers would block jobs that other nodes
         // could allow.
         if (overloaded_since_ == 0) overloaded_since_ = now;
--- a/src/program/coordination_thread.cpp
+++ b/src/program/coordination_thread.cpp
@@ -106,7 +106,7 @@
                 maintenance_node->update_servers(CoordinationThread::observe_machines(current_list, config,
                                                                                       maintenance_durations,
                                                                                       Loop::wall()),
-                                                 rejected_share);
+                                                 rejected_search_share);
             }
             maintenance_node->step(loop.now(), Loop::wall());
             if (leaving && !leave_sent) leave_sent = true, maintenance_node->leave(loop.now());
@@ -181,7 +181,7 @@
     std::mutex mutex; // guards list and list_changed
     protocol::ServerList list;
     bool list_changed = false;
-    std::atomic<double> rejected_share = 0;
+    std::atomic<double> rejected_search_share = 0;
     std::atomic<bool> stop = false, leaving = false;
     std::atomic<std::size_t> present_count = 1;
     std::thread thread;
@@ -233,7 +233,7 @@
     state_->wake_up();
 }
 
-void CoordinationThread::set_rejected_share(double share) { state_->rejected_share = share; }
+void CoordinationThread::set_rejected_search_share(double share) { state_->rejected_search_share = share; }
 
 void CoordinationThread::leave() {
     state_->leaving = true;
--- a/src/program/coordination_thread.hpp
+++ b/src/program/coordination_thread.hpp
@@ -28,15 +28,15 @@
 
     // The following are called from the front node's thread.
     void update_servers(const protocol::ServerList& list);
-    void set_rejected_share(double share); // of the recent searches
-    void leave();                          // announces the departure to the other members
-    std::size_t member_count() const;      // present members, including this one
-    int member_count_descriptor() const;   // becomes readable when that number has changed
+    void set_rejected_search_share(double share); // of the recent searches
+    void leave();                                 // announces the departure to the other members
+    std::size_t member_count() const;             // present members, including this one
+    int member_count_descriptor() const;          // becomes readable when that number has changed
     int port() const;
     // Facts of all machines by the settings and their health by the list at the time `wall`.
     static std::map<std::string, maintenance::ObservedMachine>
     observe_machines(const protocol::ServerList& list, const protocol::FrontNodeConfig& config,
-                     const std::map<std::string, Ticks>& work, Ticks wall);
+                     const std::map<std::string, Ticks>& maintenance_durations, Ticks wall);
 
   private:
     struct State;
--- a/src/program/node.cpp
+++ b/src/program/node.cpp
@@ -281,7 +281,8 @@
     const std::uint64_t rejections = counts.rejected + counts.over_limit;
     const auto searches = static_cast<double>(counts.searches - reported_searches_);
     if (searches > 0)
-        coordination_->set_rejected_share(static_cast<double>(rejections - reported_rejections_) / searches);
+        coordination_->set_rejected_search_share(static_cast<double>(rejections - reported_rejections_) /
+                                                 searches);
     reported_searches_ = counts.searches, reported_rejections_ = rejections;
     next_share_report_at_ = loop_.now() + kShareReportInterval;
 }
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -9,6 +9,8 @@
 
 namespace {
 
+// S: parts of a search, C: cancellation, M: load probe and report, R: response to a part, F: rejected frame;
+// H is valid, but the front node has no use for it.
 constexpr std::string_view kFrameTypes = "SCHMRF";
 constexpr double kMaxReportedSearches = 1e6; // searches in one server's load report
 
--- a/src/recovery/capacity_estimator.cpp
+++ b/src/recovery/capacity_estimator.cpp
@@ -5,18 +5,18 @@
 
 namespace ivyrill::recovery {
 
-void CapacityEstimator::add_rate(Ticks now, double power, double rate) {
+void CapacityEstimator::add_rate(Ticks now, double capacity_weight, double rate) {
     const double elapsed = last_rate_at_ == 0 ? 0 : static_cast<double>(now - last_rate_at_);
     last_rate_at_ = now;
     observed_rate_ *= std::exp2(-elapsed / (kRateHalfLife * static_cast<double>(options_.latency_target)));
-    if (power > 0) observed_rate_ = std::max(observed_rate_, rate / power);
+    if (capacity_weight > 0) observed_rate_ = std::max(observed_rate_, rate / capacity_weight);
 }
 
-void CapacityEstimator::add_reports(const ServerCounts& counts, double power) {
-    if (power <= 0) return;
+void CapacityEstimator::add_reports(const ServerCounts& counts, double capacity_weight) {
+    if (capacity_weight <= 0) return;
     if (counts.idle_answers > 0) {
         const double service_time =
-            static_cast<double>(counts.idle_response_time) / counts.idle_answers * power;
+            static_cast<double>(counts.idle_response_time) / counts.idle_answers * capacity_weight;
         const double weight = 1 - std::pow(1 - kServiceTimeWeight, counts.idle_answers);
         service_time_ =
             service_time_ <= 0 ? service_time : service_time_ + weight * (service_time - service_time_);
--- a/src/recovery/capacity_estimator.hpp
+++ b/src/recovery/capacity_estimator.hpp
@@ -1,15 +1,15 @@
-// Estimates the capacity of index servers: parts per second of a warm server of power 1. Sources, best first:
-// the operator's configuration; the servers' load reports (parts in progress while others are queued, divided
-// by the service time while none are); the highest observed rate, which decays slowly. While sites are
-// unavailable, a correction factor is applied: it falls when admitted searches miss their latency target and
-// rises while they meet it. Free of I/O.
+// Estimates the capacity of index servers: parts per second of a warm server of capacity_weight 1. Sources,
+// best first: the operator's configuration; the servers' load reports (parts in progress while others are
+// queued, divided by the service time while none are); the highest observed rate, which decays slowly. While
+// sites are unavailable, a correction factor is applied: it falls when admitted searches miss their latency
+// target and rises while they meet it. Free of I/O.
 #pragma once
 #include "recovery/types.hpp"
 
 namespace ivyrill::recovery {
 
 struct CapacityOptions {
-    double configured = 0;    // parts per second of a server of power 1; 0: not configured
+    double configured = 0;    // parts per second of a server of capacity_weight 1; 0: not configured
     Ticks latency_target = 0; // the shortest of all request classes
 };
 
@@ -17,18 +17,18 @@
   public:
     explicit CapacityEstimator(CapacityOptions options) : options_(options) {}
 
-    // Called once per check. `power`: sum over the servers in service; `rate`: parts per second answered by
-    // the whole fleet, as far as known.
-    void add_rate(Ticks now, double power, double rate);
-    // Counts of one server of that power.
-    void add_reports(const ServerCounts& counts, double power);
+    // Called once per check. `capacity_weight`: sum over the servers in service; `rate`: parts per second
+    // answered by the whole fleet, as far as known.
+    void add_rate(Ticks now, double capacity_weight, double rate);
+    // Counts of one server of that capacity_weight.
+    void add_reports(const ServerCounts& counts, double capacity_weight);
     // Results of the searches admitted since the last call; `missed` are late, failed or rejected. While all
     // sites are healthy this only updates the usual share of misses, which does not indicate overload.
     void add_results(Ticks now, std::uint64_t in_time, std::uint64_t missed, bool all_healthy);
     // Called when a site becomes unavailable: a correction from a period of low load does not apply.
     void reset_correction();
 
-    double unit_capacity() const; // parts per second of a warm server of power 1
+    double unit_capacity() const; // parts per second of a warm server of capacity_weight 1
     double correction() const { return correction_; }
     double observed_rate() const { return observed_rate_; }
     double estimate_from_reports() const; // 0: too few reports
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -166,7 +166,7 @@
     last_check_ = now_;
     // A fixed number of checks enters the average, whatever the time between them.
     const double weight = kRateWeight;
-    double answered = 0, power = 0;
+    double answered = 0, total_weight = 0;
     for (const auto& [name, counts] : since_check_.servers) answered += counts.good;
     update_mean(own_answer_rate_, answered / elapsed_s, weight);
     for (auto& [key, row] : own_demand_.rows)
@@ -191,12 +191,12 @@
     for (const auto& [name, server] : servers_)
         if (server.live && !server.draining && !is_unavailable(monitor_.state(server.site)) &&
             !monitor_.is_silent(name, now_))
-            power += server.power;
-    capacity_.add_rate(now_, power, peer_reports_.answer_rate(now_, own_answer_rate_));
+            total_weight += server.capacity_weight;
+    capacity_.add_rate(now_, total_weight, peer_reports_.answer_rate(now_, own_answer_rate_));
     for (const auto& [name, counts] : since_check_.servers)
         if (const auto server = servers_.find(name);
             server != servers_.end() && available_share(name, server->second) >= 1)
-            capacity_.add_reports(counts, server->second.power);
+            capacity_.add_reports(counts, server->second.capacity_weight);
     std::uint64_t in_time = 0, missed = 0;
     for (const auto& [key, counts] : since_check_.classes) {
         // Rejections beyond those of the plan count as misses.
@@ -280,7 +280,8 @@
         result *= options_.cold_capacity_ratio + (1 - options_.cold_capacity_ratio) * age;
     }
     if (state == SiteState::kRampingUp)
-        result = std::min(result, site_share(server.site)); // limits its load, does not scale its power
+        result =
+            std::min(result, site_share(server.site)); // limits its load, does not scale its total_weight
     return result;
 }
 
@@ -378,7 +379,7 @@
             restrictions += (restrictions.empty() ? "" : " ") + key.first + "/" + key.second + ":" +
                             percent(admission.admitted_share) +
                             (admission.answer_weight < 0.995 ? "@" + percent(admission.answer_weight) : "");
-    log_line("site_load", {{"without", list_of(plan_.without)},
+    log_line("site_load", {{"without", list_of(plan_.lost_sites)},
                            {"demand", number(plan_.demand)},
                            {"room", number(plan_.capacity)},
                            {"fullest", percent(plan_.assignment.max_utilization)},
@@ -413,9 +414,9 @@
         }
         result["plans"] = Json::array();
         for (const Plan& plan : plans) {
-            Json row{{"without", plan.without},  {"room", plan.capacity},
-                     {"demand", plan.demand},    {"fullest", plan.assignment.max_utilization},
-                     {"gone", plan.lost_shards}, {"survives", plan.utility_share}};
+            Json row{{"without", plan.lost_sites}, {"room", plan.capacity},
+                     {"demand", plan.demand},      {"fullest", plan.assignment.max_utilization},
+                     {"gone", plan.lost_shards},   {"survives", plan.utility_share}};
             row["let_in"] = Json::array();
             for (const auto& [key, admission] : plan.shedding.admissions)
                 row["let_in"].push_back(
--- a/src/recovery/plan.cpp
+++ b/src/recovery/plan.cpp
@@ -16,19 +16,20 @@
            });
 }
 
-Plan plan_for_lost_sites(const PlanInput& input, const std::set<SiteName>& without) {
+Plan plan_for_lost_sites(const PlanInput& input, const std::set<SiteName>& lost_sites) {
     Plan result;
-    result.without = without;
+    result.lost_sites = lost_sites;
     result.demand = input.demand.parts();
     AssignmentInput assignment;
     assignment.costs = input.costs, assignment.links = input.links;
     std::set<int> served_shards;
     for (const auto& [name, server] : input.servers) {
-        if (without.contains(server.site) || !server.live) continue;
+        if (lost_sites.contains(server.site) || !server.live) continue;
         const auto share = input.available_share.find(name);
-        const double power = server.power * (share == input.available_share.end() ? 1 : share->second);
+        const double available_weight =
+            server.capacity_weight * (share == input.available_share.end() ? 1 : share->second);
         assignment.servers.push_back(
-            {name, server.site, server.shards, power * input.unit_capacity * input.headroom});
+            {name, server.site, server.shards, available_weight * input.unit_capacity * input.headroom});
         served_shards.insert(server.shards.begin(), server.shards.end());
         result.capacity += assignment.servers.back().capacity;
     }
@@ -42,7 +43,7 @@
     }
     // Clients of an unavailable site go to the other sites.
     for (const auto& [site, share] : input.origins)
-        if (!without.contains(site)) assignment.origins[site] = share, remaining_share += share;
+        if (!lost_sites.contains(site)) assignment.origins[site] = share, remaining_share += share;
     for (auto& [site, share] : assignment.origins) share /= std::max(remaining_share, 1e-9);
     result.assignment = assign_load(assignment);
     SheddingInput shedding{input.request_classes, input.quotas, input.demand, {}};
--- a/src/recovery/types.hpp
+++ b/src/recovery/types.hpp
@@ -35,7 +35,7 @@
 struct ListedServer {
     SiteName site;
     std::vector<int> shards;
-    double power = 1; // relative capacity (the list's weight)
+    double capacity_weight = 1; // relative capacity (the list's weight)
     bool live = true, draining = false;
     Ticks started = 0; // start of the server, wall time; 0: unknown or long ago
 };
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-ServerId Instance::server_of(std::string_view name) {
+ServerId SimulatedFrontNode::server_of(std::string_view name) {
     if (const auto found = ids_.find(name); found != ids_.end()) return found->second;
     const ServerId id{static_cast<std::uint32_t>(names_.size())};
     ids_.emplace(name, id);
@@ -30,7 +30,7 @@
     return id;
 }
 
-void Instance::apply(Ticks now, const Message& message) {
+void SimulatedFrontNode::apply(Ticks now, const Message& message) {
     if (message.name() == "ACCEPT") {
         const JobNo job{static_cast<std::uint64_t>(message.integer_within("JobNo", 0, kMaxJob))};
         const std::int64_t shard = message.integer_within("SegmentNo", -kMaxIndex, kMaxIndex);
@@ -63,7 +63,7 @@
     // RING only triggers the decision that follows every event. Other messages are ignored.
 }
 
-void Instance::apply_list(Ticks now, ServerListKind kind, const EndpointList& endpoints) {
+void SimulatedFrontNode::apply_list(Ticks now, ServerListKind kind, const EndpointList& endpoints) {
     ServerListUpdate update{kind, {}};
     for (const ListedEndpoint& row : endpoints) {
         update.entries.push_back(row.entry);
@@ -72,44 +72,46 @@
     scheduler_->handle(now, update);
 }
 
-std::string Instance::decide(Ticks now) {
+std::string SimulatedFrontNode::decide(Ticks now) {
     actions_.clear();
     scheduler_->decide(now, *this);
     return std::move(actions_);
 }
 
 // The simulator sends at once, so there is no send deadline.
-void Instance::attempt(PartId part, ServerId server, Ticks time_out, Ticks) {
+void SimulatedFrontNode::attempt(PartId part, ServerId server, Ticks time_out, Ticks) {
     actions_ += "ISSUE Id=" + number(part.value) + " TimeoutUs=" + std::to_string(to_micros(time_out)) +
                 " Server=" + names_.at(server.value) + "\n";
 }
 
-void Instance::cancel_attempt(PartId part, AttemptNo attempt) {
+void SimulatedFrontNode::cancel_attempt(PartId part, AttemptNo attempt) {
     actions_ += "REVOKE Id=" + number(part.value) + " Copy=" + number(attempt.value) + "\n";
 }
 
-void Instance::answer(SearchId search, bool whole) {
+void SimulatedFrontNode::answer(SearchId search, bool whole) {
     actions_ += "SETTLE_QUERY Id=" + number(search.value) + " On=" + (whole ? "1" : "0") + "\n";
 }
 
-void Instance::reject(SearchId search, Ticks retry_after) {
+void SimulatedFrontNode::reject(SearchId search, Ticks retry_after) {
     actions_ += "REJECT Id=" + number(search.value);
     if (retry_after > 0) actions_ += " BackoffUs=" + std::to_string(to_micros(retry_after));
     actions_ += "\n";
 }
 
-void Instance::fail(SearchId search) { actions_ += "END_FAILED Id=" + number(search.value) + "\n"; }
+void SimulatedFrontNode::fail(SearchId search) { actions_ += "END_FAILED Id=" + number(search.value) + "\n"; }
 
-void Instance::probe(ServerId server) { actions_ += "ASK_LOAD Server=" + names_.at(server.value) + "\n"; }
+void SimulatedFrontNode::probe(ServerId server) {
+    actions_ += "ASK_LOAD Server=" + names_.at(server.value) + "\n";
+}
 
-void Instance::close_idle_connections(ServerId server) {
+void SimulatedFrontNode::close_idle_connections(ServerId server) {
     actions_ += "HANG_UP Server=" + names_.at(server.value) + "\n";
 }
 
-void Instance::schedule_wakeup(Ticks in) {
+void SimulatedFrontNode::schedule_wakeup(Ticks in) {
     actions_ += "SCHEDULE Mark=0 InUs=" + std::to_string(to_micros(in)) + "\n";
 }
 
-void Instance::subscribe() { actions_ += "LISTEN On=1\n"; }
+void SimulatedFrontNode::subscribe() { actions_ += "LISTEN On=1\n"; }
 
 } // namespace ivyrill::simulator
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -16,9 +16,9 @@
 };
 using EndpointList = std::vector<ListedEndpoint>;
 
-class Instance : public SchedulerHost {
+class SimulatedFrontNode : public SchedulerHost {
   public:
-    explicit Instance(SchedulerConfig config)
+    explicit SimulatedFrontNode(SchedulerConfig config)
         : connect_timeout_(config.connect_timeout), scheduler_(make_search_scheduler(std::move(config))) {}
 
     void apply(Ticks now, const Message& message); // any event except OPEN_INSTANCE, KILLED and ENDPOINTS
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -110,7 +110,7 @@
     }
 
     Ticks now_ = 0;
-    std::map<std::string, Instance> instances_;
+    std::map<std::string, SimulatedFrontNode> instances_;
     std::set<std::string, std::less<>> names_;
     std::vector<std::string> addressed_nodes_; // in this batch, in order of appearance
     const std::string* current_node_ = nullptr;
