--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -167,7 +167,7 @@
         snapshot_store_->make_durable(std::move(done));
     };
     callbacks.in_contact = [this] { return group_->in_contact(); };
-    callbacks.serves = [this] { return feed_gate_.is_open(); };
+    callbacks.may_confirm_calls = [this] { return feed_gate_.is_open(); };
     callbacks.call_address = [this](const std::string& peer) { return call_address(peer); };
     callbacks.changed = [this] { publish(); };
     callbacks.loads_changed = [this](const std::vector<model::Load>& loads) {
--- a/src/control/instance_registry.cpp
+++ b/src/control/instance_registry.cpp
@@ -92,7 +92,7 @@
         durable_departures_.insert(record.id);
     }
     // The heartbeat was used, but it can't be confirmed: the leader may not learn of it from this node.
-    if (!is_leaving && !callbacks_.serves()) co_return not_durable();
+    if (!is_leaving && !callbacks_.may_confirm_calls()) co_return not_durable();
     co_return RegisterReply{target.empty() || target == options_.self ? "" : callbacks_.call_address(target)};
 }
 
--- a/src/control/instance_registry.hpp
+++ b/src/control/instance_registry.hpp
@@ -42,8 +42,8 @@
         std::function<std::uint64_t()> self; // the member id of this node
         // Calls back with whether the current state is durable on this node's disk.
         std::function<void(std::function<void(bool)>)> make_durable;
-        std::function<bool()> in_contact; // with a leader that has a majority
-        std::function<bool()> serves;     // whether servers' calls may be confirmed (see FeedGate)
+        std::function<bool()> in_contact;        // with a leader that has a majority
+        std::function<bool()> may_confirm_calls; // of servers, see FeedGate
         std::function<std::string(const std::string& peer)>
             call_address;              // a peer's address for calls of servers
         std::function<void()> changed; // instances in the log have changed
--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -129,8 +129,8 @@
     config.over_quota_utility_ratio = reader.number("OverShareWorth", 1);
     config.list_mode =
         reader.word("MembershipMode", "push") == "ask" ? ListMode::kQueried : ListMode::kPushed;
-    config.cells = reader.at_least_one("Specifics.Places", 1);
-    config.span = reader.at_least_one("Specifics.Span", 1);
+    config.cell_count = reader.at_least_one("Specifics.Places", 1);
+    config.replicas_per_shard = reader.at_least_one("Specifics.Span", 1);
     config.call_overhead = reader.duration_rounded_down("Specifics.PerCallWorkUs");
     return config;
 }
@@ -141,7 +141,7 @@
     config.scheduler = read_scheduler_config(settings, seed);
     for (RequestClassConfig& request_class : config.scheduler.request_classes)
         request_class.follow_up_parts = 0; // follow-up parts exist in the simulator only
-    config.max_open = reader.whole("Limits.MaxOpen", 0);
+    config.max_concurrent_searches_and_parts = reader.whole("Limits.MaxOpen", 0);
     config.max_parts_per_call = reader.at_least_one("Specifics.Batch", 1);
     config.max_calls_per_connection = reader.at_least_one("Limits.StreamsPerConn", 1);
     config.shards = reader.at_least_one("Specifics.Slabs", 1);
--- a/src/protocol/front_node_config.hpp
+++ b/src/protocol/front_node_config.hpp
@@ -15,7 +15,7 @@
 // The configuration of the network layer, and that of the scheduler in `scheduler`.
 struct FrontNodeConfig {
     SchedulerConfig scheduler;
-    int max_open = 0; // concurrent searches and parts, 0: no limit
+    int max_concurrent_searches_and_parts = 0; // 0: no limit
     int max_parts_per_call = 1;
     int max_calls_per_connection = 1; // concurrent calls per connection
     int shards = 0;
--- a/src/recovery/capacity_estimator.hpp
+++ b/src/recovery/capacity_estimator.hpp
@@ -1,4 +1,4 @@
-// Estimates the capacity of index servers: parts per second of a warm server of capacity_weight 1. Sources,
+// Estimates the capacity of index servers: parts per second of a warm server of weight 1. Sources,
 // best first: the operator's configuration; the servers' load reports (parts in progress while others are
 // queued, divided by the service time while none are); the highest observed rate, which decays slowly. While
 // sites are unavailable, a correction factor is applied: it falls when admitted searches miss their latency
@@ -9,7 +9,7 @@
 namespace ivyrill::recovery {
 
 struct CapacityOptions {
-    double configured = 0;    // parts per second of a server of capacity_weight 1; 0: not configured
+    double configured = 0;    // parts per second of a server of weight 1; 0: not configured
     Ticks latency_target = 0; // the shortest of all request classes
 };
 
@@ -20,7 +20,7 @@
     // Called once per check. `capacity_weight`: sum over the servers in service; `rate`: parts per second
     // answered by the whole fleet, as far as known.
     void add_rate(Ticks now, double capacity_weight, double rate);
-    // Counts of one server of that capacity_weight.
+    // Counts of one server of that weight.
     void add_reports(const ServerCounts& counts, double capacity_weight);
     // Results of the searches admitted since the last call; `missed` are late, failed or rejected. While all
     // sites are healthy this only updates the usual share of misses, which does not indicate overload.
@@ -28,7 +28,7 @@
     // Called when a site becomes unavailable: a correction from a period of low load does not apply.
     void reset_correction();
 
-    double unit_capacity() const; // parts per second of a warm server of capacity_weight 1
+    double unit_capacity() const; // parts per second of a warm server of weight 1
     double correction() const { return correction_; }
     double observed_rate() const { return observed_rate_; }
     double estimate_from_reports() const; // 0: too few reports
--- a/src/recovery/failover_controller.hpp
+++ b/src/recovery/failover_controller.hpp
@@ -33,7 +33,7 @@
     int shards = 1;
     Ticks report_interval = kTicksPerSecond; // between two reports
     int report_fanout = 3;                   // peers that each report is sent to
-    double configured_capacity = 0;          // parts per second of a warm server of power 1; 0: estimated
+    double configured_capacity = 0;          // parts per second of a warm server of weight 1; 0: estimated
     double headroom = 0.9;
     std::map<std::pair<SiteName, SiteName>, double> costs, links;
 };
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -182,8 +182,9 @@
     if (open_ids_.contains(request.id)) return reject(409, "a search with this id is already open");
     ++counts_.searches;
     const Ticks left = ticks_rounded_down(request.timeout_us) - event.age;
-    const bool full = config_.max_open > 0 &&
-                      searches_.size() + parts_.size() >= static_cast<std::size_t>(config_.max_open);
+    const bool full = config_.max_concurrent_searches_and_parts > 0 &&
+                      searches_.size() + parts_.size() >=
+                          static_cast<std::size_t>(config_.max_concurrent_searches_and_parts);
     if (full || left <= 0 || over_fair_share(event.client, found->second)) {
         ++counts_.over_limit, ++counts_.rejected;
         effects_.push_back(AnswerClient{
@@ -283,13 +284,14 @@
 // A connection with many searches may hold only its fair share of the front node's capacity while others
 // search too. The first search of a connection always passes.
 bool Router::over_fair_share(ClientId id, const Client& client) const {
-    if (client.searches.empty() || config_.max_open <= 0) return false;
+    if (client.searches.empty() || config_.max_concurrent_searches_and_parts <= 0) return false;
     const auto others = std::ranges::count_if(
         clients_, [id](auto& held) { return held.first != id && !held.second.searches.empty(); });
     std::size_t held = client.searches.size();
     for (const auto& [stream, search] : client.searches) held += searches_.at(search).parts.size();
-    return held >= limits::fair_share_of_searches(static_cast<std::size_t>(config_.max_open),
-                                                  static_cast<std::size_t>(others));
+    return held >=
+           limits::fair_share_of_searches(static_cast<std::size_t>(config_.max_concurrent_searches_and_parts),
+                                          static_cast<std::size_t>(others));
 }
 
 void Router::apply(const TrafficStopped&) {
--- a/src/search_scheduler.cpp
+++ b/src/search_scheduler.cpp
@@ -310,16 +310,16 @@
     // or full, bad releases on one kind. Failures in a degraded zone do not count against the kind.
     void record_group_result(const IndexServer& server, bool success, double took) {
         const bool late = took >= target_ * kSilenceLimit;
-        const Group zone = server.groups()[0], kind = server.groups()[1];
+        const ServerGroup zone = server.groups()[0], kind = server.groups()[1];
         groups_[zone].record(!success || late, success ? took : target_, kZoneWeight);
         if (!degraded(zone)) groups_[kind].record(!success, success ? took : target_, kKindWeight);
     }
-    double failure_rate(Group group) const {
+    double failure_rate(ServerGroup group) const {
         const auto found = groups_.find(group);
         return found == groups_.end() ? 0 : std::min(found->second.failure_rate, 0.99);
     }
 
-    bool degraded(Group group) const {
+    bool degraded(ServerGroup group) const {
         const double here = failure_rate(group);
         return here >= kDegradedRate && std::ranges::any_of(groups_, [&](auto& other) {
                    return other.first.first == group.first && other.second.failure_rate < here / 2;
@@ -510,7 +510,7 @@
             if (eligibility == Eligibility::kLastResort) penalty += 1.2;
             if (bad) {
                 double success = 1;
-                for (const Group& group : server->groups()) success *= 1 - failure_rate(group);
+                for (const ServerGroup& group : server->groups()) success *= 1 - failure_rate(group);
                 rank /= success * success, penalty += 1.5;
             }
             rank += kRankStep * penalty;
@@ -653,7 +653,7 @@
     double expected_time(const IndexServer& server, int ahead = 0) const {
         const double waiting =
             ahead + queue_of(server) + std::max(0, server.in_flight() - server.in_flight_at_report);
-        const Group zone_group = server.groups()[0];
+        const ServerGroup zone_group = server.groups()[0];
         const double zone = stale(server) && degraded(zone_group) ? groups_.at(zone_group).response : 0;
         const double full = static_cast<double>(std::max<Ticks>(0, server.backoff_until - now_));
         return full + std::max({zone, response_of(server), service_time(server) * (1 + waiting)});
@@ -855,7 +855,7 @@
     std::map<SearchId, JobNo> jobs_;
     std::map<PartId, std::pair<JobNo, std::size_t>> part_places_;
     std::map<ServerId, IndexServer> servers_;
-    std::map<Group, GroupStats> groups_;
+    std::map<ServerGroup, GroupStats> groups_;
     std::map<ServerId, IndexServer*> watched_;
     std::map<ShardNo, std::vector<IndexServer*>> replicas_;             // by shard, in order of their ids
     mutable Ticks fleet_service_until_ = 0;                             // expiry of the cached value below
--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -58,11 +58,12 @@
     ListMode list_mode = ListMode::kPushed;
     // Time after which a published change of the server list is assumed to be known to all front nodes.
     Ticks list_propagation = 6 * kTicksPerSecond;
-    int cells = 1; // shard s has replicas in the `span` consecutive cells from s mod `cells` on, cyclically
-    int span = 1;
+    int cell_count = 1;
+    int replicas_per_shard =
+        1; // shard s is held by this many consecutive cells from s mod cell_count on, cyclically
     Ticks call_overhead = 0; // server time of a call in addition to its parts
     bool holds(CellNo cell, ShardNo shard) const {
-        return (cell.value - shard.value % cells + cells) % cells < span;
+        return (cell.value - shard.value % cell_count + cell_count) % cell_count < replicas_per_shard;
     }
 };
 
--- a/src/search_scheduler_state.hpp
+++ b/src/search_scheduler_state.hpp
@@ -24,12 +24,12 @@
 // Updates an exponentially weighted mean.
 inline void mix(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
-// Lowers a mean towards `usual` by at most `fall`, or raises it towards `usual` by a share of the difference.
-inline void decay(double& mean, double usual, double fall, double share) {
-    mean = mean > usual ? std::max(usual, mean - fall) : mean + share * (usual - mean);
+// Lowers a mean towards `baseline` by at most `max_decrease`, or raises it by a share of the difference.
+inline void decay(double& mean, double baseline, double max_decrease, double rise_share) {
+    mean = mean > baseline ? std::max(baseline, mean - max_decrease) : mean + rise_share * (baseline - mean);
 }
 
-using Group = std::pair<int, std::int32_t>; // servers of one zone (0) or of one kind of machine (1)
+using ServerGroup = std::pair<int, std::int32_t>; // servers of one zone (0) or of one kind of machine (1)
 
 struct Attempt {
     ServerId server;
@@ -97,14 +97,16 @@
     int failed_trials = 0, passed_probes = 0, trial_limit = 0; // trial_limit: attempts during a trial
     int silent = 0;                                            // overdue attempts since its last answer
     Ticks last_overdue_at = 0, last_answer = 0, next_probe = 0, decayed_at = 0, connection_lost_at = 0;
-    Ticks watched_at = 0, used = 0;                 // used: traffic on a connection to it
+    Ticks watched_at = 0, used = 0; // last put under observation; last traffic on a connection to it
     Ticks started_at = 0, next_cold_attempt_at = 0; // last start, listed or inferred; next attempt while cold
     int rejections = 0;                             // in a row
     Ticks backoff_until = 0;                        // after rejections
     bool known = false, unreachable = false, refused = false, probe_due = false, probe_in_flight = false;
     bool close_idle_before_next_attempt = false;
 
-    std::array<Group, 2> groups() const { return {Group{0, entry.zone.value}, Group{1, entry.kind.value}}; }
+    std::array<ServerGroup, 2> groups() const {
+        return {ServerGroup{0, entry.zone.value}, ServerGroup{1, entry.kind.value}};
+    }
     int in_flight() const { return static_cast<int>(sent_at.size()); }
     Ticks oldest() const {
         Ticks first = kNever;
--- a/tests/instance_registry_tests.cpp
+++ b/tests/instance_registry_tests.cpp
@@ -63,7 +63,7 @@
             else
                 waiting.push_back(done);
         };
-        made.serves = [this] { return serves; };
+        made.may_confirm_calls = [this] { return serves; };
         made.in_contact = [this] { return ++contact_checks, in_contact; };
         made.call_address = [](const std::string& peer) { return "call " + peer; };
         made.changed = [this] { ++changes; };
--- a/tests/lab/front_node_fixture.cpp
+++ b/tests/lab/front_node_fixture.cpp
@@ -76,7 +76,7 @@
     terms.decision_interval = 50, terms.warm_up_time = kTicksPerSecond, terms.cold_capacity_ratio = 0.2;
     terms.overload_window = kTicksPerSecond, terms.overload_factor = 2, terms.max_attempts = 3;
     terms.may_cancel = terms.may_probe = true, terms.list_mode = ListMode::kQueried;
-    terms.cells = plan.servers;
+    terms.cell_count = plan.servers;
     start_config.front_node_config.request_classes = {"find", "annotate"},
     start_config.front_node_config.tenants = {"etna", "conca"};
     start_config.front_node_config.zones = {"a"}, start_config.front_node_config.server_kinds = {"m"},
--- a/tests/lab/simulated_sites.cpp
+++ b/tests/lab/simulated_sites.cpp
@@ -268,7 +268,7 @@
     terms.overload_window = plan_.overload_window, terms.overload_factor = plan_.overload_factor;
     terms.max_retry_after = 2 * kTicksPerSecond, terms.max_attempts = 3;
     terms.may_cancel = terms.may_send_retry_after = true, terms.may_probe = plan_.may_probe;
-    terms.cells = plan_.servers / plan_.replicas, terms.span = 1;
+    terms.cell_count = plan_.servers / plan_.replicas, terms.replicas_per_shard = 1;
     front.scheduler = make_search_scheduler(terms);
     front.traffic = recovery::TrafficCounter(plan_.request_classes[0].terms.latency_target);
     front.controller.reset();
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -283,11 +283,12 @@
            scheduler_config.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
     assert(scheduler_config.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
            scheduler_config.request_classes[0].min_answer_weight == 0.5);
-    assert(scheduler_config.cells == 4 && simulated.cells == 4 && scheduler_config.max_attempts == 3);
+    assert(scheduler_config.cell_count == 4 && simulated.cell_count == 4 &&
+           scheduler_config.max_attempts == 3);
     assert(read.front_node_config.request_classes[0] == "game_annotate" &&
            read.front_node_config.zones[0] == "a_b");
-    assert(read.front_node_config.max_open == 203 && read.front_node_config.idle_timeout == ms(15'000) &&
-           read.sockets == 1024);
+    assert(read.front_node_config.max_concurrent_searches_and_parts == 203 &&
+           read.front_node_config.idle_timeout == ms(15'000) && read.sockets == 1024);
 }
 
 constexpr Test kTests[] = {
--- a/tests/routing_tests.cpp
+++ b/tests/routing_tests.cpp
@@ -448,7 +448,7 @@
 
 void searches_over_the_limit_are_rejected_at_once() {
     protocol::FrontNodeConfig config = front_node_config();
-    config.max_open = 3;
+    config.max_concurrent_searches_and_parts = 3;
     RouterFixture fixture(config);
     const ClientId first = fixture.search({0, 1}), second = fixture.search();
     assert(!fixture.verdict(first) && fixture.verdict(second) == Verdict::kRejected);
--- a/tests/search_scheduler_tests.cpp
+++ b/tests/search_scheduler_tests.cpp
@@ -663,7 +663,7 @@
     for (const std::uint32_t sound :
          {1U, 20U}) { // servers of the other shard; the first shard has one slow server
         SchedulerConfig config = default_config();
-        config.cells = 2;
+        config.cell_count = 2;
         config.request_classes[0].min_answer_weight = 0.5;
         config.request_classes.push_back(config.request_classes[0]);
         FakeHost host(config, 1);
--- a/tests/socket_tests.cpp
+++ b/tests/socket_tests.cpp
@@ -130,7 +130,7 @@
         start_config.front_node_config.scheduler = default_config();
         start_config.front_node_config.scheduler.list_mode = ListMode::kQueried;
         start_config.front_node_config.scheduler.hedging_enabled = false;
-        start_config.front_node_config.scheduler.cells = 2;
+        start_config.front_node_config.scheduler.cell_count = 2;
         start_config.front_node_config.scheduler.request_classes[0].idempotency = idempotency,
         start_config.front_node_config.scheduler.request_classes[0].latency_target = due;
         start_config.front_node_config.request_classes = {"find"}, start_config.front_node_config.shards = 2;
