--- a/src/search_scheduler.hpp
+++ b/src/search_scheduler.hpp
@@ -59,9 +59,8 @@
     // Time after which a published change of the server list is assumed to be known to all front nodes.
     Ticks list_propagation = 6 * kTicksPerSecond;
     int cell_count = 1;
-    int replicas_per_shard =
-        1; // shard s is held by this many consecutive cells from s mod cell_count on, cyclically
-    Ticks call_overhead = 0; // server time of a call in addition to its parts
+    int replicas_per_shard = 1; // in consecutive cells, from s mod cell_count on for shard s, cyclically
+    Ticks call_overhead = 0;    // server time of a call in addition to its parts
     bool holds(CellNo cell, ShardNo shard) const {
         return (cell.value - shard.value % cell_count + cell_count) % cell_count < replicas_per_shard;
     }
