--- a/src/protocol/front_node_config.cpp
+++ b/src/protocol/front_node_config.cpp
@@ -101,8 +101,8 @@
             read_idempotency(reader.word(row + "Idempotency", "read_like"), row + "Idempotency");
         request_class.utility = reader.number(row + "Worth", 1);
         request_class.late_utility_ratio = reader.number(row + "LateShare", 0);
-        request_class.floor = reader.listed("Specifics.ClassFloor", i, 1);
-        request_class.need = reader.listed("Specifics.ClassNeed", i, 1);
+        request_class.min_answer_weight = reader.listed("Specifics.ClassFloor", i, 1);
+        request_class.full_answer_weight = reader.listed("Specifics.ClassNeed", i, 1);
         request_class.follow_up_parts = static_cast<int>(reader.listed("Specifics.FollowUp", i, 0));
         config.request_classes.push_back(request_class);
     }
@@ -121,7 +121,7 @@
     config.max_retry_after = reader.duration_rounded_down("Limits.MaxRetryAfterUs");
     config.max_attempts = reader.at_least_one("Limits.MostTries", 1);
     config.connect_timeout = reader.duration_rounded_down("Limits.ConnectTimeoutUs");
-    config.retries_marked = reader.flag("Clients.MarksRetry");
+    config.clients_mark_retries = reader.flag("Clients.MarksRetry");
     config.may_cancel = reader.flag("Limits.MayCancel");
     config.may_probe = reader.flag("Limits.Probes");
     config.may_send_retry_after = reader.flag("Limits.RetryAfter");
@@ -129,9 +129,9 @@
     config.over_quota_utility_ratio = reader.number("OverShareWorth", 1);
     config.list_mode =
         reader.word("MembershipMode", "push") == "ask" ? ListMode::kQueried : ListMode::kPushed;
-    config.cells = reader.at_least_one("Specifics.Places", 1);
-    config.span = reader.at_least_one("Specifics.Span", 1);
-    config.call_work = reader.duration_rounded_down("Specifics.PerCallWorkUs");
+    config.cell_count = reader.at_least_one("Specifics.Places", 1);
+    config.replicas_per_shard = reader.at_least_one("Specifics.Span", 1);
+    config.call_overhead = reader.duration_rounded_down("Specifics.PerCallWorkUs");
     return config;
 }
 
@@ -141,8 +141,8 @@
     config.scheduler = read_scheduler_config(settings, seed);
     for (RequestClassConfig& request_class : config.scheduler.request_classes)
         request_class.follow_up_parts = 0; // follow-up parts exist in the simulator only
-    config.max_open = reader.whole("Limits.MaxOpen", 0);
-    config.batch = reader.at_least_one("Specifics.Batch", 1);
+    config.max_concurrent_searches_and_parts = reader.whole("Limits.MaxOpen", 0);
+    config.max_parts_per_call = reader.at_least_one("Specifics.Batch", 1);
     config.max_calls_per_connection = reader.at_least_one("Limits.StreamsPerConn", 1);
     config.shards = reader.at_least_one("Specifics.Slabs", 1);
     config.idle_timeout = reader.duration_rounded_down("Limits.ConnIdleUs");
@@ -152,7 +152,7 @@
     config.request_classes = reader.names_of_rows("Grades");
     config.tenants = reader.names_of_rows("Tenants");
     config.zones = reader.names("Zones");
-    config.kinds = reader.names("Kinds");
+    config.server_kinds = reader.names("Kinds");
     return config;
 }
 
--- a/src/recovery/failover_controller.cpp
+++ b/src/recovery/failover_controller.cpp
@@ -53,7 +53,7 @@
 
 bool nearly_equal(const FailoverPolicyUpdate& a, const FailoverPolicyUpdate& b, double step) {
     if (a.lost_shards != b.lost_shards || a.sites.size() != b.sites.size() ||
-        a.rows.size() != b.rows.size() || std::abs(a.attempt_budget_share - b.attempt_budget_share) >= step ||
+        a.rows.size() != b.rows.size() || std::abs(a.retry_budget_share - b.retry_budget_share) >= step ||
         a.retry_after != b.retry_after || a.capacity_shares.size() != b.capacity_shares.size())
         return false;
     for (std::size_t i = 0; i < a.sites.size(); ++i)
@@ -166,7 +166,7 @@
     last_check_ = now_;
     // A fixed number of checks enters the average, whatever the time between them.
     const double weight = kRateWeight;
-    double answered = 0, power = 0;
+    double answered = 0, total_weight = 0;
     for (const auto& [name, counts] : since_check_.servers) answered += counts.good;
     update_mean(own_answer_rate_, answered / elapsed_s, weight);
     for (auto& [key, row] : own_demand_.rows)
@@ -191,12 +191,12 @@
     for (const auto& [name, server] : servers_)
         if (server.live && !server.draining && !is_unavailable(monitor_.state(server.site)) &&
             !monitor_.is_silent(name, now_))
-            power += server.power;
-    capacity_.add_rate(now_, power, peer_reports_.answer_rate(now_, own_answer_rate_));
+            total_weight += server.capacity_weight;
+    capacity_.add_rate(now_, total_weight, peer_reports_.answer_rate(now_, own_answer_rate_));
     for (const auto& [name, counts] : since_check_.servers)
         if (const auto server = servers_.find(name);
             server != servers_.end() && available_share(name, server->second) >= 1)
-            capacity_.add_reports(counts, server->second.power);
+            capacity_.add_reports(counts, server->second.capacity_weight);
     std::uint64_t in_time = 0, missed = 0;
     for (const auto& [key, counts] : since_check_.classes) {
         // Rejections beyond those of the plan count as misses.
@@ -280,7 +280,8 @@
         result *= options_.cold_capacity_ratio + (1 - options_.cold_capacity_ratio) * age;
     }
     if (state == SiteState::kRampingUp)
-        result = std::min(result, site_share(server.site)); // limits its load, does not scale its power
+        result =
+            std::min(result, site_share(server.site)); // limits its load, does not scale its total_weight
     return result;
 }
 
@@ -326,7 +327,7 @@
     for (const auto& [shard, served] : plan.assignment.served_share)
         if (served < 1 - kMinChange) policy.capacity_shares.emplace_back(ShardNo{shard}, served);
     const double utilization = plan.assignment.max_utilization;
-    policy.attempt_budget_share =
+    policy.retry_budget_share =
         !admits_all
             ? 0
             : std::clamp(1 - (utilization - kBudgetCutUtilization) / (1 - kBudgetCutUtilization), 0.0, 1.0);
@@ -357,7 +358,7 @@
             now_ + static_cast<Ticks>(kReplanInterval * static_cast<double>(options_.latency_target) *
                                       (0.75 + 0.5 * rng_.unit()));
         planned_shares_ = std::move(shares);
-        plan_ = plan_without(plan_input(), unavailable_sites());
+        plan_ = plan_for_lost_sites(plan_input(), unavailable_sites());
         ++counts_.plans;
     }
     FailoverPolicyUpdate policy = policy_for(plan_);
@@ -378,7 +379,7 @@
             restrictions += (restrictions.empty() ? "" : " ") + key.first + "/" + key.second + ":" +
                             percent(admission.admitted_share) +
                             (admission.answer_weight < 0.995 ? "@" + percent(admission.answer_weight) : "");
-    log_line("site_load", {{"without", list_of(plan_.without)},
+    log_line("site_load", {{"without", list_of(plan_.lost_sites)},
                            {"demand", number(plan_.demand)},
                            {"room", number(plan_.capacity)},
                            {"fullest", percent(plan_.assignment.max_utilization)},
@@ -407,15 +408,15 @@
         if (query.contains("without")) {
             std::set<SiteName> without;
             for (const auto& site : query["without"]) without.insert(site.get<std::string>());
-            plans.push_back(plan_without(input, without));
+            plans.push_back(plan_for_lost_sites(input, without));
         } else {
-            plans = plan_each_loss(input);
+            plans = plan_all_losses(input);
         }
         result["plans"] = Json::array();
         for (const Plan& plan : plans) {
-            Json row{{"without", plan.without},  {"room", plan.capacity},
-                     {"demand", plan.demand},    {"fullest", plan.assignment.max_utilization},
-                     {"gone", plan.lost_shards}, {"survives", plan.utility_share}};
+            Json row{{"without", plan.lost_sites}, {"room", plan.capacity},
+                     {"demand", plan.demand},      {"fullest", plan.assignment.max_utilization},
+                     {"gone", plan.lost_shards},   {"survives", plan.utility_share}};
             row["let_in"] = Json::array();
             for (const auto& [key, admission] : plan.shedding.admissions)
                 row["let_in"].push_back(
--- a/src/recovery/load_shedding.hpp
+++ b/src/recovery/load_shedding.hpp
@@ -1,6 +1,7 @@
 // Decides what to shed when demand exceeds capacity. Traffic classes are admitted by utility per unit of
 // work. Each tenant gets its quota, scaled to the remaining capacity, before any tenant gets more. Parts are
-// omitted, down to the request class's floor, before whole searches of that request class are rejected. Pure.
+// omitted, down to the request class's minimum weight, before whole searches of that request class are
+// rejected. Pure.
 #pragma once
 #include "recovery/types.hpp"
 
@@ -15,7 +16,7 @@
 
 struct Admission {
     double admitted_share = 1; // of its searches
-    double answer_weight = 1;  // 1 unless parts are omitted
+    double answer_weight = 1;  // minimum weight of an answer; 1 unless parts are omitted
     bool impossible = false;   // it needs shards of which no replica is left
 };
 
--- a/tests/protocol_tests.cpp
+++ b/tests/protocol_tests.cpp
@@ -264,28 +264,31 @@
 
 // The simulator's opening message and the front node's JSON are read by the same parser.
 void simulator_and_front_node_read_equal_settings() {
-    const std::string orders =
+    const std::string start_config_json =
         R"({"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff",)"
         R"("limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":0,"full":true,"servers":[]},)"
         R"("settings":{"Grades":[{"AimUs":1000000,"DeadlineUs":2500000,"Idempotency":"non_idempotent",)"
         R"("Name":"game annotate","Worth":2.0}],"Limits":{"MostTries":3,"MaxOpen":203,"ConnIdleUs":15000000},)"
         R"("Specifics":{"ClassFloor":[0.5],"ClassNeed":[1.0],"Places":4,"Span":1,"Slabs":8},"Zones":["a b","c"],)"
         R"("Tenants":[{"Name":"t","QuotaPerS":28.0}],"PeersTotal":2}})";
-    const StartConfig read = read_start_config(orders);
+    const StartConfig read = read_start_config(start_config_json);
     const SchedulerConfig simulated = simulator::read_scheduler_config(simulator::Message(
         "OPEN_INSTANCE Nonce64=255 Grades.count=1 Grades.0.AimUs=1000000 Grades.0.DeadlineUs=2500000 "
         "Grades.0.Idempotency=non_idempotent Grades.0.Worth=2.0 Limits.MostTries=3 Specifics.ClassFloor=0.5 "
         "Specifics.Places=4 Tenants.count=1 Tenants.0.QuotaPerS=28.0 PeersTotal=2"));
-    const SchedulerConfig& terms = read.terms.scheduler;
-    assert(terms.seed == 255 && simulated.seed == 255 && terms.front_nodes == 2 &&
+    const SchedulerConfig& scheduler_config = read.front_node_config.scheduler;
+    assert(scheduler_config.seed == 255 && simulated.seed == 255 && scheduler_config.front_nodes == 2 &&
            simulated.front_nodes == 2);
-    assert(terms.request_classes.size() == 1 &&
-           terms.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
-    assert(terms.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
-           terms.request_classes[0].floor == 0.5);
-    assert(terms.cells == 4 && simulated.cells == 4 && terms.max_attempts == 3);
-    assert(read.terms.request_classes[0] == "game_annotate" && read.terms.zones[0] == "a_b");
-    assert(read.terms.max_open == 203 && read.terms.idle_timeout == ms(15'000) && read.sockets == 1024);
+    assert(scheduler_config.request_classes.size() == 1 &&
+           scheduler_config.request_classes[0].latency_target == simulated.request_classes[0].latency_target);
+    assert(scheduler_config.request_classes[0].idempotency == Idempotency::kNonIdempotent &&
+           scheduler_config.request_classes[0].min_answer_weight == 0.5);
+    assert(scheduler_config.cell_count == 4 && simulated.cell_count == 4 &&
+           scheduler_config.max_attempts == 3);
+    assert(read.front_node_config.request_classes[0] == "game_annotate" &&
+           read.front_node_config.zones[0] == "a_b");
+    assert(read.front_node_config.max_concurrent_searches_and_parts == 203 &&
+           read.front_node_config.idle_timeout == ms(15'000) && read.sockets == 1024);
 }
 
 constexpr Test kTests[] = {
