--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,8 +1,9 @@
-// What the control side promises, measured: histories of whole control nodes with agents, servers and
-// operators in virtual time, a plan for each of the five things that must not happen, and the faults planted
-// in them. The last line is one JSON object; the exit status is 1 where a promise is broken or a planted
-// fault is not found. `--seed N` plays one history and tells it, `--duty-seed N` one of duties; `--histories
-// N` plays so many, and a third as many of duties; `--duty-histories N` plays only so many of duties.
+// Measures the guarantees of the control side: histories of whole control nodes with agents, servers and
+// operators in virtual time, a plan for each of the five failures that must not occur, and the faults planted
+// in them. The last line is one JSON object; the exit status is 1 if a guarantee is violated or a planted
+// fault is not found. `--seed N` runs one history and prints its trace, `--duty-seed N` one of duties;
+// `--histories N` runs that many, and a third as many of duties; `--duty-histories N` runs only that many of
+// duties.
 #include "lab/control_world.hpp"
 
 #include <array>
@@ -92,14 +93,14 @@
             {"histories_s", took.count()}};
 }
 
-// Of seeds 1 to `histories`, nothing else.
+// Only seeds 1 to `histories`.
 int tell_duties(std::uint64_t histories) {
     const Totals duty = play_histories(histories, duty_plan_of_seed, "duty");
     std::cout << json{{"duty_histories", histories}, {"duty_violations", duty.violations}}.dump() << "\n";
     return duty.violations == 0 ? 0 : 1;
 }
 
-// The faults exist in another build of the libraries, and so in another program.
+// The faults exist in another build of the libraries, and therefore in another program.
 json play_planted() {
     json made{{"planted", 0}, {"planted_found", 0}};
     FILE* program = popen(IVYRILL_PLANTED_PROGRAM, "r");
--- a/bench/control_planted.cpp
+++ b/bench/control_planted.cpp
@@ -1,6 +1,6 @@
 // The part of measure_control that needs the planted builds: how many of the planted faults the histories
-// find. Its last line is one JSON object. `--fault N` looks for one only, `--fault N --seed M` tells one
-// history of whole control nodes with it.
+// find. Its last line is one JSON object. `--fault N` searches for one only, `--fault N --seed M` prints the
+// trace of one history of whole control nodes with it.
 #include "base/planted_fault.hpp"
 #include "lab/consensus_world.hpp"
 #include "lab/control_world.hpp"
@@ -21,7 +21,7 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr std::uint64_t kSeeds = 2000; // tried for each fault, at most
+constexpr std::uint64_t kSeeds = 2000; // maximum number of seeds tried for each fault
 
 struct Finding {
     std::uint64_t seed = 0; // 0: not found
@@ -31,13 +31,13 @@
 ControlPlan plan_for(PlantedFault fault, std::uint64_t seed) {
     const bool is_of_duties = static_cast<int>(fault) > kControlFaults;
     if (is_of_duties) return duty_plan_of_seed(seed);
-    // Only the smaller half brings it about, in one of hundreds of histories.
+    // Only the smaller half provokes it, in one of hundreds of histories.
     const bool needs_cuts = fault == PlantedFault::kContactWithoutMajority;
     return needs_cuts ? control_plan_of(ControlPlanKind::kCutOff, seed) : control_plan_of_seed(seed);
 }
 
-// Faults of the agreement are looked for among its own histories, which are many times as fast; all others
-// among those of whole control nodes.
+// Faults of the consensus are searched for in its own histories, which run many times as fast; all others
+// in those of whole control nodes.
 Finding find(PlantedFault fault) {
     planted_fault = fault;
     Finding finding;
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,7 +1,7 @@
 // The soak: real processes of the whole fleet on loopback, signals, restarts and configuration changes that
-// overlap, and clients that use their connections until the process is gone, all drawn from a seed. The last
-// line is one JSON object; the exit status is 1 where a promise is broken, and then the story of that seed is
-// told and its logs stay.
+// overlap, and clients that use their connections until the process has ended, all drawn from a seed. The
+// last line is one JSON object; the exit status is 1 if a guarantee is violated, and then the trace of that
+// seed is printed and its logs are kept.
 #include "lab/soak_run.hpp"
 
 #include <CLI/CLI.hpp>
@@ -15,7 +15,7 @@
 using namespace ivyrill::lab;
 
 constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
-constexpr std::size_t kMostTold = 20; // broken promises of one seed
+constexpr std::size_t kMostTold = 20; // violated guarantees of one seed
 
 struct Arguments {
     SoakOptions options;
--- a/bench/system.cpp
+++ b/bench/system.cpp
@@ -1,6 +1,6 @@
-// What the control plane promises, measured: histories of consensus groups in virtual time, and the faults
-// planted in them. The last line is one JSON object; the exit status is 1 where a promise is broken. `--long`
-// plays ten times as many histories.
+// Measures the guarantees of the control plane: histories of consensus groups in virtual time, and the faults
+// planted in them. The last line is one JSON object; the exit status is 1 if a guarantee is violated.
+// `--long` runs ten times as many histories.
 #include "lab/consensus_world.hpp"
 
 #include <array>
@@ -54,7 +54,7 @@
             {"changes_of_voters", changes}, {"disks_lost", lost},       {"schedules_s", took.count()}};
 }
 
-// The faults exist in another build of the library, and so in another program.
+// The faults exist in another build of the library, and therefore in another program.
 json play_planted() {
     json made{{"planted", 0}, {"planted_found", 0}};
     FILE* program = popen(IVYRILL_PLANTED_PROGRAM, "r");
--- a/bench/system_planted.cpp
+++ b/bench/system_planted.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kSeeds = 2000;
 
-// The first seed whose history breaks a promise; 0 where none does.
+// The first seed whose history violates a guarantee; 0 if none does.
 std::uint64_t first_seed_that_finds(PlantedFault fault) {
     planted_fault = fault;
     for (int tried = 1; tried <= kSeeds; ++tried) {
--- a/examples/model_server.cpp
+++ b/examples/model_server.cpp
@@ -1,5 +1,5 @@
-// A stand-in for a model server, for trying the fleet on one machine: it speaks the published protocol, takes
-// as long as the figures below say, and generates hexadecimal words. SIGTERM makes it drain and leave; a
+// A stand-in for a model server, to try the fleet on one machine: it speaks the published protocol, takes
+// as long as the settings below specify, and generates hexadecimal words. SIGTERM makes it drain and leave; a
 // second one ends it.
 #include "lab/model_server.hpp"
 
@@ -75,7 +75,7 @@
     return values;
 }
 
-// A line for each generation and prefill call: whom it says it is for, and whether it shows a client's key.
+// A line for each generation and prefill call: its intended server, and whether it carries a client's key.
 void log_calls(const std::vector<lab::HttpHead>& heads, std::size_t& logged) {
     for (; logged < heads.size(); ++logged) {
         const lab::HttpHead& head = heads[logged];
@@ -86,7 +86,7 @@
     }
 }
 
-// A line for each run that began: only these count as run, calls may be turned away.
+// A line for each run that began: only these count as run; calls may be rejected.
 void log_runs(const std::vector<std::string>& begun, std::size_t& logged) {
     for (; logged < begun.size(); ++logged) std::cout << "run attempt=" << begun[logged] << std::endl;
 }
--- a/tests/lab/configuration_history.cpp
+++ b/tests/lab/configuration_history.cpp
@@ -19,7 +19,7 @@
     return orders_.size() - 1;
 }
 
-// At most one order is in force on top of a version, and one under a number; none that was refused.
+// At most one order is in force per base version, and one per number; no rejected order is in force.
 void ConfigurationHistory::put_in_force(OrderNumber number, const std::string& where) {
     Order& order = orders_[number];
     if (order.state == OrderState::kRefused)
@@ -60,7 +60,7 @@
         put_in_force(number, where);
 }
 
-// Older than what was acknowledged, or read, before it was asked for: no order of events explains it.
+// Older than the version acknowledged, or read, before the request was sent: no linearization explains it.
 void ConfigurationHistory::read(std::optional<OrderNumber> number, Ticks asked_at, Ticks now,
                                 const std::string& where) {
     if (number) seen(*number, where);
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -257,8 +257,7 @@
 // and an agent that starts then reaches no other member.
 void ControlWorld::records_come_late() {
     run_for(15'000); // every disk has every server's record
-    MachineNumber machine =
-        control_[static_cast<std::size_t>(network_.any(3))]; // agents start by these addresses
+    MachineNumber machine = control_[static_cast<std::size_t>(network_.any(3))]; // agents start with these
     if (machine == leader()) machine = control_[static_cast<std::size_t>((machine + 1) % 3)];
     if (!is_live(machine)) return;
     ++counts_.faults;
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -107,6 +107,7 @@
               std::function<void(const CallResult&)> done,
               std::function<void()> answering = {}); // called when the machine answers with 200
     OrderNumber new_order(std::int64_t base, std::int64_t version);
+    // Sends one order to one machine and waits for its answer there; status 0: none within a second.
     void send_order(OrderNumber order, MachineNumber machine, std::function<void(int status)> done);
     const ConfigurationHistory& history() const { return history_; }
     const std::vector<std::string>& broken() const { return broken_; }
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-constexpr int kStartPatienceMs = 40'000; // the script itself gives up before
+constexpr int kStartPatienceMs = 40'000; // the script's own timeout is shorter
 constexpr Ticks kPatience = 30 * kTicksPerSecond;
-constexpr Ticks kLook = kTicksPerSecond / 50; // at what no descriptor tells: logs and processes
+constexpr Ticks kLook = kTicksPerSecond / 50; // for changes that no descriptor reports: logs and processes
 constexpr std::string_view kReady = "The fleet is ready; its logs are in ", kLogs = "/logs";
 
-// Another one for each process of a test that runs at the same time.
+// A different number for each process of a test that runs concurrently.
 std::string own_network() {
     const int own = getpid();
     return "127." + std::to_string(100 + own / 250 % 100) + "." + std::to_string(1 + own % 250);
@@ -57,8 +57,7 @@
 
 ExampleFleet::~ExampleFleet() { stop(); }
 
-// The script's command is a `cat`, which lasts until its input is closed, also when this process ends by
-// force.
+// The script's command is a `cat`, which runs until its input is closed, also when this process is killed.
 void ExampleFleet::start(const std::string& run, const std::string& build, const PlatformSettings& platform) {
     const auto input = open_pipe(), output = open_pipe();
     input_ = input[1], output_ = output[0];
@@ -102,7 +101,7 @@
 void ExampleFleet::restart(const std::string& name) {
     if (running(name)) throw std::runtime_error(name + " still runs");
     const std::string log = folder_ + "/logs/" + name, role = name.substr(0, name.find('-'));
-    const std::string settings = "settings/" + name + ".yaml"; // its paths are from the folder on
+    const std::string settings = "settings/" + name + ".yaml"; // its paths are relative to the folder
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log.c_str(), O_WRONLY | O_APPEND, 0);
@@ -134,7 +133,7 @@
     int status = -1;
     while (waitpid(process_, &status, 0) < 0 && errno == EINTR) {}
     close(output_);
-    std::error_code ignored; // logs of a fleet that failed stay
+    std::error_code ignored; // logs of a failed fleet are kept
     if (WIFEXITED(status) && WEXITSTATUS(status) == 0 && !folder_.empty())
         std::filesystem::remove_all(folder_, ignored);
 }
@@ -156,7 +155,7 @@
 }
 
 bool ExampleFleet::running(const std::string& name) const {
-    // What has ended stays until its parent, the script, asks for its status: it shows as `Z`.
+    // An ended process remains as a zombie (`Z`) until its parent, the script, waits for it.
     const std::string stat = read_file("/proc/" + std::to_string(process(name)) + "/stat");
     const std::size_t behind_name = stat.rfind(')');
     return behind_name != std::string::npos && stat.substr(behind_name, 3) != ") Z";
--- a/tests/lab/example_fleet.hpp
+++ b/tests/lab/example_fleet.hpp
@@ -1,5 +1,5 @@
-// The whole fleet in real processes on loopback, by examples/fleet/run, and clients of it in the caller's
-// loop. Each holds addresses of its own, so that several may run at once.
+// The whole fleet in real processes on loopback, started by examples/fleet/run, and its clients in the
+// caller's loop. Each fleet uses separate addresses, so that several may run concurrently.
 #pragma once
 #include "lab/stream_client.hpp"
 
@@ -12,39 +12,40 @@
 
 namespace ivyrill::lab {
 
-// What the fleet is told of a platform's API; nothing where no window is stated.
+// Settings of the platform's API; unused if no window is set.
 struct PlatformSettings {
     std::int64_t window_s = 0; // `usageWindowS`
 };
 
 class ExampleFleet {
   public:
-    // Starts it and waits until it is ready. Throws std::runtime_error where it doesn't become so in time.
+    // Starts the fleet and waits until it is ready. Throws std::runtime_error if it is not ready in time.
     ExampleFleet(const std::string& run, const std::string& build, const PlatformSettings& platform = {});
-    ~ExampleFleet(); // ends it
+    ~ExampleFleet(); // stops the fleet
     ExampleFleet(const ExampleFleet&) = delete;
     ExampleFleet& operator=(const ExampleFleet&) = delete;
 
     std::string address(int host,
-                        int port) const;   // `host`: last part of the address, as in examples/fleet/settings
+                        int port) const; // `host`: last number of the address, as in examples/fleet/settings
     std::string control(int number) const; // 1 to 3
     std::string front(int number) const;   // 1 and 2
 
     pid_t process(const std::string& name) const; // as in examples/fleet/run, `control-1`
     void signal(const std::string& name, int number) const;
     bool running(const std::string& name) const;
-    void restart(const std::string& name); // a node's process that has ended, with the same data and log
-    std::string log(const std::string& name) const; // as far as it is written
+    // Restarts a node whose process has ended, with the same data and log.
+    void restart(const std::string& name);
+    std::string log(const std::string& name) const; // the log written so far
 
-    // A client lives as long as the fleet does.
+    // A client must not outlive the fleet.
     StreamClient& client(const std::string& address);
-    // The answer to one request on a connection of its own, whole or not.
+    // The answer to one request on a separate connection, complete or not.
     const ClientAnswer& ask(const std::string& address, const ClientRequest& request);
-    // Turns the loop until that holds; false where it doesn't within the patience.
+    // Runs the loop until the condition holds; returns false on timeout.
     bool until(const std::function<bool()>& holds);
 
     transport::Loop& loop() { return loop_; }
-    // Called in each turn of `until`, for what else lives in the loop.
+    // Called in each iteration of `until`, for other objects in the loop.
     void also_pass(std::function<void()> pass) { also_pass_ = std::move(pass); }
     std::string platform() const { return address(41, 8168); }
 
@@ -55,9 +56,9 @@
     void end_restarted();
 
     transport::Loop loop_;
-    std::string network_, folder_, program_; // the program's file
+    std::string network_, folder_, program_; // the program's path
     pid_t process_ = -1;
-    std::vector<pid_t> restarted_; // children of this process
+    std::vector<pid_t> restarted_; // the children of this process
     std::function<void()> also_pass_;
     int input_ = -1, output_ = -1;
     std::vector<std::unique_ptr<StreamClient>> clients_;
--- a/tests/lab/generation.cpp
+++ b/tests/lab/generation.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kTokenDigits = 4; // a token is written as so many hexadecimal digits
+constexpr std::size_t kTokenDigits = 4; // number of hexadecimal digits of a token
 
 std::optional<std::vector<PromptPart>> read_parts(std::string_view text) {
     std::vector<PromptPart> parts;
@@ -85,13 +85,14 @@
     std::int64_t tokens = 0;
     std::size_t hits = 0;
     while (hits < parts.size() && find(parts[hits]) != kept_.end()) tokens += parts[hits++].tokens;
-    while (hits-- > 0) kept_.splice(kept_.begin(), kept_, find(parts[hits])); // the first part is used last
+    while (hits-- > 0)
+        kept_.splice(kept_.begin(), kept_, find(parts[hits])); // the first part becomes the newest
     return tokens;
 }
 
 void PrefixCache::keep(const std::vector<PromptPart>& parts) {
     for (auto part = parts.rbegin(); part != parts.rend();
-         ++part) { // later parts give way before earlier ones
+         ++part) { // later parts are evicted before earlier ones
         if (const auto found = find(*part); found != kept_.end()) {
             kept_.splice(kept_.begin(), kept_, found);
             continue;
--- a/tests/lab/heartbeats.cpp
+++ b/tests/lab/heartbeats.cpp
@@ -79,11 +79,11 @@
     if (const std::string named = named_in(body); !named.empty()) named_ = named;
     if (kind == HeartbeatKind::kDraining && !std::exchange(drain_heard_, true))
         leave_by_ = now + plan_.drain + plan_.drain_more;
-    // What was under way when it was told to leave said `serving` still.
+    // A heartbeat that was in flight when the server was told to leave still said `serving`.
     next_ = kind == HeartbeatKind::kServing && left_at_ ? now : now + plan_.interval;
 }
 
-// The next node is called at once; after a whole round of failures, with a pause that grows.
+// The next node is called at once; after all nodes have failed, with an increasing delay.
 void Heartbeats::failed(Ticks now) {
     const HeartbeatKind kind = *std::exchange(under_way_, std::nullopt);
     redirects_ = 0;
--- a/tests/lab/heartbeats.hpp
+++ b/tests/lab/heartbeats.hpp
@@ -1,4 +1,5 @@
-// When and where a stand-in model server sends its heartbeats: pure, one call at a time, the clock handed in.
+// When and where a stand-in model server sends its heartbeats: one call at a time, no I/O; the caller passes
+// the time.
 #pragma once
 #include "base/time.hpp"
 
@@ -12,11 +13,11 @@
 namespace ivyrill::lab {
 
 struct HeartbeatPlan {
-    std::vector<std::string> control; // addresses of nodes that take heartbeats
+    std::vector<std::string> control; // addresses of nodes that accept heartbeats
     Ticks interval = kTicksPerSecond * 12 / 10;
-    Ticks drain = 2 * kTicksPerSecond;         // served on for so long after `draining` was acknowledged
-    Ticks drain_more = kTicksPerSecond / 2;    // and this little longer
-    Ticks drain_unheard = 5 * kTicksPerSecond; // with no acknowledgement it ends after so long
+    Ticks drain = 2 * kTicksPerSecond;         // keeps serving this long after `draining` was acknowledged
+    Ticks drain_more = kTicksPerSecond / 2;    // plus this margin
+    Ticks drain_unheard = 5 * kTicksPerSecond; // without an acknowledgement it ends after this period
 };
 
 enum class HeartbeatKind : std::uint8_t { kServing, kDraining, kLeave };
@@ -36,13 +37,13 @@
   public:
     Heartbeats(HeartbeatPlan plan, Ticks now) : plan_(std::move(plan)), next_(now) {}
 
-    // The call to make now, if one is due and none is under way. It must be answered for within kPatience.
+    // The call to make now, if one is due and none is in flight. Its result must be passed within kPatience.
     std::optional<HeartbeatCall> begin(Ticks now);
     void answered(const HeartbeatAnswer& answer, Ticks now);
     void failed(Ticks now); // no answer, or none in time
-    void leave(Ticks now);  // says `draining` at once; later calls change nothing
+    void leave(Ticks now);  // reports `draining` at once; later calls change nothing
     bool ended() const { return ended_; }
-    std::optional<Ticks> due() const; // when begin() has a call, or the server ends
+    std::optional<Ticks> due() const; // when begin() returns a call, or the server ends
     std::uint64_t acknowledged() const { return acknowledged_; }
 
     static constexpr Ticks kPatience = kTicksPerSecond;
@@ -55,7 +56,7 @@
     HeartbeatPlan plan_;
     Ticks next_;
     std::size_t node_ = 0;
-    std::string named_;      // by the last answer's beatAddr, until a heartbeat fails there
+    std::string named_;      // by the last answer's beatAddr, until a heartbeat to it fails
     std::string redirected_; // by 307, for the next call only
     int redirects_ = 0;
     std::int64_t failures_ = 0; // in a row
--- a/tests/lab/http_reader.cpp
+++ b/tests/lab/http_reader.cpp
@@ -79,7 +79,7 @@
         if (line.ends_with("\r\n"))
             line_done(std::string_view(line).substr(0, line.size() - 2));
         else
-            stage_ = Stage::kBroken; // these programs end their lines as the standard says
+            stage_ = Stage::kBroken; // these programs end their lines as the standard requires
     }
     return taken;
 }
--- a/tests/lab/http_reader.hpp
+++ b/tests/lab/http_reader.hpp
@@ -1,5 +1,5 @@
-// An incremental reader of HTTP/1.1 messages for the stand-ins. It is independent of the readers under test,
-// hands a body on as it comes, and knows whether the body reached its end.
+// An incremental parser of HTTP/1.1 messages for the stand-ins. It is independent of the parsers under test,
+// passes on a body as it arrives, and records whether the body is complete.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -21,7 +21,7 @@
     int status = 0;             // of a response
     std::vector<HttpField> fields;
 
-    std::string_view field(std::string_view name) const; // name in lower case; empty where absent
+    std::string_view field(std::string_view name) const; // name in lower case; empty if absent
     bool has(std::string_view name) const;
     std::optional<std::int64_t> number(std::string_view name) const; // a whole number in decimal digits
     bool closes() const;                                             // `Connection: close`
@@ -32,14 +32,14 @@
     enum class Side : std::uint8_t { kRequests, kResponses };
     explicit HttpReader(Side side) : side_(side) {}
 
-    std::size_t feed(std::string_view bytes); // takes bytes until the message is complete or broken
+    std::size_t feed(std::string_view bytes); // takes bytes until the message is complete or malformed
     void end();                               // the sender has closed; completes a body without a length
     bool begun() const { return begun_; }
     bool head_complete() const { return stage_ != Stage::kHead && stage_ != Stage::kBroken; }
     bool complete() const { return stage_ == Stage::kComplete; }
     bool broken() const { return stage_ == Stage::kBroken; }
     const HttpHead& head() const { return head_; }
-    std::string take_body(); // bytes of the body that came since the last call
+    std::string take_body(); // bytes of the body received since the last call
     void restart() { *this = HttpReader(side_); }
 
   private:
@@ -68,7 +68,7 @@
     bool begun_ = false, first_line_ = true;
 };
 
-// The value as a whole number in that base; nothing where it is anything else.
+// The value as a whole number in that base; no value if it is anything else.
 std::optional<std::int64_t> whole_number(std::string_view text, int base = 10);
 
 // A message with a Content-Length. `fields` may hold any number of further fields.
--- a/tests/lab/model_server.cpp
+++ b/tests/lab/model_server.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kMostRead = 64 * 1024, kMostWritten = 8 * 1024 * 1024; // bytes of a connection's rings
 constexpr Ticks kFetchPatience = 2 * kTicksPerSecond;
-constexpr Ticks kClosingPatience = 2 * kTicksPerSecond; // for the caller's end of a connection that closes
+constexpr Ticks kClosingPatience = 2 * kTicksPerSecond; // until the caller closes its end
 
 std::string json_text(std::string_view text) {
     std::string out;
@@ -167,7 +167,7 @@
 
 void ModelServer::act(const SendBytes& action, Ticks) {
     Peer* const peer = peer_of(action.exchange);
-    if (peer && !peer->stream.send(action.bytes)) reset(*peer); // a caller that doesn't read for far too long
+    if (peer && !peer->stream.send(action.bytes)) reset(*peer); // a caller that has not read for far too long
 }
 
 void ModelServer::act(const FinishAnswer& action, Ticks now) {
--- a/tests/lab/model_server.hpp
+++ b/tests/lab/model_server.hpp
@@ -1,8 +1,9 @@
 // A model server of the published protocol on sockets: ModelServerCore behind a listener, with heartbeats. It
-// lives in its caller's loop: after each Loop::wait the caller calls pass(), and waits no longer than until
+// runs in its caller's loop: after each Loop::wait the caller calls pass(), and waits no longer than until
 // due().
 //
-// Memory behind a handle goes from server to server by GET /kv-handle/ID, which is of these stand-ins alone.
+// Memory behind a handle is transferred between servers by GET /kv-handle/ID, which only these stand-ins
+// have.
 #pragma once
 #include "lab/heartbeats.hpp"
 #include "lab/model_server_core.hpp"
@@ -16,7 +17,7 @@
 
 namespace ivyrill::lab {
 
-// One request to another program and its answer; abandoned when it is freed.
+// One request to another program and its answer; abandoned on destruction.
 class OutgoingCall {
   public:
     OutgoingCall(transport::Loop& loop, const std::string& address, std::string request, Ticks until);
@@ -24,11 +25,11 @@
     void pass(Ticks now);
     bool done() const { return done_; }
     Ticks until() const { return until_; }
-    const HttpHead* head() const { return complete_ ? &reader_.head() : nullptr; } // null: it failed
+    const HttpHead* head() const { return complete_ ? &reader_.head() : nullptr; } // null: the request failed
     const std::string& body() const { return body_; }
 
   private:
-    std::unique_ptr<transport::Stream> stream_; // null where the connection failed at once
+    std::unique_ptr<transport::Stream> stream_; // null if the connection failed at once
     std::string request_;
     HttpReader reader_{HttpReader::Side::kResponses};
     std::string body_;
@@ -38,12 +39,12 @@
 
 class ModelServer {
   public:
-    // Listens at plan.address; port 0 takes a free one, which is then what plan().address says.
+    // Listens at plan.address; port 0 selects a free one, which plan().address then contains.
     ModelServer(transport::Loop& loop, ModelServerPlan plan, HeartbeatPlan heartbeats);
 
     void pass();
     std::optional<Ticks> due() const;
-    void leave(); // as on SIGTERM: says `draining`, serves on, leaves the list and ends
+    void leave(); // as on SIGTERM: reports `draining`, keeps serving, leaves the list and ends
     bool ended() const { return heartbeats_.ended(); }
 
     const std::string& address() const { return core_.plan().address; }
@@ -59,15 +60,15 @@
         HttpReader reader{HttpReader::Side::kRequests};
         std::string body;
         std::optional<ExchangeId> exchange;
-        std::optional<Ticks> closing_until; // the last answer is written, the caller's end is awaited
+        std::optional<Ticks> closing_until; // the last answer is written; waits for the caller to close
         Ticks rested_since;
-        bool last_request = false; // the caller said `Connection: close`
+        bool last_request = false; // the caller sent `Connection: close`
         bool close = false, over = false;
     };
 
     static ModelServerPlan bound(ModelServerPlan plan, int descriptor);
     void accept(Ticks now);
-    bool serve(Peer& peer, Ticks now); // whether anything moved
+    bool serve(Peer& peer, Ticks now); // returns whether there was progress
     bool act(Ticks now);
     void act(const SendBytes& action, Ticks now);
     void act(const FinishAnswer& action, Ticks now);
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -85,7 +85,7 @@
     answer(exchange, head, status, {{"Content-Type", "application/json"}}, body);
 }
 
-// The request hasn't run and never will.
+// The request has not run and never will.
 void ModelServerCore::refuse(ExchangeId exchange, const HttpHead& head, int status) {
     std::vector<HttpField> fields{{"Not-Run", "1"}};
     if (status == 421) fields.push_back({"Instance-Id", plan_.id});
@@ -229,7 +229,7 @@
     return tokens;
 }
 
-// Keeps what a report may still tell; states older than that are forgotten but for the last.
+// Keeps the states that a report may still contain; of older ones only the last is kept.
 void ModelServerCore::note(Ticks now) {
     states_.emplace_back(now, ReportState{stage_, busy_, orders_, count(false), count(true), used(),
                                           static_cast<std::int64_t>(handles_.size())});
@@ -257,7 +257,7 @@
     for (auto at = due(); at && *at <= now; at = due()) step(*at);
 }
 
-// All that is due at that moment; what ends goes before what begins.
+// Processes all events due at that time; ends come before begins.
 void ModelServerCore::step(Ticks at) {
     std::erase_if(handles_, [&](const auto& entry) { return entry.second.until <= at; });
     if (switched_at_ && *switched_at_ <= at) {
--- a/tests/lab/model_server_core.hpp
+++ b/tests/lab/model_server_core.hpp
@@ -1,7 +1,7 @@
-// A model server of the published protocol without sockets: requests in, actions out, the clock handed in.
-// Tests in virtual time drive it by itself; model_server.hpp puts it on sockets.
+// A model server of the published protocol without sockets: requests in, actions out; the caller passes the
+// time. Tests in virtual time drive it directly; model_server.hpp puts it on sockets.
 //
-// Not modelled: preemption (a request reserves all the memory it may need before it is let in) and versions
+// Not modelled: preemption (a request reserves all the memory it may need before it is admitted) and versions
 // of weights that change while a stream runs.
 #pragma once
 #include "base/time.hpp"
@@ -32,27 +32,27 @@
     std::int64_t slots = 8, queue = 8, connection_limit = 64;
     std::int64_t memory_tokens = 100'000;
     std::int64_t stride = 4;           // tokens in one event
-    double read_tokens_per_s = 20'000; // of a prompt; half of it where a decode server reads
-    Ticks token_step = 100;            // from one token to the next with one request running
-    double step_growth = 0.02;         // the step's part more for each further request
+    double read_tokens_per_s = 20'000; // of a prompt; half of it if a decode server reads it
+    Ticks token_step = 100;            // interval between two tokens with one request running
+    double step_growth = 0.02;         // additional fraction of the step for each further request
     double token_bytes = 131'072;      // memory of one token
     double link_mbps = 100'000;        // for memory that is fetched
     Ticks handle_hold = 5 * kTicksPerSecond, role_switch = kTicksPerSecond / 2;
     Ticks report_lag = kTicksPerSecond * 3 / 10;
-    Ticks cold = 0;       // after its start everything takes twice as long for this span
-    bool fenced = false;  // orders with a lower fence are refused
-    Ticks idle_close = 0; // whole seconds, told in Keep-Alive; 0: idle connections stay open
+    Ticks cold = 0;       // after its start all operations take twice as long for this period
+    bool fenced = false;  // orders with a lower fence are rejected
+    Ticks idle_close = 0; // whole seconds, sent in Keep-Alive; 0: idle connections stay open
 };
 
 enum class FaultKind : std::uint8_t {
-    kCutInEvent,    // reset in the middle of an event, after `after_events` whole ones
-    kStall,         // nothing more comes after `after_events` events
-    kSurplusAnswer, // a second whole answer behind the first
-    kGarbage,       // bytes that form no answer, then the end
+    kCutInEvent,    // reset in the middle of an event, after `after_events` complete ones
+    kStall,         // nothing more is sent after `after_events` events
+    kSurplusAnswer, // a second complete answer after the first
+    kGarbage,       // bytes that are not an answer, then the end
     kAnswerLost,    // the request ran, then the connection is reset
-    kDark,          // the request ran, nothing is ever said
-    kSlow,          // everything takes `factor` times as long
-    kHandleLapses   // the handle that is made is gone at once
+    kDark,          // the request ran, nothing is ever sent
+    kSlow,          // all operations take `factor` times as long
+    kHandleLapses   // the handle that is created is dropped at once
 };
 
 struct ServerFault {
@@ -63,7 +63,7 @@
     double factor = 10;
 };
 
-struct ExchangeId { // of a request with its answer, given by the caller
+struct ExchangeId { // identifies a request and its answer, chosen by the caller
     std::uint64_t value = 0;
     friend auto operator<=>(const ExchangeId&, const ExchangeId&) = default;
 };
@@ -72,26 +72,26 @@
     ExchangeId exchange;
     std::string bytes;
 };
-struct FinishAnswer { // nothing more of it comes; the exchange is over
+struct FinishAnswer { // the answer is complete; the exchange is over
     ExchangeId exchange;
-    bool close = false; // the connection ends with it
+    bool close = false; // the connection closes after the answer
 };
 struct ResetConnection { // the exchange is over
     ExchangeId exchange;
 };
-struct FetchMemory { // to be answered with fetched()
+struct FetchMemory { // the caller answers with fetched()
     ExchangeId exchange;
     std::string address, handle;
 };
 using ServerAction = std::variant<SendBytes, FinishAnswer, ResetConnection, FetchMemory>;
 
-// The memory behind a handle, as it goes from one server to another.
+// The memory behind a handle, as transferred from one server to another.
 struct HandleMemory {
     std::int64_t tokens = 0;
-    std::uint64_t content = 0; // of the request that it was read for
+    std::uint64_t content = 0; // of the request that created it
 };
 
-struct AttemptRecord { // what a server did for one Attempt-Id
+struct AttemptRecord { // the record of one Attempt-Id at a server
     std::int64_t runs = 0, prompts_read = 0, refusals = 0;
 };
 
@@ -100,13 +100,13 @@
     ModelServerCore(ModelServerPlan plan, Ticks now);
 
     void request(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
-    void closed(ExchangeId exchange, Ticks now); // the caller has gone
+    void closed(ExchangeId exchange, Ticks now); // the caller has disconnected
     void fetched(ExchangeId exchange, std::optional<HandleMemory> memory, Ticks now);
     void pass(Ticks now);
-    std::optional<Ticks> due() const; // when pass() has something to do
+    std::optional<Ticks> due() const; // time of the next event for pass()
     std::vector<ServerAction> take_actions() { return std::exchange(actions_, {}); }
 
-    void drain() { draining_ = true; } // health fails, connections are closed with their answers
+    void drain() { draining_ = true; } // health checks fail, connections are closed after their answers
     void plant(ServerFault fault) { faults_.push_back(std::move(fault)); }
 
     const ModelServerPlan& plan() const { return plan_; }
@@ -116,7 +116,7 @@
     Ticks cold_left(Ticks now) const;
     AttemptRecord record(const std::string& attempt) const;
     std::int64_t most_runs() const;                                   // of any one Attempt-Id
-    std::int64_t foreign_handles() const { return foreign_handles_; } // taken for another request's content
+    std::int64_t foreign_handles() const { return foreign_handles_; } // used with another request's content
     std::size_t handles() const { return handles_.size(); }
     std::int64_t tokens_read() const { return tokens_read_; }
     const std::vector<HttpHead>& heads() const { return heads_; }    // of every generation and prefill call
@@ -161,7 +161,7 @@
     void take_order(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
     int judge_order(const std::string& body);
     void take_generation(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
-    int misfit(const HttpHead& head, Kind kind) const; // the status to turn it away with; 0: it may come in
+    int misfit(const HttpHead& head, Kind kind) const; // the status to reject it with; 0: it is admitted
     void queue(ExchangeId exchange, Run run, Ticks now);
     // Runs
     void let_in(Ticks now);
@@ -180,7 +180,7 @@
     void step(Ticks at);
     void note(Ticks now);
     std::int64_t count(bool running) const;
-    std::int64_t used() const; // tokens of memory that can't give way
+    std::int64_t used() const; // tokens of memory that cannot be evicted
     double slowness(const Run& run, Ticks now) const;
     Ticks move_time(std::int64_t tokens) const;
     AttemptRecord& record_of(const Run& run);
@@ -206,7 +206,7 @@
     std::int64_t foreign_handles_ = 0, tokens_read_ = 0;
 };
 
-// The body that GET /kv-handle/ID between two stand-ins carries.
+// The body of GET /kv-handle/ID between two stand-ins.
 std::string write_memory(const HandleMemory& memory);
 std::optional<HandleMemory> read_memory(const std::string& body);
 
--- a/tests/lab/model_server_runs.cpp
+++ b/tests/lab/model_server_runs.cpp
@@ -1,4 +1,4 @@
-// How a stand-in model server runs what it has let in.
+// How a stand-in model server runs the requests that it admitted.
 #include "lab/model_server_core.hpp"
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kHandleDigits = 12;
-constexpr double kDecodeReadShare = 0.5;                // a decode server's pace of reading prompts
-constexpr double kColdFactor = 2;                       // how much slower a cold server is
-constexpr Ticks kLongestMoveWait = 2 * kTicksPerSecond; // a move that would wait longer isn't begun
+constexpr double kDecodeReadShare = 0.5;                // the prompt speed of a decode server
+constexpr double kColdFactor = 2;                       // slowdown factor of a cold server
+constexpr Ticks kLongestMoveWait = 2 * kTicksPerSecond; // longer changes of stage are not begun
 constexpr double kBitsPerByte = 8, kBitsPerMegabit = 1e6;
 constexpr std::string_view kGarbage = "\x01\x02 no answer \x03\r\n";
 constexpr std::string_view kSurplusBody = "surplus";
@@ -45,8 +45,8 @@
     return best;
 }
 
-// Lets in what waits while there are slots and memory for the next one, and begins a change of stage once
-// nothing runs any more.
+// Admits waiting requests while there are slots and memory for the next one, and begins a change of stage
+// once no request runs any more.
 void ModelServerCore::let_in(Ticks now) {
     for (auto next = next_waiting(); next != runs_.end(); next = next_waiting()) {
         if (count(true) >= plan_.slots || used() + next->second.reserved > plan_.memory_tokens) break;
@@ -56,7 +56,7 @@
     if (busy_ && !switched_at_ && count(true) == 0) switched_at_ = now + plan_.role_switch;
 }
 
-// Memory that no running request and no handle holds is left to parts that may be asked for again.
+// Memory that no running request and no handle uses remains available for cached prompt parts.
 void ModelServerCore::shrink_cache() {
     std::vector<PromptPart> held;
     for (const auto& [exchange, run] : runs_)
@@ -97,7 +97,7 @@
         FetchMemory{exchange, std::string(from.substr(0, slash)), std::string(from.substr(slash + 1))});
 }
 
-// Prompts are read one after another. A stream that is taken up reads what was generated before as well.
+// Prompts are read one after another. A resumed stream reads its earlier output as well.
 void ModelServerCore::start_reading(Run& run, Ticks now) {
     const std::int64_t before = std::min((run.next_event - 1) * plan_.stride, run.generation.output_tokens);
     const std::int64_t kept = std::min(cache_.use(run.generation.parts), run.generation.prompt_tokens);
@@ -174,7 +174,7 @@
     let_in(now);
 }
 
-// The faults that take the place of an answer or end it; whether the run goes no further.
+// Applies the faults that replace an answer or end it; returns whether the run ends with it.
 bool ModelServerCore::fail_as_planted(Runs::iterator entry, Ticks now) {
     Run& run = entry->second;
     if (!run.fault) return false;
@@ -245,7 +245,7 @@
     drop(entry, now);
 }
 
-// In the queue: not run. At work without an answer so far: 504, which counts as run. In the stream: broken
+// In the queue: not run. Running without an answer so far: 504, which counts as run. In the stream: broken
 // off.
 void ModelServerCore::deadline_passed(Runs::iterator entry, Ticks now) {
     const ExchangeId exchange = entry->first;
--- a/tests/lab/model_server_world.hpp
+++ b/tests/lab/model_server_world.hpp
@@ -1,4 +1,5 @@
-// A model server's core in virtual time, and the requests that tests send to it and to its shell.
+// A model server's core in virtual time, and the requests that tests send to the core and to its socket
+// server.
 #pragma once
 #include "lab/model_server_core.hpp"
 #include "lab/stream_client.hpp"
@@ -11,7 +12,7 @@
 
 namespace ivyrill::lab {
 
-struct Exchange { // what came of one request
+struct Exchange { // outcome of one request
     std::string bytes;
     bool over = false, reset = false, close = false;
 
--- a/tests/lab/planted_search.hpp
+++ b/tests/lab/planted_search.hpp
@@ -1,4 +1,4 @@
-// Whether histories notice a planted fault.
+// Checks whether histories detect a planted fault.
 #pragma once
 #include "base/planted_fault.hpp"
 
@@ -8,7 +8,8 @@
 
 namespace ivyrill::lab {
 
-// Plays the plans of `count` seeds from `first` on until one breaks a promise; which, and what was broken.
+// Runs the plans of `count` seeds from `first` on until one violates a guarantee; returns the seed and the
+// violation.
 template <class World, class PlanOfSeed>
 std::optional<std::string> search_planted(PlantedFault fault, PlanOfSeed plan_of_seed, std::uint64_t first,
                                           std::uint64_t count) {
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -115,7 +115,7 @@
     stream.finish();
 }
 
-// More strictly than the rule: calls that were not accepted count as well, and no trouble excuses one.
+// Stricter than the rule: calls that were not accepted count as well, and no fault excuses one.
 void Platform::judge_order(const std::string& subject, const ReceivedCall& call) {
     std::vector<Act>& acts = acts_[subject];
     for (const Act& act : acts) {
@@ -129,7 +129,7 @@
     judge_turns(acts, subject);
 }
 
-// A, B, A within the lease, the last act being the second of A.
+// Holders A, B, A within the lease, where the last act is the second one of A.
 void Platform::judge_turns(const std::vector<Act>& acts, const std::string& subject) {
     bool other_between = false;
     for (auto act = acts.rbegin() + 1; act != acts.rend(); ++act) {
--- a/tests/lab/platform.hpp
+++ b/tests/lab/platform.hpp
@@ -1,6 +1,6 @@
-// A stand-in for the platform's API on a socket, in its caller's loop: it takes POST /usage and POST /scale,
-// keeps each call with its time and sender, and judges the rule ONE. After each Loop::wait the caller calls
-// pass().
+// A stand-in for the platform's API on a socket, in its caller's loop: it accepts POST /usage and POST
+// /scale, records each call with its time and sender, and checks the rule ONE. After each Loop::wait the
+// caller calls pass().
 #pragma once
 #include "lab/http_reader.hpp"
 #include "transport/stream.hpp"
@@ -15,12 +15,12 @@
 
 enum class PlatformManner : std::uint8_t {
     kQuick,
-    kSlow,      // takes a call at once and answers it after kSlowAnswer
-    kSilent,    // takes no call and never answers
+    kSlow,      // accepts a call at once and answers it after kSlowAnswer
+    kSilent,    // accepts no call and never answers
     kBusy,      // 429
-    kResets,    // takes a call and resets its connection
-    kGarbage,   // takes a call and answers what is no HTTP
-    kHalfAnswer // takes a call and closes within the answer's head
+    kResets,    // accepts a call and resets its connection
+    kGarbage,   // accepts a call and answers with bytes that are not HTTP
+    kHalfAnswer // accepts a call and closes the connection within the answer's head
 };
 
 struct ReceivedCall {
@@ -28,23 +28,23 @@
     std::string peer; // IP:PORT, on loopback the same IP for all senders
     std::string path, holder, body;
     std::uint64_t fence = 0;
-    PlatformManner manner = PlatformManner::kQuick; // in which it was met
+    PlatformManner manner = PlatformManner::kQuick; // mood in which the call was handled
 };
 
 class Platform {
   public:
-    // `lease`: within it no two holders may act in turns (`leaseMs`).
+    // `lease`: period within which two holders must not act alternately (`leaseMs`).
     Platform(transport::Loop& loop, const std::string& address, Ticks lease);
 
     void pass();
     void set_manner(PlatformManner manner) { manner_ = manner; }
 
     const std::vector<ReceivedCall>& calls() const { return calls_; }
-    const std::map<std::int64_t, std::string>& reports() const { return reports_; } // taken ones, by window
-    const std::vector<std::string>& violations() const { return violations_; }      // of ONE
+    const std::map<std::int64_t, std::string>& reports() const { return reports_; } // accepted, by window
+    const std::vector<std::string>& violations() const { return violations_; }      // violations of ONE
     std::int64_t counted(const std::string& tenant) const;                          // in all windows
-    std::int64_t counted(std::int64_t window, const std::string& tenant) const;     // 0 where not reported
-    std::size_t missing() const; // windows between the first and the last that are not reported
+    std::int64_t counted(std::int64_t window, const std::string& tenant) const;     // 0 if not reported
+    std::size_t missing() const; // unreported windows between the first and the last
 
     static constexpr Ticks kSlowAnswer = 2 * kTicksPerSecond;
 
@@ -55,8 +55,8 @@
         int descriptor = -1; // the stream's
         std::string peer;
         bool is_taken = false, is_over = false;
-        PlatformManner manner = PlatformManner::kQuick; // in which it is met
-        Ticks answer_at = 0;                            // 0: no answer is to come
+        PlatformManner manner = PlatformManner::kQuick; // mood in which the call is handled
+        Ticks answer_at = 0;                            // 0: no answer will be sent
     };
     struct Act {
         Ticks at = 0;
@@ -78,7 +78,7 @@
     PlatformManner manner_ = PlatformManner::kQuick;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::vector<ReceivedCall> calls_;
-    std::map<std::int64_t, std::string> told_, reports_; // bodies by window: of all calls, of those taken
+    std::map<std::int64_t, std::string> told_, reports_; // bodies by window: of all calls, of accepted calls
     std::map<std::string, std::vector<Act>> acts_;       // by subject
     std::vector<std::string> violations_;
 };
--- a/tests/lab/reactor_script.hpp
+++ b/tests/lab/reactor_script.hpp
@@ -1,5 +1,5 @@
-// Drives what lives in a reactor from a test: the test is one coroutine that awaits conditions, each with a
-// bound in time; the reactor ends with it. Nothing sleeps: between two looks at a condition the reactor does
+// Drives objects in a reactor from a test: the test is one coroutine that awaits conditions, each with a
+// timeout; the reactor stops when it ends. Nothing sleeps: between two checks of a condition the reactor does
 // its work.
 #pragma once
 #include "transport/async.hpp"
@@ -15,9 +15,9 @@
   public:
     using Step = transport::Async<transport::Done>;
 
-    transport::Reactor reactor; // destroyed last: declare what lives in it after the script
+    transport::Reactor reactor; // destroyed last: declare objects that use it after the script
 
-    // Until the condition holds; false where it doesn't within `patience`, which only a failure uses up.
+    // Waits until the condition holds; returns false after `patience`, which only a failing test uses up.
     transport::Async<bool> until(std::function<bool()> holds, Ticks patience = 10 * kTicksPerSecond) {
         const Ticks give_up = reactor.now() + patience;
         transport::Slot slot(reactor.loop());
@@ -28,7 +28,7 @@
         }
         co_return true;
     }
-    // Once, and until it is done; what it throws is thrown here.
+    // Runs the script once, until it is done; rethrows its exceptions.
     void run(const std::function<Step()>& body) {
         std::exception_ptr failure;
         reactor.spawn(guard(reactor, body, failure));
--- a/tests/lab/real_fleet.hpp
+++ b/tests/lab/real_fleet.hpp
@@ -1,4 +1,4 @@
-// The fleet of examples/fleet for tests: who leads, changes of its configuration, and requests to it.
+// The fleet of examples/fleet for tests: the leader, configuration changes, and requests to the fleet.
 #pragma once
 #include "lab/example_fleet.hpp"
 
@@ -17,7 +17,7 @@
 struct RealFleet : ExampleFleet {
     explicit RealFleet(const PlatformSettings& platform = {})
         : ExampleFleet(IVYRILL_FLEET_RUN, IVYRILL_FLEET_BUILD, platform) {}
-    // The number of the control node that leads; 0 for none.
+    // The number of the control node that leads; 0 if none.
     int leader() {
         for (int number = 1; number <= kControls; ++number) {
             if (!running("control-" + std::to_string(number))) continue;
@@ -27,7 +27,8 @@
         }
         return 0;
     }
-    // By the first of the control nodes that takes a connection, from that one on, as an operator does.
+    // Sends the configuration to control node `first`, then to the following ones, until one
+    // answers with a status below 500.
     int replace(const std::string& body, std::int64_t if_match, int first = 1) {
         ClientRequest call;
         call.method = "PUT", call.target = "/config", call.model = "", call.body = body;
@@ -41,8 +42,8 @@
         });
         return status;
     }
-    // The last status among requests that `client` sends one after another, until that status comes or the
-    // last change has to be in force.
+    // Repeats the request of `client` until it gets that status, or until the last change must be in force;
+    // returns the last status.
     int status_by_apply_span(StreamClient& client, ClientRequest request, int wanted) {
         for (;;) {
             request.attempt = "a" + std::to_string(++asked_);
@@ -55,8 +56,8 @@
     }
 
   private:
-    Ticks answered_at_ = 0; // the last change
-    int asked_ = 0;         // requests of status_by_apply_span
+    Ticks answered_at_ = 0; // time of the last change
+    int asked_ = 0;         // number of requests of status_by_apply_span
 };
 
 inline std::string read_example() {
@@ -70,7 +71,7 @@
     return text.replace(at, former.size(), fresh);
 }
 
-// The example with another version and one route more.
+// The example with another version and one additional route.
 inline std::string with_route(std::int64_t version, const std::string& prefix) {
     const std::string text =
         replaced(read_example(), "\"version\": 1,", "\"version\": " + std::to_string(version) + ",");
@@ -81,7 +82,7 @@
     return replaced(text, "\"routes\": [", "\"routes\": [" + route);
 }
 
-// The example with two tenants and one route that asks for no key.
+// The example with two tenants and one route that requires no key.
 inline std::string with_tenants(std::int64_t version) {
     const std::string text =
         replaced(with_route(version, "/open/"), R"("name": "more",)", R"("name": "more", "public": true,)");
--- a/tests/lab/server_wire.hpp
+++ b/tests/lab/server_wire.hpp
@@ -1,4 +1,4 @@
-// The index servers' side of the frames (`protocol/frames.hpp`), for those who stand in for them.
+// The index servers' side of the frames (`protocol/frames.hpp`), for stand-ins of these servers.
 #pragma once
 #include "protocol/values.hpp"
 
@@ -19,7 +19,7 @@
     std::string id, query;
 };
 
-// The parts of a call; throws what protocol::to_integer throws where it is none.
+// The parts of a call; throws the exceptions of protocol::to_integer if a part is malformed.
 inline std::vector<PartAsked> parts_of(std::string_view call) {
     std::vector<PartAsked> made;
     while (!call.empty()) {
--- a/tests/lab/simulated_network.cpp
+++ b/tests/lab/simulated_network.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr Ticks kStart = 1'000'000'000; // far from 0, as real clocks are
+constexpr Ticks kStart = 1'000'000'000; // far from 0, like real clocks
 constexpr Ticks kLeastDelay = 5;
 constexpr Ticks kMostLate = 3000;
-constexpr Ticks kResendInterval = 500; // of what a cut holds up
+constexpr Ticks kResendInterval = 500; // of messages delayed by a cut
 const std::string kPeerPort = ":7300"; // of links between control nodes
 
 feed::Message message_of(const std::string& frame) {
@@ -29,8 +29,8 @@
     std::array<MachineNumber, 2> machines{};
     std::array<int, 2> incarnations{};
     std::array<SimulatedLink*, 2> links{};
-    std::array<Ticks, 2> last_arrival{};    // of what each side has sent, so that order is kept
-    std::array<std::deque<Packet>, 2> held; // by a cut, of what each side has sent
+    std::array<Ticks, 2> last_arrival{};    // delivery time of each side's last message, to keep the order
+    std::array<std::deque<Packet>, 2> held; // each side's messages delayed by a cut
     std::string address;
 };
 
@@ -298,7 +298,7 @@
 
 void SimulatedNetwork::kill(MachineNumber machine) { end_process(machine, true); }
 
-// What was being written is there or not, each file by itself.
+// Each file that was being written is present or not, independently.
 void SimulatedNetwork::power_off(MachineNumber machine) { end_process(machine, false); }
 
 void SimulatedNetwork::end_process(MachineNumber machine, bool tells_others) {
@@ -308,7 +308,7 @@
         const int side = connection->machines[0] == machine ? 0 : 1;
         if (tells_others) send(connection, side, {PacketKind::kClosed, nullptr});
     }
-    ++here.incarnation; // what the links say while they are freed goes nowhere
+    ++here.incarnation; // messages that links send on destruction are dropped
     here.close();
     here.close = {};
     here.reactor.reset();
@@ -388,7 +388,7 @@
 void SimulatedNetwork::send(const std::shared_ptr<Connection>& connection, int side, Packet packet) {
     const auto here = static_cast<std::size_t>(side);
     const MachineNumber from = connection->machines[here], to = connection->machines[1 - here];
-    // A process that has ended says nothing more, but for the end of its connections.
+    // A process that has ended sends nothing more, except the end of its connections.
     if (connection->incarnations[here] != incarnation(from)) return;
     if (to < 0) return;
     if (packet.kind == PacketKind::kMessage && held_back && held_back(from, to, *packet.message)) {
@@ -425,7 +425,7 @@
     receive(connection, side, packet);
 }
 
-// Sent again until it comes through, in order, for as long as its sender lives.
+// Retransmitted until it is delivered, in order, while its sender is running.
 void SimulatedNetwork::hold(const std::shared_ptr<Connection>& connection, int side, const Packet& packet) {
     auto& held = connection->held[static_cast<std::size_t>(side)];
     held.push_back(packet);
@@ -447,7 +447,7 @@
                                const Packet& packet) {
     const auto there = static_cast<std::size_t>(1 - side);
     const MachineNumber to = connection->machines[there];
-    if (!is_up(to)) return; // a machine that is down says nothing
+    if (!is_up(to)) return; // a machine that is down sends nothing
     if (packet.kind == PacketKind::kOpen) {
         connection->incarnations[1] = incarnation(to);
         return run_on(to, [this, connection] { open_at(connection); });
@@ -456,7 +456,7 @@
     run_on(to, [this, connection, side, packet] { hand_over(connection, side, packet); });
 }
 
-// No such connection is known where the packet came: its sender is told so.
+// The receiver does not know the connection: the sender gets a reset.
 void SimulatedNetwork::reset(const std::shared_ptr<Connection>& connection, int side) {
     const auto here = static_cast<std::size_t>(side);
     const MachineNumber from = connection->machines[here];
@@ -472,7 +472,7 @@
     const MachineNumber to = connection->machines[1];
     Machine& here = at(to);
     const auto listener = here.links->listeners.find(connection->address);
-    if (listener == here.links->listeners.end()) // nothing listens there: reset
+    if (listener == here.links->listeners.end()) // nothing listens at that address: reset
         return send(connection, 1, {PacketKind::kClosed, nullptr});
     here.connections.push_back(connection);
     send(connection, 1, {PacketKind::kOpened, nullptr});
--- a/tests/lab/simulated_network.hpp
+++ b/tests/lab/simulated_network.hpp
@@ -1,7 +1,7 @@
-// Machines in virtual time that run the programs' own code: each process has a reactor that this world turns,
-// links to others over a simulated network, and a simulated disk. The network delays, cuts one way or both,
-// and, between control nodes, loses, doubles and reorders single messages. Machines are killed, lose power,
-// freeze and thaw. From one seed all is the same each time.
+// Simulates machines in virtual time that run the programs' own code: each process has a reactor driven by
+// the simulation, links to others over a simulated network, and a simulated disk. The network delays
+// messages, cuts one or both directions, and, between control nodes, loses, duplicates and reorders messages.
+// Machines are killed, lose power, freeze and continue. A run is determined by its seed.
 #pragma once
 #include "base/pcg.hpp"
 #include "control/state_file.hpp"
@@ -24,15 +24,15 @@
 // Number of a machine, from 0; its address is 10.0.0.(number + 1).
 using MachineNumber = int;
 
-struct MessageFaults { // shares of the messages between control nodes
+struct MessageFaults { // probabilities per message between control nodes
     double lost = 0, doubled = 0, late = 0;
 };
 
-// What a disk holds under one kind; see control::StateFile.
+// The state that a disk holds under one kind; see control::StateFile.
 struct StoredValue {
     std::optional<std::string> durable, one_before;
     std::optional<std::string> writing; // not yet durable
-    bool is_spoilt = false;             // the newest file can't be read any more
+    bool is_spoilt = false;             // the newest file is unreadable
 };
 
 struct SimulatedDisk {
@@ -56,32 +56,32 @@
 
     void schedule(Ticks at, std::function<void()> act);
     void run_for(Ticks span);
-    bool run_until(const std::function<bool()>& holds, Ticks limit); // whether it came to hold
+    bool run_until(const std::function<bool()>& holds, Ticks limit); // returns whether the condition was met
 
     MachineNumber add_machine();
     static std::string ip_of(MachineNumber machine);
-    // `open` starts the process on a fresh reactor; `close` frees what it made before the reactor goes.
+    // `open` starts the process on a new reactor; `close` destroys what it created before the reactor ends.
     void start(MachineNumber machine, const std::function<void(transport::Reactor&)>& open,
                std::function<void()> close);
-    void kill(MachineNumber machine); // its disk keeps what was written
+    void kill(MachineNumber machine); // keeps the disk's contents
     void power_off(MachineNumber machine);
     void freeze(MachineNumber machine, Ticks until);
     bool is_up(MachineNumber machine) const;
     bool is_frozen(MachineNumber machine) const;
     int incarnation(MachineNumber machine) const;
-    transport::Reactor& reactor(MachineNumber machine); // of its process; it must be up
-    // In the process of a machine, as an event that it takes; later where it is frozen, never where this
-    // process of it has ended by then.
+    transport::Reactor& reactor(MachineNumber machine); // of its process, which must be running
+    // Runs in the process of a machine as an event; delayed while the machine is frozen, and dropped if this
+    // process has ended by then.
     void run_on(MachineNumber machine, std::function<void()> act);
 
-    void cut(MachineNumber from, MachineNumber to, bool is_cut = true); // one way; counted
+    void cut(MachineNumber from, MachineNumber to, bool is_cut = true); // one way; cuts are counted
     bool reaches(MachineNumber from, MachineNumber to) const;
     void set_message_faults(const MessageFaults& faults) { faults_ = faults; }
     Ticks& most_delay() { return most_delay_; }
-    // Holds back messages that a test picks, until they are let go.
+    // Holds back the messages that a test selects, until they are released.
     std::function<bool(MachineNumber from, MachineNumber to, const feed::Message&)> held_back;
     void let_go();
-    // Told of each message of a link just before it is handed over.
+    // Called with each message of a link just before delivery.
     std::function<void(MachineNumber from, MachineNumber to, const feed::Message&)> watched;
 
     SimulatedDisk& disk(MachineNumber machine);
@@ -118,7 +118,7 @@
     void plan_wake(MachineNumber machine);
     std::optional<MachineNumber> machine_at(const std::string& address) const;
     Ticks delay();
-    // Of a connection, from one of its sides (0: who opened it) to the other.
+    // Sent on a connection by one of its sides (0: the one that opened it) to the other.
     void send(const std::shared_ptr<Connection>& connection, int side, Packet packet);
     void travel(const std::shared_ptr<Connection>& connection, int side, Packet packet, Ticks at,
                 bool in_order);
--- a/tests/lab/soak_changes.hpp
+++ b/tests/lab/soak_changes.hpp
@@ -1,5 +1,5 @@
-// The configurations that a soak's operator sends: each a change of the one before, drawn from the seed.
-// Pure.
+// The configurations sent by a soak's operator: each changes the previous one, drawn from the seed. Performs
+// no I/O.
 #pragma once
 #include "lab/soak_record.hpp"
 
@@ -18,11 +18,11 @@
     explicit SoakChanges(std::uint64_t seed);
 
     SoakVersion first();
-    // Takes the next number; keys and routes are added, taken away and moved.
+    // Uses the next number; keys and routes are added, removed and moved.
     SoakVersion next(const SoakVersion& former);
     SoakVersion invalid(const SoakVersion& former);
 
-    // Of all that were ever sent, newest last.
+    // All keys ever sent, newest last.
     const std::vector<std::string>& keys() const { return keys_; }
     const std::vector<std::string>& prefixes() const { return prefixes_; }
 
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -25,17 +25,17 @@
 
 constexpr Ticks kGrace = 8 * kTicksPerSecond; // `graceS` of the settings
 constexpr Ticks kGraceSlack = 2 * kTicksPerSecond;
-constexpr int kFirstControl = 1, kFirstEdge = 10, kFirstServer = 110; // last parts of addresses
+constexpr int kFirstControl = 1, kFirstEdge = 10, kFirstServer = 110; // last numbers of addresses
 constexpr std::array<const char*, 3> kZones{"north", "south", "west"};
 constexpr int kControlPort = 8262, kServerPort = 8080;
 
-// Another one for each soak that runs at the same time.
+// A different loopback network for each soak that runs concurrently.
 std::string own_network() {
     const int own = getpid();
     return "127." + std::to_string(200 + own / 250 % 50) + "." + std::to_string(1 + own % 250);
 }
 
-// In memory where the system has that: a disk that others keep busy holds the soak itself up for seconds.
+// Uses a memory file system if there is one: on a busy disk the soak itself would stall for seconds.
 std::string parent_folder() {
     constexpr const char* kInMemory = "/dev/shm";
     if (std::getenv("TMPDIR") != nullptr || access(kInMemory, W_OK) != 0)
@@ -48,7 +48,7 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Replaces the value that stands behind `name` on its line.
+// Replaces the value that follows `name` on its line.
 void set_line(std::string& text, const std::string& name, const std::string& value) {
     const std::size_t at = text.find(name);
     if (at == std::string::npos) throw std::runtime_error("the settings have no " + name);
@@ -79,8 +79,8 @@
     _exit(127);
 }
 
-// Before it has begun to run the program of a process is still being loaded: no program can hear a signal
-// then.
+// A process that has not yet installed its signal handlers would be ended by SIGHUP: its program is still
+// being loaded.
 bool hears_hangup(pid_t process) {
     const std::string status = read_file("/proc/" + std::to_string(process) + "/status");
     const auto has = [&](const std::string& mask) {
@@ -115,7 +115,7 @@
     for (int i = 1; i <= size.edges; ++i) places_[{SoakRole::kAgent, i}], places_[{SoakRole::kProxy, i}];
     for (int i = 1; i <= size.servers; ++i) {
         Place& place = places_[{SoakRole::kServer, i}];
-        const int kind = i % 7; // two that read prompts, two and one that generate, two of the other service
+        const int kind = i % 7; // two prefill and three decode servers, two servers of the other service
         place.stage = kind == 1 || kind == 2 ? "prefill" : "decode";
         place.service = kind == 5 || kind == 6 ? kSoakOther : kSoakModel;
     }
@@ -253,7 +253,7 @@
 }
 
 void SoakFleet::open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now) {
-    // The later act of one that is in trouble already is one more trouble, which ends with it.
+    // A second fault of a process that is already faulty is recorded separately; both end together.
     troubles_.push_back({what, process, now, kNever});
     place.trouble = troubles_.size();
 }
@@ -288,7 +288,7 @@
     case SoakAct::kContinue:
         if (!is_up || !place.stopped) return;
         place.stopped = false;
-        if (place.terminated_at != kNever) place.terminated_at = now; // it hears of it only now
+        if (place.terminated_at != kNever) place.terminated_at = now; // SIGTERM takes effect only now
         if (place.terminated_at == kNever) close_trouble(place, now);
         return send(step.process, place, SIGCONT);
     case SoakAct::kHangup:
@@ -314,7 +314,7 @@
                                               : std::string("SIG") + sigabbrev_np(WTERMSIG(status));
     place.process = -1;
     tell_(name_of(process) + " has ended: " + how);
-    // One that is told to end before it has begun to listen to signals ends by that one.
+    // A process that gets SIGTERM before it has installed its handler is ended by the signal.
     const bool early = WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM;
     const bool by_plan = place.killed || (told && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
     if (!by_plan) fail("ENDED: " + name_of(process) + " ended on its own: " + how + ", log " + place.log);
--- a/tests/lab/soak_fleet.hpp
+++ b/tests/lab/soak_fleet.hpp
@@ -1,6 +1,6 @@
-// The processes of a soak: the whole fleet on loopback with as many control nodes, edge machines (a proxy and
-// an agent each) and stand-in model servers as wanted. Sends signals to processes that it started and to no
-// others, and tells of every process that ends on its own.
+// The processes of a soak: the whole fleet on loopback with a configurable number of control nodes, edge
+// machines (a proxy and an agent each) and stand-in model servers. Sends signals only to processes that it
+// started, and reports every process that ends unexpectedly.
 #pragma once
 #include "lab/soak_record.hpp"
 
@@ -13,7 +13,7 @@
 namespace ivyrill::lab {
 
 struct SoakPrograms {
-    std::string fleet, model_server; // paths
+    std::string fleet, model_server; // paths of the programs
     std::string settings;            // the folder of examples/fleet/settings
 };
 
@@ -23,9 +23,9 @@
 
 class SoakFleet {
   public:
-    // `tell` gets a line for each thing that happens.
+    // `tell` gets a line for each event.
     SoakFleet(SoakPrograms programs, const SoakSize& size, std::function<void(const std::string&)> tell);
-    ~SoakFleet(); // ends what is left, by SIGKILL
+    ~SoakFleet(); // kills remaining processes by SIGKILL
     SoakFleet(const SoakFleet&) = delete;
     SoakFleet& operator=(const SoakFleet&) = delete;
 
@@ -37,17 +37,17 @@
 
     void start_all(Ticks now);
     void act(const SoakStep& step, Ticks now);
-    // Sees who has ended, starts what is to be started then, and kills what outlasts its grace.
+    // Detects ended processes, starts those that are due, and kills those that exceed their grace period.
     void pass(Ticks now);
-    void settle(Ticks now); // everything is continued and, where it isn't running, started
+    void settle(Ticks now); // continues every process, and starts those that are not running
     void terminate_all(Ticks now);
     bool all_ended() const;
     bool running(SoakProcess process) const;
-    bool running_undisturbed(SoakProcess process) const; // neither stopped nor told to end
+    bool running_undisturbed(SoakProcess process) const; // neither stopped nor told to stop
     SoakUse use(SoakProcess process) const;
     int incarnation(SoakProcess process) const;
 
-    // Reads the logs: calls and runs at the servers, sanitizers' reports.
+    // Reads the logs: calls and runs at the servers, sanitizer reports.
     void collect(SoakRecord& record) const;
     const std::vector<SoakTrouble>& troubles() const { return troubles_; }
     const std::vector<std::string>& failures() const { return failures_; }
@@ -61,10 +61,10 @@
         std::string log;
         std::string service, stage, zone; // of a server
         bool stopped = false, wanted = true, start_other = false;
-        bool killed = false; // by the soak
+        bool killed = false; // ended or stopped by the soak
         Ticks terminated_at = kNever;
-        std::size_t trouble = 0; // behind the index into troubles_; 0: none is open
-        int seeds_turn = 0;      // by how many places the settings' seeds are turned
+        std::size_t trouble = 0; // index into troubles_ plus 1; 0: none is open
+        int seeds_turn = 0;      // by how many positions the settings' seeds are rotated
     };
     struct Log {
         std::string path;
--- a/tests/lab/soak_judge.cpp
+++ b/tests/lab/soak_judge.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Ticks kNoticed = kTicksPerSecond / 10; // from a process's end until a client sees it
+constexpr Ticks kNoticed = kTicksPerSecond / 10; // from a process's end until a client detects it
 
 class Judge {
   public:
@@ -88,7 +88,7 @@
                !troubled({SoakRole::kAgent, front}, from, at);
     }
 
-    // The oldest version by which that front may go at that time.
+    // The oldest version that the front node may use at that time.
     std::int64_t oldest(int front, Ticks at) const {
         std::int64_t number = 0;
         if (!in_touch(front, at)) return number;
@@ -160,7 +160,7 @@
                    (what == What::kStopped || trouble.from >= from);
         });
     }
-    // One of the servers that got it broke off or was held up.
+    // One of the servers that received it broke it off or was delayed.
     bool server_failed(const SoakAttempt& a) const {
         const auto found = calls_.find(a.id);
         if (found == calls_.end()) return false;
@@ -179,19 +179,19 @@
         return front_had(a, What::kKilled, a.sent_at - kNoticed, a.ended_at + kNoticed) ||
                front_had(a, What::kStopped, a.sent_at - bounds_.in_touch, a.ended_at);
     }
-    // A server was at work in the second half of the grace.
+    // A server was working in the second half of the grace period.
     bool outlasted(const SoakAttempt& a) const {
         return front_had(a, What::kTerminated, a.sent_at - bounds_.grace, a.ended_at - bounds_.grace / 2) &&
                calls_.contains(a.id);
     }
-    // Without the time in which the soak itself was held up.
+    // Without the time in which the soak itself was delayed.
     Ticks time_taken(const SoakAttempt& a) const {
         Ticks taken = a.ended_at - a.sent_at;
         for (const SoakPause& pause : record_.pauses)
             taken -= std::max<Ticks>(0, std::min(pause.until, a.ended_at) - std::max(pause.from, a.sent_at));
         return taken;
     }
-    // The node closed the connection without having read the request, by plan.
+    // The node closed the connection without having read the request, as planned.
     bool unread_at_end(const SoakAttempt& a) const {
         return a.status == 0 && !calls_.contains(a.id) && time_taken(a) <= bounds_.loss_slack &&
                front_had(a, What::kTerminated, a.sent_at - 2 * bounds_.grace, a.ended_at);
--- a/tests/lab/soak_plan.cpp
+++ b/tests/lab/soak_plan.cpp
@@ -48,7 +48,7 @@
         disturb(at, draw_process());
     }
 
-    // False where too many control nodes are disturbed already.
+    // Returns false if too many control nodes are disturbed already.
     bool claim(SoakProcess process, Ticks at, Ticks until) {
         if (process.role != SoakRole::kControl) return true;
         int others = 0;
@@ -73,7 +73,7 @@
             add(at, SoakAct::kStop, process);
             if (chance(30)) add(at + span(0, back - at), SoakAct::kTerminate, process); // waits for SIGCONT
             add(back, SoakAct::kContinue, process);
-            add(back + kMs, SoakAct::kStart, process); // where it ended
+            add(back + kMs, SoakAct::kStart, process); // at the address where it ended
             return;
         }
         add(at, drawn <= 70 ? SoakAct::kTerminate : SoakAct::kKill, process);
--- a/tests/lab/soak_record.hpp
+++ b/tests/lab/soak_record.hpp
@@ -1,5 +1,5 @@
-// What clients, the operator, the stand-in model servers and the platform saw in a soak. Times are of the
-// soak's loop.
+// Observations of clients, the operator, the stand-in model servers and the platform in a soak. Times are
+// those of the soak's loop.
 #pragma once
 #include "base/time.hpp"
 #include "lab/soak_plan.hpp"
@@ -19,7 +19,7 @@
 
 enum class SoakKind : std::uint8_t {
     kSafe,      // may run more than once
-    kResumable, // a stream that may be taken up elsewhere
+    kResumable, // a stream that may be resumed on another server
     kOnce       // runs at most once
 };
 
@@ -27,10 +27,10 @@
     std::string prefix;
     SoakKind kind = SoakKind::kSafe;
     bool is_public = false;
-    std::set<std::string> services; // those that it may go to
+    std::set<std::string> services; // servers that may receive it
 };
 
-struct SoakVersion { // a configuration, as it was sent
+struct SoakVersion { // a configuration as it was sent
     std::int64_t number = 0;
     std::string body;
     std::map<std::string, std::string> tenant_of_key;
@@ -46,14 +46,14 @@
 };
 
 struct SoakAttempt {
-    std::string id, prefix, key; // `key`: empty for none
+    std::string id, prefix, key; // `key`: empty if none
     SoakKind kind = SoakKind::kSafe;
     int front = 0; // number of the proxy
     Ticks sent_at = 0, ended_at = 0, deadline = 0;
     AnswerEnd end = AnswerEnd::kOpen;
-    int status = 0;                                          // 0: no whole head came
-    bool sealed = false, whole = false, a_beginning = false; // of the body that was expected
-    bool of_another = false, surplus = false;                // an answer to another request; bytes behind it
+    int status = 0;                                          // 0: no complete head arrived
+    bool sealed = false, whole = false, a_beginning = false; // of the expected body
+    bool of_another = false, surplus = false; // an answer to another request; extra bytes after it
 };
 
 struct SoakCall { // at a stand-in
@@ -62,13 +62,13 @@
     bool shows_key = false;
 };
 
-struct SoakTrouble { // made by the soak
+struct SoakTrouble { // caused by the soak
     enum class What : std::uint8_t { kKilled, kTerminated, kStopped } what = What::kKilled;
     SoakProcess process;
-    Ticks from = 0, until = kNever; // `until`: the start or SIGCONT after it
+    Ticks from = 0, until = kNever; // `until`: the start or SIGCONT that ends it
 };
 
-struct SoakPause { // the soak itself was held up by the machine: what it saw then it saw late
+struct SoakPause { // the machine delayed the soak itself: its observations of that time are late
     Ticks from = 0, until = 0;
 };
 
@@ -82,13 +82,13 @@
     std::vector<SoakVersion> versions; // by number
     std::vector<SoakAttempt> attempts;
     std::vector<SoakCall> calls;
-    std::map<std::string, int> runs; // that began, by attempt
+    std::map<std::string, int> runs; // runs that began, by attempt
     std::vector<SoakTrouble> troubles;
     std::vector<SoakPause> pauses;
-    std::vector<std::string> seen; // failures that were seen at once
+    std::vector<std::string> seen; // failures that were detected immediately
 };
 
-// Broken promises, in words.
+// Violated guarantees, as text.
 std::vector<std::string> judge(const SoakRecord& record, const SoakBounds& bounds);
 
 } // namespace ivyrill::lab
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Ticks kMs = kTicksPerSecond / 1000;
-constexpr Ticks kLook = 5 * kMs;        // at what no descriptor tells: processes and the next step
-constexpr Ticks kLeastPause = 50 * kMs; // that counts as one
+constexpr Ticks kLook = 5 * kMs;        // for what no descriptor reports: processes and the next step
+constexpr Ticks kLeastPause = 50 * kMs; // minimum delay that is recorded
 constexpr Ticks kStartPatience = 40 * kTicksPerSecond;
-constexpr Ticks kCallPatience = kTicksPerSecond; // of the operator with a silent node
+constexpr Ticks kCallPatience = kTicksPerSecond; // timeout of the operator for a node that does not answer
 constexpr Ticks kCallPause = 200 * kMs;          // before the operator calls the next node
-constexpr Ticks kSurplusWait = 2 * kMs;          // bytes behind an answer come together with it
-constexpr Ticks kComesUp = 200 * kMs;            // a connection, else the client goes elsewhere
-constexpr Ticks kGiveUp = kTicksPerSecond;       // behind the deadline
+constexpr Ticks kSurplusWait = 2 * kMs;          // extra bytes after an answer arrive together with it
+constexpr Ticks kComesUp = 200 * kMs;      // timeout for a connection, then the client tries another node
+constexpr Ticks kGiveUp = kTicksPerSecond; // after the deadline
 constexpr std::int64_t kLeastDeadlineMs = 4000, kMostDeadlineMs = 9000;
 
 ClientRequest get(const std::string& target) {
@@ -32,7 +32,7 @@
 struct SoakRun::Operator {
     std::int64_t number = 0, base = 0;
     bool is_valid = true, over = false;
-    std::string body, location; // the latter: where the last answer sent it
+    std::string body, location; // the second one: where the last answer redirected it
     int control = 1, answers_4xx = 0;
     Ticks next_at = 0, called_at = 0;
     std::unique_ptr<StreamClient> call;
@@ -46,7 +46,7 @@
     std::string address;
     bool was_up = false, waits = false;
     Ticks next_at = 0, opened_at = 0, over_at = kNever;
-    Ticks held_up = 0; // the soak, until the request was sent
+    Ticks held_up = 0; // delay of the soak until the request was sent
     SoakAttempt attempt;
     std::string expected;
     std::int64_t draw(std::int64_t most) {
@@ -121,7 +121,7 @@
     fleet_.pass(loop_.now());
     pass_operators();
     note_pause();
-    loop_.wait(loop_.now() + kLook); // clients judge lateness by what has come until now
+    loop_.wait(loop_.now() + kLook); // clients judge lateness by what has arrived until now
     note_pause();
     pass_clients();
 }
@@ -135,7 +135,7 @@
     return true;
 }
 
-// One request on a connection of its own; what didn't come in time is closed.
+// One request on a separate connection, which is closed on timeout.
 const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks patience) {
     asked_ = std::make_unique<StreamClient>(loop_, address);
     StreamClient& client = *asked_;
@@ -170,7 +170,7 @@
 void SoakRun::play_steps() {
     clients_send_ = true;
     const std::vector<SoakStep> steps = draw_soak(options_.seed, options_.size);
-    // Steps that the machine held up come later all of them: they keep their distances.
+    // If the machine delays a step, all later steps are shifted: the intervals between them stay.
     const Ticks began = loop_.now() - held_up_;
     const auto pass_until = [&](Ticks at) {
         while (loop_.now() < began + held_up_ + at) pass();
@@ -230,7 +230,7 @@
     const std::string expected = expected_stream(request);
     attempt.whole = answer.body == expected, attempt.a_beginning = expected.starts_with(answer.body);
     attempt.sealed = answer.head.has("server-seal");
-    // Before the history nobody listens yet; then only what servers saw of these requests is judged.
+    // Before the history nobody observes these requests; then only the servers' observations are checked.
     if (!clients_send_ && attempt.end != AnswerEnd::kComplete) attempt.end = AnswerEnd::kOpen;
     record_.attempts.push_back(attempt);
     return answer.head.status == wanted && answer.end == AnswerEnd::kComplete;
@@ -238,7 +238,7 @@
 
 void SoakRun::check_served() {
     const SoakVersion version = newest();
-    std::string gone; // a key that was taken away
+    std::string gone; // a removed key
     for (const std::string& key : changes_.keys())
         if (!version.tenant_of_key.contains(key)) gone = key;
     const std::string& key = version.tenant_of_key.begin()->first;
@@ -270,7 +270,7 @@
              std::to_string(version.number) + ", which was acknowledged");
 }
 
-// Once its clients are gone, a process holds little more than after its start, and is in its limits.
+// Without clients, a process uses little more than after its start, and is within its limits.
 void SoakRun::check_use() {
     constexpr std::int64_t kSettingsKib = 256 * 1024, kSettingsDescriptors = 1024; // `limits` of the settings
     const std::int64_t slack = 32 + 4L * options_.size.servers + 2L * options_.size.edges;
--- a/tests/lab/soak_run.hpp
+++ b/tests/lab/soak_run.hpp
@@ -1,5 +1,5 @@
-// One soak: plays the steps drawn from a seed over the fleet's processes while clients keep connections open
-// and use them until the process is gone, brings all to rest, and judges what was seen.
+// One soak: applies the steps drawn from a seed to the fleet's processes while clients keep connections open
+// and use them until the process has ended, then ends all faults and checks the observations.
 #pragma once
 #include "lab/soak_changes.hpp"
 #include "lab/soak_fleet.hpp"
@@ -17,17 +17,17 @@
     SoakSize size;
     int clients = 12;
     SoakPrograms programs;
-    bool sanitized = false; // memory isn't judged
-    bool keep = false;      // the folder stays also where nothing is wrong
+    bool sanitized = false; // memory isn't checked
+    bool keep = false;      // keeps the folder even if no violation is found
 };
 
 struct SoakResult {
-    std::vector<std::string> wrong; // broken promises, in words
-    std::vector<std::string> story; // what happened when, where something is wrong
+    std::vector<std::string> wrong; // violated guarantees, as text
+    std::vector<std::string> story; // trace of events, if there is a violation
     std::uint64_t attempts = 0, whole = 0, refused = 0, cut = 0, steps = 0, acknowledged = 0, starts = 0;
-    Ticks held_up = 0; // the soak itself, by the machine
+    Ticks held_up = 0; // delay of the soak itself, by the machine
     std::int64_t most_resident_kib = 0, most_descriptors = 0;
-    std::string folder; // empty where it is removed
+    std::string folder; // empty if it was removed
 };
 
 class SoakRun {
@@ -38,10 +38,10 @@
 
   private:
     struct Call;     // of the operator
-    struct Operator; // sends one change until there is a clear answer
+    struct Operator; // sends one change until there is a definite answer
     struct Client;
 
-    void pass(); // one turn of the loop
+    void pass(); // one iteration of the loop
     void note_pause();
     bool until(const std::function<bool()>& holds, Ticks patience);
     void tell(const std::string& what);
--- a/tests/lab/stream_client.cpp
+++ b/tests/lab/stream_client.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kMostRead = 256 * 1024, kMostWritten = 8 * 1024 * 1024; // bytes of the rings
+constexpr std::size_t kMostRead = 256 * 1024, kMostWritten = 8 * 1024 * 1024; // size of the rings, in bytes
 constexpr std::string_view kEventEnd = "\n\n";
 
-// Takes a bounded number of a stream's bytes into a text.
+// Moves a bounded number of a stream's bytes into a string.
 struct Taker {
     std::size_t most;
     std::string taken;
@@ -67,7 +67,7 @@
     : loop_(loop), behaviour_(behaviour) {
     const int descriptor = transport::connect_to(address);
     if (descriptor < 0) throw std::runtime_error("can't connect to " + address);
-    // One that reads slowly holds its peer up: what it hasn't read must not pile up here.
+    // A slow reader exerts backpressure on its peer: unread bytes must not accumulate here.
     const std::size_t most_read = behaviour.read_bytes > 0 ? behaviour.read_bytes : kMostRead;
     stream_ = std::make_unique<Stream>(loop, descriptor, Stream::Start::kConnecting, most_read, kMostWritten);
 }
@@ -143,7 +143,7 @@
     }
 }
 
-// Moves what the reader has into the current answer.
+// Moves the reader's results into the current answer.
 void StreamClient::take(Ticks now, AnswerEnd where_broken) {
     if (!waits()) return;
     ClientAnswer& answer = answers_[current_];
