--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -25,27 +25,27 @@
 
 constexpr std::uint64_t kHistories = 10'000, kControlForOneOfDuties = 3;
 
-int tell_one(ControlPlan plan) {
-    plan.tells = true;
+int print_history(ControlPlan plan) {
+    plan.records_trace = true;
     ControlWorld world(plan);
     world.play();
-    for (const std::string& line : world.story()) std::cout << line << "\n";
-    for (const std::string& what : world.broken()) std::cout << "broken: " << what << "\n";
-    return world.broken().empty() ? 0 : 1;
+    for (const std::string& line : world.trace()) std::cout << line << "\n";
+    for (const std::string& what : world.violations()) std::cout << "broken: " << what << "\n";
+    return world.violations().empty() ? 0 : 1;
 }
 
 struct Totals {
     std::uint64_t violations = 0, faults = 0, acknowledged = 0, refused = 0, sent_again = 0, reads = 0,
                   leavings = 0, disks_lost = 0, orders_to_servers = 0, orders_accepted = 0;
-    std::array<std::uint64_t, 5> five{};
+    std::array<std::uint64_t, 5> provoked{};
     void add(const ControlWorld& world) {
         const ControlCounts& counts = world.counts();
-        violations += world.broken().size();
+        violations += world.violations().size();
         faults += counts.faults, acknowledged += counts.acknowledged, refused += counts.refused;
         sent_again += counts.sent_again, reads += counts.reads, leavings += counts.leavings;
         disks_lost += counts.disks_lost;
         orders_to_servers += counts.orders_to_servers, orders_accepted += counts.orders_accepted;
-        for (std::size_t i = 0; i < five.size(); ++i) five[i] += counts.five[i] ? 1 : 0;
+        for (std::size_t i = 0; i < provoked.size(); ++i) provoked[i] += counts.provoked[i] ? 1 : 0;
     }
 };
 
@@ -61,7 +61,7 @@
                 world.play();
                 const std::lock_guard lock(mutex);
                 totals.add(world);
-                for (const std::string& what : world.broken())
+                for (const std::string& what : world.violations())
                     std::cerr << kind << " seed " << seed << ": " << what << "\n";
             }
         });
@@ -69,7 +69,7 @@
     return totals;
 }
 
-json told(std::uint64_t histories) {
+json measured_histories(std::uint64_t histories) {
     const auto began = std::chrono::steady_clock::now();
     const std::uint64_t duty_histories = histories / kControlForOneOfDuties;
     const Totals control = play_histories(histories, control_plan_of_seed, "control");
@@ -77,7 +77,7 @@
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
     return {{"histories", histories},
             {"violations", control.violations},
-            {"five", control.five},
+            {"five", control.provoked},
             {"faults", control.faults},
             {"acknowledged", control.acknowledged},
             {"refused", control.refused},
@@ -119,14 +119,14 @@
 int main(int count, char** words) {
     std::uint64_t histories = kHistories;
     if (count == 3 && std::string(words[1]) == "--seed")
-        return tell_one(control_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
+        return print_history(control_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
     if (count == 3 && std::string(words[1]) == "--duty-seed")
-        return tell_one(duty_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
+        return print_history(duty_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
     if (count == 3 && std::string(words[1]) == "--duty-histories")
         return tell_duties(std::strtoull(words[2], nullptr, 10));
     if (count == 3 && std::string(words[1]) == "--histories")
         histories = std::strtoull(words[2], nullptr, 10);
-    json made = told(histories);
+    json made = measured_histories(histories);
     made.update(play_planted());
     const bool kept = made["violations"] == 0 && made["duty_violations"] == 0 && made["planted"] > 0 &&
                       made["planted_found"] == made["planted"];
--- a/bench/control_planted.cpp
+++ b/bench/control_planted.cpp
@@ -45,25 +45,25 @@
         if (static_cast<int>(fault) <= kConsensusFaults) {
             ConsensusWorld world(plan_of_seed(seed));
             world.play();
-            if (!world.broken().empty()) finding = {seed, world.broken().front()};
+            if (!world.violations().empty()) finding = {seed, world.violations().front()};
         } else {
             ControlWorld world(plan_for(fault, seed));
             world.play();
-            if (!world.broken().empty()) finding = {seed, world.broken().front()};
+            if (!world.violations().empty()) finding = {seed, world.violations().front()};
         }
     }
     planted_fault = PlantedFault::kNone;
     return finding;
 }
 
-int tell_one(PlantedFault fault, std::uint64_t seed) {
+int print_history(PlantedFault fault, std::uint64_t seed) {
     planted_fault = fault;
     ControlPlan plan = plan_for(fault, seed);
-    plan.tells = true;
+    plan.records_trace = true;
     ControlWorld world(plan);
     world.play();
-    for (const std::string& line : world.story()) std::cout << line << "\n";
-    return world.broken().empty() ? 1 : 0;
+    for (const std::string& line : world.trace()) std::cout << line << "\n";
+    return world.violations().empty() ? 1 : 0;
 }
 
 } // namespace
@@ -72,7 +72,7 @@
     int first = 1, last = kPlantedFaults;
     if (count >= 3 && std::string(words[1]) == "--fault") first = last = std::atoi(words[2]);
     if (count == 5 && std::string(words[3]) == "--seed")
-        return tell_one(static_cast<PlantedFault>(first), std::strtoull(words[4], nullptr, 10));
+        return print_history(static_cast<PlantedFault>(first), std::strtoull(words[4], nullptr, 10));
     std::atomic<int> next = first;
     std::mutex mutex;
     int found = 0;
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -37,15 +37,15 @@
     app.add_flag("--keep", arguments.options.keep, "the logs stay in any case");
 }
 
-void tell(std::uint64_t seed, const SoakResult& result) {
+void print_result(std::uint64_t seed, const SoakResult& result) {
     std::cout << "seed " << seed << ": " << result.attempts << " requests, " << result.whole << " whole, "
               << result.refused << " refused, " << result.cut << " cut; " << result.steps << " steps, "
               << result.starts << " starts, " << result.acknowledged << " configurations; at most "
               << result.most_resident_kib << " KiB, " << result.most_descriptors << " descriptors; held up "
               << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " broken promises"
               << std::endl;
-    if (result.story.empty()) return;
-    for (const std::string& line : result.story) std::cerr << "  " << line << "\n";
+    if (result.trace.empty()) return;
+    for (const std::string& line : result.trace) std::cerr << "  " << line << "\n";
     for (std::size_t i = 0; i < std::min(result.wrong.size(), kMostTold); ++i)
         std::cerr << "seed " << seed << " broken: " << result.wrong[i] << "\n";
     std::cerr << "seed " << seed << ": the logs are in " << result.folder << std::endl;
@@ -72,7 +72,7 @@
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
         options.seed = seed;
         const SoakResult result = SoakRun(options).play();
-        tell(seed, result);
+        print_result(seed, result);
         attempts += result.attempts, whole += result.whole, steps += result.steps;
         if (!result.wrong.empty()) failed.push_back(seed);
     }
--- a/bench/system.cpp
+++ b/bench/system.cpp
@@ -42,8 +42,8 @@
                 elections += counts.elections;
                 changes += counts.changes_of_voters;
                 lost += counts.wiped + counts.replaced;
-                violations += world.broken().size();
-                for (const std::string& what : world.broken())
+                violations += world.violations().size();
+                for (const std::string& what : world.violations())
                     std::cerr << "seed " << seed << " " << what << "\n";
             }
         });
--- a/bench/system_planted.cpp
+++ b/bench/system_planted.cpp
@@ -22,7 +22,7 @@
         const auto seed = static_cast<std::uint64_t>(tried);
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
-        if (!world.broken().empty()) return seed;
+        if (!world.violations().empty()) return seed;
     }
     return 0;
 }
--- a/tests/consensus_history_tests.cpp
+++ b/tests/consensus_history_tests.cpp
@@ -16,7 +16,7 @@
     for (std::uint64_t seed = group * kSeedsPerCase + 1; seed <= (group + 1) * kSeedsPerCase; ++seed) {
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
-        for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
+        for (const std::string& what : world.violations()) BOOST_ERROR("seed " << seed << " " << what);
     }
 }
 
@@ -51,11 +51,11 @@
 BOOST_AUTO_TEST_CASE(history_of_one_seed) {
     const char* given = std::getenv("IVYRILL_SEED");
     ConsensusPlan plan = plan_of_seed(given ? std::strtoull(given, nullptr, 10) : 1);
-    plan.tells = true;
+    plan.records_trace = true;
     ConsensusWorld world(plan);
     world.play();
-    for (const std::string& line : world.story()) BOOST_TEST_MESSAGE(line);
-    for (const std::string& what : world.broken()) BOOST_ERROR(what);
+    for (const std::string& line : world.trace()) BOOST_TEST_MESSAGE(line);
+    for (const std::string& what : world.violations()) BOOST_ERROR(what);
 }
 
 // The generated histories must contain enough faults, writes and membership changes to find errors.
@@ -85,14 +85,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_seed_reproduces_the_same_history) {
-    std::vector<std::string> stories[2];
-    for (auto& story : stories) {
+    std::vector<std::string> traces[2];
+    for (auto& trace : traces) {
         ConsensusPlan plan = plan_of_seed(17);
-        plan.tells = true;
+        plan.records_trace = true;
         ConsensusWorld world(plan);
         world.play();
-        story = world.story();
+        trace = world.trace();
     }
-    BOOST_TEST(stories[0].size() > 50);
-    BOOST_TEST((stories[0] == stories[1]));
+    BOOST_TEST(traces[0].size() > 50);
+    BOOST_TEST((traces[0] == traces[1]));
 }
--- a/tests/consensus_planted_tests.cpp
+++ b/tests/consensus_planted_tests.cpp
@@ -24,7 +24,7 @@
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
-        BOOST_TEST(world.broken().empty());
+        BOOST_TEST(world.violations().empty());
     }
 }
 
--- a/tests/consensus_tests.cpp
+++ b/tests/consensus_tests.cpp
@@ -17,9 +17,9 @@
 }
 
 void check_invariants(const ConsensusWorld& world) {
-    for (const std::string& what : world.broken()) BOOST_ERROR(what);
-    if (world.broken().empty()) return;
-    for (const std::string& line : world.story()) BOOST_TEST_MESSAGE(line);
+    for (const std::string& what : world.violations()) BOOST_ERROR(what);
+    if (world.violations().empty()) return;
+    for (const std::string& line : world.trace()) BOOST_TEST_MESSAGE(line);
 }
 
 // Runs until all members agree and returns the leader.
--- a/tests/control_history_tests.cpp
+++ b/tests/control_history_tests.cpp
@@ -19,7 +19,7 @@
     for (std::uint64_t seed = group * kSeedsPerCase + 1; seed <= (group + 1) * kSeedsPerCase; ++seed) {
         ControlWorld world(control_plan_of_seed(seed));
         world.play();
-        for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
+        for (const std::string& what : world.violations()) BOOST_ERROR("seed " << seed << " " << what);
     }
 }
 
@@ -29,8 +29,8 @@
     for (std::uint64_t seed = 5001; seed < 5001 + kSeedsPerCase; ++seed) {
         ControlWorld world(control_plan_of(kind, seed));
         world.play();
-        for (const std::string& what : world.broken()) BOOST_ERROR("seed " << seed << " " << what);
-        occurrences += world.counts().five[static_cast<std::size_t>(kind)] ? 1 : 0;
+        for (const std::string& what : world.violations()) BOOST_ERROR("seed " << seed << " " << what);
+        occurrences += world.counts().provoked[static_cast<std::size_t>(kind)] ? 1 : 0;
     }
     BOOST_TEST(occurrences >= static_cast<int>(kSeedsPerCase) / 4);
 }
@@ -125,7 +125,7 @@
     world.start_all();
     BOOST_REQUIRE(world.settle(8 * ivyrill::kTicksPerSecond));
     const auto lost = world.node(1)->group().self();
-    world.spoil(1, 100);
+    world.corrupt_state(1, 100);
     BOOST_TEST(world.settle(4 * ivyrill::kTicksPerSecond));
     BOOST_TEST((world.node(1)->group().self() != lost));
 }
@@ -154,14 +154,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_seed_reproduces_the_same_history) {
-    std::vector<std::string> stories[2];
-    for (auto& story : stories) {
+    std::vector<std::string> traces[2];
+    for (auto& trace : traces) {
         ControlPlan plan = control_plan_of_seed(17);
-        plan.tells = true;
+        plan.records_trace = true;
         ControlWorld world(plan);
         world.play();
-        story = world.story();
+        trace = world.trace();
     }
-    BOOST_TEST(stories[0].size() > 10U);
-    BOOST_TEST((stories[0] == stories[1]));
+    BOOST_TEST(traces[0].size() > 10U);
+    BOOST_TEST((traces[0] == traces[1]));
 }
--- a/tests/control_planted_tests.cpp
+++ b/tests/control_planted_tests.cpp
@@ -29,7 +29,7 @@
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         ControlWorld world(control_plan_of_seed(seed));
         world.play();
-        BOOST_TEST(world.broken().empty());
+        BOOST_TEST(world.violations().empty());
     }
 }
 
--- a/tests/duty_history_tests.cpp
+++ b/tests/duty_history_tests.cpp
@@ -23,7 +23,8 @@
     for (std::uint64_t seed = group * kSeedsPerCase + 1; seed <= (group + 1) * kSeedsPerCase; ++seed) {
         ControlWorld world(duty_plan_of_seed(seed));
         world.play();
-        for (const std::string& violation : world.broken()) BOOST_ERROR("seed " << seed << " " << violation);
+        for (const std::string& violation : world.violations())
+            BOOST_ERROR("seed " << seed << " " << violation);
         orders += world.counts().orders_to_servers, accepted += world.counts().orders_accepted;
         calls += world.counts().platform_calls, reports += world.counts().reports_accepted;
         counts += world.counts().counts_accepted;
--- a/tests/lab/configuration_history.hpp
+++ b/tests/lab/configuration_history.hpp
@@ -38,17 +38,17 @@
     const std::vector<Order>& orders() const { return orders_; }
     std::int64_t newest_acknowledged() const { return newest_acknowledged_; }
     std::int64_t known_before(Ticks at) const; // the newest version that all had to know at a given time
-    const std::vector<std::string>& broken() const { return broken_; }
+    const std::vector<std::string>& violations() const { return violations_; }
 
   private:
     void put_in_force(OrderNumber order, const std::string& where);
-    void break_promise(std::string what) { broken_.push_back(std::move(what)); }
+    void break_promise(std::string what) { violations_.push_back(std::move(what)); }
 
     std::vector<Order> orders_;
     std::map<std::int64_t, OrderNumber> by_base_, by_version_; // of the orders in force
     std::map<Ticks, std::int64_t> known_at_; // time from which on a version was acknowledged or read
     std::int64_t newest_acknowledged_ = 0;
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
 };
 
 } // namespace ivyrill::lab
--- a/tests/lab/consensus_history.cpp
+++ b/tests/lab/consensus_history.cpp
@@ -18,9 +18,11 @@
                                                 80000}; // one value is drawn for the whole history
 constexpr Ticks kCountedLost = 4 * kTicksPerSecond;     // after the replacement of a lost disk has started
 constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
-constexpr double kVoterKilled = 0.4, kSplitAtChange = 0.5, kLeaderTaken = 0.01;
-constexpr Ticks kMostStrikeDelay = 30, kMostLinkCut = 6 * kTicksPerSecond;
-constexpr std::array<double, 3> kStrikes{0, 0.3, 1}; // multipliers of the usual rate of targeted faults
+constexpr double kVoterCrashProbability = 0.4, kSplitAtChangeProbability = 0.5,
+                 kLeaderCrashProbability = 0.01;
+constexpr Ticks kMostTargetedFaultDelay = 30, kMostLinkCut = 6 * kTicksPerSecond;
+constexpr std::array<double, 3> kTargetedFaultRates{0, 0.3,
+                                                    1}; // multipliers of the usual rate of targeted faults
 constexpr int kFaultKinds = 15;
 constexpr Ticks kSlowStore = 2000; // 200 ms
 constexpr std::size_t kClients = 3;
@@ -35,17 +37,17 @@
          ++kind) // restricting each history to a few fault kinds makes histories differ more
         if (chance(0.5)) fault_kinds_.push_back(kind);
     if (fault_kinds_.empty()) fault_kinds_.push_back(any(kFaultKinds));
-    strikes_ = kStrikes[index(any(static_cast<int>(kStrikes.size())))];
+    targeted_fault_rate_ = kTargetedFaultRates[index(any(static_cast<int>(kTargetedFaultRates.size())))];
     schedule(kTicksPerSecond, [this] { clients_act(); });
     schedule(kFaultsFrom, [this] { fault(); });
-    schedule(kFaultsFrom, [this] { weather(); });
+    schedule(kFaultsFrom, [this] { vary_network_behavior(); });
     run_for(faults_until_);
     heal();
     run_for(kCalm);
     check_calm();
 }
 
-std::optional<int> ConsensusWorld::pick_up() {
+std::optional<int> ConsensusWorld::pick_running() {
     std::vector<int> up;
     for (int i = 0; i < size(); ++i)
         if (is_up(i)) up.push_back(i);
@@ -59,7 +61,7 @@
     std::vector<int> leading;
     for (int i = 0; i < size(); ++i)
         if (is_up(i) && replica(i).leads()) leading.push_back(i);
-    std::optional<int> asked = pick_up();
+    std::optional<int> asked = pick_running();
     if (!leading.empty() && chance(0.9)) asked = leading[index(any(static_cast<int>(leading.size())))];
     if (!asked) return;
     const int machine = *asked;
@@ -76,9 +78,9 @@
 }
 
 // The network's default behavior changes from time to time.
-void ConsensusWorld::weather() {
+void ConsensusWorld::vary_network_behavior() {
     if (now_ >= faults_until_) return;
-    schedule(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), [this] { weather(); });
+    schedule(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), [this] { vary_network_behavior(); });
     network_ = {};
     if (chance(0.4)) network_.loss = 0.2 * random_.unit();
     if (chance(0.4)) network_.doubled = 0.3 * random_.unit();
@@ -103,10 +105,10 @@
     fault_on(victim());
 }
 
-void ConsensusWorld::strike(double share) {
-    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(share * strikes_)) return;
+void ConsensusWorld::maybe_inject_fault(double share) {
+    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(share * targeted_fault_rate_)) return;
     for (int left = 1 + any(3); left > 0; --left)
-        schedule(now_ + between(0, kMostStrikeDelay), [this] {
+        schedule(now_ + between(0, kMostTargetedFaultDelay), [this] {
             ++counts_.faults;
             if (chance(0.2))
                 kill_while_storing();
@@ -118,11 +120,12 @@
 }
 
 // Power fails right after the machine has voted for another member.
-void ConsensusWorld::kill_voter(int machine) {
-    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kVoterKilled * strikes_)) return;
+void ConsensusWorld::crash_voter(int machine) {
+    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kVoterCrashProbability * targeted_fault_rate_))
+        return;
     ++counts_.faults;
     const int incarnation = at(machine).incarnation;
-    schedule(now_ + between(0, kMostStrikeDelay), [this, machine, incarnation] {
+    schedule(now_ + between(0, kMostTargetedFaultDelay), [this, machine, incarnation] {
         if (at(machine).incarnation != incarnation) return;
         crash(machine, false);
         schedule(now_ + between(1, 50), [this, machine] { start(machine); });
@@ -133,7 +136,9 @@
 // has received it.
 void ConsensusWorld::split_at_change(int machine, const std::vector<Member>& before,
                                      const std::vector<Member>& after) {
-    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kSplitAtChange * strikes_)) return;
+    if (now_ < kFaultsFrom || now_ >= faults_until_ ||
+        !chance(kSplitAtChangeProbability * targeted_fault_rate_))
+        return;
     const auto joins = [&](const Machine& m) {
         const auto is_it = [&](const Member& voter) { return voter.id == m.id; };
         return std::ranges::any_of(after, is_it) && std::ranges::none_of(before, is_it);
@@ -143,18 +148,20 @@
     for (int from = 0; from < size(); ++from)
         for (int to = 0; to < size(); ++to)
             if (inside(from) != inside(to)) links.emplace_back(from, to);
-    tell("split at a change by " + std::to_string(machine));
+    record_event("split at a change by " + std::to_string(machine));
     ++counts_.faults;
     cut_until(std::min(now_ + between(kTicksPerSecond, 4 * kTicksPerSecond), faults_until_), links);
 }
 
 // The leader crashes as soon as its own disk holds a new entry that no other member has received.
-void ConsensusWorld::take_leader_with_entry(int machine) {
-    if (now_ < kFaultsFrom || now_ >= faults_until_ || !chance(kLeaderTaken * strikes_)) return;
+void ConsensusWorld::crash_leader_holding_entry(int machine) {
+    if (now_ < kFaultsFrom || now_ >= faults_until_ ||
+        !chance(kLeaderCrashProbability * targeted_fault_rate_))
+        return;
     std::vector<std::pair<int, int>> links;
     for (int other = 0; other < size(); ++other)
         if (other != machine) links.emplace_back(machine, other);
-    tell("leader is taken with its entry: " + std::to_string(machine));
+    record_event("leader is taken with its entry: " + std::to_string(machine));
     ++counts_.faults;
     cut_until(now_ + 10, links);
     const Ticks back_at = std::min(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), faults_until_);
@@ -165,10 +172,10 @@
 }
 
 // Two members that cannot reach each other both detect that the leader is silent, while disks are slow.
-void ConsensusWorld::contest() {
+void ConsensusWorld::provoke_rival_candidates() {
     const int one = any(size()), other = any(size());
     if (one == other) return;
-    tell("contest of " + std::to_string(one) + " and " + std::to_string(other));
+    record_event("contest of " + std::to_string(one) + " and " + std::to_string(other));
     cut_until(std::min(now_ + 2 * kTicksPerSecond, faults_until_), {{one, other}, {other, one}});
     network_.most_store = kSlowStore;
     for (int i = 0; i < size(); ++i) {
@@ -200,13 +207,13 @@
     case 1: { // one link, one way
         const int other = any(size());
         if (other == machine) break;
-        tell("cut " + std::to_string(machine) + " to " + std::to_string(other));
+        record_event("cut " + std::to_string(machine) + " to " + std::to_string(other));
         cut_until(std::min(now_ + between(300, kMostLinkCut), faults_until_), {{machine, other}});
         break;
     }
     case 2: { // all links, one way or both
         const bool out = chance(0.7), in = !out || chance(0.6);
-        tell("isolate " + std::to_string(machine) + (out ? " out" : "") + (in ? " in" : ""));
+        record_event("isolate " + std::to_string(machine) + (out ? " out" : "") + (in ? " in" : ""));
         std::vector<std::pair<int, int>> links;
         for (int other = 0; other < size(); ++other) {
             if (other == machine) continue;
@@ -245,29 +252,29 @@
         lose_disk(machine, chance(0.5));
         break;
     case 8:
-        tell("stall disk of " + std::to_string(machine));
+        record_event("stall disk of " + std::to_string(machine));
         stall_disk(machine, over - now_);
         break;
     case 9:
-        tell("fill disk of " + std::to_string(machine));
+        record_event("fill disk of " + std::to_string(machine));
         fill_disk(machine, over - now_);
         break;
     case 10:
         kill_while_storing();
         break;
     case 11:
-        contest();
+        provoke_rival_candidates();
         break;
     case 14:
         partition();
         break;
     case 12:
-        tell("freeze " + std::to_string(machine));
+        record_event("freeze " + std::to_string(machine));
         freeze(machine, over - now_);
         break;
     default:
         if (!is_up(machine)) break;
-        tell("resign " + std::to_string(machine));
+        record_event("resign " + std::to_string(machine));
         resign(machine);
         schedule_on(machine, now_ + between(300, 3000), [this, machine](Replica&) {
             schedule(now_, [this, machine] {
@@ -286,7 +293,7 @@
     for (int from = 0; from < size(); ++from)
         for (int to = 0; to < size(); ++to)
             if (side[index(from)] != side[index(to)]) links.emplace_back(from, to);
-    tell("partition");
+    record_event("partition");
     cut_until(std::min(now_ + between(1000, 3 * kTicksPerSecond), faults_until_), links);
 }
 
@@ -340,7 +347,7 @@
 }
 
 void ConsensusWorld::heal() {
-    tell("calm");
+    record_event("calm");
     network_ = {};
     for (auto& row : cut_) std::fill(row.begin(), row.end(), 0);
     for (int i = 0; i < size(); ++i) {
@@ -356,16 +363,16 @@
 
 void ConsensusWorld::check_calm() {
     const auto agreed = [this] { return agrees(); };
-    if (!run_until(agreed, kNewWriteWithin)) return promise_broken("no agreement after the calm");
+    if (!run_until(agreed, kNewWriteWithin)) return report_violation("no agreement after the calm");
     for (int i = 0; i < size(); ++i)
         if (is_up(i) && durable(i).entry->stamp != replica(i).newest()->stamp &&
             !run_until([&] { return durable(i).entry->stamp == replica(i).newest()->stamp; },
                        kNewWriteWithin))
-            promise_broken("machine " + std::to_string(i) + " has not made durable what is agreed");
+            report_violation("machine " + std::to_string(i) + " has not made durable what is agreed");
     const std::size_t number = write(*leader());
     const auto acknowledged = [&] { return state_of(number) == WriteState::kAcknowledged; };
     if (!run_until(acknowledged, kNewWriteWithin))
-        promise_broken("a new write does not commit after the calm");
+        report_violation("a new write does not commit after the calm");
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr Ticks kLookInterval = 2000; // 200 ms
+constexpr Ticks kMemberStatusInterval = 2000; // 200 ms
 constexpr Ticks kLeastStore = 5;
 // Probabilities that an event triggers further faults at once.
-constexpr double kStrikeAfterAcknowledgement = 0.02, kStrikeInChange = 0.3, kStrikeInElection = 0.1;
+constexpr double kStrikeAfterAcknowledgement = 0.02, kFaultProbabilityInChange = 0.3,
+                 kFaultProbabilityInElection = 0.1;
 constexpr Ticks kThawSpread = 20; // period in which events that waited for a frozen machine are handled
 
 template <class V> std::string bytes_of(const V& value) {
@@ -95,7 +96,7 @@
             m.frozen_until + between(0, kThawSpread),
             [this, machine, incarnation, act = std::move(act)] { act_on(machine, incarnation, act); });
     act(*m.replica);
-    after(machine);
+    process_effects(machine);
 }
 
 bool ConsensusWorld::step(Ticks until) {
@@ -140,7 +141,7 @@
 void ConsensusWorld::crash(int machine, bool pending_is_kept) {
     Machine& m = at(machine);
     if (!m.replica) return;
-    tell("crash " + std::to_string(machine));
+    record_event("crash " + std::to_string(machine));
     if (m.disk.pending && pending_is_kept) m.disk.state = m.disk.pending->state;
     m.disk.pending.reset();
     m.replica.reset();
@@ -153,7 +154,7 @@
 void ConsensusWorld::start(int machine) {
     Machine& m = at(machine);
     if (m.replica || m.is_gone) return;
-    tell("start " + std::to_string(machine) + " as " + std::to_string(m.id.value));
+    record_event("start " + std::to_string(machine) + " as " + std::to_string(m.id.value));
     ++m.incarnation;
     m.frozen_until = 0;
     Options options;
@@ -162,8 +163,8 @@
     m.replica.emplace(options, m.disk.state, now_);
     const bool is_founder = std::ranges::any_of(founders_, [&](const Member& f) { return f.id == m.id; });
     if (!m.disk.state.entry && is_founder) m.replica->bootstrap(founders_, bytes_of(Value{}), now_);
-    after(machine);
-    look_around(machine);
+    process_effects(machine);
+    update_member_statuses(machine);
 }
 
 void ConsensusWorld::wipe(int machine) {
@@ -173,7 +174,7 @@
     ++counts_.wiped;
     m.disk = {};
     m.id = MemberId{next_id_++};
-    tell("wipe " + std::to_string(machine));
+    record_event("wipe " + std::to_string(machine));
 }
 
 int ConsensusWorld::replace(int machine) {
@@ -182,7 +183,7 @@
     lost_.push_back(at(machine).id);
     ++counts_.replaced;
     const int successor = add_machine();
-    tell("replace " + std::to_string(machine) + " by " + std::to_string(successor));
+    record_event("replace " + std::to_string(machine) + " by " + std::to_string(successor));
     return successor;
 }
 
@@ -201,7 +202,7 @@
 void ConsensusWorld::resign(int machine) {
     if (!at(machine).replica) return;
     at(machine).replica->resign(now_);
-    after(machine);
+    process_effects(machine);
 }
 
 std::size_t ConsensusWorld::write(int machine, std::optional<std::uint64_t> expected) {
@@ -215,14 +216,14 @@
         return bytes_of(*writes_[number].made);
     };
     m.proposals[m.replica->propose(make, now_)] = number;
-    after(machine);
+    process_effects(machine);
     return number;
 }
 
 void ConsensusWorld::read(int machine) {
     Machine& m = at(machine);
     m.reads[m.replica->confirm_leadership(now_)] = highest_seen_;
-    after(machine);
+    process_effects(machine);
 }
 
 std::optional<int> ConsensusWorld::leader() const {
@@ -237,9 +238,9 @@
     return found;
 }
 
-void ConsensusWorld::after(int machine) {
+void ConsensusWorld::process_effects(int machine) {
     for (Effect& effect : at(machine).replica->take_effects())
-        std::visit([&](auto& held) { carry_out(machine, std::move(held)); }, effect);
+        std::visit([&](auto& held) { apply_effect(machine, std::move(held)); }, effect);
     schedule_tick(machine);
 }
 
@@ -259,7 +260,7 @@
     return std::nullopt;
 }
 
-void ConsensusWorld::carry_out(int machine, Send send) {
+void ConsensusWorld::apply_effect(int machine, Send send) {
     if (const auto* vote = std::get_if<VoteReply>(&send.message.body)) check_vote(send.message, *vote);
     const auto to = machine_at(send.address);
     if (!to || !reaches(machine, *to) || chance(network_.loss)) return;
@@ -279,14 +280,14 @@
     if (!vote.granted || vote.pre_vote) return;
     const auto [known, is_new] = votes_.emplace(std::pair{message.from, vote.term}, message.to);
     if (!is_new && known->second != message.to)
-        promise_broken(std::to_string(message.from.value) + " votes twice in term " +
-                       std::to_string(vote.term));
+        report_violation(std::to_string(message.from.value) + " votes twice in term " +
+                         std::to_string(vote.term));
 }
 
-void ConsensusWorld::carry_out(int machine, Store store) {
+void ConsensusWorld::apply_effect(int machine, Store store) {
     Disk& disk = at(machine).disk;
     ++counts_.stores;
-    if (disk.pending) promise_broken("two stores are under way at one member");
+    if (disk.pending) report_violation("two stores are under way at one member");
     const StoreTicket ticket = store.ticket;
     watch_store(machine, store.state);
     disk.pending = std::move(store);
@@ -297,15 +298,15 @@
 // Points at which faults are injected.
 void ConsensusWorld::watch_store(int machine, const DurableState& state) {
     const DurableState& before = at(machine).disk.state;
-    if (state.term > before.term) strike(kStrikeInElection);
+    if (state.term > before.term) maybe_inject_fault(kFaultProbabilityInElection);
     if (state.voted_for && state.voted_for != at(machine).id && state.voted_for != before.voted_for)
-        kill_voter(machine);
+        crash_voter(machine);
     if (!state.entry || !stored_stamps_.insert(state.entry->stamp).second) return;
     if (before.entry && before.entry->voters != state.entry->voters) {
-        strike(kStrikeInChange);
+        maybe_inject_fault(kFaultProbabilityInChange);
         split_at_change(machine, before.entry->voters, state.entry->voters);
     }
-    if (at(machine).replica->leader() == at(machine).id) take_leader_with_entry(machine);
+    if (at(machine).replica->leader() == at(machine).id) crash_leader_holding_entry(machine);
 }
 
 void ConsensusWorld::finish_store(int machine, StoreTicket ticket) {
@@ -325,8 +326,8 @@
         m.replica->stored(ticket, now_);
 }
 
-void ConsensusWorld::carry_out(int machine, const Committed& committed) {
-    tell(std::to_string(machine) + " knows committed " + words(committed.entry));
+void ConsensusWorld::apply_effect(int machine, const Committed& committed) {
+    record_event(std::to_string(machine) + " knows committed " + words(committed.entry));
     if (!committed.entry.former_voters.empty()) ++counts_.changes_of_voters;
     check_chain(value_of<Value>(committed.entry.payload));
 }
@@ -334,7 +335,7 @@
 // Each committed value descends from the previous committed one, regardless of who reports it and when.
 void ConsensusWorld::check_chain(const Value& value) {
     if (writes_[value.write].state == WriteState::kRejected)
-        promise_broken("write " + std::to_string(value.write) + " was rejected, and is committed");
+        report_violation("write " + std::to_string(value.write) + " was rejected, and is committed");
     std::vector<Value> unknown;
     Value oldest = value;
     while (oldest.version >= chain_.size()) {
@@ -342,13 +343,13 @@
         oldest = oldest.base == 0 ? Value{} : *writes_[oldest.base].made;
     }
     if (chain_[oldest.version] != oldest.write)
-        return promise_broken("version " + std::to_string(oldest.version) + " is committed as write " +
-                              std::to_string(chain_[oldest.version]) + " and as " +
-                              std::to_string(oldest.write));
+        return report_violation("version " + std::to_string(oldest.version) + " is committed as write " +
+                                std::to_string(chain_[oldest.version]) + " and as " +
+                                std::to_string(oldest.write));
     for (; !unknown.empty(); unknown.pop_back()) chain_.push_back(unknown.back().write);
 }
 
-void ConsensusWorld::carry_out(int machine, const ProposalDone& done) {
+void ConsensusWorld::apply_effect(int machine, const ProposalDone& done) {
     const std::size_t number = at(machine).proposals.at(done.id);
     at(machine).proposals.erase(done.id);
     Write& write = writes_[number];
@@ -359,21 +360,22 @@
         ++counts_.rejected;
         write.state = WriteState::kRejected;
         if (write.made && write.made->version < chain_.size() && chain_[write.made->version] == number)
-            promise_broken("write " + std::to_string(number) + " is rejected, and was committed");
+            report_violation("write " + std::to_string(number) + " is rejected, and was committed");
     } else {
         ++counts_.acknowledged;
         write.state = WriteState::kAcknowledged;
         if (!write.made || write.made->version >= chain_.size() || chain_[write.made->version] != number)
-            return promise_broken("write " + std::to_string(number) + " is acknowledged but not committed");
+            return report_violation("write " + std::to_string(number) + " is acknowledged but not committed");
         if (!acknowledged_on_.emplace(write.made->base, number).second)
-            promise_broken("two writes are acknowledged on base " + std::to_string(write.made->base));
-        tell(std::to_string(machine) + " acknowledges version " + std::to_string(write.made->version));
+            report_violation("two writes are acknowledged on base " + std::to_string(write.made->base));
+        record_event(std::to_string(machine) + " acknowledges version " +
+                     std::to_string(write.made->version));
         highest_seen_ = std::max(highest_seen_, write.made->version);
-        strike(kStrikeAfterAcknowledgement);
+        maybe_inject_fault(kStrikeAfterAcknowledgement);
     }
 }
 
-void ConsensusWorld::carry_out(int machine, const ReadDone& done) {
+void ConsensusWorld::apply_effect(int machine, const ReadDone& done) {
     const std::uint64_t least = at(machine).reads.at(done.id);
     at(machine).reads.erase(done.id);
     if (!done.confirmed) return;
@@ -381,24 +383,24 @@
     const auto& committed = at(machine).replica->committed();
     const std::uint64_t version = committed ? value_of<Value>(committed->payload).version : 0;
     if (!committed || version < least)
-        promise_broken("a read returns version " + std::to_string(version) + " after " +
-                       std::to_string(least));
+        report_violation("a read returns version " + std::to_string(version) + " after " +
+                         std::to_string(least));
     highest_seen_ = std::max(highest_seen_, version);
 }
 
-void ConsensusWorld::carry_out(int machine, const RoleChanged& changed) {
+void ConsensusWorld::apply_effect(int machine, const RoleChanged& changed) {
     if (!changed.leads) return;
-    tell(std::to_string(machine) + " leads term " + std::to_string(changed.term));
+    record_event(std::to_string(machine) + " leads term " + std::to_string(changed.term));
     ++counts_.elections;
     if (at(machine).replica->committed()->stamp.term != changed.term)
-        promise_broken(std::to_string(machine) + " leads without a committed entry of its term");
+        report_violation(std::to_string(machine) + " leads without a committed entry of its term");
     const std::pair self{machine, at(machine).incarnation};
     const auto [known, is_new] = leader_of_.emplace(changed.term, self);
     if (!is_new && known->second != self)
-        promise_broken("term " + std::to_string(changed.term) + " has two leaders");
+        report_violation("term " + std::to_string(changed.term) + " has two leaders");
 }
 
-void ConsensusWorld::look_around(int machine) {
+void ConsensusWorld::update_member_statuses(int machine) {
     Machine& m = at(machine);
     std::vector<MemberStatus> found;
     for (int other = 0; other < size(); ++other) {
@@ -414,8 +416,9 @@
                 found.push_back({voter, false, false, true, now_});
     }
     m.replica->set_member_statuses(std::move(found), plan_.least, index(plan_.members), now_);
-    after(machine);
-    schedule_on(machine, now_ + kLookInterval, [this, machine](Replica&) { look_around(machine); });
+    process_effects(machine);
+    schedule_on(machine, now_ + kMemberStatusInterval,
+                [this, machine](Replica&) { update_member_statuses(machine); });
 }
 
 bool ConsensusWorld::agrees() const {
@@ -433,13 +436,13 @@
     return voting == wanted->voters.size() && voting == std::min(up, index(plan_.members));
 }
 
-void ConsensusWorld::promise_broken(std::string what) {
-    tell("BROKEN: " + what);
-    broken_.push_back("at " + std::to_string(now_) + ": " + std::move(what));
+void ConsensusWorld::report_violation(std::string what) {
+    record_event("BROKEN: " + what);
+    violations_.push_back("at " + std::to_string(now_) + ": " + std::move(what));
 }
 
-void ConsensusWorld::tell(const std::string& what) {
-    if (plan_.tells) story_.push_back(std::to_string(now_) + " " + what);
+void ConsensusWorld::record_event(const std::string& what) {
+    if (plan_.records_trace) trace_.push_back(std::to_string(now_) + " " + what);
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/consensus_world.hpp
+++ b/tests/lab/consensus_world.hpp
@@ -19,10 +19,10 @@
 
 struct ConsensusPlan {
     std::uint64_t seed = 1;
-    int members = 3;       // maximum number of voters
-    int spares = 0;        // additional machines from the start
-    std::size_t least = 2; // minimum number of voters; a removal alone never goes below it
-    bool tells = false;    // records a trace of events
+    int members = 3;            // maximum number of voters
+    int spares = 0;             // additional machines from the start
+    std::size_t least = 2;      // minimum number of voters; a removal alone never goes below it
+    bool records_trace = false; // records a trace of events
 };
 
 struct Network {                            // applies to all links
@@ -76,8 +76,8 @@
     // The whole history of the seed: founding, faults under load, a fault-free period, agreement.
     void play();
 
-    const std::vector<std::string>& broken() const { return broken_; }
-    const std::vector<std::string>& story() const { return story_; }
+    const std::vector<std::string>& violations() const { return violations_; }
+    const std::vector<std::string>& trace() const { return trace_; }
     const ConsensusCounts& counts() const { return counts_; }
 
   private:
@@ -128,23 +128,23 @@
     bool step(Ticks until);
     int add_machine();
     consensus::Member member(int machine) const;
-    void after(int machine); // carries out the effects of the replica
+    void process_effects(int machine); // carries out the effects of the replica
     void schedule_tick(int machine);
-    void carry_out(int machine, consensus::Send send);
-    void carry_out(int machine, consensus::Store store);
-    void carry_out(int machine, const consensus::Committed& committed);
-    void carry_out(int machine, const consensus::ProposalDone& done);
-    void carry_out(int machine, const consensus::ReadDone& done);
-    void carry_out(int machine, const consensus::RoleChanged& changed);
+    void apply_effect(int machine, consensus::Send send);
+    void apply_effect(int machine, consensus::Store store);
+    void apply_effect(int machine, const consensus::Committed& committed);
+    void apply_effect(int machine, const consensus::ProposalDone& done);
+    void apply_effect(int machine, const consensus::ReadDone& done);
+    void apply_effect(int machine, const consensus::RoleChanged& changed);
     void check_vote(const consensus::Message& message, const consensus::VoteReply& vote);
     void watch_store(int machine, const consensus::DurableState& state);
     void finish_store(int machine, consensus::StoreTicket ticket);
-    void look_around(int machine); // tells the replica which machines are present
+    void update_member_statuses(int machine); // tells the replica which machines are present
     bool reaches(int from, int to) const;
     std::optional<int> machine_at(const std::string& address) const;
     void check_chain(const Value& value);
-    void promise_broken(std::string what);
-    void tell(const std::string& what);
+    void report_violation(std::string what);
+    void record_event(const std::string& what);
     bool chance(double share) { return random_.unit() < share; }
     Ticks between(Ticks least, Ticks most);
     int any(int count) { return static_cast<int>(random_.next() % static_cast<std::uint32_t>(count)); }
@@ -152,21 +152,21 @@
     // consensus_history.cpp: random faults and operations
     void clients_act();
     void fault();
-    void strike(double share); // injects a fault where an event has just occurred
+    void maybe_inject_fault(double share); // injects a fault where an event has just occurred
     void kill_while_storing();
     void fault_on(int machine);
-    void weather();
+    void vary_network_behavior();
     int victim();
-    std::optional<int> pick_up(); // a running machine
+    std::optional<int> pick_running(); // a running machine
     bool may_lose(int machine) const;
     void lose_disk(int machine, bool with_machine);
     void partition();
     void cut_until(Ticks over, const std::vector<std::pair<int, int>>& links);
-    void kill_voter(int machine);
+    void crash_voter(int machine);
     void split_at_change(int machine, const std::vector<consensus::Member>& before,
                          const std::vector<consensus::Member>& after);
-    void contest();
-    void take_leader_with_entry(int machine);
+    void provoke_rival_candidates();
+    void crash_leader_holding_entry(int machine);
     std::size_t counted_lost() const;
     void heal();
     void check_calm();
@@ -191,10 +191,10 @@
     std::vector<Ticks> counted_lost_until_; // for each lost disk; kNever until its replacement is running
     std::vector<std::uint64_t> known_;      // version, by each client
     std::vector<int> fault_kinds_;          // enabled in this history
-    double strikes_ = 0;
+    double targeted_fault_rate_ = 0;
     std::set<consensus::Stamp> stored_stamps_;
     Ticks faults_until_ = 0, most_fault_pause_ = 0;
-    std::vector<std::string> broken_, story_;
+    std::vector<std::string> violations_, trace_;
     ConsensusCounts counts_;
 };
 
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -64,8 +64,8 @@
             server.leaving_acknowledged && network_.now() - *server.leaving_acknowledged > kJoiningBound;
         const model::Instance* known = node(machine)->registry().table().find(server.id);
         if (was_acknowledged && known != nullptr && known->is_routable())
-            promise_broken("machine " + std::to_string(machine) + " votes and does not know that " +
-                           server.id + " left");
+            report_violation("machine " + std::to_string(machine) + " votes and does not know that " +
+                             server.id + " left");
     }
 }
 
@@ -82,15 +82,15 @@
         is_replaced = is_replaced || (stands && !is_same);
         is_missing = is_missing || !stands;
     }
-    const auto borne = [](int alive, int listed) { return alive - (listed / 2 + 1); };
+    const auto losses_tolerated = [](int alive, int listed) { return alive - (listed / 2 + 1); };
     const auto machines = static_cast<int>(
         std::ranges::count_if(control_, [this](MachineNumber machine) { return is_live(machine); }));
-    const bool bears_less =
-        borne(there, static_cast<int>(voters.size())) < borne(machines, std::min(machines, kMostVoters));
-    const bool counts = is_replaced && !is_missing && bears_less && is_calm();
+    const bool tolerates_fewer = losses_tolerated(there, static_cast<int>(voters.size())) <
+                                 losses_tolerated(machines, std::min(machines, kMostVoters));
+    const bool counts = is_replaced && !is_missing && tolerates_fewer && is_calm();
     disk_replaced_for_ = counts ? disk_replaced_for_ + kWatchInterval : 0;
     if (disk_replaced_for_ > kReplacedBound)
-        promise_broken("the group bears fewer losses than it could, as a disk was replaced");
+        report_violation("the group bears fewer losses than it could, as a disk was replaced");
 }
 
 bool ControlWorld::reach_each_other(MachineNumber a, MachineNumber b) const {
@@ -126,7 +126,7 @@
     }
     if (!here.cut_off_since) here.cut_off_since = network_.now();
     if (network_.now() - *here.cut_off_since > kCutOffBound && node(machine)->serves_feed())
-        promise_broken("machine " + std::to_string(machine) + " is cut off and serves its feed");
+        report_violation("machine " + std::to_string(machine) + " is cut off and serves its feed");
 }
 
 bool ControlWorld::is_calm() {
@@ -142,7 +142,7 @@
     const control::ControlNode* process = node(machine);
     if (process == nullptr || process->group().is_bootstrapping()) return;
     if (lost_identities_.contains(process->group().self().value))
-        promise_broken("machine " + std::to_string(machine) + " bears the identity of a lost disk");
+        report_violation("machine " + std::to_string(machine) + " bears the identity of a lost disk");
 }
 
 // A feed that opens includes what was acknowledged before the member heard of the current leader.
@@ -150,13 +150,13 @@
     Node& here = nodes_.at(machine);
     const bool serves = is_live(machine) && node(machine)->serves_feed();
     if (serves && !here.was_serving) {
-        tell("machine " + std::to_string(machine) + " opens its feed");
+        record_event("machine " + std::to_string(machine) + " opens its feed");
         const std::int64_t known = history_.known_before(network_.now() - kOpeningBound);
         const model::Configuration* configuration = node(machine)->log().configuration();
         const std::int64_t version = configuration == nullptr ? 0 : configuration->version;
         if (version < known)
-            promise_broken("machine " + std::to_string(machine) + " opens its feed with version " +
-                           std::to_string(version) + " after " + std::to_string(known));
+            report_violation("machine " + std::to_string(machine) + " opens its feed with version " +
+                             std::to_string(version) + " after " + std::to_string(known));
     }
     if (is_live(machine)) here.was_serving = serves;
 }
@@ -187,8 +187,8 @@
         copies += version_on_disk(machine) >= history_.order(order).version ? 1 : 0;
     }
     if (copies <= plan_.tolerance)
-        promise_broken("order " + std::to_string(history_.order(order).version) + " is acknowledged on " +
-                       std::to_string(copies) + " disks");
+        report_violation("order " + std::to_string(history_.order(order).version) + " is acknowledged on " +
+                         std::to_string(copies) + " disks");
 }
 
 // An acknowledged leave is on the disks of a majority of the voters.
@@ -215,8 +215,8 @@
         return !nodes_.at(machine).is_gone && !network_.is_up(machine);
     }));
     if (2 * (copies + down) <= voters.size()) // machines that are down may hold it
-        promise_broken("the leaving of " + server + " is acknowledged on " + std::to_string(copies) +
-                       " disks of " + std::to_string(voters.size()) + " voters");
+        report_violation("the leaving of " + server + " is acknowledged on " + std::to_string(copies) +
+                         " disks of " + std::to_string(voters.size()) + " voters");
 }
 
 void ControlWorld::watch_lost_disk(MachineNumber machine) {
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -129,7 +129,7 @@
     }
     if (!was_leaving || server.leaving_acknowledged) return;
     server.leaving_acknowledged = network_.now();
-    tell("leaving of " + server.id + " is acknowledged");
+    record_event("leaving of " + server.id + " is acknowledged");
     ++counts_.leavings;
 }
 
@@ -138,7 +138,7 @@
 void ControlWorld::leave(std::size_t number) {
     Server& server = servers_[number];
     if (server.drains || server.ended) return;
-    tell("server " + server.id + " leaves");
+    record_event("server " + server.id + " leaves");
     server.drains = true;
     server.asked_to_leave = network_.chance(0.5);
     const std::string id = server.id;
@@ -218,11 +218,11 @@
 void ControlWorld::order_answered(OrderNumber order, int status) {
     const std::string name = std::to_string(history_.order(order).version);
     if (status == 200) {
-        tell("order " + name + " is acknowledged");
+        record_event("order " + name + " is acknowledged");
         ++counts_.acknowledged;
         history_.acknowledged(order, network_.now());
     } else if (status >= 400 && status < 500) {
-        tell("order " + name + " is refused with " + std::to_string(status));
+        record_event("order " + name + " is refused with " + std::to_string(status));
         ++counts_.refused;
         history_.refused(order, network_.now());
     }
@@ -286,7 +286,7 @@
              if (result.status != 200) return;
              ++counts_.reads;
              const auto order = order_in(result.body);
-             if (!order) return promise_broken("a read answers what nobody sent");
+             if (!order) return report_violation("a read answers what nobody sent");
              history_.read(order, asked_at, network_.now(), "machine " + std::to_string(machine));
          });
 }
@@ -297,11 +297,11 @@
                                         const std::string& what) {
     const Node& here = nodes_.at(machine);
     if (!here.cut_off_since || !is_cut_off(machine)) return;
-    if (network_.now() - *here.cut_off_since > 10 * kTicksPerSecond) counts_.five[0] = true;
+    if (network_.now() - *here.cut_off_since > 10 * kTicksPerSecond) counts_.provoked[0] = true;
     const bool is_answer = status == 200 || status == 412;
     if (is_answer && asked_at > *here.cut_off_since)
-        promise_broken("machine " + std::to_string(machine) + " is cut off and answers " + what + " with " +
-                       std::to_string(status));
+        report_violation("machine " + std::to_string(machine) + " is cut off and answers " + what + " with " +
+                         std::to_string(status));
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/control_counts.cpp
+++ b/tests/lab/control_counts.cpp
@@ -25,9 +25,9 @@
     CountSubject& subject = count_subject(request);
     const auto fenced_off = subject.fenced_off.find(machine);
     if (fenced_off != subject.fenced_off.end() && fenced_off->second >= request.call.fence)
-        promise_broken(fmt::format("machine {} orders numbers under a fence that was refused", machine));
+        report_violation(fmt::format("machine {} orders numbers under a fence that was refused", machine));
     if (!subject.under_way.insert({machine, network_.incarnation(machine)}).second)
-        promise_broken(fmt::format("machine {} has two calls for one zone under way", machine));
+        report_violation(fmt::format("machine {} has two calls for one zone under way", machine));
 }
 
 void ControlWorld::count_call_ends(MachineNumber machine, const PlatformRequest& request,
@@ -43,7 +43,7 @@
     const std::int64_t servers =
         protocol::read_json(request.call.body).at("desiredCount").as_integer("desiredCount");
     if (servers < kLeast || servers > kMost)
-        promise_broken(fmt::format("machine {} orders {} servers in a zone", sender, servers));
+        report_violation(fmt::format("machine {} orders {} servers in a zone", sender, servers));
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -22,7 +22,7 @@
 constexpr Ticks kHandOrdersFor = 15 * kTicksPerSecond;
 constexpr Ticks kActingWithin = 12 * kTicksPerSecond;
 constexpr std::int64_t kSlots = 8;
-constexpr std::uint64_t kFenceByHand = 1'000'000; // of an order given by an operator
+constexpr std::uint64_t kOperatorFence = 1'000'000; // of an order given by an operator
 const duties::Duty kStages{duties::DutyKind::kServerStages, "model"};
 
 // The simulation's own acts, under the same fence as the orders of the program's duty.
@@ -101,32 +101,32 @@
                              const std::string& request) {
     protocol::HttpParser parser(protocol::HttpParser::Side::kRequests);
     parser.feed(request);
-    if (!parser.complete()) return promise_broken("an order can't be read"), 400;
+    if (!parser.complete()) return report_violation("an order can't be read"), 400;
     const protocol::HttpMessage message = parser.take();
     const auto found = std::ranges::find(engines_, order.address, &Engine::address);
     if (found == engines_.end() || !found->is_up) return 0;
     Engine& engine = *found;
     const std::string target(message.header("target-instance"));
     if (!target.empty() && target != engine.id) return 421;
-    if (order.instance != engine.id) promise_broken("an order reaches a server that it is not for");
+    if (order.instance != engine.id) report_violation("an order reaches a server that it is not for");
     const protocol::Json body = protocol::read_json(message.body);
     const std::string holder = body.at("holder").as_text("holder");
     const auto fence = static_cast<std::uint64_t>(body.at("fenceToken").as_integer("fenceToken"));
     judge_holder(engine, sender, holder, fence);
-    if (engine.fence_by_hand > fence) return 412;
+    if (engine.operator_fence > fence) return 412;
     const protocol::Json* expected = body.find("expectedCount");
-    if (expected == nullptr) promise_broken("an order does not say how many the server should have taken");
+    if (expected == nullptr) report_violation("an order does not say how many the server should have taken");
     const bool is_as_expected =
         expected == nullptr || expected->as_integer("expectedCount") == engine.orders_accepted;
     if (network_.now() < engine.changing_until || !is_as_expected) return 409;
     const model::Stage stage = model::stage_from_name(body.at("stage").as_text("stage"));
     if (stage == engine.stage) return 200;
     if (!engine.taken.insert({fence, order.expected_count.value_or(-1)}).second)
-        promise_broken("an order is taken twice by " + engine.id);
+        report_violation("an order is taken twice by " + engine.id);
     ++engine.orders_accepted, ++counts_.orders_accepted;
     engine.stage = stage;
     engine.changing_until = network_.now() + network_.between(5'000, 15'000);
-    tell(fmt::format("{} takes an order of machine {} under {}", engine.id, sender, fence));
+    record_event(fmt::format("{} takes an order of machine {} under {}", engine.id, sender, fence));
     return 202;
 }
 
@@ -135,8 +135,8 @@
     const std::string name = "machine " + std::to_string(sender);
     for (const Act& act : acts) {
         if (act.fence == fence && act.sender != sender)
-            promise_broken("two holders share fence " + std::to_string(fence));
-        if (act.fence > fence) promise_broken(name + " acts under a fence lower than one before");
+            report_violation("two holders share fence " + std::to_string(fence));
+        if (act.fence > fence) report_violation(name + " acts under a fence lower than one before");
     }
     // Alternation: this holder, then another, then this one again, within a lease.
     bool other_came = false;
@@ -144,7 +144,7 @@
         if (network_.now() - act->at >= kLease) break;
         if (act->sender != sender) other_came = true;
         if (act->sender == sender && other_came) {
-            promise_broken(name + " takes turns with another holder within a lease");
+            report_violation(name + " takes turns with another holder within a lease");
             break;
         }
     }
@@ -158,13 +158,13 @@
     if (!holder.starts_with("actor")) {
         const bool is_again = engine.ordered_at && engine.ordered_under == fence &&
                               network_.now() - *engine.ordered_at < kOrdersApart;
-        if (is_again) promise_broken(name + " sends an order again that may have been taken");
+        if (is_again) report_violation(name + " sends an order again that may have been taken");
         engine.ordered_at = network_.now(), engine.ordered_under = fence;
     }
     const auto fenced_off = engine.fenced_off.find(sender);
     const bool is_told = fenced_off != engine.fenced_off.end() && fenced_off->second >= fence;
     if (is_told && !holder.starts_with("actor"))
-        promise_broken(name + " orders on under a fence that was refused");
+        report_violation(name + " orders on under a fence that was refused");
 }
 
 // From now on the node knows its rejected fence.
@@ -273,10 +273,10 @@
     // Targets a server that receives repeated orders while the same node keeps holding the duty.
     if (network_.chance(0.4)) {
         for (Engine& engine : engines_)
-            if (network_.chance(0.5)) engine.fence_by_hand = kFenceByHand;
+            if (network_.chance(0.5)) engine.operator_fence = kOperatorFence;
         run_for(kHandOrdersFor);
         faults_until_ += kHandOrdersFor;
-        for (Engine& engine : engines_) engine.fence_by_hand = 0;
+        for (Engine& engine : engines_) engine.operator_fence = 0;
     }
     while (network_.now() < faults_until_) {
         ++counts_.faults;
@@ -297,7 +297,7 @@
                                     [this](MachineNumber each) { return network_.is_frozen(each); }))
                 break;
             const MachineNumber machine = duty_holder().value_or(any_control());
-            tell_to_end(machine);
+            request_stop(machine);
             network_.schedule(network_.now() + 4'500,
                               [this, machine] { restart(machine, network_.between(500, 2000), false); });
             run_for(network_.between(6'000, 14'000));
@@ -314,12 +314,12 @@
         if (const auto next = duty_holder()) restart(*next, 20'000, false);
         break;
     case 4:
-        tell("freeze " + std::to_string(holder));
+        record_event("freeze " + std::to_string(holder));
         network_.freeze(holder, network_.now() + span);
         break;
     case 9: // for longer than a lease, often with an order whose connection is being established
     case 10:
-        tell("freeze " + std::to_string(holder));
+        record_event("freeze " + std::to_string(holder));
         network_.freeze(holder, network_.now() + network_.between(45'000, 90'000));
         break;
     case 5:
@@ -339,18 +339,18 @@
     }
     default: { // an operator gives orders under a separate fence
         Engine& engine = engines_[static_cast<std::size_t>(network_.any(kEngines))];
-        engine.fence_by_hand = kFenceByHand;
+        engine.operator_fence = kOperatorFence;
     }
     }
 }
 
 void ControlWorld::check_duties_calm() {
     const bool acts = run_until([this] { return duty_holder().has_value(); }, kActingWithin);
-    if (!acts) promise_broken("nobody acts for a duty after the calm");
+    if (!acts) report_violation("nobody acts for a duty after the calm");
     const auto holders = std::ranges::count_if(control_, [this](MachineNumber machine) {
         return is_live(machine) && node(machine)->duty_partitions()->fence(kStages).has_value();
     });
-    if (holders > 1) promise_broken("two nodes act for a duty");
+    if (holders > 1) report_violation("two nodes act for a duty");
     check_usage_calm();
 }
 
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -46,10 +46,10 @@
     if (is_early)
         early_losses();
     else if (!settle(kStartWithin))
-        return promise_broken("the fleet does not start");
+        return report_violation("the fleet does not start");
     if (!is_early) start_clients();
     if (!run_until([this] { return history_.newest_acknowledged() > 0; }, kFirstOrderWithin))
-        return promise_broken("the first order is not acknowledged");
+        return report_violation("the first order is not acknowledged");
     faults_until_ = network_.now() + plan_.faults_for;
     switch (plan_.kind) {
     case ControlPlanKind::kCutOff:
@@ -80,7 +80,7 @@
     if (network_.chance(0.7)) closing_fault();
     check_calm();
     if (plan_.kind == ControlPlanKind::kDuties) check_duties_calm();
-    for (const std::string& what : history_.broken()) promise_broken(what);
+    for (const std::string& what : history_.violations()) report_violation(what);
 }
 
 void ControlWorld::cut_until(Ticks over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links) {
@@ -106,7 +106,7 @@
     for (const MachineNumber from : control_)
         for (const MachineNumber to : control_)
             if (side[from] != side[to]) links.emplace_back(from, to);
-    tell("halves");
+    record_event("halves");
     cut_until(over, links);
 }
 
@@ -126,7 +126,7 @@
         replace(machine, down);
         break;
     case 1:
-        spoil(machine, down);
+        corrupt_state(machine, down);
         break;
     default:
         wipe(machine, down);
@@ -173,25 +173,25 @@
         lose_a_disk();
         break;
     case RandomFault::kFrozen:
-        tell("freeze " + std::to_string(machine));
+        record_event("freeze " + std::to_string(machine));
         network_.freeze(machine, over);
         break;
     case RandomFault::kDiskStalled:
-        tell("stall disk of " + std::to_string(machine));
+        record_event("stall disk of " + std::to_string(machine));
         network_.disk(machine).stalled_until = over;
         break;
     case RandomFault::kDiskFull:
-        tell("fill disk of " + std::to_string(machine));
+        record_event("fill disk of " + std::to_string(machine));
         network_.disk(machine).full_until = over;
         break;
     case RandomFault::kMessagesFail:
-        tell("messages fail");
+        record_event("messages fail");
         set_message_faults(
             {network_.random().unit() * 0.2, network_.random().unit() * 0.2, network_.random().unit() * 0.3});
         network_.schedule(over, [this] { set_message_faults({}); });
         break;
     case RandomFault::kAnswersLost:
-        tell("answers are lost");
+        record_event("answers are lost");
         answer_lost_ = 0.5;
         network_.schedule(over, [this] { answer_lost_ = 0; });
         break;
@@ -208,7 +208,7 @@
     }
     case RandomFault::kToldToEnd:
         if (!is_live(machine)) break;
-        tell_to_end(machine);
+        request_stop(machine);
         network_.schedule(network_.now() + network_.between(5000, 15'000), [this, machine] {
             network_.kill(machine);
             start_control(machine);
@@ -233,8 +233,8 @@
         if (network_.chance(0.5)) leave(i);
     const std::uint64_t leavings = counts_.leavings;
     run_until([&] { return history_.newest_acknowledged() > before || counts_.leavings > leavings; }, 20'000);
-    tell("closing fault");
-    tell_groups();
+    record_event("closing fault");
+    record_groups();
     ++counts_.faults;
     const bool loses_power = network_.chance(0.6);
     std::vector<MachineNumber> there;
@@ -261,7 +261,7 @@
 }
 
 void ControlWorld::heal() {
-    tell("calm");
+    record_event("calm");
     network_.held_back = {};
     network_.let_go();
     set_message_faults({});
@@ -282,12 +282,12 @@
 // and all machines know the configuration and servers acknowledged last.
 void ControlWorld::check_calm() {
     if (!settle(kRecoverWithin)) {
-        tell_groups();
-        return promise_broken("no recovery after the calm");
+        record_groups();
+        return report_violation("no recovery after the calm");
     }
     const std::int64_t before = history_.newest_acknowledged();
     if (!run_until([this, before] { return history_.newest_acknowledged() > before; }, kRecoverWithin))
-        return promise_broken("no order is acknowledged after the calm");
+        return report_violation("no order is acknowledged after the calm");
     run_for(20'000); // reads continue
     clients_act_ = false;
     run_for(15'000); // operations in progress end
@@ -301,16 +301,16 @@
                    return agent.process && agent.version >= history_.newest_acknowledged();
                });
     };
-    if (!run_until(all_know, kSpreadWithin)) promise_broken("not all know the newest configuration");
+    if (!run_until(all_know, kSpreadWithin)) report_violation("not all know the newest configuration");
     for (const Agent& agent : agents_) {
         if (!agent.process) continue;
         for (const Server& server : servers_) {
             const model::Instance* known = agent.process->tables().instances().find(server.id);
             const bool serves = known != nullptr && known->state == model::InstanceState::kServing;
             if (!server.drains && !server.ended && !serves)
-                promise_broken("an agent does not know " + server.id + ", which serves");
+                report_violation("an agent does not know " + server.id + ", which serves");
             if (server.leaving_acknowledged && known != nullptr && known->is_routable())
-                promise_broken("an agent is told to use " + server.id + ", which left");
+                report_violation("an agent is told to use " + server.id + ", which left");
         }
     }
 }
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -73,7 +73,7 @@
     };
     isolate(machine, true);
     run_for(network_.between(1000, 3000)); // the former leader's heartbeats are delayed
-    tell_to_end(*former);
+    request_stop(*former);
     const auto is_replaced = [&] { return leader() && *leader() != *former; };
     if (run_until(is_replaced, 6000)) {
         network_.freeze(*former, network_.now() + 25'000); // its links remain open
@@ -118,7 +118,7 @@
         for (const Agent& agent : agents_) {
             const model::Instance* known = agent.process->tables().instances().find(id);
             if (known != nullptr && known->is_routable())
-                promise_broken("an agent does not know in time that " + id + " left");
+                report_violation("an agent does not know in time that " + id + " left");
         }
     }
     run_for(60'000);
@@ -143,7 +143,7 @@
     const bool sent_twice_and_known = std::ranges::any_of(history_.orders(), [](const Order& order) {
         return order.sends > 1 && order.state == OrderState::kAcknowledged;
     });
-    counts_.five[1] = sent_twice_and_known && counts_.refused > 0;
+    counts_.provoked[1] = sent_twice_and_known && counts_.refused > 0;
     quick_operators_ = false;
 }
 
@@ -153,7 +153,7 @@
     if (plan_.tolerance > 1) members_rejoin_without_records();
     for (int loss = 0; loss < 3; ++loss) {
         ++counts_.faults;
-        tell_groups();
+        record_groups();
         const MachineNumber first = leader() && network_.chance(0.5) ? *leader() : any_control();
         const Ticks down = network_.between(500, 10'000);
         leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
@@ -175,8 +175,8 @@
         }
         const bool is_counted_out = run_until(
             [this, repaired] { return !nodes_.at(repaired).disk_counts_as_lost; }, 30 * kTicksPerSecond);
-        if (!is_counted_out) return promise_broken("a repaired disk does not come back");
-        counts_.five[2] = true;
+        if (!is_counted_out) return report_violation("a repaired disk does not come back");
+        counts_.provoked[2] = true;
         // Right after an acknowledgement, if one follows soon.
         const std::int64_t before = history_.newest_acknowledged();
         run_until([this, before] { return history_.newest_acknowledged() > before; }, 10'000);
@@ -187,7 +187,7 @@
     const MachineNumber slow = any_control();
     network_.disk(slow).stalled_until = network_.now() + 6000;
     if (leaving != slow) {
-        tell_to_end(leaving);
+        request_stop(leaving);
         network_.schedule(network_.now() + 5000, [this, leaving] { restart(leaving, 3000, false); });
     }
     run_for(15'000);
@@ -249,7 +249,7 @@
         }
     }
     quick_operators_ = false;
-    counts_.five[3] = changes() >= kManyChanges;
+    counts_.provoked[3] = changes() >= kManyChanges;
     run_for(5 * kTicksPerSecond);
 }
 
@@ -339,7 +339,7 @@
     for (const MachineNumber machine : control_)
         if (network_.is_up(machine) && node(machine)->dropped_replies() > 0)
             counts_.late_answers_passed_over += node(machine)->dropped_replies();
-    counts_.five[4] = counts_.late_answers_passed_over > 0;
+    counts_.provoked[4] = counts_.late_answers_passed_over > 0;
     for (std::size_t i = 0; i < operators_.size(); ++i) {
         operators_[i].known = history_.newest_acknowledged();
         operators_[i].order.reset();
@@ -388,9 +388,9 @@
 void ControlWorld::hold_records_from(const std::set<MachineNumber>& machines) {
     network_.held_back = [this, machines](MachineNumber from, MachineNumber to,
                                           const feed::Message& message) {
-        const bool tells = std::holds_alternative<feed::Instances>(message) ||
-                           std::holds_alternative<feed::Replicate>(message);
-        return machines.contains(to) && nodes_.contains(from) && tells;
+        const bool carries_records = std::holds_alternative<feed::Instances>(message) ||
+                                     std::holds_alternative<feed::Replicate>(message);
+        return machines.contains(to) && nodes_.contains(from) && carries_records;
     };
 }
 
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -74,14 +74,14 @@
 }
 
 void ControlWorld::kill_agent(std::size_t number, Ticks down_for) {
-    tell("kill agent " + std::to_string(number));
+    record_event("kill agent " + std::to_string(number));
     network_.kill(agents_[number].machine);
     network_.schedule(network_.now() + down_for, [this, number] { start_agent(number); });
 }
 
 void ControlWorld::kill_proxy(std::size_t number) {
     Agent& agent = agents_[number];
-    if (network_.now() - agent.told_at > kTellInterval) promise_broken("a proxy told nothing for too long");
+    if (network_.now() - agent.told_at > kTellInterval) report_violation("a proxy told nothing for too long");
     for (const auto& [window, counts] : agent.untold)
         for (const auto& [tenant, count] : counts) lost_[window][tenant] += count;
     agent.proxy.reset();
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -96,7 +96,7 @@
 void ControlWorld::start_control(MachineNumber machine) {
     Node& here = nodes_[machine];
     if (here.is_gone || network_.is_up(machine)) return;
-    tell("start " + std::to_string(machine));
+    record_event("start " + std::to_string(machine));
     here.leaving_since.reset(), here.was_serving = false;
     network_.start(
         machine,
@@ -119,7 +119,7 @@
                                              time_of_day};
             auto opened = control::ControlNode::open(std::move(environment), settings_of(machine));
             if (opened.has_error())
-                promise_broken("a control node does not start: " + opened.error().message);
+                report_violation("a control node does not start: " + opened.error().message);
             else
                 nodes_[machine].process = std::move(opened.value());
         },
@@ -176,7 +176,7 @@
     const std::string name = "agent " + std::to_string(number);
     if (agent.fed_by != agent.process->publisher()) {
         agent.fed_by = agent.process->publisher();
-        tell(name + " is fed by " + agent.fed_by);
+        record_event(name + " is fed by " + agent.fed_by);
     }
     const feed::Tables& tables = agent.process->tables();
     if (applied.nodes) {
@@ -187,11 +187,11 @@
     }
     if (applied.configuration) {
         const std::int64_t version = tables.configuration()->version;
-        if (version < agent.version) promise_broken(name + " went back to " + std::to_string(version));
+        if (version < agent.version) report_violation(name + " went back to " + std::to_string(version));
         agent.version = version;
         const auto order = orders_by_mark_.find(tables.configuration()->routes.front().timeout_ms);
         if (order == orders_by_mark_.end())
-            promise_broken(name + " follows a configuration that nobody sent");
+            report_violation(name + " follows a configuration that nobody sent");
         else
             history_.seen(order->second, name);
     }
@@ -201,9 +201,9 @@
         if (known != nullptr && !serves && server.drains) agent.known_leaving.insert(server.id);
         if (!serves || !server.drains) continue;
         if (agent.known_leaving.contains(server.id))
-            promise_broken(name + " is told again to use " + server.id + ", which left");
+            report_violation(name + " is told again to use " + server.id + ", which left");
         else if (server.leaving_acknowledged && network_.now() - *server.leaving_acknowledged > kDrainBound)
-            promise_broken(name + " is told to use " + server.id + ", whose leaving was acknowledged");
+            report_violation(name + " is told to use " + server.id + ", whose leaving was acknowledged");
     }
 }
 
@@ -259,7 +259,7 @@
 
 void ControlWorld::restart(MachineNumber machine, Ticks down_for, bool loses_power) {
     if (nodes_.at(machine).is_gone) return;
-    tell(std::string(loses_power ? "power off " : "kill ") + std::to_string(machine));
+    record_event(std::string(loses_power ? "power off " : "kill ") + std::to_string(machine));
     if (loses_power)
         network_.power_off(machine);
     else
@@ -268,7 +268,7 @@
 }
 
 void ControlWorld::wipe(MachineNumber machine, Ticks down_for) {
-    tell("wipe " + std::to_string(machine));
+    record_event("wipe " + std::to_string(machine));
     lose_disk_of(machine);
     network_.disk(machine).values.clear();
     Node& here = nodes_.at(machine);
@@ -281,7 +281,7 @@
     lose_disk_of(machine);
     nodes_.at(machine).is_gone = true;
     const MachineNumber successor = add_control_machine();
-    tell("replace " + std::to_string(machine) + " by " + std::to_string(successor));
+    record_event("replace " + std::to_string(machine) + " by " + std::to_string(successor));
     nodes_.at(successor).disk_counts_as_lost = true;
     ++counts_.disks_lost;
     for (std::string& seed : seeds_)
@@ -298,8 +298,8 @@
 }
 
 // A disk that cannot read its last write has lost it.
-void ControlWorld::spoil(MachineNumber machine, Ticks down_for) {
-    tell("spoil " + std::to_string(machine));
+void ControlWorld::corrupt_state(MachineNumber machine, Ticks down_for) {
+    record_event("spoil " + std::to_string(machine));
     lose_disk_of(machine);
     StoredValue& state = network_.disk(machine).values["state"];
     state.is_spoilt = state.durable.has_value();
@@ -310,7 +310,7 @@
 }
 
 void ControlWorld::isolate(MachineNumber machine, bool is_cut) {
-    tell((is_cut ? "isolate " : "rejoin ") + std::to_string(machine));
+    record_event((is_cut ? "isolate " : "rejoin ") + std::to_string(machine));
     for (const MachineNumber other : control_) {
         if (other == machine) continue;
         network_.cut(machine, other, is_cut);
@@ -320,20 +320,20 @@
     watch_all_contact();
 }
 
-void ControlWorld::tell_to_end(MachineNumber machine) {
+void ControlWorld::request_stop(MachineNumber machine) {
     if (!is_live(machine)) return;
-    tell("SIGTERM " + std::to_string(machine));
+    record_event("SIGTERM " + std::to_string(machine));
     nodes_.at(machine).leaving_since = network_.now();
     network_.run_on(machine, [this, machine] { nodes_.at(machine).process->begin_shutdown(); });
 }
 
-void ControlWorld::promise_broken(std::string what) {
-    tell("BROKEN: " + what);
-    if (std::ranges::find(broken_, what) == broken_.end()) broken_.push_back(std::move(what));
+void ControlWorld::report_violation(std::string what) {
+    record_event("BROKEN: " + what);
+    if (std::ranges::find(violations_, what) == violations_.end()) violations_.push_back(std::move(what));
 }
 
-void ControlWorld::tell_groups() {
-    if (!plan_.tells) return;
+void ControlWorld::record_groups() {
+    if (!plan_.records_trace) return;
     for (const MachineNumber machine : control_) {
         const control::ControlNode* process = node(machine);
         if (process == nullptr) continue;
@@ -343,13 +343,13 @@
                            (process->serves_feed() ? ", serves" : "") + ", voters";
         for (const consensus::Member& voter : process->group().voters())
             line += " " + std::to_string(voter.id.value % 10'000) + "@" + voter.address.substr(7, 2);
-        tell(line);
+        record_event(line);
     }
 }
 
-void ControlWorld::tell(const std::string& what) {
-    if (!plan_.tells) return;
-    story_.push_back(std::to_string(static_cast<double>(network_.now() - 1'000'000'000) / kTicksPerSecond) +
+void ControlWorld::record_event(const std::string& what) {
+    if (!plan_.records_trace) return;
+    trace_.push_back(std::to_string(static_cast<double>(network_.now() - 1'000'000'000) / kTicksPerSecond) +
                      " " + what);
 }
 
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -42,10 +42,10 @@
     std::uint64_t seed = 1;
     ControlPlanKind kind = ControlPlanKind::kMixed;
     int control_machines = 3, spares = 0, agents = 2, servers = 3, operators = 2;
-    int tolerance = 1;         // disks that may be lost at once
-    Ticks faults_for = 0;      // from the first configuration on
-    bool tells = false;        // records a trace of events
-    double usage_window_s = 0; // 0: usage is not counted
+    int tolerance = 1;          // disks that may be lost at once
+    Ticks faults_for = 0;       // from the first configuration on
+    bool records_trace = false; // records a trace of events
+    double usage_window_s = 0;  // 0: usage is not counted
 };
 
 ControlPlan control_plan_of_seed(std::uint64_t seed);
@@ -57,7 +57,7 @@
                   disks_lost = 0, batches = 0, late_answers_passed_over = 0, orders_to_servers = 0,
                   orders_accepted = 0, platform_calls = 0, reports_accepted = 0, reports_acknowledged = 0,
                   count_calls = 0, counts_accepted = 0;
-    std::array<bool, 5> five{}; // which of the five were provoked, in the order of ControlPlanKind
+    std::array<bool, 5> provoked{}; // which of the five were provoked, in the order of ControlPlanKind
 };
 
 class ControlWorld {
@@ -83,8 +83,8 @@
     void restart(MachineNumber machine, Ticks down_for, bool loses_power);
     void wipe(MachineNumber machine, Ticks down_for);
     MachineNumber replace(MachineNumber machine, Ticks down_for);
-    void spoil(MachineNumber machine, Ticks down_for); // the newest state file becomes unreadable
-    void isolate(MachineNumber machine, bool is_cut);  // both directions, to all other control machines
+    void corrupt_state(MachineNumber machine, Ticks down_for); // the newest state file becomes unreadable
+    void isolate(MachineNumber machine, bool is_cut); // both directions, to all other control machines
     void set_first_start(bool first_start) { first_start_ = first_start; } // in settings of later starts
     // Usage (control_usage.cpp): one proxy beside each agent, which keeps running when the agent is killed.
     std::int64_t true_ms() const; // the true time, in ms since the start of 1970
@@ -110,8 +110,8 @@
     // Sends one order to one machine and waits for its answer there; status 0: none within a second.
     void send_order(OrderNumber order, MachineNumber machine, std::function<void(int status)> done);
     const ConfigurationHistory& history() const { return history_; }
-    const std::vector<std::string>& broken() const { return broken_; }
-    const std::vector<std::string>& story() const { return story_; }
+    const std::vector<std::string>& violations() const { return violations_; }
+    const std::vector<std::string>& trace() const { return trace_; }
     const ControlCounts& counts() const { return counts_; }
 
   private:
@@ -158,7 +158,7 @@
         std::uint64_t sequence = 0;
         std::int64_t orders_accepted = 0;
         Ticks changing_until = 0;
-        std::uint64_t fence_by_hand = 0; // lower ones are rejected: of an order given by an operator
+        std::uint64_t operator_fence = 0; // lower ones are rejected: of an order given by an operator
         std::vector<Act> acts;
         std::optional<Ticks> ordered_at; // by a node's duty, and under which fence
         std::uint64_t ordered_under = 0;
@@ -205,10 +205,10 @@
     bool is_live(MachineNumber machine) const;
     MachineNumber any_control();
     void lose_disk_of(MachineNumber machine); // its identity is never seen again
-    void tell_to_end(MachineNumber machine);
-    void promise_broken(std::string what);
-    void tell(const std::string& what);
-    void tell_groups(); // the voters known to each machine
+    void request_stop(MachineNumber machine);
+    void report_violation(std::string what);
+    void record_event(const std::string& what);
+    void record_groups(); // the voters known to each machine
 
     // control_checks.cpp: checks of the guarantees
     void watch();
@@ -359,7 +359,7 @@
     bool clients_act_ = false, quick_operators_ = false;
     Ticks faults_until_ = 0;
     double answer_lost_ = 0;
-    std::vector<std::string> broken_, story_;
+    std::vector<std::string> violations_, trace_;
     ControlCounts counts_;
     std::map<MachineNumber, std::int64_t> clocks_ahead_;                       // of true time, in ms
     std::map<std::int64_t, std::map<std::string, std::int64_t>> begun_, lost_; // by window and tenant
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -133,7 +133,7 @@
     const HandleMemory memory = found->second.memory;
     handles_.erase(found);
     answer_json(exchange, head, 200, head.method == "GET" ? write_memory(memory) : "");
-    let_in(now);
+    admit_waiting(now);
 }
 
 void ModelServerCore::take_order(ExchangeId exchange, const HttpHead& head, const std::string& body,
@@ -152,7 +152,7 @@
         refuse(id, runs_.at(id).head, 503);
         runs_.erase(id);
     }
-    let_in(now);
+    admit_waiting(now);
 }
 
 int ModelServerCore::judge_order(const std::string& body) {
@@ -172,7 +172,7 @@
     } catch (const std::exception&) { return 400; }
 }
 
-int ModelServerCore::misfit(const HttpHead& head, Kind kind) const {
+int ModelServerCore::rejection_status(const HttpHead& head, Kind kind) const {
     if (!head.has("attempt-id")) return 400;
     if (head.has("target-instance") && head.field("target-instance") != plan_.id) return 421;
     if (head.has("expect-version") && head.number("expect-version") != plan_.weights) return 421;
@@ -187,7 +187,8 @@
     Run run;
     run.head = head;
     run.kind = head.field("serving-stage") == "prefill" ? Kind::kPrefill : Kind::kGenerate;
-    if (const int status = misfit(head, run.kind); status != 0) return refuse(exchange, head, status);
+    if (const int status = rejection_status(head, run.kind); status != 0)
+        return refuse(exchange, head, status);
     const auto generation = read_generation(head, body);
     if (!generation) return refuse(exchange, head, 400);
     run.generation = *generation;
@@ -206,7 +207,7 @@
     run.order = arrivals_++;
     const HttpHead head = run.head;
     runs_.emplace(exchange, std::move(run));
-    let_in(now);
+    admit_waiting(now);
     const auto placed = runs_.find(exchange);
     if (placed == runs_.end() || placed->second.phase != Phase::kWaiting || count(false) <= plan_.queue)
         return;
@@ -277,7 +278,7 @@
         else if (run->second.deadline && *run->second.deadline <= at)
             deadline_passed(run, at);
     }
-    let_in(at);
+    admit_waiting(at);
     note(at);
 }
 
--- a/tests/lab/model_server_core.hpp
+++ b/tests/lab/model_server_core.hpp
@@ -161,10 +161,11 @@
     void take_order(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
     int judge_order(const std::string& body);
     void take_generation(ExchangeId exchange, const HttpHead& head, const std::string& body, Ticks now);
-    int misfit(const HttpHead& head, Kind kind) const; // the status to reject it with; 0: it is admitted
+    int rejection_status(const HttpHead& head,
+                         Kind kind) const; // the status to reject it with; 0: it is admitted
     void queue(ExchangeId exchange, Run run, Ticks now);
     // Runs
-    void let_in(Ticks now);
+    void admit_waiting(Ticks now);
     void shrink_cache();
     Runs::iterator next_waiting();
     void start(Runs::iterator run, Ticks now);
--- a/tests/lab/model_server_runs.cpp
+++ b/tests/lab/model_server_runs.cpp
@@ -32,7 +32,7 @@
 
 void ModelServerCore::drop(Runs::iterator run, Ticks now) {
     runs_.erase(run);
-    let_in(now);
+    admit_waiting(now);
 }
 
 ModelServerCore::Runs::iterator ModelServerCore::next_waiting() {
@@ -47,7 +47,7 @@
 
 // Admits waiting requests while there are slots and memory for the next one, and begins a change of stage
 // once no request runs any more.
-void ModelServerCore::let_in(Ticks now) {
+void ModelServerCore::admit_waiting(Ticks now) {
     for (auto next = next_waiting(); next != runs_.end(); next = next_waiting()) {
         if (count(true) >= plan_.slots || used() + next->second.reserved > plan_.memory_tokens) break;
         start(next, now);
@@ -120,7 +120,7 @@
         const HttpHead head = run.head;
         runs_.erase(entry);
         refuse(exchange, head, 503);
-        let_in(now);
+        admit_waiting(now);
         return note(now);
     }
     if (memory->content != run.generation.content) ++foreign_handles_;
@@ -171,7 +171,7 @@
            {{"Content-Type", "application/json"}, {"Versions", std::to_string(plan_.weights)}},
            "{\"promptHandle\":\"" + id + "\",\"tokens\":" + std::to_string(tokens) +
                ",\"version\":" + std::to_string(plan_.weights) + "}");
-    let_in(now);
+    admit_waiting(now);
 }
 
 // Applies the faults that replace an answer or end it; returns whether the run ends with it.
@@ -258,7 +258,7 @@
         if (run.kind == Kind::kGenerate) count_run(run);
         answer(exchange, run.head, 504, {}, "");
     }
-    let_in(now);
+    admit_waiting(now);
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/planted_search.hpp
+++ b/tests/lab/planted_search.hpp
@@ -18,7 +18,8 @@
     for (std::uint64_t seed = first; seed < first + count && !found; ++seed) {
         World world(plan_of_seed(seed));
         world.play();
-        if (!world.broken().empty()) found = "seed " + std::to_string(seed) + " " + world.broken().front();
+        if (!world.violations().empty())
+            found = "seed " + std::to_string(seed) + " " + world.violations().front();
     }
     planted_fault = PlantedFault::kNone;
     return found;
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -81,7 +81,7 @@
 
 // A process that has not yet installed its signal handlers would be ended by SIGHUP: its program is still
 // being loaded.
-bool hears_hangup(pid_t process) {
+bool handles_sighup(pid_t process) {
     const std::string status = read_file("/proc/" + std::to_string(process) + "/status");
     const auto has = [&](const std::string& mask) {
         const std::size_t at = status.find(mask);
@@ -102,8 +102,9 @@
 } // namespace
 
 SoakFleet::SoakFleet(SoakPrograms programs, const SoakSize& size,
-                     std::function<void(const std::string&)> tell)
-    : programs_(std::move(programs)), size_(size), tell_(std::move(tell)), network_(own_network()) {
+                     std::function<void(const std::string&)> record_event)
+    : programs_(std::move(programs)), size_(size), record_event_(std::move(record_event)),
+      network_(own_network()) {
     std::string folder = parent_folder() + "/ivyrill-soak.XXXXXX";
     if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for the soak");
     folder_ = folder;
@@ -158,7 +159,7 @@
 int SoakFleet::incarnation(SoakProcess process) const { return places_.at(process).incarnation; }
 
 void SoakFleet::fail(const std::string& what) {
-    tell_("FAILURE " + what);
+    record_event_("FAILURE " + what);
     failures_.push_back(what);
 }
 
@@ -176,7 +177,7 @@
     const std::string host = address(process, 0), ip = host.substr(0, host.find(':'));
     std::string seeds;
     for (int i = 0; i < size_.controls; ++i)
-        seeds += "  - " + quoted(control(1 + (i + place.seeds_turn) % size_.controls)) + "\n";
+        seeds += "  - " + quoted(control(1 + (i + place.seed_rotation) % size_.controls)) + "\n";
     const std::size_t from = text.find("seedNodes:\n") + std::string("seedNodes:\n").size();
     text.replace(from, text.find("firstStart:") - from, seeds);
     const std::size_t own_ip = text.find("\nip: \"") + 6;
@@ -238,9 +239,9 @@
     if (place.process < 0) throw std::runtime_error("can't start " + name_of(process));
     place.stopped = place.killed = place.start_other = false;
     place.terminated_at = kNever;
-    close_trouble(place, now);
-    tell_("started " + name_of(process) + " as process " + std::to_string(place.process) +
-          (place.service.empty() ? "" : " of " + place.service));
+    end_fault(place, now);
+    record_event_("started " + name_of(process) + " as process " + std::to_string(place.process) +
+                  (place.service.empty() ? "" : " of " + place.service));
 }
 
 void SoakFleet::start_all(Ticks now) {
@@ -248,22 +249,22 @@
 }
 
 void SoakFleet::send(SoakProcess process, Place& place, int signal) {
-    tell_(std::string("SIG") + sigabbrev_np(signal) + " to " + name_of(process));
+    record_event_(std::string("SIG") + sigabbrev_np(signal) + " to " + name_of(process));
     kill(place.process, signal);
 }
 
-void SoakFleet::open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now) {
+void SoakFleet::begin_fault(SoakProcess process, Place& place, FaultInterval::What what, Ticks now) {
     // A second fault of a process that is already faulty is recorded separately; both end together.
-    troubles_.push_back({what, process, now, kNever});
-    place.trouble = troubles_.size();
+    fault_intervals_.push_back({what, process, now, kNever});
+    place.fault = fault_intervals_.size();
 }
 
-void SoakFleet::close_trouble(Place& place, Ticks now) {
-    if (place.trouble == 0) return;
-    const SoakProcess process = troubles_[place.trouble - 1].process;
-    for (SoakTrouble& trouble : troubles_)
-        if (trouble.process == process && trouble.until == kNever) trouble.until = now;
-    place.trouble = 0;
+void SoakFleet::end_fault(Place& place, Ticks now) {
+    if (place.fault == 0) return;
+    const SoakProcess process = fault_intervals_[place.fault - 1].process;
+    for (FaultInterval& fault : fault_intervals_)
+        if (fault.process == process && fault.until == kNever) fault.until = now;
+    place.fault = 0;
 }
 
 void SoakFleet::act(const SoakStep& step, Ticks now) {
@@ -273,28 +274,28 @@
     case SoakAct::kTerminate:
         if (!is_up || place.terminated_at != kNever) return;
         place.terminated_at = now, place.wanted = false;
-        open_trouble(step.process, place, SoakTrouble::What::kTerminated, now);
+        begin_fault(step.process, place, FaultInterval::What::kTerminated, now);
         return send(step.process, place, SIGTERM);
     case SoakAct::kKill:
         if (!is_up) return;
         place.killed = true, place.wanted = false;
-        open_trouble(step.process, place, SoakTrouble::What::kKilled, now);
+        begin_fault(step.process, place, FaultInterval::What::kKilled, now);
         return send(step.process, place, SIGKILL);
     case SoakAct::kStop:
         if (!is_up || place.stopped) return;
         place.stopped = true;
-        open_trouble(step.process, place, SoakTrouble::What::kStopped, now);
+        begin_fault(step.process, place, FaultInterval::What::kStopped, now);
         return send(step.process, place, SIGSTOP);
     case SoakAct::kContinue:
         if (!is_up || !place.stopped) return;
         place.stopped = false;
         if (place.terminated_at != kNever) place.terminated_at = now; // SIGTERM takes effect only now
-        if (place.terminated_at == kNever) close_trouble(place, now);
+        if (place.terminated_at == kNever) end_fault(place, now);
         return send(step.process, place, SIGCONT);
     case SoakAct::kHangup:
     case SoakAct::kHangupBroken:
-        if (!is_up || step.process.role == SoakRole::kServer || !hears_hangup(place.process)) return;
-        ++place.seeds_turn;
+        if (!is_up || step.process.role == SoakRole::kServer || !handles_sighup(place.process)) return;
+        ++place.seed_rotation;
         write_settings(step.process, place, step.act == SoakAct::kHangupBroken);
         return send(step.process, place, SIGHUP);
     case SoakAct::kStartOther:
@@ -309,16 +310,17 @@
 }
 
 void SoakFleet::ended(SoakProcess process, Place& place, int status, Ticks now) {
-    const bool told = place.terminated_at != kNever;
+    const bool was_terminated = place.terminated_at != kNever;
     const std::string how = WIFEXITED(status) ? "status " + std::to_string(WEXITSTATUS(status))
                                               : std::string("SIG") + sigabbrev_np(WTERMSIG(status));
     place.process = -1;
-    tell_(name_of(process) + " has ended: " + how);
+    record_event_(name_of(process) + " has ended: " + how);
     // A process that gets SIGTERM before it has installed its handler is ended by the signal.
     const bool early = WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM;
-    const bool by_plan = place.killed || (told && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
+    const bool by_plan =
+        place.killed || (was_terminated && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
     if (!by_plan) fail("ENDED: " + name_of(process) + " ended on its own: " + how + ", log " + place.log);
-    if (!told && !place.killed) open_trouble(process, place, SoakTrouble::What::kKilled, now);
+    if (!was_terminated && !place.killed) begin_fault(process, place, FaultInterval::What::kKilled, now);
 }
 
 void SoakFleet::pass(Ticks now) {
@@ -393,7 +395,7 @@
         }
     }
     for (const std::string& failure : failures_) record.seen.push_back(failure);
-    record.troubles = troubles_;
+    record.fault_intervals = fault_intervals_;
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/soak_fleet.hpp
+++ b/tests/lab/soak_fleet.hpp
@@ -23,8 +23,9 @@
 
 class SoakFleet {
   public:
-    // `tell` gets a line for each event.
-    SoakFleet(SoakPrograms programs, const SoakSize& size, std::function<void(const std::string&)> tell);
+    // `record_event` gets a line for each event.
+    SoakFleet(SoakPrograms programs, const SoakSize& size,
+              std::function<void(const std::string&)> record_event);
     ~SoakFleet(); // kills remaining processes by SIGKILL
     SoakFleet(const SoakFleet&) = delete;
     SoakFleet& operator=(const SoakFleet&) = delete;
@@ -49,7 +50,7 @@
 
     // Reads the logs: calls and runs at the servers, sanitizer reports.
     void collect(SoakRecord& record) const;
-    const std::vector<SoakTrouble>& troubles() const { return troubles_; }
+    const std::vector<FaultInterval>& fault_intervals() const { return fault_intervals_; }
     const std::vector<std::string>& failures() const { return failures_; }
     const std::string& folder() const { return folder_; }
     void remove_folder() const;
@@ -63,8 +64,8 @@
         bool stopped = false, wanted = true, start_other = false;
         bool killed = false; // ended or stopped by the soak
         Ticks terminated_at = kNever;
-        std::size_t trouble = 0; // index into troubles_ plus 1; 0: none is open
-        int seeds_turn = 0;      // by how many positions the settings' seeds are rotated
+        std::size_t fault = 0; // index into troubles_ plus 1; 0: none is open
+        int seed_rotation = 0; // by how many positions the settings' seeds are rotated
     };
     struct Log {
         std::string path;
@@ -78,16 +79,16 @@
     std::string settings_path(SoakProcess process) const;
     void send(SoakProcess process, Place& place, int signal);
     void ended(SoakProcess process, Place& place, int status, Ticks now);
-    void open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now);
-    void close_trouble(Place& place, Ticks now);
+    void begin_fault(SoakProcess process, Place& place, FaultInterval::What what, Ticks now);
+    void end_fault(Place& place, Ticks now);
     void fail(const std::string& what);
 
     SoakPrograms programs_;
     SoakSize size_;
-    std::function<void(const std::string&)> tell_;
+    std::function<void(const std::string&)> record_event_;
     std::string folder_, network_;
     std::map<SoakProcess, Place> places_;
-    std::vector<SoakTrouble> troubles_;
+    std::vector<FaultInterval> fault_intervals_;
     std::vector<Log> logs_;
     std::vector<std::string> failures_;
     bool ending_ = false;
--- a/tests/lab/soak_judge.cpp
+++ b/tests/lab/soak_judge.cpp
@@ -27,7 +27,7 @@
     }
 
   private:
-    using What = SoakTrouble::What;
+    using What = FaultInterval::What;
 
     void fail(const SoakAttempt& attempt, const std::string& what) {
         wrong_.push_back(what + ": attempt " + attempt.id + " at proxy-" + std::to_string(attempt.front) +
@@ -45,11 +45,11 @@
     }
 
     void judge_bytes(const SoakAttempt& a) {
-        if (a.of_another) fail(a, "MIXED: an answer to another request");
+        if (a.of_other_request) fail(a, "MIXED: an answer to another request");
         if (a.surplus) fail(a, "MIXED: bytes behind the answer");
         if (a.end == AnswerEnd::kGarbage) fail(a, "MIXED: no answer in the protocol");
         const bool success = a.status >= 200 && a.status < 300;
-        if (success && !a.a_beginning) fail(a, "MIXED: bytes that aren't the server's");
+        if (success && !a.is_prefix) fail(a, "MIXED: bytes that aren't the server's");
         if (!success || a.end != AnswerEnd::kComplete) return;
         if (!a.whole) fail(a, "MIXED: a stream that looks complete and isn't");
         if (!a.sealed) fail(a, "MIXED: a success without the server's stamp");
@@ -72,14 +72,13 @@
     // ---- configuration
 
     bool troubled(SoakProcess process, Ticks from, Ticks until) const {
-        return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
-            return trouble.process == process && trouble.from <= until && trouble.until >= from;
+        return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
+            return fault.process == process && fault.from <= until && fault.until >= from;
         });
     }
     bool core_troubled(Ticks from, Ticks until) const {
-        return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
-            return trouble.process.role == SoakRole::kControl && trouble.from <= until &&
-                   trouble.until >= from;
+        return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
+            return fault.process.role == SoakRole::kControl && fault.from <= until && fault.until >= from;
         });
     }
     bool in_touch(int front, Ticks at) const {
@@ -135,7 +134,7 @@
             return;
         }
         const SoakAttempt& a = *found->second;
-        if (call.shows_key) fail(a, "UNASKED: " + call.server + " was shown a key");
+        if (call.has_client_key) fail(a, "UNASKED: " + call.server + " was shown a key");
         if (!some_version(a, [&](const SoakVersion& version) { return admits(version, a); }))
             return fail(a, "ROUTE: " + call.server + " got it though no version in force admits it");
         if (!some_version(a, [&](const SoakVersion& version) {
@@ -154,10 +153,10 @@
     // ---- ends
 
     bool front_had(const SoakAttempt& a, What what, Ticks from, Ticks until) const {
-        return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
-            return trouble.process == SoakProcess{SoakRole::kProxy, a.front} && trouble.what == what &&
-                   trouble.from <= until && (what != What::kStopped || trouble.until >= from) &&
-                   (what == What::kStopped || trouble.from >= from);
+        return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
+            return fault.process == SoakProcess{SoakRole::kProxy, a.front} && fault.what == what &&
+                   fault.from <= until && (what != What::kStopped || fault.until >= from) &&
+                   (what == What::kStopped || fault.from >= from);
         });
     }
     // One of the servers that received it broke it off or was delayed.
@@ -170,9 +169,9 @@
         });
     }
     bool any_server_failed(const SoakAttempt& a) const {
-        return std::ranges::any_of(record_.troubles, [&](const SoakTrouble& trouble) {
-            return trouble.process.role == SoakRole::kServer && trouble.from <= a.ended_at &&
-                   trouble.until >= a.sent_at - 2 * bounds_.in_touch;
+        return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
+            return fault.process.role == SoakRole::kServer && fault.from <= a.ended_at &&
+                   fault.until >= a.sent_at - 2 * bounds_.in_touch;
         });
     }
     bool front_failed(const SoakAttempt& a) const {
--- a/tests/lab/soak_plan.cpp
+++ b/tests/lab/soak_plan.cpp
@@ -9,7 +9,7 @@
 
 constexpr Ticks kMs = kTicksPerSecond / 1000;
 constexpr Ticks kControlRecovers = 5 * kTicksPerSecond; // before the next control node is disturbed
-constexpr Ticks kAddressRests = 2'500 * kMs;            // a little over `addrReuseS` of the settings
+constexpr Ticks kAddressReuseDelay = 2'500 * kMs;       // a little over `addrReuseS` of the settings
 
 class Draw {
   public:
@@ -80,7 +80,7 @@
         if (chance(25)) add(at + span(0, 500 * kMs), SoakAct::kHangup, process);
         if (chance(15)) add(at + span(0, back - at), SoakAct::kKill, process);
         const bool other = process.role == SoakRole::kServer && chance(40);
-        const Ticks start = other ? back + kAddressRests : back;
+        const Ticks start = other ? back + kAddressReuseDelay : back;
         add(start, other ? SoakAct::kStartOther : SoakAct::kStart, process);
         if (chance(30)) add(start + span(50 * kMs, 1000 * kMs), SoakAct::kHangup, process);
     }
--- a/tests/lab/soak_record.hpp
+++ b/tests/lab/soak_record.hpp
@@ -51,18 +51,18 @@
     int front = 0; // number of the proxy
     Ticks sent_at = 0, ended_at = 0, deadline = 0;
     AnswerEnd end = AnswerEnd::kOpen;
-    int status = 0;                                          // 0: no complete head arrived
-    bool sealed = false, whole = false, a_beginning = false; // of the expected body
-    bool of_another = false, surplus = false; // an answer to another request; extra bytes after it
+    int status = 0;                                        // 0: no complete head arrived
+    bool sealed = false, whole = false, is_prefix = false; // of the expected body
+    bool of_other_request = false, surplus = false; // an answer to another request; extra bytes after it
 };
 
 struct SoakCall { // at a stand-in
     std::string attempt, server, service, tenant;
     int server_number = 0;
-    bool shows_key = false;
+    bool has_client_key = false;
 };
 
-struct SoakTrouble { // caused by the soak
+struct FaultInterval { // caused by the soak
     enum class What : std::uint8_t { kKilled, kTerminated, kStopped } what = What::kKilled;
     SoakProcess process;
     Ticks from = 0, until = kNever; // `until`: the start or SIGCONT that ends it
@@ -83,7 +83,7 @@
     std::vector<SoakAttempt> attempts;
     std::vector<SoakCall> calls;
     std::map<std::string, int> runs; // runs that began, by attempt
-    std::vector<SoakTrouble> troubles;
+    std::vector<FaultInterval> fault_intervals;
     std::vector<SoakPause> pauses;
     std::vector<std::string> seen; // failures that were detected immediately
 };
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -17,8 +17,8 @@
 constexpr Ticks kCallPatience = kTicksPerSecond; // timeout of the operator for a node that does not answer
 constexpr Ticks kCallPause = 200 * kMs;          // before the operator calls the next node
 constexpr Ticks kSurplusWait = 2 * kMs;          // extra bytes after an answer arrive together with it
-constexpr Ticks kComesUp = 200 * kMs;      // timeout for a connection, then the client tries another node
-constexpr Ticks kGiveUp = kTicksPerSecond; // after the deadline
+constexpr Ticks kConnectPatience = 200 * kMs; // timeout for a connection, then the client tries another node
+constexpr Ticks kGiveUp = kTicksPerSecond;    // after the deadline
 constexpr std::int64_t kLeastDeadlineMs = 4000, kMostDeadlineMs = 9000;
 
 ClientRequest get(const std::string& target) {
@@ -57,7 +57,7 @@
 SoakRun::SoakRun(const SoakOptions& options)
     : options_(options), began_(loop_.now()), looked_at_(began_),
       random_(mix(options.seed, hash_text("run"))), changes_(options.seed),
-      fleet_(options.programs, options.size, [this](const std::string& what) { tell(what); }) {
+      fleet_(options.programs, options.size, [this](const std::string& what) { record_event(what); }) {
     for (int i = 0; i < options.clients; ++i) {
         clients_.push_back(std::make_unique<Client>(mix(options.seed, static_cast<std::uint64_t>(i) + 1)));
         clients_.back()->front = 1 + i % options.size.edges;
@@ -66,12 +66,12 @@
 
 SoakRun::~SoakRun() = default;
 
-void SoakRun::tell(const std::string& what) {
-    story_.push_back(std::to_string((loop_.now() - began_) / kMs) + " ms " + what);
+void SoakRun::record_event(const std::string& what) {
+    trace_.push_back(std::to_string((loop_.now() - began_) / kMs) + " ms " + what);
 }
 
 void SoakRun::fail(const std::string& what) {
-    tell("FAILURE " + what);
+    record_event("FAILURE " + what);
     record_.seen.push_back(what);
 }
 
@@ -101,7 +101,7 @@
     if (result_.wrong.empty() && !options_.keep)
         fleet_.remove_folder();
     else
-        result_.folder = fleet_.folder(), result_.story = story_;
+        result_.folder = fleet_.folder(), result_.trace = trace_;
     return std::move(result_);
 }
 
@@ -110,7 +110,7 @@
 void SoakRun::note_pause() {
     const Ticks now = loop_.now(), due = looked_at_ + kLook;
     if (now > due + kLeastPause) {
-        tell("the soak was held up for " + std::to_string((now - due) / kMs) + " ms");
+        record_event("the soak was held up for " + std::to_string((now - due) / kMs) + " ms");
         record_.pauses.push_back({due, now});
         held_up_ += now - due;
     }
@@ -163,7 +163,7 @@
         first_use_[process] = fleet_.use(process);
         first_incarnation_[process] = fleet_.incarnation(process);
     }
-    tell("the fleet is ready");
+    record_event("the fleet is ready");
     return served;
 }
 
@@ -192,7 +192,7 @@
 }
 
 void SoakRun::rest() {
-    tell("all is brought to rest");
+    record_event("all is brought to rest");
     fleet_.settle(loop_.now());
     const bool clear = until([&] { return operators_.empty() && operator_work_.empty(); },
                              SoakBounds{}.recovery + SoakBounds{}.grace);
@@ -228,7 +228,7 @@
     attempt.ended_at = loop_.now(), attempt.deadline = kLeastDeadlineMs * kMs;
     attempt.end = answer.end, attempt.status = answer.head.status;
     const std::string expected = expected_stream(request);
-    attempt.whole = answer.body == expected, attempt.a_beginning = expected.starts_with(answer.body);
+    attempt.whole = answer.body == expected, attempt.is_prefix = expected.starts_with(answer.body);
     attempt.sealed = answer.head.has("server-seal");
     // Before the history nobody observes these requests; then only the servers' observations are checked.
     if (!clients_send_ && attempt.end != AnswerEnd::kComplete) attempt.end = AnswerEnd::kOpen;
@@ -296,7 +296,7 @@
     clients_send_ = false;
     operators_.clear(), operator_work_.clear(), asked_.reset();
     for (const auto& client : clients_) client->connection.reset();
-    tell("all are told to end");
+    record_event("all are told to end");
     fleet_.terminate_all(loop_.now());
     until([&] { return fleet_.all_ended(); }, SoakBounds{}.grace + 5 * kTicksPerSecond);
 }
@@ -322,8 +322,8 @@
     made->control = 1 + static_cast<int>(random_() % static_cast<unsigned>(options_.size.controls));
     version.sent_at = loop_.now();
     version.refused = !is_valid;
-    tell((is_valid ? "change to version " : "invalid change to version ") + std::to_string(version.number) +
-         " on " + std::to_string(base));
+    record_event((is_valid ? "change to version " : "invalid change to version ") +
+                 std::to_string(version.number) + " on " + std::to_string(base));
     record_.versions.push_back(std::move(version));
     operators_.push_back(std::move(made));
 }
@@ -360,12 +360,13 @@
         one->call.reset();
         one->next_at = now + kCallPause;
         const auto version = std::ranges::find(record_.versions, one->number, &SoakVersion::number);
-        const std::string told = "version " + std::to_string(one->number) + " got " + std::to_string(status);
+        const std::string outcome =
+            "version " + std::to_string(one->number) + " got " + std::to_string(status);
         const bool races = operators_.size() > 1;
         if (status == 200) {
-            tell(told);
-            if (!one->is_valid) fail("CONFIG: an invalid change was acknowledged: " + told);
-            if (version->refused && one->is_valid) fail("CONFIG: two changes of one version: " + told);
+            record_event(outcome);
+            if (!one->is_valid) fail("CONFIG: an invalid change was acknowledged: " + outcome);
+            if (version->refused && one->is_valid) fail("CONFIG: two changes of one version: " + outcome);
             version->acknowledged_at = now, one->over = true;
             for (const auto& other : operators_)
                 if (other != one)
@@ -375,10 +376,10 @@
             one->location = location.substr(7, location.find('/', 7) - 7);
             one->next_at = now;
         } else if (status == 412 || (status >= 400 && status < 500 && status != 408 && status != 429)) {
-            tell(told);
+            record_event(outcome);
             one->over = true;
             const bool lost_race = status == 412 && (races || version->refused);
-            if (one->is_valid && !lost_race) fail("CONFIG: a valid change was refused: " + told);
+            if (one->is_valid && !lost_race) fail("CONFIG: a valid change was refused: " + outcome);
             version->refused = true;
         } else {
             one->control = one->control % options_.size.controls + 1;
@@ -406,7 +407,7 @@
     }
     if (!clients_send_ || now < client.next_at) return;
     if (client.connection && !client.connection->connected()) {
-        if (!client.was_up && now < client.opened_at + kComesUp) return;
+        if (!client.was_up && now < client.opened_at + kConnectPatience) return;
         client.connection.reset();
         client.front = 1 + static_cast<int>(client.draw(options_.size.edges - 1));
         client.next_at = now + client.draw(300) * kMs;
@@ -470,8 +471,8 @@
     attempt.ended_at = answer.ended_at;
     attempt.sealed = answer.head.has("server-seal");
     attempt.whole = answer.body == client.expected;
-    attempt.a_beginning = client.expected.starts_with(answer.body);
-    attempt.of_another = answer.head.has("attempt-id") && answer.head.field("attempt-id") != attempt.id;
+    attempt.is_prefix = client.expected.starts_with(answer.body);
+    attempt.of_other_request = answer.head.has("attempt-id") && answer.head.field("attempt-id") != attempt.id;
     attempt.surplus = !client.connection->surplus().empty();
     record_.attempts.push_back(attempt);
     client.waits = false;
--- a/tests/lab/soak_run.hpp
+++ b/tests/lab/soak_run.hpp
@@ -23,7 +23,7 @@
 
 struct SoakResult {
     std::vector<std::string> wrong; // violated guarantees, as text
-    std::vector<std::string> story; // trace of events, if there is a violation
+    std::vector<std::string> trace; // trace of events, if there is a violation
     std::uint64_t attempts = 0, whole = 0, refused = 0, cut = 0, steps = 0, acknowledged = 0, starts = 0;
     Ticks held_up = 0; // delay of the soak itself, by the machine
     std::int64_t most_resident_kib = 0, most_descriptors = 0;
@@ -44,7 +44,7 @@
     void pass(); // one iteration of the loop
     void note_pause();
     bool until(const std::function<bool()>& holds, Ticks patience);
-    void tell(const std::string& what);
+    void record_event(const std::string& what);
     void fail(const std::string& what);
 
     bool start();
@@ -75,7 +75,7 @@
     std::mt19937_64 random_;
     SoakChanges changes_;
     SoakRecord record_;
-    std::vector<std::string> story_;
+    std::vector<std::string> trace_;
     SoakFleet fleet_;
     std::deque<SoakAct> operator_work_;
     std::vector<std::unique_ptr<Operator>> operators_;
--- a/tests/soak_tests.cpp
+++ b/tests/soak_tests.cpp
@@ -34,8 +34,8 @@
         attempt().ended_at = attempt().sent_at + span;
     }
     void unread() { record.calls.clear(), record.runs.clear(), attempt().status = 0; }
-    void trouble(SoakTrouble::What what, SoakProcess process, Ticks from, Ticks until) {
-        record.troubles.push_back({what, process, from, until});
+    void fault(FaultInterval::What what, SoakProcess process, Ticks from, Ticks until) {
+        record.fault_intervals.push_back({what, process, from, until});
     }
     bool breaks(const std::string& rule) const {
         const auto wrong = judge(record, {});
@@ -45,7 +45,7 @@
     SoakRecord record;
 };
 
-using What = SoakTrouble::What;
+using What = FaultInterval::What;
 constexpr SoakProcess kFront{SoakRole::kProxy, 1}, kServer{SoakRole::kServer, 3};
 
 } // namespace
@@ -61,15 +61,15 @@
 BOOST_AUTO_TEST_CASE(bytes_of_another_stream_before_a_cut_are_found) {
     Soaked soaked;
     soaked.cut_after(kS);
-    soaked.trouble(What::kKilled, kFront, kStart + kS, kNever);
+    soaked.fault(What::kKilled, kFront, kStart + kS, kNever);
     BOOST_TEST(soaked.good());
-    soaked.attempt().a_beginning = false;
+    soaked.attempt().is_prefix = false;
     BOOST_TEST(soaked.breaks("MIXED"));
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_to_another_request_and_bytes_behind_an_answer_are_found) {
     Soaked another, behind, unstamped;
-    another.attempt().of_another = behind.attempt().surplus = true;
+    another.attempt().of_other_request = behind.attempt().surplus = true;
     unstamped.attempt().sealed = false;
     BOOST_TEST((another.breaks("MIXED") && behind.breaks("MIXED") && unstamped.breaks("MIXED")));
 }
@@ -93,7 +93,7 @@
 BOOST_AUTO_TEST_CASE(a_call_that_nobody_sent_a_shown_key_and_a_strange_tenant_are_found) {
     Soaked unsent, shown, strange;
     unsent.record.calls.front().attempt = "a2";
-    shown.record.calls.front().shows_key = true;
+    shown.record.calls.front().has_client_key = true;
     strange.record.calls.front().tenant = "beta";
     BOOST_TEST((unsent.breaks("UNASKED") && shown.breaks("UNASKED") && strange.breaks("UNASKED")));
 }
@@ -111,7 +111,7 @@
     BOOST_TEST(soaked.good()); // within `configApplyMs`
     soaked.attempt().sent_at += 1, soaked.attempt().ended_at += 1;
     BOOST_TEST(soaked.breaks("ROUTE"));
-    soaked.trouble(What::kTerminated, {SoakRole::kAgent, 1}, kStart + 40 * kS, kStart + 50 * kS);
+    soaked.fault(What::kTerminated, {SoakRole::kAgent, 1}, kStart + 40 * kS, kStart + 50 * kS);
     BOOST_TEST(soaked.good());
 }
 
@@ -139,17 +139,17 @@
     soaked.cut_after(kS);
     BOOST_TEST(soaked.breaks("LOST"));
     Soaked server = soaked, killed = soaked, late = soaked, elsewhere = soaked;
-    server.trouble(What::kKilled, kServer, kStart + kS, kNever);
-    killed.trouble(What::kKilled, kFront, kStart + kS, kNever);
+    server.fault(What::kKilled, kServer, kStart + kS, kNever);
+    killed.fault(What::kKilled, kFront, kStart + kS, kNever);
     late.attempt().deadline = kS;
-    elsewhere.trouble(What::kKilled, {SoakRole::kServer, 4}, kStart + kS, kNever);
+    elsewhere.fault(What::kKilled, {SoakRole::kServer, 4}, kStart + kS, kNever);
     BOOST_TEST((server.good() && killed.good() && late.good() && elsewhere.breaks("LOST")));
 }
 
 BOOST_AUTO_TEST_CASE(a_planned_end_excuses_only_what_was_not_read_or_outlasts_half_the_grace) {
     Soaked passed_on, unread, read, outlasting;
     for (Soaked* soaked : {&passed_on, &unread, &read, &outlasting})
-        soaked->trouble(What::kTerminated, kFront, kStart - kS, kNever);
+        soaked->fault(What::kTerminated, kFront, kStart - kS, kNever);
     passed_on.cut_after(kS / 10);
     BOOST_TEST(passed_on.breaks("LOST"));
     unread.cut_after(kS / 10), unread.unread();
@@ -165,7 +165,7 @@
     soaked.cut_after(6 * kS), soaked.unread();
     soaked.attempt().end = AnswerEnd::kClosed;
     BOOST_TEST(soaked.breaks("LOST"));
-    soaked.trouble(What::kStopped, kFront, kStart, kStart + 5 * kS);
+    soaked.fault(What::kStopped, kFront, kStart, kStart + 5 * kS);
     BOOST_TEST(soaked.good());
 }
 
@@ -201,7 +201,7 @@
 
 BOOST_AUTO_TEST_CASE(a_pause_of_the_soak_itself_is_not_taken_for_a_nodes) {
     Soaked soaked;
-    soaked.trouble(What::kTerminated, kFront, kStart - kS, kNever);
+    soaked.fault(What::kTerminated, kFront, kStart - kS, kNever);
     soaked.cut_after(kS), soaked.unread();
     BOOST_TEST(soaked.breaks("LOST"));
     soaked.record.pauses = {{kStart + kS / 10, kStart + 2 * kS}};
--- a/tests/usage_history_tests.cpp
+++ b/tests/usage_history_tests.cpp
@@ -165,7 +165,7 @@
         for (std::size_t agent = 0; agent < 4; ++agent) world.kill_proxy(agent);
         serve_for(world, 6 * kSecond);
         world.run_for(kForwardingTime + 4 * kSecond); // killed processes are no longer waited for
-        for (const std::string& violation : world.broken()) BOOST_ERROR(violation);
+        for (const std::string& violation : world.violations()) BOOST_ERROR(violation);
         check_windows(world, from_ms, world.true_ms() - 6000, 0.02);
     }
 }
