--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -30,7 +30,7 @@
     ControlWorld world(plan);
     world.play();
     for (const std::string& line : world.trace()) std::cout << line << "\n";
-    for (const std::string& what : world.violations()) std::cout << "broken: " << what << "\n";
+    for (const std::string& what : world.violations()) std::cout << "violation: " << what << "\n";
     return world.violations().empty() ? 0 : 1;
 }
 
@@ -108,7 +108,7 @@
     std::string text;
     std::array<char, 4096> part{};
     while (const std::size_t got = fread(part.data(), 1, part.size(), program)) text.append(part.data(), got);
-    if (pclose(program) != 0) std::cerr << "broken: a planted fault is not found\n";
+    if (pclose(program) != 0) std::cerr << "error: a planted fault was not found\n";
     const json said = json::parse(text, nullptr, false);
     if (said.is_object()) made.update(said);
     return made;
--- a/bench/control_planted.cpp
+++ b/bench/control_planted.cpp
@@ -86,7 +86,7 @@
                 found += finding.seed > 0 ? 1 : 0;
                 latest = std::max(latest, finding.seed);
                 if (finding.seed == 0)
-                    std::fprintf(stderr, "planted fault %d is not found\n", number);
+                    std::fprintf(stderr, "planted fault %d was not found\n", number);
                 else
                     std::fprintf(stderr, "planted fault %d: seed %llu: %s\n", number,
                                  static_cast<unsigned long long>(finding.seed), finding.what.c_str());
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -27,14 +27,16 @@
     SoakSize& size = arguments.options.size;
     app.add_option("--seeds", arguments.seeds, "FROM:COUNT")->capture_default_str();
     app.add_option_function<std::uint64_t>(
-        "--seed", [&](std::uint64_t seed) { arguments.seeds = std::to_string(seed) + ":1"; }, "one seed");
-    app.add_option("--seconds", arguments.seconds, "with faults, for each seed")->capture_default_str();
-    app.add_option("--gap-ms", arguments.gap_ms, "between two faults, in the mean")->capture_default_str();
+        "--seed", [&](std::uint64_t seed) { arguments.seeds = std::to_string(seed) + ":1"; },
+        "runs this seed only");
+    app.add_option("--seconds", arguments.seconds, "duration of the faults for each seed")
+        ->capture_default_str();
+    app.add_option("--gap-ms", arguments.gap_ms, "mean time between two faults")->capture_default_str();
     app.add_option("--controls", size.controls)->check(CLI::Range(1, 9))->capture_default_str();
     app.add_option("--edges", size.edges)->check(CLI::Range(1, 99))->capture_default_str();
     app.add_option("--servers", size.servers)->check(CLI::Range(7, 140))->capture_default_str();
     app.add_option("--clients", arguments.options.clients)->check(CLI::Range(1, 1000))->capture_default_str();
-    app.add_flag("--keep", arguments.options.keep, "the logs stay in any case");
+    app.add_flag("--keep", arguments.options.keep, "keep the logs even if no violation is found");
 }
 
 void print_result(std::uint64_t seed, const SoakResult& result) {
@@ -42,12 +44,11 @@
               << result.refused << " refused, " << result.cut << " cut; " << result.steps << " steps, "
               << result.starts << " starts, " << result.acknowledged << " configurations; at most "
               << result.most_resident_kib << " KiB, " << result.most_descriptors << " descriptors; held up "
-              << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " broken promises"
-              << std::endl;
+              << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " violations" << std::endl;
     if (result.trace.empty()) return;
     for (const std::string& line : result.trace) std::cerr << "  " << line << "\n";
     for (std::size_t i = 0; i < std::min(result.wrong.size(), kMostTold); ++i)
-        std::cerr << "seed " << seed << " broken: " << result.wrong[i] << "\n";
+        std::cerr << "seed " << seed << " violation: " << result.wrong[i] << "\n";
     std::cerr << "seed " << seed << ": the logs are in " << result.folder << std::endl;
 }
 
@@ -55,7 +56,7 @@
 
 int main(int count, char** words) {
     Arguments arguments;
-    CLI::App app("a soak of the whole fleet over real processes");
+    CLI::App app("soak test of the whole fleet with real processes");
     declare(app, arguments);
     CLI11_PARSE(app, count, words);
     SoakOptions& options = arguments.options;
--- a/tests/lab/consensus_history.cpp
+++ b/tests/lab/consensus_history.cpp
@@ -161,7 +161,7 @@
     std::vector<std::pair<int, int>> links;
     for (int other = 0; other < size(); ++other)
         if (other != machine) links.emplace_back(machine, other);
-    record_event("leader is taken with its entry: " + std::to_string(machine));
+    record_event("crash leader holding a new entry: " + std::to_string(machine));
     ++counts_.faults;
     cut_until(now_ + 10, links);
     const Ticks back_at = std::min(now_ + between(kTicksPerSecond / 2, 3 * kTicksPerSecond), faults_until_);
@@ -175,7 +175,7 @@
 void ConsensusWorld::provoke_rival_candidates() {
     const int one = any(size()), other = any(size());
     if (one == other) return;
-    record_event("contest of " + std::to_string(one) + " and " + std::to_string(other));
+    record_event("rival candidates " + std::to_string(one) + " and " + std::to_string(other));
     cut_until(std::min(now_ + 2 * kTicksPerSecond, faults_until_), {{one, other}, {other, one}});
     network_.most_store = kSlowStore;
     for (int i = 0; i < size(); ++i) {
@@ -363,16 +363,16 @@
 
 void ConsensusWorld::check_calm() {
     const auto agreed = [this] { return agrees(); };
-    if (!run_until(agreed, kNewWriteWithin)) return report_violation("no agreement after the calm");
+    if (!run_until(agreed, kNewWriteWithin)) return report_violation("no agreement after the faults ended");
     for (int i = 0; i < size(); ++i)
         if (is_up(i) && durable(i).entry->stamp != replica(i).newest()->stamp &&
             !run_until([&] { return durable(i).entry->stamp == replica(i).newest()->stamp; },
                        kNewWriteWithin))
-            report_violation("machine " + std::to_string(i) + " has not made durable what is agreed");
+            report_violation("machine " + std::to_string(i) + " has not made the agreed value durable");
     const std::size_t number = write(*leader());
     const auto acknowledged = [&] { return state_of(number) == WriteState::kAcknowledged; };
     if (!run_until(acknowledged, kNewWriteWithin))
-        report_violation("a new write does not commit after the calm");
+        report_violation("a new write does not commit after the faults ended");
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -287,7 +287,7 @@
 void ConsensusWorld::apply_effect(int machine, Store store) {
     Disk& disk = at(machine).disk;
     ++counts_.stores;
-    if (disk.pending) report_violation("two stores are under way at one member");
+    if (disk.pending) report_violation("two stores are in progress at one member");
     const StoreTicket ticket = store.ticket;
     watch_store(machine, store.state);
     disk.pending = std::move(store);
@@ -437,7 +437,7 @@
 }
 
 void ConsensusWorld::report_violation(std::string what) {
-    record_event("BROKEN: " + what);
+    record_event("VIOLATION: " + what);
     violations_.push_back("at " + std::to_string(now_) + ": " + std::move(what));
 }
 
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -64,7 +64,7 @@
             server.leaving_acknowledged && network_.now() - *server.leaving_acknowledged > kJoiningBound;
         const model::Instance* known = node(machine)->registry().table().find(server.id);
         if (was_acknowledged && known != nullptr && known->is_routable())
-            report_violation("machine " + std::to_string(machine) + " votes and does not know that " +
+            report_violation("machine " + std::to_string(machine) + " votes without knowing that " +
                              server.id + " left");
     }
 }
@@ -90,7 +90,7 @@
     const bool counts = is_replaced && !is_missing && tolerates_fewer && is_calm();
     disk_replaced_for_ = counts ? disk_replaced_for_ + kWatchInterval : 0;
     if (disk_replaced_for_ > kReplacedBound)
-        report_violation("the group bears fewer losses than it could, as a disk was replaced");
+        report_violation("the group tolerates fewer losses than it could after a disk was replaced");
 }
 
 bool ControlWorld::reach_each_other(MachineNumber a, MachineNumber b) const {
@@ -126,7 +126,7 @@
     }
     if (!here.cut_off_since) here.cut_off_since = network_.now();
     if (network_.now() - *here.cut_off_since > kCutOffBound && node(machine)->serves_feed())
-        report_violation("machine " + std::to_string(machine) + " is cut off and serves its feed");
+        report_violation("machine " + std::to_string(machine) + " is isolated and serves its feed");
 }
 
 bool ControlWorld::is_calm() {
@@ -142,7 +142,7 @@
     const control::ControlNode* process = node(machine);
     if (process == nullptr || process->group().is_bootstrapping()) return;
     if (lost_identities_.contains(process->group().self().value))
-        report_violation("machine " + std::to_string(machine) + " bears the identity of a lost disk");
+        report_violation("machine " + std::to_string(machine) + " has the identity of a lost disk");
 }
 
 // A feed that opens includes what was acknowledged before the member heard of the current leader.
@@ -215,7 +215,7 @@
         return !nodes_.at(machine).is_gone && !network_.is_up(machine);
     }));
     if (2 * (copies + down) <= voters.size()) // machines that are down may hold it
-        report_violation("the leaving of " + server + " is acknowledged on " + std::to_string(copies) +
+        report_violation("the leave of " + server + " is acknowledged on " + std::to_string(copies) +
                          " disks of " + std::to_string(voters.size()) + " voters");
 }
 
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -129,7 +129,7 @@
     }
     if (!was_leaving || server.leaving_acknowledged) return;
     server.leaving_acknowledged = network_.now();
-    record_event("leaving of " + server.id + " is acknowledged");
+    record_event("leave of " + server.id + " is acknowledged");
     ++counts_.leavings;
 }
 
@@ -286,7 +286,7 @@
              if (result.status != 200) return;
              ++counts_.reads;
              const auto order = order_in(result.body);
-             if (!order) return report_violation("a read answers what nobody sent");
+             if (!order) return report_violation("a read returns a configuration that was never sent");
              history_.read(order, asked_at, network_.now(), "machine " + std::to_string(machine));
          });
 }
@@ -300,8 +300,8 @@
     if (network_.now() - *here.cut_off_since > 10 * kTicksPerSecond) counts_.provoked[0] = true;
     const bool is_answer = status == 200 || status == 412;
     if (is_answer && asked_at > *here.cut_off_since)
-        report_violation("machine " + std::to_string(machine) + " is cut off and answers " + what + " with " +
-                         std::to_string(status));
+        report_violation("machine " + std::to_string(machine) + " is isolated and answers " + what +
+                         " with " + std::to_string(status));
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/control_counts.cpp
+++ b/tests/lab/control_counts.cpp
@@ -25,9 +25,9 @@
     CountSubject& subject = count_subject(request);
     const auto fenced_off = subject.fenced_off.find(machine);
     if (fenced_off != subject.fenced_off.end() && fenced_off->second >= request.call.fence)
-        report_violation(fmt::format("machine {} orders numbers under a fence that was refused", machine));
+        report_violation(fmt::format("machine {} orders server counts under a rejected fence", machine));
     if (!subject.under_way.insert({machine, network_.incarnation(machine)}).second)
-        report_violation(fmt::format("machine {} has two calls for one zone under way", machine));
+        report_violation(fmt::format("machine {} has two calls for one zone in flight", machine));
 }
 
 void ControlWorld::count_call_ends(MachineNumber machine, const PlatformRequest& request,
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -101,32 +101,32 @@
                              const std::string& request) {
     protocol::HttpParser parser(protocol::HttpParser::Side::kRequests);
     parser.feed(request);
-    if (!parser.complete()) return report_violation("an order can't be read"), 400;
+    if (!parser.complete()) return report_violation("malformed order"), 400;
     const protocol::HttpMessage message = parser.take();
     const auto found = std::ranges::find(engines_, order.address, &Engine::address);
     if (found == engines_.end() || !found->is_up) return 0;
     Engine& engine = *found;
     const std::string target(message.header("target-instance"));
     if (!target.empty() && target != engine.id) return 421;
-    if (order.instance != engine.id) report_violation("an order reaches a server that it is not for");
+    if (order.instance != engine.id) report_violation("an order reached the wrong server");
     const protocol::Json body = protocol::read_json(message.body);
     const std::string holder = body.at("holder").as_text("holder");
     const auto fence = static_cast<std::uint64_t>(body.at("fenceToken").as_integer("fenceToken"));
     judge_holder(engine, sender, holder, fence);
     if (engine.operator_fence > fence) return 412;
     const protocol::Json* expected = body.find("expectedCount");
-    if (expected == nullptr) report_violation("an order does not say how many the server should have taken");
+    if (expected == nullptr) report_violation("an order lacks the expected number of accepted orders");
     const bool is_as_expected =
         expected == nullptr || expected->as_integer("expectedCount") == engine.orders_accepted;
     if (network_.now() < engine.changing_until || !is_as_expected) return 409;
     const model::Stage stage = model::stage_from_name(body.at("stage").as_text("stage"));
     if (stage == engine.stage) return 200;
     if (!engine.taken.insert({fence, order.expected_count.value_or(-1)}).second)
-        report_violation("an order is taken twice by " + engine.id);
+        report_violation("an order is accepted twice by " + engine.id);
     ++engine.orders_accepted, ++counts_.orders_accepted;
     engine.stage = stage;
     engine.changing_until = network_.now() + network_.between(5'000, 15'000);
-    record_event(fmt::format("{} takes an order of machine {} under {}", engine.id, sender, fence));
+    record_event(fmt::format("{} accepts an order of machine {} under fence {}", engine.id, sender, fence));
     return 202;
 }
 
@@ -136,7 +136,7 @@
     for (const Act& act : acts) {
         if (act.fence == fence && act.sender != sender)
             report_violation("two holders share fence " + std::to_string(fence));
-        if (act.fence > fence) report_violation(name + " acts under a fence lower than one before");
+        if (act.fence > fence) report_violation(name + " acts under a fence lower than an earlier one");
     }
     // Alternation: this holder, then another, then this one again, within a lease.
     bool other_came = false;
@@ -144,7 +144,7 @@
         if (network_.now() - act->at >= kLease) break;
         if (act->sender != sender) other_came = true;
         if (act->sender == sender && other_came) {
-            report_violation(name + " takes turns with another holder within a lease");
+            report_violation(name + " alternates with another holder within a lease");
             break;
         }
     }
@@ -158,13 +158,12 @@
     if (!holder.starts_with("actor")) {
         const bool is_again = engine.ordered_at && engine.ordered_under == fence &&
                               network_.now() - *engine.ordered_at < kOrdersApart;
-        if (is_again) report_violation(name + " sends an order again that may have been taken");
+        if (is_again) report_violation(name + " resends an order that may have been accepted");
         engine.ordered_at = network_.now(), engine.ordered_under = fence;
     }
     const auto fenced_off = engine.fenced_off.find(sender);
     const bool is_told = fenced_off != engine.fenced_off.end() && fenced_off->second >= fence;
-    if (is_told && !holder.starts_with("actor"))
-        report_violation(name + " orders on under a fence that was refused");
+    if (is_told && !holder.starts_with("actor")) report_violation(name + " continues under a rejected fence");
 }
 
 // From now on the node knows its rejected fence.
@@ -346,11 +345,11 @@
 
 void ControlWorld::check_duties_calm() {
     const bool acts = run_until([this] { return duty_holder().has_value(); }, kActingWithin);
-    if (!acts) report_violation("nobody acts for a duty after the calm");
+    if (!acts) report_violation("no node acts for a duty after the faults ended");
     const auto holders = std::ranges::count_if(control_, [this](MachineNumber machine) {
         return is_live(machine) && node(machine)->duty_partitions()->fence(kStages).has_value();
     });
-    if (holders > 1) report_violation("two nodes act for a duty");
+    if (holders > 1) report_violation("two nodes act for the same duty");
     check_usage_calm();
 }
 
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -106,7 +106,7 @@
     for (const MachineNumber from : control_)
         for (const MachineNumber to : control_)
             if (side[from] != side[to]) links.emplace_back(from, to);
-    record_event("halves");
+    record_event("partition into halves");
     cut_until(over, links);
 }
 
@@ -185,7 +185,7 @@
         network_.disk(machine).full_until = over;
         break;
     case RandomFault::kMessagesFail:
-        record_event("messages fail");
+        record_event("message faults");
         set_message_faults(
             {network_.random().unit() * 0.2, network_.random().unit() * 0.2, network_.random().unit() * 0.3});
         network_.schedule(over, [this] { set_message_faults({}); });
@@ -283,11 +283,11 @@
 void ControlWorld::check_calm() {
     if (!settle(kRecoverWithin)) {
         record_groups();
-        return report_violation("no recovery after the calm");
+        return report_violation("no recovery after the faults ended");
     }
     const std::int64_t before = history_.newest_acknowledged();
     if (!run_until([this, before] { return history_.newest_acknowledged() > before; }, kRecoverWithin))
-        return report_violation("no order is acknowledged after the calm");
+        return report_violation("no order is acknowledged after the faults ended");
     run_for(20'000); // reads continue
     clients_act_ = false;
     run_for(15'000); // operations in progress end
@@ -301,7 +301,8 @@
                    return agent.process && agent.version >= history_.newest_acknowledged();
                });
     };
-    if (!run_until(all_know, kSpreadWithin)) report_violation("not all know the newest configuration");
+    if (!run_until(all_know, kSpreadWithin))
+        report_violation("not all nodes and agents know the newest configuration");
     for (const Agent& agent : agents_) {
         if (!agent.process) continue;
         for (const Server& server : servers_) {
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -70,14 +70,14 @@
     const bool is_agreed =
         state && std::ranges::find(state->usage.committed, call.body, &duties::CommittedWindow::body) !=
                      state->usage.committed.end();
-    if (!is_agreed) report_violation(fmt::format("machine {} sends what is not agreed on", machine));
+    if (!is_agreed) report_violation(fmt::format("machine {} sends a call that is not committed", machine));
 }
 
 void ControlWorld::report_leaves(MachineNumber machine, const PlatformRequest& request) {
     ++counts_.platform_calls;
     const auto fenced_off = platform_.fenced_off.find(machine);
     if (fenced_off != platform_.fenced_off.end() && fenced_off->second >= request.call.fence)
-        report_violation(fmt::format("machine {} calls on under a fence that was refused", machine));
+        report_violation(fmt::format("machine {} keeps calling under a rejected fence", machine));
     check_is_agreed(machine, request.call);
 }
 
@@ -112,11 +112,11 @@
     protocol::HttpParser parser(protocol::HttpParser::Side::kRequests);
     parser.feed(control::platform_request(request.call, request.holder, kAddress));
     if (!parser.complete())
-        return report_violation("a call to the platform can't be read"), PlatformOutcome::kRefused;
+        return report_violation("malformed call to the platform"), PlatformOutcome::kRefused;
     const protocol::HttpMessage message = parser.take();
     const auto fence = static_cast<std::uint64_t>(std::stoull(std::string(message.header("fence-token"))));
     const std::string name = "machine " + std::to_string(sender);
-    if (message.header("duty-holder") != request.holder) report_violation(name + " does not tell its name");
+    if (message.header("duty-holder") != request.holder) report_violation(name + " does not send its name");
     const bool is_report = !is_of_count(request);
     if (is_report) judge_one(platform_.acts, sender, fence);
     if (is_report) judge_report(name, message.body);
@@ -147,7 +147,7 @@
     const std::int64_t window = report.at("windowId").as_integer("windowId");
     const auto [known, is_first] = platform_.reports.try_emplace(window, body);
     if (!is_first && known->second != body)
-        report_violation(fmt::format("{} reports window {} with other counts than before", name, window));
+        report_violation(fmt::format("{} reports window {} with different counts than before", name, window));
     if ((window + 1) * window_ms() > true_ms() + kClockErrorMs)
         report_violation(fmt::format("{} reports window {}, which is not over", name, window));
 }
@@ -185,7 +185,7 @@
     constexpr int kMoods = static_cast<int>(PlatformMood::kFencesOff) + 1;
     const bool is_quick = network_.chance(0.4);
     platform_.mood = is_quick ? PlatformMood::kQuick : static_cast<PlatformMood>(network_.any(kMoods));
-    record_event(fmt::format("the platform's mood is {}", static_cast<int>(platform_.mood)));
+    record_event(fmt::format("the platform's mode is {}", static_cast<int>(platform_.mood)));
     step_a_clock();
     network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mood(); });
 }
@@ -222,20 +222,21 @@
 void ControlWorld::check_usage_calm() {
     const std::int64_t missed = true_ms() / window_ms() - 1;
     if (!run_until([&] { return all_reported(missed); }, kReportedWithin))
-        return report_violation("windows are not reported after the calm");
+        return report_violation("windows are not reported after the faults ended");
     const std::int64_t window = true_ms() / window_ms() + 1;
     const std::int64_t due_ms = (window + 1) * window_ms() + kLateMs;
     run_until([&] { return true_ms() >= due_ms; }, 20 * kTicksPerSecond);
     const auto accepted = platform_.accepted.find(window);
     if (accepted == platform_.accepted.end())
-        return report_violation("a window of the calm is reported late");
+        return report_violation("a window of the fault-free period is reported late");
     const protocol::Json report = protocol::read_json(platform_.reports.at(window));
     for (const auto& [tenant, count] : begun(window)) {
         const protocol::Json* told = report.at("counts").find(tenant);
         const auto reported = told == nullptr ? 0.0 : told->as_number(tenant);
         const auto truth = static_cast<double>(count);
         if (std::abs(reported - truth) > kUsageError * truth)
-            report_violation(fmt::format("a window of the calm counts {} where {} began", reported, truth));
+            report_violation(fmt::format("a window of the fault-free period counts {} of {} started requests",
+                                         reported, truth));
     }
 }
 
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -81,7 +81,8 @@
 
 void ControlWorld::kill_proxy(std::size_t number) {
     Agent& agent = agents_[number];
-    if (network_.now() - agent.told_at > kTellInterval) report_violation("a proxy told nothing for too long");
+    if (network_.now() - agent.told_at > kTellInterval)
+        report_violation("a proxy reported nothing for too long");
     for (const auto& [window, counts] : agent.untold)
         for (const auto& [tenant, count] : counts) lost_[window][tenant] += count;
     agent.proxy.reset();
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -191,7 +191,7 @@
         agent.version = version;
         const auto order = orders_by_mark_.find(tables.configuration()->routes.front().timeout_ms);
         if (order == orders_by_mark_.end())
-            report_violation(name + " follows a configuration that nobody sent");
+            report_violation(name + " follows a configuration that was never sent");
         else
             history_.seen(order->second, name);
     }
@@ -203,7 +203,7 @@
         if (agent.known_leaving.contains(server.id))
             report_violation(name + " is told again to use " + server.id + ", which left");
         else if (server.leaving_acknowledged && network_.now() - *server.leaving_acknowledged > kDrainBound)
-            report_violation(name + " is told to use " + server.id + ", whose leaving was acknowledged");
+            report_violation(name + " is told to use " + server.id + ", whose leave was acknowledged");
     }
 }
 
@@ -299,7 +299,7 @@
 
 // A disk that cannot read its last write has lost it.
 void ControlWorld::corrupt_state(MachineNumber machine, Ticks down_for) {
-    record_event("spoil " + std::to_string(machine));
+    record_event("corrupt state of " + std::to_string(machine));
     lose_disk_of(machine);
     StoredValue& state = network_.disk(machine).values["state"];
     state.is_spoilt = state.durable.has_value();
@@ -328,7 +328,7 @@
 }
 
 void ControlWorld::report_violation(std::string what) {
-    record_event("BROKEN: " + what);
+    record_event("VIOLATION: " + what);
     if (std::ranges::find(violations_, what) == violations_.end()) violations_.push_back(std::move(what));
 }
 
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -89,7 +89,7 @@
         std::array<char, 1024> bytes{};
         const ssize_t count = waited.revents == 0 ? 0 : read(output_, bytes.data(), bytes.size());
         if (count <= 0 || loop_.now() > give_up)
-            throw std::runtime_error("the fleet isn't ready in time: " + said);
+            throw std::runtime_error("the fleet did not become ready in time: " + said);
         said.append(bytes.data(), static_cast<std::size_t>(count));
     }
     const std::size_t begin = said.find(kReady);
@@ -99,7 +99,7 @@
 }
 
 void ExampleFleet::restart(const std::string& name) {
-    if (running(name)) throw std::runtime_error(name + " still runs");
+    if (running(name)) throw std::runtime_error(name + " is still running");
     const std::string log = folder_ + "/logs/" + name, role = name.substr(0, name.find('-'));
     const std::string settings = "settings/" + name + ".yaml"; // its paths are relative to the folder
     posix_spawn_file_actions_t actions;
@@ -146,7 +146,7 @@
 
 pid_t ExampleFleet::process(const std::string& name) const {
     const std::string text = read_file(folder_ + "/ids/" + name);
-    if (text.empty()) throw std::runtime_error(name + ": no such process of the fleet");
+    if (text.empty()) throw std::runtime_error(name + ": the fleet has no such process");
     return static_cast<pid_t>(std::stol(text));
 }
 
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -63,7 +63,7 @@
     transport::Stream& stream = *connection.stream;
     if (!connection.is_taken && stream.unread()) stream.feed(connection.reader);
     if (!connection.is_taken && connection.reader.complete()) take(connection);
-    if (connection.reader.broken()) violations_.emplace_back("a call can't be read");
+    if (connection.reader.broken()) violations_.emplace_back("malformed call");
     const bool is_due = connection.answer_at != 0 && loop_.now() >= connection.answer_at;
     if (is_due) answer(connection);
     const bool is_gone = stream.ended() && !stream.unread();
@@ -80,7 +80,7 @@
     call.fence = static_cast<std::uint64_t>(head.number("fence-token").value_or(0));
     const bool is_known = call.path == kUsagePath || call.path == "/scale";
     if (head.method != "POST" || !is_known || call.holder.empty() || call.fence == 0)
-        violations_.push_back("not a call of a duty: " + head.method + " " + call.path);
+        violations_.push_back("not a duty's call: " + head.method + " " + call.path);
     calls_.push_back(call);
     judge_order(subject_of(call), call);
     if (call.path == kUsagePath) take_report(call);
@@ -120,7 +120,7 @@
     std::vector<Act>& acts = acts_[subject];
     for (const Act& act : acts) {
         if (act.fence == call.fence && act.holder != call.holder)
-            violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " of two holders");
+            violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " used by two holders");
         if (act.fence > call.fence)
             violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " after " +
                                   std::to_string(act.fence));
@@ -137,7 +137,7 @@
         if (act->holder != acts.back().holder)
             other_between = true;
         else if (other_between)
-            return violations_.push_back(subject + ": holders act in turns within the lease");
+            return violations_.push_back(subject + ": holders act alternately within the lease");
     }
 }
 
@@ -145,7 +145,7 @@
     const std::int64_t window = protocol::read_json(call.body).at("windowId").as_integer("windowId");
     const auto [told, is_first] = told_.try_emplace(window, call.body);
     if (!is_first && told->second != call.body)
-        violations_.push_back("window " + std::to_string(window) + " with other counts than before");
+        violations_.push_back("window " + std::to_string(window) + " with different counts than before");
     const bool is_taken = call.manner != PlatformManner::kSilent && call.manner != PlatformManner::kBusy;
     if (is_taken) reports_.try_emplace(window, call.body);
 }
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -106,7 +106,7 @@
     : programs_(std::move(programs)), size_(size), record_event_(std::move(record_event)),
       network_(own_network()) {
     std::string folder = parent_folder() + "/ivyrill-soak.XXXXXX";
-    if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for the soak");
+    if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("cannot create the soak's folder");
     folder_ = folder;
     for (const char* name : {"logs", "settings", "data"}) fs::create_directory(folder_ + "/" + name);
     for (int i = 1; i <= size.controls; ++i) {
@@ -236,7 +236,7 @@
     logs_.push_back({place.log, process, place.service});
     if (process.role != SoakRole::kServer) write_settings(process, place, false);
     place.process = spawn(command(process, place), settings_path(process), place.log);
-    if (place.process < 0) throw std::runtime_error("can't start " + name_of(process));
+    if (place.process < 0) throw std::runtime_error("cannot start " + name_of(process));
     place.stopped = place.killed = place.start_other = false;
     place.terminated_at = kNever;
     end_fault(place, now);
@@ -305,7 +305,7 @@
         place.wanted = true;
         return;
     default:
-        throw std::logic_error("an act of the operator");
+        throw std::logic_error("operator steps are not handled by SoakFleet");
     }
 }
 
@@ -319,7 +319,7 @@
     const bool early = WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM;
     const bool by_plan =
         place.killed || (was_terminated && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
-    if (!by_plan) fail("ENDED: " + name_of(process) + " ended on its own: " + how + ", log " + place.log);
+    if (!by_plan) fail("ENDED: " + name_of(process) + " exited unexpectedly: " + how + ", log " + place.log);
     if (!was_terminated && !place.killed) begin_fault(process, place, FaultInterval::What::kKilled, now);
 }
 
@@ -331,7 +331,7 @@
         const bool outlasts = place.process > 0 && place.terminated_at != kNever && !place.stopped &&
                               !place.killed && now > place.terminated_at + kGrace + kGraceSlack;
         if (outlasts) {
-            fail("GRACE: " + name_of(process) + " still runs after its grace");
+            fail("GRACE: " + name_of(process) + " is still running after its grace period");
             place.killed = true;
             send(process, place, SIGKILL);
         }
--- a/tests/lab/soak_judge.cpp
+++ b/tests/lab/soak_judge.cpp
@@ -46,13 +46,13 @@
 
     void judge_bytes(const SoakAttempt& a) {
         if (a.of_other_request) fail(a, "MIXED: an answer to another request");
-        if (a.surplus) fail(a, "MIXED: bytes behind the answer");
-        if (a.end == AnswerEnd::kGarbage) fail(a, "MIXED: no answer in the protocol");
+        if (a.surplus) fail(a, "MIXED: extra bytes after the answer");
+        if (a.end == AnswerEnd::kGarbage) fail(a, "MIXED: malformed answer");
         const bool success = a.status >= 200 && a.status < 300;
-        if (success && !a.is_prefix) fail(a, "MIXED: bytes that aren't the server's");
+        if (success && !a.is_prefix) fail(a, "MIXED: bytes differ from the server's");
         if (!success || a.end != AnswerEnd::kComplete) return;
-        if (!a.whole) fail(a, "MIXED: a stream that looks complete and isn't");
-        if (!a.sealed) fail(a, "MIXED: a success without the server's stamp");
+        if (!a.whole) fail(a, "MIXED: a truncated stream was framed as complete");
+        if (!a.sealed) fail(a, "MIXED: a success without the server's seal");
     }
 
     int runs_of(const SoakAttempt& a) const {
@@ -66,7 +66,7 @@
         if (whole && a.status == 200 && runs_of(a) == 0) fail(a, "MIXED: a success that no server ran");
         if (a.kind != SoakKind::kOnce) return;
         if (runs_of(a) > 1) fail(a, "TWICE: run " + std::to_string(runs_of(a)) + " times");
-        if (whole && promised && runs_of(a) > 0) fail(a, "REFUSED: run all the same");
+        if (whole && promised && runs_of(a) > 0) fail(a, "REFUSED: run despite the refusal");
     }
 
     // ---- configuration
@@ -117,13 +117,13 @@
                 const SoakRoute* route = version.route(a.prefix);
                 return route != nullptr && !route->is_public && !version.tenant_of_key.contains(a.key);
             }))
-            fail(a, "DENIED: 401 though the key is known");
+            fail(a, "DENIED: 401 for a known key");
         if (a.end == AnswerEnd::kComplete && a.status == 404 &&
             !some_version(a, [&](const SoakVersion& version) { return !version.route(a.prefix); }))
-            fail(a, "DENIED: 404 though the route is there");
+            fail(a, "DENIED: 404 for an existing route");
         const bool expected = a.status == 0 || a.status == 200 || a.status == 401 || a.status == 404 ||
                               a.status == 408 || a.status == 429 || a.status == 421 || a.status >= 500;
-        if (!expected) fail(a, "DENIED: refused though it is proper");
+        if (!expected) fail(a, "DENIED: a valid request was refused");
     }
 
     void judge_call(const SoakCall& call) {
@@ -134,9 +134,9 @@
             return;
         }
         const SoakAttempt& a = *found->second;
-        if (call.has_client_key) fail(a, "UNASKED: " + call.server + " was shown a key");
+        if (call.has_client_key) fail(a, "UNASKED: " + call.server + " received a client's key");
         if (!some_version(a, [&](const SoakVersion& version) { return admits(version, a); }))
-            return fail(a, "ROUTE: " + call.server + " got it though no version in force admits it");
+            return fail(a, "ROUTE: " + call.server + " received it, but no version in force admits it");
         if (!some_version(a, [&](const SoakVersion& version) {
                 const SoakRoute* route = version.route(a.prefix);
                 return admits(version, a) && route->services.contains(call.service);
@@ -147,7 +147,7 @@
                 const std::string tenant = owner == version.tenant_of_key.end() ? "" : owner->second;
                 return admits(version, a) && tenant == call.tenant;
             }))
-            fail(a, "UNASKED: " + call.server + " was told tenant '" + call.tenant + "'");
+            fail(a, "UNASKED: " + call.server + " received tenant '" + call.tenant + "'");
     }
 
     // ---- ends
@@ -202,10 +202,10 @@
         if (a.end == AnswerEnd::kClosed && !front_failed(a))
             return fail(a, "LOST: no answer until after the deadline");
         if (a.end == AnswerEnd::kCut && !excused && !unread_at_end(a))
-            return fail(a, "LOST: the connection ended without a whole answer");
+            return fail(a, "LOST: the connection ended before the answer was complete");
         const bool own_failure = a.status >= 500 && a.status != 503;
         if (a.end == AnswerEnd::kComplete && own_failure && !excused && !any_server_failed(a))
-            fail(a, "FAILED: without any trouble");
+            fail(a, "FAILED: without any fault");
     }
 
     const SoakRecord& record_;
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -110,7 +110,7 @@
 void SoakRun::note_pause() {
     const Ticks now = loop_.now(), due = looked_at_ + kLook;
     if (now > due + kLeastPause) {
-        record_event("the soak was held up for " + std::to_string((now - due) / kMs) + " ms");
+        record_event("the soak was delayed for " + std::to_string((now - due) / kMs) + " ms");
         record_.pauses.push_back({due, now});
         held_up_ += now - due;
     }
@@ -158,7 +158,7 @@
                                               return true;
                                           },
                                           kStartPatience);
-    if (!served) fail("START: the fleet isn't ready in time");
+    if (!served) fail("START: the fleet did not become ready in time");
     for (const SoakProcess process : fleet_.all()) {
         first_use_[process] = fleet_.use(process);
         first_incarnation_[process] = fleet_.incarnation(process);
@@ -192,18 +192,18 @@
 }
 
 void SoakRun::rest() {
-    record_event("all is brought to rest");
+    record_event("ending all faults");
     fleet_.settle(loop_.now());
     const bool clear = until([&] { return operators_.empty() && operator_work_.empty(); },
                              SoakBounds{}.recovery + SoakBounds{}.grace);
-    if (!clear) fail("CONFIG: no clear answer to a change though all is at rest");
+    if (!clear) fail("CONFIG: no definite answer to a change without faults");
     const bool up = until(
         [&] {
             return std::ranges::all_of(fleet_.all(),
                                        [&](SoakProcess one) { return fleet_.running_undisturbed(one); });
         },
         SoakBounds{}.grace + 3 * kTicksPerSecond);
-    if (!up) fail("REST: a process isn't running though all were started");
+    if (!up) fail("REST: a process is not running after all were started");
     const Ticks resting = loop_.now();
     until([&] { return loop_.now() >= resting + SoakBounds{}.in_touch; }, kNever / 2);
     check_served();
@@ -266,7 +266,7 @@
         [&] { return ask(fleet_.control(control), get("/config"), kCallPatience).body == version.body; },
         SoakBounds{}.in_touch);
     if (!same)
-        fail("LOST: control-" + std::to_string(control) + " doesn't tell version " +
+        fail("LOST: control-" + std::to_string(control) + " doesn't report version " +
              std::to_string(version.number) + ", which was acknowledged");
 }
 
@@ -296,7 +296,7 @@
     clients_send_ = false;
     operators_.clear(), operator_work_.clear(), asked_.reset();
     for (const auto& client : clients_) client->connection.reset();
-    record_event("all are told to end");
+    record_event("stopping all processes");
     fleet_.terminate_all(loop_.now());
     until([&] { return fleet_.all_ended(); }, SoakBounds{}.grace + 5 * kTicksPerSecond);
 }
