--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -94,7 +94,7 @@
 }
 
 // Only seeds 1 to `histories`.
-int tell_duties(std::uint64_t histories) {
+int print_duties(std::uint64_t histories) {
     const Totals duty = play_histories(histories, duty_plan_of_seed, "duty");
     std::cout << json{{"duty_histories", histories}, {"duty_violations", duty.violations}}.dump() << "\n";
     return duty.violations == 0 ? 0 : 1;
@@ -123,7 +123,7 @@
     if (count == 3 && std::string(words[1]) == "--duty-seed")
         return print_history(duty_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
     if (count == 3 && std::string(words[1]) == "--duty-histories")
-        return tell_duties(std::strtoull(words[2], nullptr, 10));
+        return print_duties(std::strtoull(words[2], nullptr, 10));
     if (count == 3 && std::string(words[1]) == "--histories")
         histories = std::strtoull(words[2], nullptr, 10);
     json made = measured_histories(histories);
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -15,7 +15,7 @@
 using namespace ivyrill::lab;
 
 constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
-constexpr std::size_t kMostTold = 20; // violated guarantees of one seed
+constexpr std::size_t kPrintedViolations = 20; // violated guarantees of one seed
 
 struct Arguments {
     SoakOptions options;
@@ -44,11 +44,12 @@
               << result.refused << " refused, " << result.cut << " cut; " << result.steps << " steps, "
               << result.starts << " starts, " << result.acknowledged << " configurations; at most "
               << result.most_resident_kib << " KiB, " << result.most_descriptors << " descriptors; held up "
-              << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " violations" << std::endl;
+              << result.soak_delay / kTicksPerMs << " ms; " << result.violations.size() << " violations"
+              << std::endl;
     if (result.trace.empty()) return;
     for (const std::string& line : result.trace) std::cerr << "  " << line << "\n";
-    for (std::size_t i = 0; i < std::min(result.wrong.size(), kMostTold); ++i)
-        std::cerr << "seed " << seed << " violation: " << result.wrong[i] << "\n";
+    for (std::size_t i = 0; i < std::min(result.violations.size(), kPrintedViolations); ++i)
+        std::cerr << "seed " << seed << " violation: " << result.violations[i] << "\n";
     std::cerr << "seed " << seed << ": the logs are in " << result.folder << std::endl;
 }
 
@@ -75,7 +76,7 @@
         const SoakResult result = SoakRun(options).play();
         print_result(seed, result);
         attempts += result.attempts, whole += result.whole, steps += result.steps;
-        if (!result.wrong.empty()) failed.push_back(seed);
+        if (!result.violations.empty()) failed.push_back(seed);
     }
     std::cout << nlohmann::json{{"seeds", seeds},       {"failed_seeds", failed},
                                 {"requests", attempts}, {"whole", whole},
--- a/tests/fleet_duty_tests.cpp
+++ b/tests/fleet_duty_tests.cpp
@@ -27,7 +27,7 @@
 
 struct ReportingFleet : RealFleet {
     ReportingFleet() : RealFleet(PlatformSettings{kWindowS}), platform_api(loop(), platform(), kLease) {
-        also_pass([this] { platform_api.pass(); });
+        call_each_turn([this] { platform_api.pass(); });
         BOOST_REQUIRE(replace(with_tenants(5), 1) == 200);
         for (const char* proxy : {"proxy-1", "proxy-2"})
             BOOST_REQUIRE(
@@ -149,7 +149,7 @@
 BOOST_AUTO_TEST_CASE(holder_resumed_after_its_lease_sends_nothing_under_its_fence) {
     ReportingFleet fleet;
     const std::string frozen = fleet.await_holder();
-    fleet.platform_api.set_manner(PlatformManner::kSlow);
+    fleet.platform_api.set_mode(PlatformMode::kSlow);
     const std::size_t before = fleet.platform_api.calls().size();
     BOOST_REQUIRE(fleet.until([&] { return fleet.platform_api.calls().size() > before; }));
     const std::uint64_t fence = fleet.platform_api.calls().back().fence;
@@ -158,7 +158,7 @@
     const auto is_replaced = [&] { return fleet.platform_api.calls().back().fence > fence; };
     BOOST_TEST(fleet.until(is_replaced));
     fleet.signal(frozen, SIGCONT);
-    fleet.platform_api.set_manner(PlatformManner::kQuick);
+    fleet.platform_api.set_mode(PlatformMode::kQuick);
     BOOST_REQUIRE(fleet.await_more_reports());
     BOOST_REQUIRE(fleet.await_reports());
     fleet.check_promises();
@@ -166,7 +166,7 @@
 
 BOOST_AUTO_TEST_CASE(restarted_control_nodes_continue_without_changing_windows) {
     ReportingFleet fleet;
-    fleet.platform_api.set_manner(PlatformManner::kResets); // processed but not acknowledged: retried
+    fleet.platform_api.set_mode(PlatformMode::kResets); // processed but not acknowledged: retried
     fleet.serve_both(4);
     BOOST_REQUIRE(fleet.await_reports());
     const std::vector<std::string> controls{"control-1", "control-2", "control-3"};
@@ -177,7 +177,7 @@
     const std::size_t before = fleet.platform_api.calls().size();
     for (const std::string& name : controls) fleet.restart(name);
     BOOST_REQUIRE(fleet.until([&] { return fleet.platform_api.calls().size() > before; }));
-    fleet.platform_api.set_manner(PlatformManner::kQuick);
+    fleet.platform_api.set_mode(PlatformMode::kQuick);
     for (int i = 0; i < 4; ++i) fleet.serve(2, "alpha");
     BOOST_REQUIRE(fleet.await_reports());
     fleet.check_promises();
@@ -185,14 +185,14 @@
 
 BOOST_AUTO_TEST_CASE(windows_follow_with_all_counts_after_platform_faults) {
     ReportingFleet fleet;
-    for (const PlatformManner manner : {PlatformManner::kSilent, PlatformManner::kBusy,
-                                        PlatformManner::kGarbage, PlatformManner::kHalfAnswer}) {
-        fleet.platform_api.set_manner(manner);
+    for (const PlatformMode mode :
+         {PlatformMode::kSilent, PlatformMode::kBusy, PlatformMode::kGarbage, PlatformMode::kHalfAnswer}) {
+        fleet.platform_api.set_mode(mode);
         const std::size_t before = fleet.platform_api.calls().size();
         fleet.serve_both(2);
         BOOST_REQUIRE(fleet.until([&] { return fleet.platform_api.calls().size() >= before + 2; }));
     }
-    fleet.platform_api.set_manner(PlatformManner::kQuick);
+    fleet.platform_api.set_mode(PlatformMode::kQuick);
     BOOST_REQUIRE(fleet.await_reports());
     fleet.check_promises();
 }
--- a/tests/heartbeat_tests.cpp
+++ b/tests/heartbeat_tests.cpp
@@ -107,12 +107,12 @@
     for (int calls = 0; !heartbeats.ended() && calls < 100; ++calls) {
         now = std::max(now, *heartbeats.due());
         BOOST_REQUIRE(heartbeats.begin(now));
-        now += Heartbeats::kPatience;
+        now += Heartbeats::kTimeout;
         heartbeats.failed(now);
     }
     BOOST_TEST(heartbeats.ended());
-    BOOST_TEST(now >= kStart + plan().drain_unheard);
-    BOOST_TEST(now <= kStart + plan().drain_unheard + 6 * Heartbeats::kPatience);
+    BOOST_TEST(now >= kStart + plan().drain_unacknowledged);
+    BOOST_TEST(now <= kStart + plan().drain_unacknowledged + 6 * Heartbeats::kTimeout);
 }
 
 BOOST_AUTO_TEST_CASE(a_server_without_control_nodes_ends_after_a_timeout) {
@@ -121,6 +121,6 @@
     heartbeats.leave(kStart + kSecond);
     BOOST_TEST(!heartbeats.begin(kStart + kSecond));
     BOOST_TEST(!heartbeats.ended());
-    BOOST_TEST(!heartbeats.begin(kStart + kSecond + HeartbeatPlan{}.drain_unheard));
+    BOOST_TEST(!heartbeats.begin(kStart + kSecond + HeartbeatPlan{}.drain_unacknowledged));
     BOOST_TEST(heartbeats.ended());
 }
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -12,7 +12,7 @@
 constexpr Ticks kMemberStatusInterval = 2000; // 200 ms
 constexpr Ticks kLeastStore = 5;
 // Probabilities that an event triggers further faults at once.
-constexpr double kStrikeAfterAcknowledgement = 0.02, kFaultProbabilityInChange = 0.3,
+constexpr double kFaultProbabilityAfterAcknowledgement = 0.02, kFaultProbabilityInChange = 0.3,
                  kFaultProbabilityInElection = 0.1;
 constexpr Ticks kThawSpread = 20; // period in which events that waited for a frozen machine are handled
 
@@ -371,7 +371,7 @@
         record_event(std::to_string(machine) + " acknowledges version " +
                      std::to_string(write.made->version));
         highest_seen_ = std::max(highest_seen_, write.made->version);
-        maybe_inject_fault(kStrikeAfterAcknowledgement);
+        maybe_inject_fault(kFaultProbabilityAfterAcknowledgement);
     }
 }
 
--- a/tests/lab/control_checks.cpp
+++ b/tests/lab/control_checks.cpp
@@ -76,11 +76,11 @@
     bool is_replaced = false, is_missing = false;
     for (const consensus::Member& voter : voters) {
         const MachineNumber machine = machine_of(voter);
-        const bool stands = is_live(machine) && !node(machine)->group().is_bootstrapping();
-        const bool is_same = stands && node(machine)->group().self() == voter.id;
+        const bool is_running = is_live(machine) && !node(machine)->group().is_bootstrapping();
+        const bool is_same = is_running && node(machine)->group().self() == voter.id;
         there += is_same ? 1 : 0;
-        is_replaced = is_replaced || (stands && !is_same);
-        is_missing = is_missing || !stands;
+        is_replaced = is_replaced || (is_running && !is_same);
+        is_missing = is_missing || !is_running;
     }
     const auto losses_tolerated = [](int alive, int listed) { return alive - (listed / 2 + 1); };
     const auto machines = static_cast<int>(
--- a/tests/lab/control_clients.cpp
+++ b/tests/lab/control_clients.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Ticks kCallPatience = kTicksPerSecond; // after which a caller tries another node
+constexpr Ticks kCallTimeout = kTicksPerSecond; // after which a caller tries another node
 constexpr Ticks kBeatInterval = 12'000, kReadInterval = 4'000;
 constexpr Ticks kFirstPause = 500, kLongestPause = 8'000; // retry delays of an operator without an answer
 constexpr Ticks kDrainSpan = 25'000;                      // from an acknowledged leave to the server's end
-constexpr Ticks kLeavePatience = 60'000; // without an acknowledgement, servers end after this time
+constexpr Ticks kLeaveTimeout = 60'000; // without an acknowledgement, servers end after this time
 constexpr int kBeatTries = 3;
 constexpr std::int64_t kFirstMark = 10'000; // identifies an order, in a field that may differ
 constexpr const char* kService = "model";
@@ -43,7 +43,7 @@
         }
     };
     auto open = std::make_shared<Open>(Open{std::move(done)});
-    network_.schedule(network_.now() + kCallPatience, [open] { open->answer({}); });
+    network_.schedule(network_.now() + kCallTimeout, [open] { open->answer({}); });
     const Ticks delay = network_.between(5, 20);
     network_.schedule(network_.now() + delay, [this, machine, message = std::move(message), open,
                                                answering = std::move(answering)]() mutable {
@@ -150,7 +150,7 @@
         send_beat(number, kBeatTries);
     }
     // An acknowledged leave holds until the end of the history; then another server takes its place.
-    network_.schedule(network_.now() + kLeavePatience + kDrainSpan, [this, number, id] {
+    network_.schedule(network_.now() + kLeaveTimeout + kDrainSpan, [this, number, id] {
         if (clients_act_ && servers_[number].id == id) replace_server(number);
     });
 }
--- a/tests/lab/control_duties.cpp
+++ b/tests/lab/control_duties.cpp
@@ -19,7 +19,7 @@
 constexpr Ticks kPressureTurns = 60'000; // period for which one stage lacks servers, before the other does
 constexpr Ticks kLease = 30'000;         // `leaseMs`
 constexpr Ticks kOrdersApart = 20'000;   // minimum for one server: its report shows whether one was accepted
-constexpr Ticks kHandOrdersFor = 15 * kTicksPerSecond;
+constexpr Ticks kOperatorOrdersFor = 15 * kTicksPerSecond;
 constexpr Ticks kActingWithin = 12 * kTicksPerSecond;
 constexpr std::int64_t kSlots = 8;
 constexpr std::uint64_t kOperatorFence = 1'000'000; // of an order given by an operator
@@ -83,15 +83,15 @@
             done(outcome);
         });
     };
-    const Ticks patience = duties::OrderClient::kTimeout;
+    const Ticks timeout = duties::OrderClient::kTimeout;
     if (is_lost)
-        return network_.schedule(network_.now() + patience,
+        return network_.schedule(network_.now() + timeout,
                                  [answer] { answer(duties::OrderOutcome::kUnanswered); });
     network_.schedule(network_.now() + way, [=, this] {
         const int status = take_order(machine, order, request);
         const auto outcome = answer_is_lost || status == 0 ? duties::OrderOutcome::kUnanswered
                                                            : duties::outcome_of_status(status);
-        const Ticks after = outcome == duties::OrderOutcome::kUnanswered ? patience - way : back;
+        const Ticks after = outcome == duties::OrderOutcome::kUnanswered ? timeout - way : back;
         network_.schedule(network_.now() + after, [answer, outcome] { answer(outcome); });
     });
 }
@@ -162,8 +162,9 @@
         engine.ordered_at = network_.now(), engine.ordered_under = fence;
     }
     const auto fenced_off = engine.fenced_off.find(sender);
-    const bool is_told = fenced_off != engine.fenced_off.end() && fenced_off->second >= fence;
-    if (is_told && !holder.starts_with("actor")) report_violation(name + " continues under a rejected fence");
+    const bool knows_rejection = fenced_off != engine.fenced_off.end() && fenced_off->second >= fence;
+    if (knows_rejection && !holder.starts_with("actor"))
+        report_violation(name + " continues under a rejected fence");
 }
 
 // From now on the node knows its rejected fence.
@@ -214,11 +215,11 @@
 void ControlWorld::report_engines() {
     if (!clients_act_) return;
     network_.schedule(network_.now() + kReportInterval, [this] { report_engines(); });
-    const bool readers_are_short = network_.now() / kPressureTurns % 2 == 0;
+    const bool lacks_prefill_servers = network_.now() / kPressureTurns % 2 == 0;
     feed::Loads told;
     for (const Engine& engine : engines_) {
         if (!engine.is_up) continue;
-        const bool is_short = (engine.stage == model::Stage::kPrefill) == readers_are_short;
+        const bool is_short = (engine.stage == model::Stage::kPrefill) == lacks_prefill_servers;
         model::Load load;
         load.instance = engine.id, load.stage = engine.stage, load.orders_accepted = engine.orders_accepted;
         load.running = is_short ? kSlots : 0, load.waiting = is_short ? 2 : 0, load.memory_total = 1000;
@@ -273,18 +274,18 @@
     if (network_.chance(0.4)) {
         for (Engine& engine : engines_)
             if (network_.chance(0.5)) engine.operator_fence = kOperatorFence;
-        run_for(kHandOrdersFor);
-        faults_until_ += kHandOrdersFor;
+        run_for(kOperatorOrdersFor);
+        faults_until_ += kOperatorOrdersFor;
         for (Engine& engine : engines_) engine.operator_fence = 0;
     }
     while (network_.now() < faults_until_) {
         ++counts_.faults;
-        move_the_duties();
+        move_duties();
         run_for(network_.chance(0.5) ? network_.between(100, 3000) : network_.between(3000, 50'000));
     }
 }
 
-void ControlWorld::move_the_duties() {
+void ControlWorld::move_duties() {
     const MachineNumber holder = duty_holder().value_or(any_control());
     const Ticks span = network_.between(2'000, 60'000);
     switch (network_.any(12)) {
--- a/tests/lab/control_faults.cpp
+++ b/tests/lab/control_faults.cpp
@@ -27,16 +27,16 @@
     kAnswersLost,
     kServerLeaves,
     kAgentRestarted,
-    kToldToEnd
+    kStopRequested
 };
 // Draws one fault; a lost disk is twice as likely as the others.
 constexpr std::array<RandomFault, 16> kRandomFaults{
-    RandomFault::kLinkCut,     RandomFault::kIsolated,     RandomFault::kHalves,
-    RandomFault::kKilled,      RandomFault::kPowerLost,    RandomFault::kAllRestarted,
-    RandomFault::kDiskLost,    RandomFault::kDiskLost,     RandomFault::kFrozen,
-    RandomFault::kDiskStalled, RandomFault::kDiskFull,     RandomFault::kMessagesFail,
-    RandomFault::kAnswersLost, RandomFault::kServerLeaves, RandomFault::kAgentRestarted,
-    RandomFault::kToldToEnd};
+    RandomFault::kLinkCut,      RandomFault::kIsolated,     RandomFault::kHalves,
+    RandomFault::kKilled,       RandomFault::kPowerLost,    RandomFault::kAllRestarted,
+    RandomFault::kDiskLost,     RandomFault::kDiskLost,     RandomFault::kFrozen,
+    RandomFault::kDiskStalled,  RandomFault::kDiskFull,     RandomFault::kMessagesFail,
+    RandomFault::kAnswersLost,  RandomFault::kServerLeaves, RandomFault::kAgentRestarted,
+    RandomFault::kStopRequested};
 
 } // namespace
 
@@ -99,7 +99,7 @@
     network_.set_message_faults(faults);
 }
 
-void ControlWorld::halves(Ticks over) {
+void ControlWorld::partition_into_halves(Ticks over) {
     std::vector<std::pair<MachineNumber, MachineNumber>> links;
     std::map<MachineNumber, bool> side;
     for (const MachineNumber machine : control_) side[machine] = network_.chance(0.5);
@@ -157,7 +157,7 @@
         network_.schedule(over, [this, machine] { isolate(machine, false); });
         break;
     case RandomFault::kHalves:
-        halves(over);
+        partition_into_halves(over);
         break;
     case RandomFault::kKilled:
         restart(machine, network_.between(100, 20'000), false);
@@ -206,7 +206,7 @@
                           [this, number] { start_agent(number); });
         break;
     }
-    case RandomFault::kToldToEnd:
+    case RandomFault::kStopRequested:
         if (!is_live(machine)) break;
         request_stop(machine);
         network_.schedule(network_.now() + network_.between(5000, 15'000), [this, machine] {
@@ -263,7 +263,7 @@
 void ControlWorld::heal() {
     record_event("calm");
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
     set_message_faults({});
     answer_lost_ = 0;
     for (const MachineNumber machine : control_)
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -25,7 +25,7 @@
     if (fully)
         isolate(machine, true);
     else
-        halves(network_.now() + kCutOffFor);
+        partition_into_halves(network_.now() + kCutOffFor);
     for (int i = 0; i < 10; ++i) {
         run_for(kCutOffFor / 10);
         if (i % 3 == 1) leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
@@ -89,7 +89,7 @@
         isolate(machine, false);
     }
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
     restart(*former, 1000, false);
     run_for(10'000);
 }
@@ -211,14 +211,14 @@
     hold_records_from(cut);
     for (const MachineNumber machine : cut) isolate(machine, false);
     run_for(8000);
-    let_records_go();
+    release_records();
     run_for(5000);
 }
 
 // Hundreds of changes, while members restart, lose their disks and freeze, and each has to catch up.
 void ControlWorld::many_changes_plan() {
-    records_come_late();
-    leader_goes_while_entries_are_late();
+    records_arrive_late();
+    leader_is_lost_while_entries_are_late();
     quick_operators_ = true;
     const auto changes = [this] {
         return std::ranges::count(history_.orders(), OrderState::kAcknowledged, &Order::state);
@@ -255,7 +255,7 @@
 
 // A member returns that was down while a server left; the others' knowledge of the servers reaches it late,
 // and an agent that starts then reaches no other member.
-void ControlWorld::records_come_late() {
+void ControlWorld::records_arrive_late() {
     run_for(15'000); // every disk has every server's record
     MachineNumber machine = control_[static_cast<std::size_t>(network_.any(3))]; // agents start with these
     if (machine == leader()) machine = control_[static_cast<std::size_t>((machine + 1) % 3)];
@@ -274,13 +274,13 @@
     cut_until(network_.now() + 20'000, links);
     start_agent(0);
     run_for(20'000);
-    let_records_go();
+    release_records();
     run_for(5000);
 }
 
 // A member has just started, and its leader's entries are delayed. The leader loses power; half a second
 // later all that it sent arrives, in any order, at the member, which reaches no other member.
-void ControlWorld::leader_goes_while_entries_are_late() {
+void ControlWorld::leader_is_lost_while_entries_are_late() {
     const auto leading = leader();
     MachineNumber machine = any_control();
     if (!leading || machine == *leading || !is_live(machine)) return;
@@ -298,7 +298,7 @@
     restart(*leading, 20'000, true);
     run_for(network_.between(5500, 7000));
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
     run_for(25'000);
 }
 
@@ -373,7 +373,7 @@
     hold_entries(machine);
     network_.schedule(network_.now() + 15'000, [this] {
         network_.held_back = {};
-        network_.let_go();
+        network_.release();
     });
 }
 
@@ -394,9 +394,9 @@
     };
 }
 
-void ControlWorld::let_records_go() {
+void ControlWorld::release_records() {
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -103,7 +103,7 @@
         const PlatformOutcome outcome = take_platform_call(machine, request);
         const bool is_unanswered = answer_is_lost || outcome == PlatformOutcome::kUnanswered;
         if (is_unanswered) return answer(PlatformClient::kResponseTimeout, PlatformOutcome::kUnanswered);
-        const bool is_slow = platform_.mood == PlatformMood::kSlow;
+        const bool is_slow = platform_.mode == SimulatedPlatformMode::kSlow;
         answer(is_slow ? network_.between(5'000, 25'000) : network_.between(5, 20), outcome);
     });
 }
@@ -121,20 +121,20 @@
     if (is_report) judge_one(platform_.acts, sender, fence);
     if (is_report) judge_report(name, message.body);
     if (!is_report) judge_count(sender, fence, request);
-    switch (platform_.mood) {
-    case PlatformMood::kBusy:
+    switch (platform_.mode) {
+    case SimulatedPlatformMode::kBusy:
         return PlatformOutcome::kBusy;
-    case PlatformMood::kFails:
+    case SimulatedPlatformMode::kFails:
         return PlatformOutcome::kFailed;
-    case PlatformMood::kFencesOff:
+    case SimulatedPlatformMode::kFencesOff:
         return PlatformOutcome::kFencedOff;
-    case PlatformMood::kResets: // before or after it has accepted the call
+    case SimulatedPlatformMode::kResets: // before or after it has accepted the call
         if (is_report && network_.chance(0.5)) accept_report(message.body);
         return PlatformOutcome::kUnanswered;
-    case PlatformMood::kSilent:
+    case SimulatedPlatformMode::kSilent:
         return PlatformOutcome::kUnanswered;
-    case PlatformMood::kQuick:
-    case PlatformMood::kSlow:
+    case SimulatedPlatformMode::kQuick:
+    case SimulatedPlatformMode::kSlow:
         break;
     }
     if (is_report) accept_report(message.body);
@@ -168,7 +168,7 @@
 
 void ControlWorld::start_usage() {
     begin_requests();
-    change_platform_mood();
+    change_platform_mode();
 }
 
 void ControlWorld::begin_requests() {
@@ -180,14 +180,15 @@
     begin_request(agent, kTenants[static_cast<std::size_t>(network_.any(static_cast<int>(kTenants.size())))]);
 }
 
-void ControlWorld::change_platform_mood() {
+void ControlWorld::change_platform_mode() {
     if (network_.now() >= faults_until_) return;
-    constexpr int kMoods = static_cast<int>(PlatformMood::kFencesOff) + 1;
+    constexpr int kPlatformModes = static_cast<int>(SimulatedPlatformMode::kFencesOff) + 1;
     const bool is_quick = network_.chance(0.4);
-    platform_.mood = is_quick ? PlatformMood::kQuick : static_cast<PlatformMood>(network_.any(kMoods));
-    record_event(fmt::format("the platform's mode is {}", static_cast<int>(platform_.mood)));
+    platform_.mode = is_quick ? SimulatedPlatformMode::kQuick
+                              : static_cast<SimulatedPlatformMode>(network_.any(kPlatformModes));
+    record_event(fmt::format("the platform's mode is {}", static_cast<int>(platform_.mode)));
     step_a_clock();
-    network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mood(); });
+    network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mode(); });
 }
 
 // One machine's clock at a time: more would outvote the correct ones.
@@ -203,7 +204,7 @@
 
 // A platform that has rejected a holder's fence waits for a holder with a higher one.
 void ControlWorld::calm_platform() {
-    platform_.mood = PlatformMood::kQuick;
+    platform_.mode = SimulatedPlatformMode::kQuick;
     if (stepped_) step_clock(*stepped_, 0);
     for (const MachineNumber machine : control_)
         if (platform_.fenced_off.contains(machine) && !nodes_.at(machine).is_gone)
--- a/tests/lab/control_usage.cpp
+++ b/tests/lab/control_usage.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t kStartMs = 1'767'225'600'000; // true time when the simulated clock was 0
 constexpr std::int64_t kTicksPerMs = kTicksPerSecond / 1000;
-constexpr Ticks kTellInterval = 2500;
+constexpr Ticks kUsageReportInterval = 2500;
 
 } // namespace
 
@@ -35,30 +35,30 @@
 
 void ControlWorld::start_proxy(std::size_t number) {
     agents_[number].proxy = std::make_unique<proxy::UsageMeter>(network_.random().next(), window_ms());
-    network_.schedule(network_.now() + network_.between(0, kTellInterval),
-                      [this, number] { tell_usage(number); });
+    network_.schedule(network_.now() + network_.between(0, kUsageReportInterval),
+                      [this, number] { report_usage(number); });
 }
 
-void ControlWorld::tell_usage(std::size_t number) {
-    network_.schedule(network_.now() + kTellInterval, [this, number] { tell_usage(number); });
+void ControlWorld::report_usage(std::size_t number) {
+    network_.schedule(network_.now() + kUsageReportInterval, [this, number] { report_usage(number); });
     Agent& agent = agents_[number];
     if (!agent.proxy || !is_live(agent.machine) || !agent.usage) return;
     if (std::exchange(agent.proxy_linked_to, network_.incarnation(agent.machine)) !=
         network_.incarnation(agent.machine)) {
         agent.proxy->resend_all();
-        agent.time_told = 0;
+        agent.proxy_reported_at = 0;
     }
-    if (network_.now() - agent.time_told >= kTicksPerSecond)
+    if (network_.now() - agent.proxy_reported_at >= kTicksPerSecond)
         if (const auto time = agent.usage->time(network_.now())) {
             agent.proxy->update_fleet_time(*time, network_.now());
-            agent.time_told = network_.now();
+            agent.proxy_reported_at = network_.now();
         }
-    agent.untold.clear();
-    agent.told_at = network_.now();
-    hand_to_agent(number, agent.proxy->take(network_.now()));
+    agent.unreported_usage.clear();
+    agent.reported_at = network_.now();
+    report_to_agent(number, agent.proxy->take(network_.now()));
 }
 
-void ControlWorld::hand_to_agent(std::size_t number, std::vector<model::ProcessUsage> counts) {
+void ControlWorld::report_to_agent(std::size_t number, std::vector<model::ProcessUsage> counts) {
     if (counts.empty()) return;
     network_.run_on(agents_[number].machine, [this, number, counts = std::move(counts)] {
         agents_[number].usage->add_counts(counts, network_.now());
@@ -70,7 +70,7 @@
     if (!agents_[number].proxy) return;
     agents_[number].proxy->count_started(tenant, network_.now());
     ++begun_[true_ms() / window_ms()][tenant];
-    ++agents_[number].untold[true_ms() / window_ms()][tenant];
+    ++agents_[number].unreported_usage[true_ms() / window_ms()][tenant];
 }
 
 void ControlWorld::kill_agent(std::size_t number, Ticks down_for) {
@@ -81,16 +81,16 @@
 
 void ControlWorld::kill_proxy(std::size_t number) {
     Agent& agent = agents_[number];
-    if (network_.now() - agent.told_at > kTellInterval)
+    if (network_.now() - agent.reported_at > kUsageReportInterval)
         report_violation("a proxy reported nothing for too long");
-    for (const auto& [window, counts] : agent.untold)
+    for (const auto& [window, counts] : agent.unreported_usage)
         for (const auto& [tenant, count] : counts) lost_[window][tenant] += count;
     agent.proxy.reset();
 }
 
 void ControlWorld::end_proxy(std::size_t number) {
     const auto proxy = std::exchange(agents_[number].proxy, nullptr);
-    hand_to_agent(number, proxy->take(network_.now(), true));
+    report_to_agent(number, proxy->take(network_.now(), true));
 }
 
 std::optional<clock::FleetTime> ControlWorld::proxy_time(std::size_t number) const {
--- a/tests/lab/control_world.cpp
+++ b/tests/lab/control_world.cpp
@@ -302,7 +302,7 @@
     record_event("corrupt state of " + std::to_string(machine));
     lose_disk_of(machine);
     StoredValue& state = network_.disk(machine).values["state"];
-    state.is_spoilt = state.durable.has_value();
+    state.is_corrupt = state.durable.has_value();
     Node& here = nodes_.at(machine);
     here.disk_counts_as_lost = true, here.calm_for = 0;
     ++counts_.disks_lost;
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -133,11 +133,11 @@
         std::set<std::string> known_leaving;      // in this process
         std::unique_ptr<agent::UsageRelay> usage; // of this process
         std::unique_ptr<proxy::UsageMeter> proxy;
-        int proxy_linked_to = -1; // the agent's process that the proxy reported to last
-        Ticks time_told = 0;      // reported to the proxy
+        int proxy_linked_to = -1;    // the agent's process that the proxy reported to last
+        Ticks proxy_reported_at = 0; // reported to the proxy
         // Since its last report.
-        std::map<std::int64_t, std::map<std::string, std::int64_t>> untold;
-        Ticks told_at = 0;
+        std::map<std::int64_t, std::map<std::string, std::int64_t>> unreported_usage;
+        Ticks reported_at = 0;
     };
     struct Server {
         std::string id, address;
@@ -165,7 +165,15 @@
         std::set<std::pair<std::uint64_t, std::int64_t>> taken; // fence, accepted orders
         std::map<MachineNumber, std::uint64_t> fenced_off;      // last rejected fence
     };
-    enum class PlatformMood : std::uint8_t { kQuick, kSlow, kSilent, kBusy, kResets, kFails, kFencesOff };
+    enum class SimulatedPlatformMode : std::uint8_t {
+        kQuick,
+        kSlow,
+        kSilent,
+        kBusy,
+        kResets,
+        kFails,
+        kFencesOff
+    };
     struct PlatformRequest {
         duties::PlatformCall call;
         std::string holder;
@@ -176,7 +184,7 @@
         std::set<std::pair<MachineNumber, int>> under_way; // machine and incarnation of callers
     };
     struct Platform {
-        PlatformMood mood = PlatformMood::kQuick;
+        SimulatedPlatformMode mode = SimulatedPlatformMode::kQuick;
         std::vector<Act> acts;
         std::map<std::int64_t, std::string> reports;       // by window: the first body received
         std::map<std::int64_t, std::int64_t> accepted;     // by window: time, in true ms
@@ -266,7 +274,7 @@
     void act_once(MachineNumber machine);
     std::optional<MachineNumber> duty_holder() const;
     void duties_plan();
-    void move_the_duties();
+    void move_duties();
     void check_duties_calm();
 
     // control_platform.cpp: the platform that receives usage reports
@@ -284,7 +292,7 @@
     void report_ends(MachineNumber machine, const PlatformRequest& request, duties::PlatformOutcome outcome);
     void start_usage();
     void begin_requests();
-    void change_platform_mood();
+    void change_platform_mode();
     void step_a_clock();
     void calm_platform();
     bool all_reported(std::int64_t last) const;
@@ -300,8 +308,8 @@
     std::int64_t time_of_day(MachineNumber machine) const;
     void count_usage(std::size_t agent, feed::Subscriber::Callbacks& callbacks);
     void start_proxy(std::size_t agent);
-    void tell_usage(std::size_t agent);
-    void hand_to_agent(std::size_t agent, std::vector<model::ProcessUsage> counts);
+    void report_usage(std::size_t agent);
+    void report_to_agent(std::size_t agent, std::vector<model::ProcessUsage> counts);
 
     // control_faults.cpp: random faults; control_plans.cpp: planned failures
     void fault();
@@ -315,18 +323,18 @@
     void many_changes_plan();
     void late_answers_plan();
     void early_losses();
-    void records_come_late();
+    void records_arrive_late();
     void members_rejoin_without_records();
-    void leader_goes_while_entries_are_late();
+    void leader_is_lost_while_entries_are_late();
     void hold_entries_from(MachineNumber machine); // for a limited time
     void hold_entries(MachineNumber machine);
     void hold_records_from(const std::set<MachineNumber>& machines);
-    void let_records_go();
+    void release_records();
     void closing_fault();
     bool may_lose_disk() const;
     void lose_a_disk();
     void cut_until(Ticks over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links);
-    void halves(Ticks over);
+    void partition_into_halves(Ticks over);
     void heal();
     void check_calm();
 
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -20,9 +20,10 @@
 
 namespace {
 
-constexpr int kStartPatienceMs = 40'000; // the script's own timeout is shorter
-constexpr Ticks kPatience = 30 * kTicksPerSecond;
-constexpr Ticks kLook = kTicksPerSecond / 50; // for changes that no descriptor reports: logs and processes
+constexpr int kStartTimeoutMs = 40'000; // the script's own timeout is shorter
+constexpr Ticks kConditionTimeout = 30 * kTicksPerSecond;
+constexpr Ticks kPollInterval =
+    kTicksPerSecond / 50; // for changes that no descriptor reports: logs and processes
 constexpr std::string_view kReady = "The fleet is ready; its logs are in ", kLogs = "/logs";
 
 // A different number for each process of a test that runs concurrently.
@@ -81,21 +82,21 @@
 }
 
 void ExampleFleet::await_ready() {
-    std::string said;
-    const Ticks give_up = loop_.now() + kStartPatienceMs * (kTicksPerSecond / 1000);
-    while (said.find(kLogs) == std::string::npos || said.back() != '\n') {
+    std::string output;
+    const Ticks give_up = loop_.now() + kStartTimeoutMs * (kTicksPerSecond / 1000);
+    while (output.find(kLogs) == std::string::npos || output.back() != '\n') {
         pollfd waited{output_, POLLIN, 0};
-        poll(&waited, 1, kStartPatienceMs);
+        poll(&waited, 1, kStartTimeoutMs);
         std::array<char, 1024> bytes{};
         const ssize_t count = waited.revents == 0 ? 0 : read(output_, bytes.data(), bytes.size());
         if (count <= 0 || loop_.now() > give_up)
-            throw std::runtime_error("the fleet did not become ready in time: " + said);
-        said.append(bytes.data(), static_cast<std::size_t>(count));
+            throw std::runtime_error("the fleet did not become ready in time: " + output);
+        output.append(bytes.data(), static_cast<std::size_t>(count));
     }
-    const std::size_t begin = said.find(kReady);
-    if (begin == std::string::npos) throw std::runtime_error("the fleet isn't ready: " + said);
+    const std::size_t begin = output.find(kReady);
+    if (begin == std::string::npos) throw std::runtime_error("the fleet isn't ready: " + output);
     const std::size_t from = begin + kReady.size();
-    folder_ = said.substr(from, said.find(kLogs, from) - from);
+    folder_ = output.substr(from, output.find(kLogs, from) - from);
 }
 
 void ExampleFleet::restart(const std::string& name) {
@@ -157,8 +158,8 @@
 bool ExampleFleet::running(const std::string& name) const {
     // An ended process remains as a zombie (`Z`) until its parent, the script, waits for it.
     const std::string stat = read_file("/proc/" + std::to_string(process(name)) + "/stat");
-    const std::size_t behind_name = stat.rfind(')');
-    return behind_name != std::string::npos && stat.substr(behind_name, 3) != ") Z";
+    const std::size_t position_after_name = stat.rfind(')');
+    return position_after_name != std::string::npos && stat.substr(position_after_name, 3) != ") Z";
 }
 
 std::string ExampleFleet::log(const std::string& name) const { return read_file(folder_ + "/logs/" + name); }
@@ -176,13 +177,13 @@
 }
 
 bool ExampleFleet::until(const std::function<bool()>& holds) {
-    const Ticks give_up = loop_.now() + kPatience;
+    const Ticks give_up = loop_.now() + kConditionTimeout;
     for (;;) {
         for (const auto& client : clients_) client->pass();
-        if (also_pass_) also_pass_();
+        if (call_each_turn_) call_each_turn_();
         if (holds()) return true;
         if (loop_.now() >= give_up) return false;
-        Ticks next = loop_.now() + kLook;
+        Ticks next = loop_.now() + kPollInterval;
         for (const auto& client : clients_) next = std::min(next, client->due().value_or(next));
         loop_.wait(next);
     }
--- a/tests/lab/example_fleet.hpp
+++ b/tests/lab/example_fleet.hpp
@@ -46,7 +46,7 @@
 
     transport::Loop& loop() { return loop_; }
     // Called in each iteration of `until`, for other objects in the loop.
-    void also_pass(std::function<void()> pass) { also_pass_ = std::move(pass); }
+    void call_each_turn(std::function<void()> pass) { call_each_turn_ = std::move(pass); }
     std::string platform() const { return address(41, 8168); }
 
   private:
@@ -59,7 +59,7 @@
     std::string network_, folder_, program_; // the program's path
     pid_t process_ = -1;
     std::vector<pid_t> restarted_; // the children of this process
-    std::function<void()> also_pass_;
+    std::function<void()> call_each_turn_;
     int input_ = -1, output_ = -1;
     std::vector<std::unique_ptr<StreamClient>> clients_;
 };
--- a/tests/lab/heartbeats.cpp
+++ b/tests/lab/heartbeats.cpp
@@ -56,7 +56,7 @@
 void Heartbeats::leave(Ticks now) {
     if (left_at_) return;
     left_at_ = now;
-    leave_by_ = now + plan_.drain_unheard;
+    leave_by_ = now + plan_.drain_unacknowledged;
     next_ = now;
 }
 
@@ -77,7 +77,7 @@
     failures_ = redirects_ = 0;
     ended_ = kind == HeartbeatKind::kLeave;
     if (const std::string named = named_in(body); !named.empty()) named_ = named;
-    if (kind == HeartbeatKind::kDraining && !std::exchange(drain_heard_, true))
+    if (kind == HeartbeatKind::kDraining && !std::exchange(drain_acknowledged_, true))
         leave_by_ = now + plan_.drain + plan_.drain_more;
     // A heartbeat that was in flight when the server was told to leave still said `serving`.
     next_ = kind == HeartbeatKind::kServing && left_at_ ? now : now + plan_.interval;
--- a/tests/lab/heartbeats.hpp
+++ b/tests/lab/heartbeats.hpp
@@ -15,9 +15,9 @@
 struct HeartbeatPlan {
     std::vector<std::string> control; // addresses of nodes that accept heartbeats
     Ticks interval = kTicksPerSecond * 12 / 10;
-    Ticks drain = 2 * kTicksPerSecond;         // keeps serving this long after `draining` was acknowledged
-    Ticks drain_more = kTicksPerSecond / 2;    // plus this margin
-    Ticks drain_unheard = 5 * kTicksPerSecond; // without an acknowledgement it ends after this period
+    Ticks drain = 2 * kTicksPerSecond;      // keeps serving this long after `draining` was acknowledged
+    Ticks drain_more = kTicksPerSecond / 2; // plus this margin
+    Ticks drain_unacknowledged = 5 * kTicksPerSecond; // without an acknowledgement it ends after this period
 };
 
 enum class HeartbeatKind : std::uint8_t { kServing, kDraining, kLeave };
@@ -37,7 +37,7 @@
   public:
     Heartbeats(HeartbeatPlan plan, Ticks now) : plan_(std::move(plan)), next_(now) {}
 
-    // The call to make now, if one is due and none is in flight. Its result must be passed within kPatience.
+    // The call to make now, if one is due and none is in flight. Its result must be passed within kTimeout.
     std::optional<HeartbeatCall> begin(Ticks now);
     void answered(const HeartbeatAnswer& answer, Ticks now);
     void failed(Ticks now); // no answer, or none in time
@@ -46,7 +46,7 @@
     std::optional<Ticks> due() const; // when begin() returns a call, or the server ends
     std::uint64_t acknowledged() const { return acknowledged_; }
 
-    static constexpr Ticks kPatience = kTicksPerSecond;
+    static constexpr Ticks kTimeout = kTicksPerSecond;
     static constexpr std::size_t kMostAnswer = 4096; // bytes; a longer answer acknowledges nothing
 
   private:
@@ -63,7 +63,7 @@
     std::uint64_t sequence_ = 0, acknowledged_ = 0;
     std::optional<HeartbeatKind> under_way_;
     std::optional<Ticks> left_at_, leave_by_;
-    bool drain_heard_ = false, ended_ = false;
+    bool drain_acknowledged_ = false, ended_ = false;
 };
 
 } // namespace ivyrill::lab
--- a/tests/lab/model_server.cpp
+++ b/tests/lab/model_server.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::size_t kMostRead = 64 * 1024, kMostWritten = 8 * 1024 * 1024; // bytes of a connection's rings
-constexpr Ticks kFetchPatience = 2 * kTicksPerSecond;
-constexpr Ticks kClosingPatience = 2 * kTicksPerSecond; // until the caller closes its end
+constexpr Ticks kFetchTimeout = 2 * kTicksPerSecond;
+constexpr Ticks kClosingTimeout = 2 * kTicksPerSecond; // until the caller closes its end
 
 std::string json_text(std::string_view text) {
     std::string out;
@@ -125,7 +125,7 @@
     }
     if (peer.close && !peer.closing_until && peer.stream.unwritten() == 0) {
         peer.stream.finish();
-        peer.closing_until = now + kClosingPatience;
+        peer.closing_until = now + kClosingTimeout;
     }
     if (peer.closing_until) {
         peer.stream.discard();
@@ -188,7 +188,7 @@
 void ModelServer::act(const FetchMemory& action, Ticks now) {
     const std::string line = "GET /kv-handle/" + action.handle + " HTTP/1.1";
     fetches_[action.exchange] = std::make_unique<OutgoingCall>(
-        loop_, action.address, http_message(line, {{"Host", action.address}}, ""), now + kFetchPatience);
+        loop_, action.address, http_message(line, {{"Host", action.address}}, ""), now + kFetchTimeout);
 }
 
 void ModelServer::pass_calls(Ticks now) {
@@ -216,7 +216,7 @@
 void ModelServer::beat(Ticks now) {
     if (const auto call = heartbeats_.begin(now))
         heartbeat_ = std::make_unique<OutgoingCall>(loop_, call->address, registration(*call, now),
-                                                    now + Heartbeats::kPatience);
+                                                    now + Heartbeats::kTimeout);
 }
 
 std::string ModelServer::registration(const HeartbeatCall& call, Ticks now) const {
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -274,7 +274,7 @@
         const auto run = runs_.find(exchange);
         if (run == runs_.end()) continue;
         if (run->second.next && *run->second.next <= at)
-            go_on(run, at);
+            continue_run(run, at);
         else if (run->second.deadline && *run->second.deadline <= at)
             deadline_passed(run, at);
     }
--- a/tests/lab/model_server_core.hpp
+++ b/tests/lab/model_server_core.hpp
@@ -50,13 +50,13 @@
     kSurplusAnswer, // a second complete answer after the first
     kGarbage,       // bytes that are not an answer, then the end
     kAnswerLost,    // the request ran, then the connection is reset
-    kDark,          // the request ran, nothing is ever sent
+    kNoAnswer,      // the request ran, nothing is ever sent
     kSlow,          // all operations take `factor` times as long
     kHandleLapses   // the handle that is created is dropped at once
 };
 
 struct ServerFault {
-    FaultKind kind = FaultKind::kDark;
+    FaultKind kind = FaultKind::kNoAnswer;
     std::string attempt;     // of that Attempt-Id; empty: of the next request
     bool of_prefill = false; // a call with Serving-Stage: prefill, else a generation
     std::int64_t after_events = 0;
@@ -170,7 +170,7 @@
     Runs::iterator next_waiting();
     void start(Runs::iterator run, Ticks now);
     void start_reading(Run& run, Ticks now);
-    void go_on(Runs::iterator run, Ticks now);
+    void continue_run(Runs::iterator run, Ticks now);
     void finish_prefill(Runs::iterator run, Ticks now);
     void stream_event(Runs::iterator run, Ticks now);
     bool fail_as_planted(Runs::iterator run, Ticks now);
--- a/tests/lab/model_server_runs.cpp
+++ b/tests/lab/model_server_runs.cpp
@@ -144,7 +144,7 @@
     begun_.emplace_back(run.head.field("attempt-id"));
 }
 
-void ModelServerCore::go_on(Runs::iterator entry, Ticks now) {
+void ModelServerCore::continue_run(Runs::iterator entry, Ticks now) {
     Run& run = entry->second;
     run.next.reset();
     if (run.phase != Phase::kStreaming) {
@@ -181,7 +181,7 @@
     const ExchangeId exchange = entry->first;
     const bool reached = run.sent >= run.fault->after_events;
     switch (run.fault->kind) {
-    case FaultKind::kDark:
+    case FaultKind::kNoAnswer:
         run.phase = Phase::kSilent;
         run.deadline.reset();
         return true;
@@ -215,7 +215,7 @@
     const ExchangeId exchange = entry->first;
     Run& run = entry->second;
     const bool headless =
-        run.fault && (run.fault->kind == FaultKind::kDark || run.fault->kind == FaultKind::kAnswerLost ||
+        run.fault && (run.fault->kind == FaultKind::kNoAnswer || run.fault->kind == FaultKind::kAnswerLost ||
                       run.fault->kind == FaultKind::kGarbage);
     if (!run.head_sent && !headless) {
         std::string head = status_line(200) + "\r\n";
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMostIn = 1 << 20, kMostOut = 1 << 12; // bytes of a connection
+constexpr std::size_t kInputLimit = 1 << 20, kOutputLimit = 1 << 12; // bytes of a connection
 constexpr std::string_view kUsagePath = "/usage";
 
 std::string peer_of(int descriptor) {
@@ -54,7 +54,7 @@
         auto connection = std::make_unique<Connection>();
         connection->descriptor = descriptor, connection->peer = peer_of(descriptor);
         connection->stream = std::make_unique<transport::Stream>(
-            loop_, descriptor, transport::Stream::Start::kConnected, kMostIn, kMostOut);
+            loop_, descriptor, transport::Stream::Start::kConnected, kInputLimit, kOutputLimit);
         connections_.push_back(std::move(connection));
     }
 }
@@ -71,12 +71,12 @@
 }
 
 void Platform::take(Connection& connection) {
-    connection.is_taken = true, connection.manner = manner_;
+    connection.is_taken = true, connection.mode = mode_;
     const HttpHead& head = connection.reader.head();
     ReceivedCall call;
     call.at = loop_.now(), call.peer = connection.peer;
     call.path = head.target, call.holder = std::string(head.field("duty-holder"));
-    call.body = connection.reader.take_body(), call.manner = manner_;
+    call.body = connection.reader.take_body(), call.mode = mode_;
     call.fence = static_cast<std::uint64_t>(head.number("fence-token").value_or(0));
     const bool is_known = call.path == kUsagePath || call.path == "/scale";
     if (head.method != "POST" || !is_known || call.holder.empty() || call.fence == 0)
@@ -84,31 +84,31 @@
     calls_.push_back(call);
     judge_order(subject_of(call), call);
     if (call.path == kUsagePath) take_report(call);
-    if (manner_ == PlatformManner::kSilent) return;
-    connection.answer_at = loop_.now() + (manner_ == PlatformManner::kSlow ? kSlowAnswer : 0);
+    if (mode_ == PlatformMode::kSilent) return;
+    connection.answer_at = loop_.now() + (mode_ == PlatformMode::kSlow ? kSlowAnswer : 0);
 }
 
 void Platform::answer(Connection& connection) {
     connection.answer_at = 0;
     transport::Stream& stream = *connection.stream;
-    switch (connection.manner) {
-    case PlatformManner::kResets:
+    switch (connection.mode) {
+    case PlatformMode::kResets:
         transport::reset_on_close(connection.descriptor);
         connection.is_over = true;
         return;
-    case PlatformManner::kGarbage:
+    case PlatformMode::kGarbage:
         stream.send("\x01\x02 no answer\r\n\r\n");
         break;
-    case PlatformManner::kHalfAnswer:
+    case PlatformMode::kHalfAnswer:
         stream.send("HTTP/1.1 200 OK\r\nContent-Le");
         break;
-    case PlatformManner::kBusy:
+    case PlatformMode::kBusy:
         stream.send(http_message(status_line(429), {}, ""));
         break;
-    case PlatformManner::kSilent:
+    case PlatformMode::kSilent:
         return;
-    case PlatformManner::kQuick:
-    case PlatformManner::kSlow:
+    case PlatformMode::kQuick:
+    case PlatformMode::kSlow:
         stream.send(http_message(status_line(200), {}, ""));
         break;
     }
@@ -143,10 +143,10 @@
 
 void Platform::take_report(const ReceivedCall& call) {
     const std::int64_t window = protocol::read_json(call.body).at("windowId").as_integer("windowId");
-    const auto [told, is_first] = told_.try_emplace(window, call.body);
-    if (!is_first && told->second != call.body)
+    const auto [received, is_first] = reports_received_.try_emplace(window, call.body);
+    if (!is_first && received->second != call.body)
         violations_.push_back("window " + std::to_string(window) + " with different counts than before");
-    const bool is_taken = call.manner != PlatformManner::kSilent && call.manner != PlatformManner::kBusy;
+    const bool is_taken = call.mode != PlatformMode::kSilent && call.mode != PlatformMode::kBusy;
     if (is_taken) reports_.try_emplace(window, call.body);
 }
 
--- a/tests/lab/platform.hpp
+++ b/tests/lab/platform.hpp
@@ -13,7 +13,7 @@
 
 namespace ivyrill::lab {
 
-enum class PlatformManner : std::uint8_t {
+enum class PlatformMode : std::uint8_t {
     kQuick,
     kSlow,      // accepts a call at once and answers it after kSlowAnswer
     kSilent,    // accepts no call and never answers
@@ -28,7 +28,7 @@
     std::string peer; // IP:PORT, on loopback the same IP for all senders
     std::string path, holder, body;
     std::uint64_t fence = 0;
-    PlatformManner manner = PlatformManner::kQuick; // mood in which the call was handled
+    PlatformMode mode = PlatformMode::kQuick; // mode in which the call was handled
 };
 
 class Platform {
@@ -37,7 +37,7 @@
     Platform(transport::Loop& loop, const std::string& address, Ticks lease);
 
     void pass();
-    void set_manner(PlatformManner manner) { manner_ = manner; }
+    void set_mode(PlatformMode mode) { mode_ = mode; }
 
     const std::vector<ReceivedCall>& calls() const { return calls_; }
     const std::map<std::int64_t, std::string>& reports() const { return reports_; } // accepted, by window
@@ -55,8 +55,8 @@
         int descriptor = -1; // the stream's
         std::string peer;
         bool is_taken = false, is_over = false;
-        PlatformManner manner = PlatformManner::kQuick; // mood in which the call is handled
-        Ticks answer_at = 0;                            // 0: no answer will be sent
+        PlatformMode mode = PlatformMode::kQuick; // mode in which the call is handled
+        Ticks answer_at = 0;                      // 0: no answer will be sent
     };
     struct Act {
         Ticks at = 0;
@@ -75,11 +75,12 @@
     transport::Loop& loop_;
     transport::Source listener_;
     Ticks lease_;
-    PlatformManner manner_ = PlatformManner::kQuick;
+    PlatformMode mode_ = PlatformMode::kQuick;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::vector<ReceivedCall> calls_;
-    std::map<std::int64_t, std::string> told_, reports_; // bodies by window: of all calls, of accepted calls
-    std::map<std::string, std::vector<Act>> acts_;       // by subject
+    std::map<std::int64_t, std::string> reports_received_,
+        reports_;                                  // bodies by window: of all calls, of accepted calls
+    std::map<std::string, std::vector<Act>> acts_; // by subject
     std::vector<std::string> violations_;
 };
 
--- a/tests/lab/reactor_script.hpp
+++ b/tests/lab/reactor_script.hpp
@@ -17,13 +17,13 @@
 
     transport::Reactor reactor; // destroyed last: declare objects that use it after the script
 
-    // Waits until the condition holds; returns false after `patience`, which only a failing test uses up.
-    transport::Async<bool> until(std::function<bool()> holds, Ticks patience = 10 * kTicksPerSecond) {
-        const Ticks give_up = reactor.now() + patience;
+    // Waits until the condition holds; returns false after `timeout`, which only a failing test uses up.
+    transport::Async<bool> until(std::function<bool()> holds, Ticks timeout = 10 * kTicksPerSecond) {
+        const Ticks give_up = reactor.now() + timeout;
         transport::Slot slot(reactor.loop());
         while (!holds()) {
             if (reactor.now() >= give_up) co_return false;
-            const transport::WakeAt timer(reactor, reactor.now() + kLook, slot);
+            const transport::WakeAt timer(reactor, reactor.now() + kPollInterval, slot);
             co_await slot;
         }
         co_return true;
@@ -37,7 +37,7 @@
     }
 
   private:
-    static constexpr Ticks kLook = 10; // 1 ms
+    static constexpr Ticks kPollInterval = 10; // 1 ms
 
     static transport::Task guard(transport::Reactor& reactor, const std::function<Step()>& body,
                                  std::exception_ptr& failure) {
--- a/tests/lab/server_wire.hpp
+++ b/tests/lab/server_wire.hpp
@@ -15,13 +15,13 @@
     return out + letter + rest;
 }
 
-struct PartAsked {
+struct RequestedPart {
     std::string id, query;
 };
 
 // The parts of a call; throws the exceptions of protocol::to_integer if a part is malformed.
-inline std::vector<PartAsked> parts_of(std::string_view call) {
-    std::vector<PartAsked> made;
+inline std::vector<RequestedPart> parts_of(std::string_view call) {
+    std::vector<RequestedPart> made;
     while (!call.empty()) {
         const std::size_t end = call.find('\n');
         const auto words = protocol::split(call.substr(0, end), ' ');
--- a/tests/lab/simulated_network.cpp
+++ b/tests/lab/simulated_network.cpp
@@ -143,7 +143,7 @@
           kind_(std::move(kind)) {}
     Result<Loaded> load() override {
         const StoredValue& value = stored();
-        return Loaded{value.is_spoilt ? value.one_before : value.durable, value.is_spoilt};
+        return Loaded{value.is_corrupt ? value.one_before : value.durable, value.is_corrupt};
     }
     void save(std::string bytes, std::function<void(Result<void>)> done) override {
         jobs_.push_back({std::move(bytes), std::move(done)});
@@ -176,7 +176,7 @@
         const bool is_written = value.writing.has_value();
         if (is_written) {
             value.one_before = std::exchange(value.durable, std::exchange(value.writing, std::nullopt));
-            value.is_spoilt = false;
+            value.is_corrupt = false;
         }
         if (!jobs_.empty()) begin();
         if (is_written)
@@ -301,12 +301,12 @@
 // Each file that was being written is present or not, independently.
 void SimulatedNetwork::power_off(MachineNumber machine) { end_process(machine, false); }
 
-void SimulatedNetwork::end_process(MachineNumber machine, bool tells_others) {
+void SimulatedNetwork::end_process(MachineNumber machine, bool notifies_peers) {
     Machine& here = at(machine);
     if (!here.reactor) return;
     for (const auto& connection : std::exchange(here.connections, {})) {
         const int side = connection->machines[0] == machine ? 0 : 1;
-        if (tells_others) send(connection, side, {PacketKind::kClosed, nullptr});
+        if (notifies_peers) send(connection, side, {PacketKind::kClosed, nullptr});
     }
     ++here.incarnation; // messages that links send on destruction are dropped
     here.close();
@@ -317,7 +317,7 @@
     for (auto& [kind, value] : here.disk.values) {
         if (value.writing && chance(0.5)) {
             value.one_before = std::exchange(value.durable, value.writing);
-            value.is_spoilt = false;
+            value.is_corrupt = false;
         }
         value.writing.reset();
     }
@@ -407,7 +407,7 @@
     travel(connection, side, std::move(packet), now_ + delay(), true);
 }
 
-void SimulatedNetwork::let_go() {
+void SimulatedNetwork::release() {
     for (const auto& send : std::exchange(held_, {})) send();
 }
 
@@ -453,7 +453,7 @@
         return run_on(to, [this, connection] { open_at(connection); });
     }
     if (connection->incarnations[there] != incarnation(to)) return reset(connection, side);
-    run_on(to, [this, connection, side, packet] { hand_over(connection, side, packet); });
+    run_on(to, [this, connection, side, packet] { deliver_message(connection, side, packet); });
 }
 
 // The receiver does not know the connection: the sender gets a reset.
@@ -482,8 +482,8 @@
         });
 }
 
-void SimulatedNetwork::hand_over(const std::shared_ptr<Connection>& connection, int side,
-                                 const Packet& packet) {
+void SimulatedNetwork::deliver_message(const std::shared_ptr<Connection>& connection, int side,
+                                       const Packet& packet) {
     const auto there = static_cast<std::size_t>(1 - side);
     SimulatedLink* link = connection->links[there];
     if (link == nullptr) return;
--- a/tests/lab/simulated_network.hpp
+++ b/tests/lab/simulated_network.hpp
@@ -32,7 +32,7 @@
 struct StoredValue {
     std::optional<std::string> durable, one_before;
     std::optional<std::string> writing; // not yet durable
-    bool is_spoilt = false;             // the newest file is unreadable
+    bool is_corrupt = false;            // the newest file is unreadable
 };
 
 struct SimulatedDisk {
@@ -80,7 +80,7 @@
     Ticks& most_delay() { return most_delay_; }
     // Holds back the messages that a test selects, until they are released.
     std::function<bool(MachineNumber from, MachineNumber to, const feed::Message&)> held_back;
-    void let_go();
+    void release();
     // Called with each message of a link just before delivery.
     std::function<void(MachineNumber from, MachineNumber to, const feed::Message&)> watched;
 
@@ -113,7 +113,7 @@
     Machine& at(MachineNumber machine) { return *machines_[static_cast<std::size_t>(machine)]; }
     const Machine& at(MachineNumber machine) const { return *machines_[static_cast<std::size_t>(machine)]; }
     bool step(Ticks until);
-    void end_process(MachineNumber machine, bool tells_others);
+    void end_process(MachineNumber machine, bool notifies_peers);
     void turn(MachineNumber machine, const std::function<void()>& act);
     void plan_wake(MachineNumber machine);
     std::optional<MachineNumber> machine_at(const std::string& address) const;
@@ -128,7 +128,7 @@
     void receive(const std::shared_ptr<Connection>& connection, int side, const Packet& packet);
     void reset(const std::shared_ptr<Connection>& connection, int side);
     void open_at(const std::shared_ptr<Connection>& connection);
-    void hand_over(const std::shared_ptr<Connection>& connection, int side, const Packet& packet);
+    void deliver_message(const std::shared_ptr<Connection>& connection, int side, const Packet& packet);
     bool is_peer_connection(const Connection& connection) const;
 
     Pcg random_;
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -110,25 +110,26 @@
     folder_ = folder;
     for (const char* name : {"logs", "settings", "data"}) fs::create_directory(folder_ + "/" + name);
     for (int i = 1; i <= size.controls; ++i) {
-        places_[{SoakRole::kControl, i}];
+        process_states_[{SoakRole::kControl, i}];
         fs::create_directory(folder_ + "/data/control-" + std::to_string(i));
     }
-    for (int i = 1; i <= size.edges; ++i) places_[{SoakRole::kAgent, i}], places_[{SoakRole::kProxy, i}];
+    for (int i = 1; i <= size.edges; ++i)
+        process_states_[{SoakRole::kAgent, i}], process_states_[{SoakRole::kProxy, i}];
     for (int i = 1; i <= size.servers; ++i) {
-        Place& place = places_[{SoakRole::kServer, i}];
+        ProcessState& process_state = process_states_[{SoakRole::kServer, i}];
         const int kind = i % 7; // two prefill and three decode servers, two servers of the other service
-        place.stage = kind == 1 || kind == 2 ? "prefill" : "decode";
-        place.service = kind == 5 || kind == 6 ? kSoakOther : kSoakModel;
+        process_state.stage = kind == 1 || kind == 2 ? "prefill" : "decode";
+        process_state.service = kind == 5 || kind == 6 ? kSoakOther : kSoakModel;
     }
-    for (auto& [process, place] : places_)
-        place.zone = kZones[static_cast<std::size_t>(process.number - 1) % kZones.size()];
+    for (auto& [process, process_state] : process_states_)
+        process_state.zone = kZones[static_cast<std::size_t>(process.number - 1) % kZones.size()];
 }
 
 SoakFleet::~SoakFleet() {
-    for (auto& [process, place] : places_)
-        if (place.process > 0) kill(place.process, SIGKILL);
-    for (auto& [process, place] : places_)
-        if (place.process > 0) waitpid(place.process, nullptr, 0);
+    for (auto& [process, process_state] : process_states_)
+        if (process_state.process > 0) kill(process_state.process, SIGKILL);
+    for (auto& [process, process_state] : process_states_)
+        if (process_state.process > 0) waitpid(process_state.process, nullptr, 0);
 }
 
 void SoakFleet::remove_folder() const {
@@ -145,18 +146,19 @@
 
 std::vector<SoakProcess> SoakFleet::all() const {
     std::vector<SoakProcess> processes;
-    for (const auto& [process, place] : places_) processes.push_back(process);
+    for (const auto& [process, process_state] : process_states_) processes.push_back(process);
     return processes;
 }
 
-bool SoakFleet::running(SoakProcess process) const { return places_.at(process).process > 0; }
+bool SoakFleet::running(SoakProcess process) const { return process_states_.at(process).process > 0; }
 
 bool SoakFleet::running_undisturbed(SoakProcess process) const {
-    const Place& place = places_.at(process);
-    return place.process > 0 && !place.stopped && place.terminated_at == kNever && !place.killed;
+    const ProcessState& process_state = process_states_.at(process);
+    return process_state.process > 0 && !process_state.stopped && process_state.terminated_at == kNever &&
+           !process_state.killed;
 }
 
-int SoakFleet::incarnation(SoakProcess process) const { return places_.at(process).incarnation; }
+int SoakFleet::incarnation(SoakProcess process) const { return process_states_.at(process).incarnation; }
 
 void SoakFleet::fail(const std::string& what) {
     record_event_("FAILURE " + what);
@@ -169,7 +171,7 @@
     return folder_ + "/settings/" + name_of(process) + ".yaml";
 }
 
-void SoakFleet::write_settings(SoakProcess process, const Place& place, bool broken) const {
+void SoakFleet::write_settings(SoakProcess process, const ProcessState& process_state, bool broken) const {
     const char* const role = process.role == SoakRole::kControl ? "control"
                              : process.role == SoakRole::kAgent ? "agent"
                                                                 : "proxy";
@@ -177,14 +179,14 @@
     const std::string host = address(process, 0), ip = host.substr(0, host.find(':'));
     std::string seeds;
     for (int i = 0; i < size_.controls; ++i)
-        seeds += "  - " + quoted(control(1 + (i + place.seed_rotation) % size_.controls)) + "\n";
+        seeds += "  - " + quoted(control(1 + (i + process_state.seed_rotation) % size_.controls)) + "\n";
     const std::size_t from = text.find("seedNodes:\n") + std::string("seedNodes:\n").size();
     text.replace(from, text.find("firstStart:") - from, seeds);
     const std::size_t own_ip = text.find("\nip: \"") + 6;
     replace_all(text, text.substr(own_ip, text.find('"', own_ip) - own_ip), ip);
     set_line(text, "nodeName:", quoted(name_of(process)));
-    set_line(text, "\nzone:", quoted(place.zone));
-    set_line(text, "firstStart:", place.incarnation <= 1 ? "true" : "false");
+    set_line(text, "\nzone:", quoted(process_state.zone));
+    set_line(text, "firstStart:", process_state.incarnation <= 1 ? "true" : "false");
     set_line(text, "\n  machines:", std::to_string((size_.controls - 1) / 2));
     if (process.role == SoakRole::kControl)
         set_line(text, "dataDir:", quoted(folder_ + "/data/" + name_of(process)));
@@ -195,7 +197,7 @@
 
 // ---- processes
 
-std::vector<std::string> SoakFleet::command(SoakProcess process, const Place& place) const {
+std::vector<std::string> SoakFleet::command(SoakProcess process, const ProcessState& process_state) const {
     if (process.role == SoakRole::kControl) return {programs_.fleet, "control"};
     if (process.role == SoakRole::kAgent) return {programs_.fleet, "agent"};
     if (process.role == SoakRole::kProxy) return {programs_.fleet, "proxy"};
@@ -205,18 +207,18 @@
         control_nodes += (control_nodes.empty() ? "" : ",") + control(number);
     }
     const std::string id = "i-" + hexadecimal(static_cast<std::uint64_t>(process.number), 4) +
-                           hexadecimal(static_cast<std::uint64_t>(place.incarnation), 4);
+                           hexadecimal(static_cast<std::uint64_t>(process_state.incarnation), 4);
     return {programs_.model_server,
             "--listen",
             address(process, kServerPort),
             "--id",
             id,
             "--service",
-            place.service,
+            process_state.service,
             "--zone",
-            place.zone,
+            process_state.zone,
             "--stage",
-            place.stage,
+            process_state.stage,
             "--control",
             control_nodes,
             "--model",
@@ -230,122 +232,130 @@
 }
 
 void SoakFleet::start(SoakProcess process, Ticks now) {
-    Place& place = places_.at(process);
-    ++place.incarnation;
-    place.log = folder_ + "/logs/" + name_of(process) + "." + std::to_string(place.incarnation);
-    logs_.push_back({place.log, process, place.service});
-    if (process.role != SoakRole::kServer) write_settings(process, place, false);
-    place.process = spawn(command(process, place), settings_path(process), place.log);
-    if (place.process < 0) throw std::runtime_error("cannot start " + name_of(process));
-    place.stopped = place.killed = place.start_other = false;
-    place.terminated_at = kNever;
-    end_fault(place, now);
-    record_event_("started " + name_of(process) + " as process " + std::to_string(place.process) +
-                  (place.service.empty() ? "" : " of " + place.service));
+    ProcessState& process_state = process_states_.at(process);
+    ++process_state.incarnation;
+    process_state.log =
+        folder_ + "/logs/" + name_of(process) + "." + std::to_string(process_state.incarnation);
+    logs_.push_back({process_state.log, process, process_state.service});
+    if (process.role != SoakRole::kServer) write_settings(process, process_state, false);
+    process_state.process = spawn(command(process, process_state), settings_path(process), process_state.log);
+    if (process_state.process < 0) throw std::runtime_error("cannot start " + name_of(process));
+    process_state.stopped = process_state.killed = process_state.start_other = false;
+    process_state.terminated_at = kNever;
+    end_fault(process_state, now);
+    record_event_("started " + name_of(process) + " as process " + std::to_string(process_state.process) +
+                  (process_state.service.empty() ? "" : " of " + process_state.service));
 }
 
 void SoakFleet::start_all(Ticks now) {
     for (const SoakProcess process : all()) start(process, now);
 }
 
-void SoakFleet::send(SoakProcess process, Place& place, int signal) {
+void SoakFleet::send(SoakProcess process, ProcessState& process_state, int signal) {
     record_event_(std::string("SIG") + sigabbrev_np(signal) + " to " + name_of(process));
-    kill(place.process, signal);
+    kill(process_state.process, signal);
 }
 
-void SoakFleet::begin_fault(SoakProcess process, Place& place, FaultInterval::What what, Ticks now) {
+void SoakFleet::begin_fault(SoakProcess process, ProcessState& process_state, FaultInterval::What what,
+                            Ticks now) {
     // A second fault of a process that is already faulty is recorded separately; both end together.
     fault_intervals_.push_back({what, process, now, kNever});
-    place.fault = fault_intervals_.size();
+    process_state.fault = fault_intervals_.size();
 }
 
-void SoakFleet::end_fault(Place& place, Ticks now) {
-    if (place.fault == 0) return;
-    const SoakProcess process = fault_intervals_[place.fault - 1].process;
+void SoakFleet::end_fault(ProcessState& process_state, Ticks now) {
+    if (process_state.fault == 0) return;
+    const SoakProcess process = fault_intervals_[process_state.fault - 1].process;
     for (FaultInterval& fault : fault_intervals_)
         if (fault.process == process && fault.until == kNever) fault.until = now;
-    place.fault = 0;
+    process_state.fault = 0;
 }
 
 void SoakFleet::act(const SoakStep& step, Ticks now) {
-    Place& place = places_.at(step.process);
-    const bool is_up = place.process > 0;
+    ProcessState& process_state = process_states_.at(step.process);
+    const bool is_up = process_state.process > 0;
     switch (step.act) {
     case SoakAct::kTerminate:
-        if (!is_up || place.terminated_at != kNever) return;
-        place.terminated_at = now, place.wanted = false;
-        begin_fault(step.process, place, FaultInterval::What::kTerminated, now);
-        return send(step.process, place, SIGTERM);
+        if (!is_up || process_state.terminated_at != kNever) return;
+        process_state.terminated_at = now, process_state.wanted = false;
+        begin_fault(step.process, process_state, FaultInterval::What::kTerminated, now);
+        return send(step.process, process_state, SIGTERM);
     case SoakAct::kKill:
         if (!is_up) return;
-        place.killed = true, place.wanted = false;
-        begin_fault(step.process, place, FaultInterval::What::kKilled, now);
-        return send(step.process, place, SIGKILL);
+        process_state.killed = true, process_state.wanted = false;
+        begin_fault(step.process, process_state, FaultInterval::What::kKilled, now);
+        return send(step.process, process_state, SIGKILL);
     case SoakAct::kStop:
-        if (!is_up || place.stopped) return;
-        place.stopped = true;
-        begin_fault(step.process, place, FaultInterval::What::kStopped, now);
-        return send(step.process, place, SIGSTOP);
+        if (!is_up || process_state.stopped) return;
+        process_state.stopped = true;
+        begin_fault(step.process, process_state, FaultInterval::What::kStopped, now);
+        return send(step.process, process_state, SIGSTOP);
     case SoakAct::kContinue:
-        if (!is_up || !place.stopped) return;
-        place.stopped = false;
-        if (place.terminated_at != kNever) place.terminated_at = now; // SIGTERM takes effect only now
-        if (place.terminated_at == kNever) end_fault(place, now);
-        return send(step.process, place, SIGCONT);
+        if (!is_up || !process_state.stopped) return;
+        process_state.stopped = false;
+        if (process_state.terminated_at != kNever)
+            process_state.terminated_at = now; // SIGTERM takes effect only now
+        if (process_state.terminated_at == kNever) end_fault(process_state, now);
+        return send(step.process, process_state, SIGCONT);
     case SoakAct::kHangup:
     case SoakAct::kHangupBroken:
-        if (!is_up || step.process.role == SoakRole::kServer || !handles_sighup(place.process)) return;
-        ++place.seed_rotation;
-        write_settings(step.process, place, step.act == SoakAct::kHangupBroken);
-        return send(step.process, place, SIGHUP);
+        if (!is_up || step.process.role == SoakRole::kServer || !handles_sighup(process_state.process))
+            return;
+        ++process_state.seed_rotation;
+        write_settings(step.process, process_state, step.act == SoakAct::kHangupBroken);
+        return send(step.process, process_state, SIGHUP);
     case SoakAct::kStartOther:
-        place.start_other = true;
+        process_state.start_other = true;
         [[fallthrough]];
     case SoakAct::kStart:
-        place.wanted = true;
+        process_state.wanted = true;
         return;
     default:
         throw std::logic_error("operator steps are not handled by SoakFleet");
     }
 }
 
-void SoakFleet::ended(SoakProcess process, Place& place, int status, Ticks now) {
-    const bool was_terminated = place.terminated_at != kNever;
+void SoakFleet::ended(SoakProcess process, ProcessState& process_state, int status, Ticks now) {
+    const bool was_terminated = process_state.terminated_at != kNever;
     const std::string how = WIFEXITED(status) ? "status " + std::to_string(WEXITSTATUS(status))
                                               : std::string("SIG") + sigabbrev_np(WTERMSIG(status));
-    place.process = -1;
+    process_state.process = -1;
     record_event_(name_of(process) + " has ended: " + how);
     // A process that gets SIGTERM before it has installed its handler is ended by the signal.
     const bool early = WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM;
-    const bool by_plan =
-        place.killed || (was_terminated && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
-    if (!by_plan) fail("ENDED: " + name_of(process) + " exited unexpectedly: " + how + ", log " + place.log);
-    if (!was_terminated && !place.killed) begin_fault(process, place, FaultInterval::What::kKilled, now);
+    const bool by_plan = process_state.killed ||
+                         (was_terminated && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
+    if (!by_plan)
+        fail("ENDED: " + name_of(process) + " exited unexpectedly: " + how + ", log " + process_state.log);
+    if (!was_terminated && !process_state.killed)
+        begin_fault(process, process_state, FaultInterval::What::kKilled, now);
 }
 
 void SoakFleet::pass(Ticks now) {
-    for (auto& [process, place] : places_) {
+    for (auto& [process, process_state] : process_states_) {
         int status = 0;
-        if (place.process > 0 && waitpid(place.process, &status, WNOHANG) == place.process)
-            ended(process, place, status, now);
-        const bool outlasts = place.process > 0 && place.terminated_at != kNever && !place.stopped &&
-                              !place.killed && now > place.terminated_at + kGrace + kGraceSlack;
+        if (process_state.process > 0 &&
+            waitpid(process_state.process, &status, WNOHANG) == process_state.process)
+            ended(process, process_state, status, now);
+        const bool outlasts = process_state.process > 0 && process_state.terminated_at != kNever &&
+                              !process_state.stopped && !process_state.killed &&
+                              now > process_state.terminated_at + kGrace + kGraceSlack;
         if (outlasts) {
             fail("GRACE: " + name_of(process) + " is still running after its grace period");
-            place.killed = true;
-            send(process, place, SIGKILL);
+            process_state.killed = true;
+            send(process, process_state, SIGKILL);
         }
-        if (place.process > 0 || !place.wanted || ending_) continue;
-        if (place.start_other && process.number % 7 == 0)
-            place.service = place.service == kSoakModel ? kSoakOther : kSoakModel;
+        if (process_state.process > 0 || !process_state.wanted || ending_) continue;
+        if (process_state.start_other && process.number % 7 == 0)
+            process_state.service = process_state.service == kSoakModel ? kSoakOther : kSoakModel;
         start(process, now);
     }
 }
 
 void SoakFleet::settle(Ticks now) {
-    for (auto& [process, place] : places_) {
+    for (auto& [process, process_state] : process_states_) {
         act({0, SoakAct::kContinue, process}, now);
-        place.wanted = true, place.start_other = false;
+        process_state.wanted = true, process_state.start_other = false;
     }
 }
 
@@ -358,13 +368,13 @@
 }
 
 bool SoakFleet::all_ended() const {
-    return std::ranges::all_of(places_, [](const auto& entry) { return entry.second.process < 0; });
+    return std::ranges::all_of(process_states_, [](const auto& entry) { return entry.second.process < 0; });
 }
 
-SoakUse SoakFleet::use(SoakProcess process) const {
-    const std::string folder = "/proc/" + std::to_string(places_.at(process).process);
+ResourceUsage SoakFleet::use(SoakProcess process) const {
+    const std::string folder = "/proc/" + std::to_string(process_states_.at(process).process);
     const std::string status = read_file(folder + "/status");
-    SoakUse use;
+    ResourceUsage use;
     const std::size_t at = status.find("VmRSS:");
     if (at != std::string::npos) use.resident_kib = std::stoll(status.substr(at + 6));
     std::error_code ignored;
--- a/tests/lab/soak_fleet.hpp
+++ b/tests/lab/soak_fleet.hpp
@@ -17,7 +17,7 @@
     std::string settings;            // the folder of examples/fleet/settings
 };
 
-struct SoakUse { // of one process
+struct ResourceUsage { // of one process
     std::int64_t resident_kib = 0, descriptors = 0;
 };
 
@@ -45,7 +45,7 @@
     bool all_ended() const;
     bool running(SoakProcess process) const;
     bool running_undisturbed(SoakProcess process) const; // neither stopped nor told to stop
-    SoakUse use(SoakProcess process) const;
+    ResourceUsage use(SoakProcess process) const;
     int incarnation(SoakProcess process) const;
 
     // Reads the logs: calls and runs at the servers, sanitizer reports.
@@ -56,7 +56,7 @@
     void remove_folder() const;
 
   private:
-    struct Place {
+    struct ProcessState {
         pid_t process = -1; // below 0: not running
         int incarnation = 0;
         std::string log;
@@ -74,20 +74,20 @@
     };
 
     void start(SoakProcess process, Ticks now);
-    std::vector<std::string> command(SoakProcess process, const Place& place) const;
-    void write_settings(SoakProcess process, const Place& place, bool broken) const;
+    std::vector<std::string> command(SoakProcess process, const ProcessState& process_state) const;
+    void write_settings(SoakProcess process, const ProcessState& process_state, bool broken) const;
     std::string settings_path(SoakProcess process) const;
-    void send(SoakProcess process, Place& place, int signal);
-    void ended(SoakProcess process, Place& place, int status, Ticks now);
-    void begin_fault(SoakProcess process, Place& place, FaultInterval::What what, Ticks now);
-    void end_fault(Place& place, Ticks now);
+    void send(SoakProcess process, ProcessState& process_state, int signal);
+    void ended(SoakProcess process, ProcessState& process_state, int status, Ticks now);
+    void begin_fault(SoakProcess process, ProcessState& process_state, FaultInterval::What what, Ticks now);
+    void end_fault(ProcessState& process_state, Ticks now);
     void fail(const std::string& what);
 
     SoakPrograms programs_;
     SoakSize size_;
     std::function<void(const std::string&)> record_event_;
     std::string folder_, network_;
-    std::map<SoakProcess, Place> places_;
+    std::map<SoakProcess, ProcessState> process_states_;
     std::vector<FaultInterval> fault_intervals_;
     std::vector<Log> logs_;
     std::vector<std::string> failures_;
--- a/tests/lab/soak_judge.cpp
+++ b/tests/lab/soak_judge.cpp
@@ -23,17 +23,17 @@
             judge_end(attempt);
         }
         for (const SoakCall& call : record_.calls) judge_call(call);
-        return std::move(wrong_);
+        return std::move(violations_);
     }
 
   private:
     using What = FaultInterval::What;
 
     void fail(const SoakAttempt& attempt, const std::string& what) {
-        wrong_.push_back(what + ": attempt " + attempt.id + " at proxy-" + std::to_string(attempt.front) +
-                         " " + attempt.prefix + " key=" + attempt.key + " status " +
-                         std::to_string(attempt.status) + " sent " + seconds(attempt.sent_at) + " ended " +
-                         seconds(attempt.ended_at) + servers_of(attempt));
+        violations_.push_back(
+            what + ": attempt " + attempt.id + " at proxy-" + std::to_string(attempt.front) + " " +
+            attempt.prefix + " key=" + attempt.key + " status " + std::to_string(attempt.status) + " sent " +
+            seconds(attempt.sent_at) + " ended " + seconds(attempt.ended_at) + servers_of(attempt));
     }
     static std::string seconds(Ticks at) { return std::to_string(at / 10) + " ms"; }
     std::string servers_of(const SoakAttempt& attempt) const {
@@ -71,27 +71,27 @@
 
     // ---- configuration
 
-    bool troubled(SoakProcess process, Ticks from, Ticks until) const {
+    bool was_faulty(SoakProcess process, Ticks from, Ticks until) const {
         return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
             return fault.process == process && fault.from <= until && fault.until >= from;
         });
     }
-    bool core_troubled(Ticks from, Ticks until) const {
+    bool control_group_is_faulty(Ticks from, Ticks until) const {
         return std::ranges::any_of(record_.fault_intervals, [&](const FaultInterval& fault) {
             return fault.process.role == SoakRole::kControl && fault.from <= until && fault.until >= from;
         });
     }
     bool in_touch(int front, Ticks at) const {
         const Ticks from = at - bounds_.in_touch;
-        return !troubled({SoakRole::kProxy, front}, from, at) &&
-               !troubled({SoakRole::kAgent, front}, from, at);
+        return !was_faulty({SoakRole::kProxy, front}, from, at) &&
+               !was_faulty({SoakRole::kAgent, front}, from, at);
     }
 
     // The oldest version that the front node may use at that time.
     std::int64_t oldest(int front, Ticks at) const {
         std::int64_t number = 0;
         if (!in_touch(front, at)) return number;
-        const bool stretched = core_troubled(at - bounds_.in_touch, at);
+        const bool stretched = control_group_is_faulty(at - bounds_.in_touch, at);
         const Ticks span = bounds_.config_apply + (stretched ? bounds_.core_stretch : 0);
         for (const SoakVersion& version : record_.versions)
             if (version.acknowledged_at != kNever && version.acknowledged_at + span < at)
@@ -129,8 +129,8 @@
     void judge_call(const SoakCall& call) {
         const auto found = attempts_.find(call.attempt);
         if (found == attempts_.end()) {
-            wrong_.push_back("UNASKED: " + call.server + " got attempt " + call.attempt +
-                             " that no client sent");
+            violations_.push_back("UNASKED: " + call.server + " got attempt " + call.attempt +
+                                  " that no client sent");
             return;
         }
         const SoakAttempt& a = *found->second;
@@ -164,8 +164,8 @@
         const auto found = calls_.find(a.id);
         if (found == calls_.end()) return false;
         return std::ranges::any_of(found->second, [&](const SoakCall* call) {
-            return troubled({SoakRole::kServer, call->server_number}, a.sent_at - bounds_.in_touch,
-                            a.ended_at + kNoticed);
+            return was_faulty({SoakRole::kServer, call->server_number}, a.sent_at - bounds_.in_touch,
+                              a.ended_at + kNoticed);
         });
     }
     bool any_server_failed(const SoakAttempt& a) const {
@@ -212,7 +212,7 @@
     SoakBounds bounds_;
     std::map<std::string, std::vector<const SoakCall*>> calls_;
     std::map<std::string, const SoakAttempt*> attempts_;
-    std::vector<std::string> wrong_;
+    std::vector<std::string> violations_;
 };
 
 } // namespace
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Ticks kMs = kTicksPerSecond / 1000;
-constexpr Ticks kLook = 5 * kMs;        // for what no descriptor reports: processes and the next step
-constexpr Ticks kLeastPause = 50 * kMs; // minimum delay that is recorded
-constexpr Ticks kStartPatience = 40 * kTicksPerSecond;
-constexpr Ticks kCallPatience = kTicksPerSecond; // timeout of the operator for a node that does not answer
-constexpr Ticks kCallPause = 200 * kMs;          // before the operator calls the next node
-constexpr Ticks kSurplusWait = 2 * kMs;          // extra bytes after an answer arrive together with it
-constexpr Ticks kConnectPatience = 200 * kMs; // timeout for a connection, then the client tries another node
-constexpr Ticks kGiveUp = kTicksPerSecond;    // after the deadline
+constexpr Ticks kPollInterval = 5 * kMs; // for what no descriptor reports: processes and the next step
+constexpr Ticks kLeastPause = 50 * kMs;  // minimum delay that is recorded
+constexpr Ticks kStartTimeout = 40 * kTicksPerSecond;
+constexpr Ticks kCallTimeout = kTicksPerSecond; // timeout of the operator for a node that does not answer
+constexpr Ticks kCallPause = 200 * kMs;         // before the operator calls the next node
+constexpr Ticks kSurplusWait = 2 * kMs;         // extra bytes after an answer arrive together with it
+constexpr Ticks kConnectTimeout = 200 * kMs; // timeout for a connection, then the client tries another node
+constexpr Ticks kGiveUp = kTicksPerSecond;   // after the deadline
 constexpr std::int64_t kLeastDeadlineMs = 4000, kMostDeadlineMs = 9000;
 
 ClientRequest get(const std::string& target) {
@@ -46,7 +46,7 @@
     std::string address;
     bool was_up = false, waits = false;
     Ticks next_at = 0, opened_at = 0, over_at = kNever;
-    Ticks held_up = 0; // delay of the soak until the request was sent
+    Ticks soak_delay = 0; // delay of the soak until the request was sent
     SoakAttempt attempt;
     std::string expected;
     std::int64_t draw(std::int64_t most) {
@@ -55,7 +55,7 @@
 };
 
 SoakRun::SoakRun(const SoakOptions& options)
-    : options_(options), began_(loop_.now()), looked_at_(began_),
+    : options_(options), began_(loop_.now()), checked_at_(began_),
       random_(mix(options.seed, hash_text("run"))), changes_(options.seed),
       fleet_(options.programs, options.size, [this](const std::string& what) { record_event(what); }) {
     for (int i = 0; i < options.clients; ++i) {
@@ -82,8 +82,8 @@
     }
     end();
     fleet_.collect(record_);
-    result_.wrong = record_.seen;
-    for (const std::string& what : judge(record_, SoakBounds{})) result_.wrong.push_back(what);
+    result_.violations = record_.seen;
+    for (const std::string& what : judge(record_, SoakBounds{})) result_.violations.push_back(what);
     for (const SoakAttempt& attempt : record_.attempts) {
         ++result_.attempts;
         if (attempt.end != AnswerEnd::kComplete)
@@ -97,8 +97,8 @@
         result_.acknowledged += version.acknowledged_at == kNever ? 0 : 1;
     for (const SoakProcess process : fleet_.all())
         result_.starts += static_cast<std::uint64_t>(fleet_.incarnation(process));
-    result_.held_up = held_up_;
-    if (result_.wrong.empty() && !options_.keep)
+    result_.soak_delay = soak_delay_;
+    if (result_.violations.empty() && !options_.keep)
         fleet_.remove_folder();
     else
         result_.folder = fleet_.folder(), result_.trace = trace_;
@@ -108,26 +108,26 @@
 // ---- the loop
 
 void SoakRun::note_pause() {
-    const Ticks now = loop_.now(), due = looked_at_ + kLook;
+    const Ticks now = loop_.now(), due = checked_at_ + kPollInterval;
     if (now > due + kLeastPause) {
         record_event("the soak was delayed for " + std::to_string((now - due) / kMs) + " ms");
         record_.pauses.push_back({due, now});
-        held_up_ += now - due;
+        soak_delay_ += now - due;
     }
-    looked_at_ = now;
+    checked_at_ = now;
 }
 
 void SoakRun::pass() {
     fleet_.pass(loop_.now());
     pass_operators();
     note_pause();
-    loop_.wait(loop_.now() + kLook); // clients judge lateness by what has arrived until now
+    loop_.wait(loop_.now() + kPollInterval); // clients judge lateness by what has arrived until now
     note_pause();
     pass_clients();
 }
 
-bool SoakRun::until(const std::function<bool()>& holds, Ticks patience) {
-    const Ticks give_up = loop_.now() + patience;
+bool SoakRun::until(const std::function<bool()>& holds, Ticks timeout) {
+    const Ticks give_up = loop_.now() + timeout;
     while (!holds()) {
         if (loop_.now() >= give_up) return false;
         pass();
@@ -136,11 +136,11 @@
 }
 
 // One request on a separate connection, which is closed on timeout.
-const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks patience) {
+const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks timeout) {
     asked_ = std::make_unique<StreamClient>(loop_, address);
     StreamClient& client = *asked_;
     client.send(request);
-    until([&] { return client.pass(), client.over(); }, patience);
+    until([&] { return client.pass(), client.over(); }, timeout);
     client.close();
     return client.answer();
 }
@@ -150,17 +150,17 @@
 bool SoakRun::start() {
     fleet_.start_all(loop_.now());
     open_operator(changes_.first(), 0, true);
-    const bool configured = until([&] { return operators_.empty(); }, kStartPatience);
+    const bool configured = until([&] { return operators_.empty(); }, kStartTimeout);
     const bool served = configured && until(
                                           [&] {
                                               for (int i = 1; i <= options_.size.edges; ++i)
                                                   if (!serves(i, "/open/", "", 200)) return false;
                                               return true;
                                           },
-                                          kStartPatience);
+                                          kStartTimeout);
     if (!served) fail("START: the fleet did not become ready in time");
     for (const SoakProcess process : fleet_.all()) {
-        first_use_[process] = fleet_.use(process);
+        first_usage_[process] = fleet_.use(process);
         first_incarnation_[process] = fleet_.incarnation(process);
     }
     record_event("the fleet is ready");
@@ -171,9 +171,9 @@
     clients_send_ = true;
     const std::vector<SoakStep> steps = draw_soak(options_.seed, options_.size);
     // If the machine delays a step, all later steps are shifted: the intervals between them stay.
-    const Ticks began = loop_.now() - held_up_;
+    const Ticks began = loop_.now() - soak_delay_;
     const auto pass_until = [&](Ticks at) {
-        while (loop_.now() < began + held_up_ + at) pass();
+        while (loop_.now() < began + soak_delay_ + at) pass();
     };
     for (const SoakStep& step : steps) {
         pass_until(step.at);
@@ -213,7 +213,7 @@
     for (int i = 1; i <= options_.size.controls; ++i) check_read_back(i);
     for (const auto& client : clients_) client->connection.reset();
     asked_.reset();
-    check_use();
+    check_resource_usage();
 }
 
 bool SoakRun::serves(int front, const std::string& prefix, const std::string& key, int wanted) {
@@ -251,7 +251,7 @@
                             std::to_string(record_.attempts.back().status));
     };
     for (int front = 1; front <= options_.size.edges; ++front) {
-        if (!until([&] { return ask(fleet_.ready(front), get("/ready"), kCallPatience).head.status == 200; },
+        if (!until([&] { return ask(fleet_.ready(front), get("/ready"), kCallTimeout).head.status == 200; },
                    SoakBounds{}.recovery))
             fail("REST: proxy-" + std::to_string(front) + " isn't ready");
         for (const SoakRoute& route : version.routes) by_then(front, route.prefix, key, 200);
@@ -262,33 +262,33 @@
 
 void SoakRun::check_read_back(int control) {
     const SoakVersion& version = newest();
-    const bool same = until(
-        [&] { return ask(fleet_.control(control), get("/config"), kCallPatience).body == version.body; },
-        SoakBounds{}.in_touch);
+    const bool same =
+        until([&] { return ask(fleet_.control(control), get("/config"), kCallTimeout).body == version.body; },
+              SoakBounds{}.in_touch);
     if (!same)
         fail("LOST: control-" + std::to_string(control) + " doesn't report version " +
              std::to_string(version.number) + ", which was acknowledged");
 }
 
 // Without clients, a process uses little more than after its start, and is within its limits.
-void SoakRun::check_use() {
+void SoakRun::check_resource_usage() {
     constexpr std::int64_t kSettingsKib = 256 * 1024, kSettingsDescriptors = 1024; // `limits` of the settings
     const std::int64_t slack = 32 + 4L * options_.size.servers + 2L * options_.size.edges;
     until([] { return false; }, kTicksPerSecond / 2); // connections are closed by then
     for (const SoakProcess process : fleet_.all()) {
-        const SoakUse use = fleet_.use(process);
+        const ResourceUsage use = fleet_.use(process);
         result_.most_resident_kib = std::max(result_.most_resident_kib, use.resident_kib);
         result_.most_descriptors = std::max(result_.most_descriptors, use.descriptors);
-        const std::string said = name_of(process) + " holds " + std::to_string(use.resident_kib) +
+        const std::string text = name_of(process) + " holds " + std::to_string(use.resident_kib) +
                                  " KiB and " + std::to_string(use.descriptors) + " descriptors";
-        if (!options_.sanitized && use.resident_kib > kSettingsKib) fail("MEMORY: " + said);
-        if (use.descriptors > kSettingsDescriptors) fail("DESCRIPTORS: " + said);
+        if (!options_.sanitized && use.resident_kib > kSettingsKib) fail("MEMORY: " + text);
+        if (use.descriptors > kSettingsDescriptors) fail("DESCRIPTORS: " + text);
         if (fleet_.incarnation(process) != first_incarnation_[process]) continue;
-        const SoakUse first = first_use_[process];
+        const ResourceUsage first = first_usage_[process];
         if (use.descriptors > first.descriptors + slack)
-            fail("DESCRIPTORS: " + said + " after " + std::to_string(first.descriptors) + " at the start");
+            fail("DESCRIPTORS: " + text + " after " + std::to_string(first.descriptors) + " at the start");
         if (!options_.sanitized && use.resident_kib > 2 * first.resident_kib + 32 * 1024)
-            fail("MEMORY: " + said + " after " + std::to_string(first.resident_kib) + " KiB at the start");
+            fail("MEMORY: " + text + " after " + std::to_string(first.resident_kib) + " KiB at the start");
     }
 }
 
@@ -354,7 +354,7 @@
             one->called_at = now;
         }
         one->call->pass();
-        if (!one->call->over() && now < one->called_at + kCallPatience) continue;
+        if (!one->call->over() && now < one->called_at + kCallTimeout) continue;
         const ClientAnswer answer = one->call->answer();
         const int status = answer.end == AnswerEnd::kComplete ? answer.head.status : 0;
         one->call.reset();
@@ -399,7 +399,8 @@
     if (client.connection) client.connection->pass();
     if (client.waits) {
         if (client.connection->over()) return take_answer(client);
-        if (now >= client.attempt.sent_at + client.attempt.deadline + kGiveUp + held_up_ - client.held_up) {
+        if (now >=
+            client.attempt.sent_at + client.attempt.deadline + kGiveUp + soak_delay_ - client.soak_delay) {
             client.connection->close();
             take_answer(client);
         }
@@ -407,7 +408,7 @@
     }
     if (!clients_send_ || now < client.next_at) return;
     if (client.connection && !client.connection->connected()) {
-        if (!client.was_up && now < client.opened_at + kConnectPatience) return;
+        if (!client.was_up && now < client.opened_at + kConnectTimeout) return;
         client.connection.reset();
         client.front = 1 + static_cast<int>(client.draw(options_.size.edges - 1));
         client.next_at = now + client.draw(300) * kMs;
@@ -456,7 +457,7 @@
     if (client.draw(3) == 0) request.more.push_back({"Tenant", "alpha"});
     client.expected = expected_stream(request);
     attempt.deadline = deadline_ms * kMs, attempt.sent_at = loop_.now();
-    client.held_up = held_up_;
+    client.soak_delay = soak_delay_;
     client.waits = true, client.over_at = kNever;
     client.connection->send(request);
 }
--- a/tests/lab/soak_run.hpp
+++ b/tests/lab/soak_run.hpp
@@ -22,10 +22,10 @@
 };
 
 struct SoakResult {
-    std::vector<std::string> wrong; // violated guarantees, as text
-    std::vector<std::string> trace; // trace of events, if there is a violation
+    std::vector<std::string> violations; // violated guarantees, as text
+    std::vector<std::string> trace;      // trace of events, if there is a violation
     std::uint64_t attempts = 0, whole = 0, refused = 0, cut = 0, steps = 0, acknowledged = 0, starts = 0;
-    Ticks held_up = 0; // delay of the soak itself, by the machine
+    Ticks soak_delay = 0; // delay of the soak itself, by the machine
     std::int64_t most_resident_kib = 0, most_descriptors = 0;
     std::string folder; // empty if it was removed
 };
@@ -43,7 +43,7 @@
 
     void pass(); // one iteration of the loop
     void note_pause();
-    bool until(const std::function<bool()>& holds, Ticks patience);
+    bool until(const std::function<bool()>& holds, Ticks timeout);
     void record_event(const std::string& what);
     void fail(const std::string& what);
 
@@ -54,7 +54,7 @@
     void check_served();
     bool serves(int front, const std::string& prefix, const std::string& key, int wanted);
     void check_read_back(int control);
-    void check_use();
+    void check_resource_usage();
     void end();
 
     const SoakVersion& newest() const;
@@ -66,12 +66,12 @@
     void pass_client(Client& client);
     void send(Client& client);
     void take_answer(Client& client);
-    const ClientAnswer& ask(const std::string& address, const ClientRequest& request, Ticks patience);
+    const ClientAnswer& ask(const std::string& address, const ClientRequest& request, Ticks timeout);
 
     SoakOptions options_;
     transport::Loop loop_;
-    Ticks began_, looked_at_;
-    Ticks held_up_ = 0; // in all
+    Ticks began_, checked_at_;
+    Ticks soak_delay_ = 0; // in all
     std::mt19937_64 random_;
     SoakChanges changes_;
     SoakRecord record_;
@@ -81,7 +81,7 @@
     std::vector<std::unique_ptr<Operator>> operators_;
     std::vector<std::unique_ptr<Client>> clients_;
     std::unique_ptr<StreamClient> asked_; // the connection of the last `ask`
-    std::map<SoakProcess, SoakUse> first_use_;
+    std::map<SoakProcess, ResourceUsage> first_usage_;
     std::map<SoakProcess, int> first_incarnation_;
     std::uint64_t sent_ = 0;
     SoakResult result_;
--- a/tests/model_server_socket_tests.cpp
+++ b/tests/model_server_socket_tests.cpp
@@ -274,7 +274,7 @@
 BOOST_AUTO_TEST_CASE(an_unresponsive_server_is_silent_until_its_client_closes) {
     Network network;
     ModelServer& server = network.server();
-    server.core().plant({FaultKind::kDark, "", false, 0, 1});
+    server.core().plant({FaultKind::kNoAnswer, "", false, 0, 1});
     StreamClient& client = network.client(server);
     client.send(generation("a1"));
     network.until([&] { return server.core().record("a1").runs == 1; });
--- a/tests/model_server_tests.cpp
+++ b/tests/model_server_tests.cpp
@@ -401,7 +401,7 @@
     const Exchange lost = play(FaultKind::kAnswerLost, 0);
     BOOST_TEST(lost.reset);
     BOOST_TEST(lost.bytes.empty());
-    const Exchange dark = play(FaultKind::kDark, 0);
+    const Exchange dark = play(FaultKind::kNoAnswer, 0);
     BOOST_TEST(!dark.over);
     BOOST_TEST(dark.bytes.empty());
     const Exchange slow = play(FaultKind::kSlow, 0);
--- a/tests/soak_tests.cpp
+++ b/tests/soak_tests.cpp
@@ -38,8 +38,9 @@
         record.fault_intervals.push_back({what, process, from, until});
     }
     bool breaks(const std::string& rule) const {
-        const auto wrong = judge(record, {});
-        return std::ranges::any_of(wrong, [&](const std::string& what) { return what.starts_with(rule); });
+        const auto violations = judge(record, {});
+        return std::ranges::any_of(violations,
+                                   [&](const std::string& what) { return what.starts_with(rule); });
     }
     bool good() const { return judge(record, {}).empty(); }
     SoakRecord record;
