--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,8 +1,9 @@
-// What the control side promises, measured: histories of whole control nodes with agents, servers and
-// operators in virtual time, a plan for each of the five things that must not happen, and the faults planted
-// in them. The last line is one JSON object; the exit status is 1 where a promise is broken or a planted
-// fault is not found. `--seed N` plays one history and tells it, `--duty-seed N` one of duties; `--histories
-// N` plays so many, and a third as many of duties; `--duty-histories N` plays only so many of duties.
+// Measures the guarantees of the control side: histories of whole control nodes with agents, servers and
+// operators in virtual time, a plan for each of the five failures that must not occur, and the faults planted
+// in them. The last line is one JSON object; the exit status is 1 if a guarantee is violated or a planted
+// fault is not found. `--seed N` runs one history and prints its trace, `--duty-seed N` one of duties;
+// `--histories N` runs that many, and a third as many of duties; `--duty-histories N` runs only that many of
+// duties.
 #include "lab/control_world.hpp"
 
 #include <array>
@@ -24,27 +25,27 @@
 
 constexpr std::uint64_t kHistories = 10'000, kControlForOneOfDuties = 3;
 
-int tell_one(ControlPlan plan) {
-    plan.tells = true;
+int print_history(ControlPlan plan) {
+    plan.records_trace = true;
     ControlWorld world(plan);
     world.play();
-    for (const std::string& line : world.story()) std::cout << line << "\n";
-    for (const std::string& what : world.broken()) std::cout << "broken: " << what << "\n";
-    return world.broken().empty() ? 0 : 1;
+    for (const std::string& line : world.trace()) std::cout << line << "\n";
+    for (const std::string& what : world.violations()) std::cout << "violation: " << what << "\n";
+    return world.violations().empty() ? 0 : 1;
 }
 
 struct Totals {
     std::uint64_t violations = 0, faults = 0, acknowledged = 0, refused = 0, sent_again = 0, reads = 0,
                   leavings = 0, disks_lost = 0, orders_to_servers = 0, orders_accepted = 0;
-    std::array<std::uint64_t, 5> five{};
+    std::array<std::uint64_t, 5> provoked{};
     void add(const ControlWorld& world) {
         const ControlCounts& counts = world.counts();
-        violations += world.broken().size();
+        violations += world.violations().size();
         faults += counts.faults, acknowledged += counts.acknowledged, refused += counts.refused;
         sent_again += counts.sent_again, reads += counts.reads, leavings += counts.leavings;
         disks_lost += counts.disks_lost;
         orders_to_servers += counts.orders_to_servers, orders_accepted += counts.orders_accepted;
-        for (std::size_t i = 0; i < five.size(); ++i) five[i] += counts.five[i] ? 1 : 0;
+        for (std::size_t i = 0; i < provoked.size(); ++i) provoked[i] += counts.provoked[i] ? 1 : 0;
     }
 };
 
@@ -60,7 +61,7 @@
                 world.play();
                 const std::lock_guard lock(mutex);
                 totals.add(world);
-                for (const std::string& what : world.broken())
+                for (const std::string& what : world.violations())
                     std::cerr << kind << " seed " << seed << ": " << what << "\n";
             }
         });
@@ -68,7 +69,7 @@
     return totals;
 }
 
-json told(std::uint64_t histories) {
+json measured_histories(std::uint64_t histories) {
     const auto began = std::chrono::steady_clock::now();
     const std::uint64_t duty_histories = histories / kControlForOneOfDuties;
     const Totals control = play_histories(histories, control_plan_of_seed, "control");
@@ -76,7 +77,7 @@
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
     return {{"histories", histories},
             {"violations", control.violations},
-            {"five", control.five},
+            {"five", control.provoked},
             {"faults", control.faults},
             {"acknowledged", control.acknowledged},
             {"refused", control.refused},
@@ -92,14 +93,14 @@
             {"histories_s", took.count()}};
 }
 
-// Of seeds 1 to `histories`, nothing else.
-int tell_duties(std::uint64_t histories) {
+// Only seeds 1 to `histories`.
+int print_duties(std::uint64_t histories) {
     const Totals duty = play_histories(histories, duty_plan_of_seed, "duty");
     std::cout << json{{"duty_histories", histories}, {"duty_violations", duty.violations}}.dump() << "\n";
     return duty.violations == 0 ? 0 : 1;
 }
 
-// The faults exist in another build of the libraries, and so in another program.
+// The faults exist in another build of the libraries, and therefore in another program.
 json play_planted() {
     json made{{"planted", 0}, {"planted_found", 0}};
     FILE* program = popen(IVYRILL_PLANTED_PROGRAM, "r");
@@ -107,7 +108,7 @@
     std::string text;
     std::array<char, 4096> part{};
     while (const std::size_t got = fread(part.data(), 1, part.size(), program)) text.append(part.data(), got);
-    if (pclose(program) != 0) std::cerr << "broken: a planted fault is not found\n";
+    if (pclose(program) != 0) std::cerr << "error: a planted fault was not found\n";
     const json said = json::parse(text, nullptr, false);
     if (said.is_object()) made.update(said);
     return made;
@@ -118,14 +119,14 @@
 int main(int count, char** words) {
     std::uint64_t histories = kHistories;
     if (count == 3 && std::string(words[1]) == "--seed")
-        return tell_one(control_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
+        return print_history(control_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
     if (count == 3 && std::string(words[1]) == "--duty-seed")
-        return tell_one(duty_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
+        return print_history(duty_plan_of_seed(std::strtoull(words[2], nullptr, 10)));
     if (count == 3 && std::string(words[1]) == "--duty-histories")
-        return tell_duties(std::strtoull(words[2], nullptr, 10));
+        return print_duties(std::strtoull(words[2], nullptr, 10));
     if (count == 3 && std::string(words[1]) == "--histories")
         histories = std::strtoull(words[2], nullptr, 10);
-    json made = told(histories);
+    json made = measured_histories(histories);
     made.update(play_planted());
     const bool kept = made["violations"] == 0 && made["duty_violations"] == 0 && made["planted"] > 0 &&
                       made["planted_found"] == made["planted"];
--- a/bench/control_planted.cpp
+++ b/bench/control_planted.cpp
@@ -1,6 +1,6 @@
 // The part of measure_control that needs the planted builds: how many of the planted faults the histories
-// find. Its last line is one JSON object. `--fault N` looks for one only, `--fault N --seed M` tells one
-// history of whole control nodes with it.
+// find. Its last line is one JSON object. `--fault N` searches for one only, `--fault N --seed M` prints the
+// trace of one history of whole control nodes with it.
 #include "base/planted_fault.hpp"
 #include "lab/consensus_world.hpp"
 #include "lab/control_world.hpp"
@@ -21,7 +21,7 @@
 using namespace ivyrill;
 using namespace ivyrill::lab;
 
-constexpr std::uint64_t kSeeds = 2000; // tried for each fault, at most
+constexpr std::uint64_t kSeeds = 2000; // maximum number of seeds tried for each fault
 
 struct Finding {
     std::uint64_t seed = 0; // 0: not found
@@ -31,13 +31,13 @@
 ControlPlan plan_for(PlantedFault fault, std::uint64_t seed) {
     const bool is_of_duties = static_cast<int>(fault) > kControlFaults;
     if (is_of_duties) return duty_plan_of_seed(seed);
-    // Only the smaller half brings it about, in one of hundreds of histories.
+    // Only the smaller half provokes it, in one of hundreds of histories.
     const bool needs_cuts = fault == PlantedFault::kContactWithoutMajority;
     return needs_cuts ? control_plan_of(ControlPlanKind::kCutOff, seed) : control_plan_of_seed(seed);
 }
 
-// Faults of the agreement are looked for among its own histories, which are many times as fast; all others
-// among those of whole control nodes.
+// Faults of the consensus are searched for in its own histories, which run many times as fast; all others
+// in those of whole control nodes.
 Finding find(PlantedFault fault) {
     planted_fault = fault;
     Finding finding;
@@ -45,25 +45,25 @@
         if (static_cast<int>(fault) <= kConsensusFaults) {
             ConsensusWorld world(plan_of_seed(seed));
             world.play();
-            if (!world.broken().empty()) finding = {seed, world.broken().front()};
+            if (!world.violations().empty()) finding = {seed, world.violations().front()};
         } else {
             ControlWorld world(plan_for(fault, seed));
             world.play();
-            if (!world.broken().empty()) finding = {seed, world.broken().front()};
+            if (!world.violations().empty()) finding = {seed, world.violations().front()};
         }
     }
     planted_fault = PlantedFault::kNone;
     return finding;
 }
 
-int tell_one(PlantedFault fault, std::uint64_t seed) {
+int print_history(PlantedFault fault, std::uint64_t seed) {
     planted_fault = fault;
     ControlPlan plan = plan_for(fault, seed);
-    plan.tells = true;
+    plan.records_trace = true;
     ControlWorld world(plan);
     world.play();
-    for (const std::string& line : world.story()) std::cout << line << "\n";
-    return world.broken().empty() ? 1 : 0;
+    for (const std::string& line : world.trace()) std::cout << line << "\n";
+    return world.violations().empty() ? 1 : 0;
 }
 
 } // namespace
@@ -72,7 +72,7 @@
     int first = 1, last = kPlantedFaults;
     if (count >= 3 && std::string(words[1]) == "--fault") first = last = std::atoi(words[2]);
     if (count == 5 && std::string(words[3]) == "--seed")
-        return tell_one(static_cast<PlantedFault>(first), std::strtoull(words[4], nullptr, 10));
+        return print_history(static_cast<PlantedFault>(first), std::strtoull(words[4], nullptr, 10));
     std::atomic<int> next = first;
     std::mutex mutex;
     int found = 0;
@@ -86,7 +86,7 @@
                 found += finding.seed > 0 ? 1 : 0;
                 latest = std::max(latest, finding.seed);
                 if (finding.seed == 0)
-                    std::fprintf(stderr, "planted fault %d is not found\n", number);
+                    std::fprintf(stderr, "planted fault %d was not found\n", number);
                 else
                     std::fprintf(stderr, "planted fault %d: seed %llu: %s\n", number,
                                  static_cast<unsigned long long>(finding.seed), finding.what.c_str());
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -1,7 +1,7 @@
 // The soak: real processes of the whole fleet on loopback, signals, restarts and configuration changes that
-// overlap, and clients that use their connections until the process is gone, all drawn from a seed. The last
-// line is one JSON object; the exit status is 1 where a promise is broken, and then the story of that seed is
-// told and its logs stay.
+// overlap, and clients that use their connections until the process has ended, all drawn from a seed. The
+// last line is one JSON object; the exit status is 1 if a guarantee is violated, and then the trace of that
+// seed is printed and its logs are kept.
 #include "lab/soak_run.hpp"
 
 #include <CLI/CLI.hpp>
@@ -15,7 +15,7 @@
 using namespace ivyrill::lab;
 
 constexpr Ticks kTicksPerMs = kTicksPerSecond / 1000;
-constexpr std::size_t kMostTold = 20; // broken promises of one seed
+constexpr std::size_t kPrintedViolations = 20; // violated guarantees of one seed
 
 struct Arguments {
     SoakOptions options;
@@ -27,27 +27,29 @@
     SoakSize& size = arguments.options.size;
     app.add_option("--seeds", arguments.seeds, "FROM:COUNT")->capture_default_str();
     app.add_option_function<std::uint64_t>(
-        "--seed", [&](std::uint64_t seed) { arguments.seeds = std::to_string(seed) + ":1"; }, "one seed");
-    app.add_option("--seconds", arguments.seconds, "with faults, for each seed")->capture_default_str();
-    app.add_option("--gap-ms", arguments.gap_ms, "between two faults, in the mean")->capture_default_str();
+        "--seed", [&](std::uint64_t seed) { arguments.seeds = std::to_string(seed) + ":1"; },
+        "runs this seed only");
+    app.add_option("--seconds", arguments.seconds, "duration of the faults for each seed")
+        ->capture_default_str();
+    app.add_option("--gap-ms", arguments.gap_ms, "mean time between two faults")->capture_default_str();
     app.add_option("--controls", size.controls)->check(CLI::Range(1, 9))->capture_default_str();
     app.add_option("--edges", size.edges)->check(CLI::Range(1, 99))->capture_default_str();
     app.add_option("--servers", size.servers)->check(CLI::Range(7, 140))->capture_default_str();
     app.add_option("--clients", arguments.options.clients)->check(CLI::Range(1, 1000))->capture_default_str();
-    app.add_flag("--keep", arguments.options.keep, "the logs stay in any case");
+    app.add_flag("--keep", arguments.options.keep, "keep the logs even if no violation is found");
 }
 
-void tell(std::uint64_t seed, const SoakResult& result) {
+void print_result(std::uint64_t seed, const SoakResult& result) {
     std::cout << "seed " << seed << ": " << result.attempts << " requests, " << result.whole << " whole, "
               << result.refused << " refused, " << result.cut << " cut; " << result.steps << " steps, "
               << result.starts << " starts, " << result.acknowledged << " configurations; at most "
               << result.most_resident_kib << " KiB, " << result.most_descriptors << " descriptors; held up "
-              << result.held_up / kTicksPerMs << " ms; " << result.wrong.size() << " broken promises"
+              << result.soak_delay / kTicksPerMs << " ms; " << result.violations.size() << " violations"
               << std::endl;
-    if (result.story.empty()) return;
-    for (const std::string& line : result.story) std::cerr << "  " << line << "\n";
-    for (std::size_t i = 0; i < std::min(result.wrong.size(), kMostTold); ++i)
-        std::cerr << "seed " << seed << " broken: " << result.wrong[i] << "\n";
+    if (result.trace.empty()) return;
+    for (const std::string& line : result.trace) std::cerr << "  " << line << "\n";
+    for (std::size_t i = 0; i < std::min(result.violations.size(), kPrintedViolations); ++i)
+        std::cerr << "seed " << seed << " violation: " << result.violations[i] << "\n";
     std::cerr << "seed " << seed << ": the logs are in " << result.folder << std::endl;
 }
 
@@ -55,7 +57,7 @@
 
 int main(int count, char** words) {
     Arguments arguments;
-    CLI::App app("a soak of the whole fleet over real processes");
+    CLI::App app("soak test of the whole fleet with real processes");
     declare(app, arguments);
     CLI11_PARSE(app, count, words);
     SoakOptions& options = arguments.options;
@@ -72,9 +74,9 @@
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
         options.seed = seed;
         const SoakResult result = SoakRun(options).play();
-        tell(seed, result);
+        print_result(seed, result);
         attempts += result.attempts, whole += result.whole, steps += result.steps;
-        if (!result.wrong.empty()) failed.push_back(seed);
+        if (!result.violations.empty()) failed.push_back(seed);
     }
     std::cout << nlohmann::json{{"seeds", seeds},       {"failed_seeds", failed},
                                 {"requests", attempts}, {"whole", whole},
--- a/bench/system_planted.cpp
+++ b/bench/system_planted.cpp
@@ -15,14 +15,14 @@
 
 constexpr int kSeeds = 2000;
 
-// The first seed whose history breaks a promise; 0 where none does.
+// The first seed whose history violates a guarantee; 0 if none does.
 std::uint64_t first_seed_that_finds(PlantedFault fault) {
     planted_fault = fault;
     for (int tried = 1; tried <= kSeeds; ++tried) {
         const auto seed = static_cast<std::uint64_t>(tried);
         ConsensusWorld world(plan_of_seed(seed));
         world.play();
-        if (!world.broken().empty()) return seed;
+        if (!world.violations().empty()) return seed;
     }
     return 0;
 }
--- a/tests/lab/control_plans.cpp
+++ b/tests/lab/control_plans.cpp
@@ -25,7 +25,7 @@
     if (fully)
         isolate(machine, true);
     else
-        halves(network_.now() + kCutOffFor);
+        partition_into_halves(network_.now() + kCutOffFor);
     for (int i = 0; i < 10; ++i) {
         run_for(kCutOffFor / 10);
         if (i % 3 == 1) leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
@@ -73,7 +73,7 @@
     };
     isolate(machine, true);
     run_for(network_.between(1000, 3000)); // the former leader's heartbeats are delayed
-    tell_to_end(*former);
+    request_stop(*former);
     const auto is_replaced = [&] { return leader() && *leader() != *former; };
     if (run_until(is_replaced, 6000)) {
         network_.freeze(*former, network_.now() + 25'000); // its links remain open
@@ -89,7 +89,7 @@
         isolate(machine, false);
     }
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
     restart(*former, 1000, false);
     run_for(10'000);
 }
@@ -118,7 +118,7 @@
         for (const Agent& agent : agents_) {
             const model::Instance* known = agent.process->tables().instances().find(id);
             if (known != nullptr && known->is_routable())
-                promise_broken("an agent does not know in time that " + id + " left");
+                report_violation("an agent does not know in time that " + id + " left");
         }
     }
     run_for(60'000);
@@ -143,7 +143,7 @@
     const bool sent_twice_and_known = std::ranges::any_of(history_.orders(), [](const Order& order) {
         return order.sends > 1 && order.state == OrderState::kAcknowledged;
     });
-    counts_.five[1] = sent_twice_and_known && counts_.refused > 0;
+    counts_.provoked[1] = sent_twice_and_known && counts_.refused > 0;
     quick_operators_ = false;
 }
 
@@ -153,7 +153,7 @@
     if (plan_.tolerance > 1) members_rejoin_without_records();
     for (int loss = 0; loss < 3; ++loss) {
         ++counts_.faults;
-        tell_groups();
+        record_groups();
         const MachineNumber first = leader() && network_.chance(0.5) ? *leader() : any_control();
         const Ticks down = network_.between(500, 10'000);
         leave(static_cast<std::size_t>(network_.any(static_cast<int>(servers_.size()))));
@@ -175,8 +175,8 @@
         }
         const bool is_counted_out = run_until(
             [this, repaired] { return !nodes_.at(repaired).disk_counts_as_lost; }, 30 * kTicksPerSecond);
-        if (!is_counted_out) return promise_broken("a repaired disk does not come back");
-        counts_.five[2] = true;
+        if (!is_counted_out) return report_violation("a repaired disk does not come back");
+        counts_.provoked[2] = true;
         // Right after an acknowledgement, if one follows soon.
         const std::int64_t before = history_.newest_acknowledged();
         run_until([this, before] { return history_.newest_acknowledged() > before; }, 10'000);
@@ -187,7 +187,7 @@
     const MachineNumber slow = any_control();
     network_.disk(slow).stalled_until = network_.now() + 6000;
     if (leaving != slow) {
-        tell_to_end(leaving);
+        request_stop(leaving);
         network_.schedule(network_.now() + 5000, [this, leaving] { restart(leaving, 3000, false); });
     }
     run_for(15'000);
@@ -211,14 +211,14 @@
     hold_records_from(cut);
     for (const MachineNumber machine : cut) isolate(machine, false);
     run_for(8000);
-    let_records_go();
+    release_records();
     run_for(5000);
 }
 
 // Hundreds of changes, while members restart, lose their disks and freeze, and each has to catch up.
 void ControlWorld::many_changes_plan() {
-    records_come_late();
-    leader_goes_while_entries_are_late();
+    records_arrive_late();
+    leader_is_lost_while_entries_are_late();
     quick_operators_ = true;
     const auto changes = [this] {
         return std::ranges::count(history_.orders(), OrderState::kAcknowledged, &Order::state);
@@ -249,16 +249,15 @@
         }
     }
     quick_operators_ = false;
-    counts_.five[3] = changes() >= kManyChanges;
+    counts_.provoked[3] = changes() >= kManyChanges;
     run_for(5 * kTicksPerSecond);
 }
 
 // A member returns that was down while a server left; the others' knowledge of the servers reaches it late,
 // and an agent that starts then reaches no other member.
-void ControlWorld::records_come_late() {
+void ControlWorld::records_arrive_late() {
     run_for(15'000); // every disk has every server's record
-    MachineNumber machine =
-        control_[static_cast<std::size_t>(network_.any(3))]; // agents start by these addresses
+    MachineNumber machine = control_[static_cast<std::size_t>(network_.any(3))]; // agents start with these
     if (machine == leader()) machine = control_[static_cast<std::size_t>((machine + 1) % 3)];
     if (!is_live(machine)) return;
     ++counts_.faults;
@@ -275,13 +274,13 @@
     cut_until(network_.now() + 20'000, links);
     start_agent(0);
     run_for(20'000);
-    let_records_go();
+    release_records();
     run_for(5000);
 }
 
 // A member has just started, and its leader's entries are delayed. The leader loses power; half a second
 // later all that it sent arrives, in any order, at the member, which reaches no other member.
-void ControlWorld::leader_goes_while_entries_are_late() {
+void ControlWorld::leader_is_lost_while_entries_are_late() {
     const auto leading = leader();
     MachineNumber machine = any_control();
     if (!leading || machine == *leading || !is_live(machine)) return;
@@ -299,7 +298,7 @@
     restart(*leading, 20'000, true);
     run_for(network_.between(5500, 7000));
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
     run_for(25'000);
 }
 
@@ -340,7 +339,7 @@
     for (const MachineNumber machine : control_)
         if (network_.is_up(machine) && node(machine)->dropped_replies() > 0)
             counts_.late_answers_passed_over += node(machine)->dropped_replies();
-    counts_.five[4] = counts_.late_answers_passed_over > 0;
+    counts_.provoked[4] = counts_.late_answers_passed_over > 0;
     for (std::size_t i = 0; i < operators_.size(); ++i) {
         operators_[i].known = history_.newest_acknowledged();
         operators_[i].order.reset();
@@ -374,7 +373,7 @@
     hold_entries(machine);
     network_.schedule(network_.now() + 15'000, [this] {
         network_.held_back = {};
-        network_.let_go();
+        network_.release();
     });
 }
 
@@ -389,15 +388,15 @@
 void ControlWorld::hold_records_from(const std::set<MachineNumber>& machines) {
     network_.held_back = [this, machines](MachineNumber from, MachineNumber to,
                                           const feed::Message& message) {
-        const bool tells = std::holds_alternative<feed::Instances>(message) ||
-                           std::holds_alternative<feed::Replicate>(message);
-        return machines.contains(to) && nodes_.contains(from) && tells;
+        const bool carries_records = std::holds_alternative<feed::Instances>(message) ||
+                                     std::holds_alternative<feed::Replicate>(message);
+        return machines.contains(to) && nodes_.contains(from) && carries_records;
     };
 }
 
-void ControlWorld::let_records_go() {
+void ControlWorld::release_records() {
     network_.held_back = {};
-    network_.let_go();
+    network_.release();
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/control_platform.cpp
+++ b/tests/lab/control_platform.cpp
@@ -70,14 +70,14 @@
     const bool is_agreed =
         state && std::ranges::find(state->usage.committed, call.body, &duties::CommittedWindow::body) !=
                      state->usage.committed.end();
-    if (!is_agreed) promise_broken(fmt::format("machine {} sends what is not agreed on", machine));
+    if (!is_agreed) report_violation(fmt::format("machine {} sends a call that is not committed", machine));
 }
 
 void ControlWorld::report_leaves(MachineNumber machine, const PlatformRequest& request) {
     ++counts_.platform_calls;
     const auto fenced_off = platform_.fenced_off.find(machine);
     if (fenced_off != platform_.fenced_off.end() && fenced_off->second >= request.call.fence)
-        promise_broken(fmt::format("machine {} calls on under a fence that was refused", machine));
+        report_violation(fmt::format("machine {} keeps calling under a rejected fence", machine));
     check_is_agreed(machine, request.call);
 }
 
@@ -103,7 +103,7 @@
         const PlatformOutcome outcome = take_platform_call(machine, request);
         const bool is_unanswered = answer_is_lost || outcome == PlatformOutcome::kUnanswered;
         if (is_unanswered) return answer(PlatformClient::kResponseTimeout, PlatformOutcome::kUnanswered);
-        const bool is_slow = platform_.mood == PlatformMood::kSlow;
+        const bool is_slow = platform_.mode == SimulatedPlatformMode::kSlow;
         answer(is_slow ? network_.between(5'000, 25'000) : network_.between(5, 20), outcome);
     });
 }
@@ -112,29 +112,29 @@
     protocol::HttpParser parser(protocol::HttpParser::Side::kRequests);
     parser.feed(control::platform_request(request.call, request.holder, kAddress));
     if (!parser.complete())
-        return promise_broken("a call to the platform can't be read"), PlatformOutcome::kRefused;
+        return report_violation("malformed call to the platform"), PlatformOutcome::kRefused;
     const protocol::HttpMessage message = parser.take();
     const auto fence = static_cast<std::uint64_t>(std::stoull(std::string(message.header("fence-token"))));
     const std::string name = "machine " + std::to_string(sender);
-    if (message.header("duty-holder") != request.holder) promise_broken(name + " does not tell its name");
+    if (message.header("duty-holder") != request.holder) report_violation(name + " does not send its name");
     const bool is_report = !is_of_count(request);
     if (is_report) judge_one(platform_.acts, sender, fence);
     if (is_report) judge_report(name, message.body);
     if (!is_report) judge_count(sender, fence, request);
-    switch (platform_.mood) {
-    case PlatformMood::kBusy:
+    switch (platform_.mode) {
+    case SimulatedPlatformMode::kBusy:
         return PlatformOutcome::kBusy;
-    case PlatformMood::kFails:
+    case SimulatedPlatformMode::kFails:
         return PlatformOutcome::kFailed;
-    case PlatformMood::kFencesOff:
+    case SimulatedPlatformMode::kFencesOff:
         return PlatformOutcome::kFencedOff;
-    case PlatformMood::kResets: // before or after it has accepted the call
+    case SimulatedPlatformMode::kResets: // before or after it has accepted the call
         if (is_report && network_.chance(0.5)) accept_report(message.body);
         return PlatformOutcome::kUnanswered;
-    case PlatformMood::kSilent:
+    case SimulatedPlatformMode::kSilent:
         return PlatformOutcome::kUnanswered;
-    case PlatformMood::kQuick:
-    case PlatformMood::kSlow:
+    case SimulatedPlatformMode::kQuick:
+    case SimulatedPlatformMode::kSlow:
         break;
     }
     if (is_report) accept_report(message.body);
@@ -147,15 +147,15 @@
     const std::int64_t window = report.at("windowId").as_integer("windowId");
     const auto [known, is_first] = platform_.reports.try_emplace(window, body);
     if (!is_first && known->second != body)
-        promise_broken(fmt::format("{} reports window {} with other counts than before", name, window));
+        report_violation(fmt::format("{} reports window {} with different counts than before", name, window));
     if ((window + 1) * window_ms() > true_ms() + kClockErrorMs)
-        promise_broken(fmt::format("{} reports window {}, which is not over", name, window));
+        report_violation(fmt::format("{} reports window {}, which is not over", name, window));
 }
 
 void ControlWorld::accept_report(const std::string& body) {
     const std::int64_t window = protocol::read_json(body).at("windowId").as_integer("windowId");
     if (platform_.accepted.emplace(window, true_ms()).second) ++counts_.reports_accepted;
-    tell(fmt::format("the platform accepts window {}", window));
+    record_event(fmt::format("the platform accepts window {}", window));
 }
 
 void ControlWorld::report_ends(MachineNumber machine, const PlatformRequest& request,
@@ -168,7 +168,7 @@
 
 void ControlWorld::start_usage() {
     begin_requests();
-    change_platform_mood();
+    change_platform_mode();
 }
 
 void ControlWorld::begin_requests() {
@@ -180,14 +180,15 @@
     begin_request(agent, kTenants[static_cast<std::size_t>(network_.any(static_cast<int>(kTenants.size())))]);
 }
 
-void ControlWorld::change_platform_mood() {
+void ControlWorld::change_platform_mode() {
     if (network_.now() >= faults_until_) return;
-    constexpr int kMoods = static_cast<int>(PlatformMood::kFencesOff) + 1;
+    constexpr int kPlatformModes = static_cast<int>(SimulatedPlatformMode::kFencesOff) + 1;
     const bool is_quick = network_.chance(0.4);
-    platform_.mood = is_quick ? PlatformMood::kQuick : static_cast<PlatformMood>(network_.any(kMoods));
-    tell(fmt::format("the platform's mood is {}", static_cast<int>(platform_.mood)));
+    platform_.mode = is_quick ? SimulatedPlatformMode::kQuick
+                              : static_cast<SimulatedPlatformMode>(network_.any(kPlatformModes));
+    record_event(fmt::format("the platform's mode is {}", static_cast<int>(platform_.mode)));
     step_a_clock();
-    network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mood(); });
+    network_.schedule(network_.now() + network_.between(10'000, 60'000), [this] { change_platform_mode(); });
 }
 
 // One machine's clock at a time: more would outvote the correct ones.
@@ -198,12 +199,12 @@
     stepped_ = is_agent ? agent_machine(agent) : any_control();
     const std::int64_t ahead_ms = network_.between(-kMostStepMs, kMostStepMs);
     step_clock(*stepped_, ahead_ms);
-    tell(fmt::format("the clock of {} is ahead by {} ms", *stepped_, ahead_ms));
+    record_event(fmt::format("the clock of {} is ahead by {} ms", *stepped_, ahead_ms));
 }
 
 // A platform that has rejected a holder's fence waits for a holder with a higher one.
 void ControlWorld::calm_platform() {
-    platform_.mood = PlatformMood::kQuick;
+    platform_.mode = SimulatedPlatformMode::kQuick;
     if (stepped_) step_clock(*stepped_, 0);
     for (const MachineNumber machine : control_)
         if (platform_.fenced_off.contains(machine) && !nodes_.at(machine).is_gone)
@@ -222,19 +223,21 @@
 void ControlWorld::check_usage_calm() {
     const std::int64_t missed = true_ms() / window_ms() - 1;
     if (!run_until([&] { return all_reported(missed); }, kReportedWithin))
-        return promise_broken("windows are not reported after the calm");
+        return report_violation("windows are not reported after the faults ended");
     const std::int64_t window = true_ms() / window_ms() + 1;
     const std::int64_t due_ms = (window + 1) * window_ms() + kLateMs;
     run_until([&] { return true_ms() >= due_ms; }, 20 * kTicksPerSecond);
     const auto accepted = platform_.accepted.find(window);
-    if (accepted == platform_.accepted.end()) return promise_broken("a window of the calm is reported late");
+    if (accepted == platform_.accepted.end())
+        return report_violation("a window of the fault-free period is reported late");
     const protocol::Json report = protocol::read_json(platform_.reports.at(window));
     for (const auto& [tenant, count] : begun(window)) {
         const protocol::Json* told = report.at("counts").find(tenant);
         const auto reported = told == nullptr ? 0.0 : told->as_number(tenant);
         const auto truth = static_cast<double>(count);
         if (std::abs(reported - truth) > kUsageError * truth)
-            promise_broken(fmt::format("a window of the calm counts {} where {} began", reported, truth));
+            report_violation(fmt::format("a window of the fault-free period counts {} of {} started requests",
+                                         reported, truth));
     }
 }
 
--- a/tests/lab/control_world.hpp
+++ b/tests/lab/control_world.hpp
@@ -42,10 +42,10 @@
     std::uint64_t seed = 1;
     ControlPlanKind kind = ControlPlanKind::kMixed;
     int control_machines = 3, spares = 0, agents = 2, servers = 3, operators = 2;
-    int tolerance = 1;         // disks that may be lost at once
-    Ticks faults_for = 0;      // from the first configuration on
-    bool tells = false;        // records a trace of events
-    double usage_window_s = 0; // 0: usage is not counted
+    int tolerance = 1;          // disks that may be lost at once
+    Ticks faults_for = 0;       // from the first configuration on
+    bool records_trace = false; // records a trace of events
+    double usage_window_s = 0;  // 0: usage is not counted
 };
 
 ControlPlan control_plan_of_seed(std::uint64_t seed);
@@ -57,7 +57,7 @@
                   disks_lost = 0, batches = 0, late_answers_passed_over = 0, orders_to_servers = 0,
                   orders_accepted = 0, platform_calls = 0, reports_accepted = 0, reports_acknowledged = 0,
                   count_calls = 0, counts_accepted = 0;
-    std::array<bool, 5> five{}; // which of the five were provoked, in the order of ControlPlanKind
+    std::array<bool, 5> provoked{}; // which of the five were provoked, in the order of ControlPlanKind
 };
 
 class ControlWorld {
@@ -83,8 +83,8 @@
     void restart(MachineNumber machine, Ticks down_for, bool loses_power);
     void wipe(MachineNumber machine, Ticks down_for);
     MachineNumber replace(MachineNumber machine, Ticks down_for);
-    void spoil(MachineNumber machine, Ticks down_for); // the newest state file becomes unreadable
-    void isolate(MachineNumber machine, bool is_cut);  // both directions, to all other control machines
+    void corrupt_state(MachineNumber machine, Ticks down_for); // the newest state file becomes unreadable
+    void isolate(MachineNumber machine, bool is_cut); // both directions, to all other control machines
     void set_first_start(bool first_start) { first_start_ = first_start; } // in settings of later starts
     // Usage (control_usage.cpp): one proxy beside each agent, which keeps running when the agent is killed.
     std::int64_t true_ms() const; // the true time, in ms since the start of 1970
@@ -107,10 +107,11 @@
               std::function<void(const CallResult&)> done,
               std::function<void()> answering = {}); // called when the machine answers with 200
     OrderNumber new_order(std::int64_t base, std::int64_t version);
+    // Sends one order to one machine and waits for its answer there; status 0: none within a second.
     void send_order(OrderNumber order, MachineNumber machine, std::function<void(int status)> done);
     const ConfigurationHistory& history() const { return history_; }
-    const std::vector<std::string>& broken() const { return broken_; }
-    const std::vector<std::string>& story() const { return story_; }
+    const std::vector<std::string>& violations() const { return violations_; }
+    const std::vector<std::string>& trace() const { return trace_; }
     const ControlCounts& counts() const { return counts_; }
 
   private:
@@ -132,11 +133,11 @@
         std::set<std::string> known_leaving;      // in this process
         std::unique_ptr<agent::UsageRelay> usage; // of this process
         std::unique_ptr<proxy::UsageMeter> proxy;
-        int proxy_linked_to = -1; // the agent's process that the proxy reported to last
-        Ticks time_told = 0;      // reported to the proxy
+        int proxy_linked_to = -1;    // the agent's process that the proxy reported to last
+        Ticks proxy_reported_at = 0; // reported to the proxy
         // Since its last report.
-        std::map<std::int64_t, std::map<std::string, std::int64_t>> untold;
-        Ticks told_at = 0;
+        std::map<std::int64_t, std::map<std::string, std::int64_t>> unreported_usage;
+        Ticks reported_at = 0;
     };
     struct Server {
         std::string id, address;
@@ -157,14 +158,22 @@
         std::uint64_t sequence = 0;
         std::int64_t orders_accepted = 0;
         Ticks changing_until = 0;
-        std::uint64_t fence_by_hand = 0; // lower ones are rejected: of an order given by an operator
+        std::uint64_t operator_fence = 0; // lower ones are rejected: of an order given by an operator
         std::vector<Act> acts;
         std::optional<Ticks> ordered_at; // by a node's duty, and under which fence
         std::uint64_t ordered_under = 0;
         std::set<std::pair<std::uint64_t, std::int64_t>> taken; // fence, accepted orders
         std::map<MachineNumber, std::uint64_t> fenced_off;      // last rejected fence
     };
-    enum class PlatformMood : std::uint8_t { kQuick, kSlow, kSilent, kBusy, kResets, kFails, kFencesOff };
+    enum class SimulatedPlatformMode : std::uint8_t {
+        kQuick,
+        kSlow,
+        kSilent,
+        kBusy,
+        kResets,
+        kFails,
+        kFencesOff
+    };
     struct PlatformRequest {
         duties::PlatformCall call;
         std::string holder;
@@ -175,7 +184,7 @@
         std::set<std::pair<MachineNumber, int>> under_way; // machine and incarnation of callers
     };
     struct Platform {
-        PlatformMood mood = PlatformMood::kQuick;
+        SimulatedPlatformMode mode = SimulatedPlatformMode::kQuick;
         std::vector<Act> acts;
         std::map<std::int64_t, std::string> reports;       // by window: the first body received
         std::map<std::int64_t, std::int64_t> accepted;     // by window: time, in true ms
@@ -204,10 +213,10 @@
     bool is_live(MachineNumber machine) const;
     MachineNumber any_control();
     void lose_disk_of(MachineNumber machine); // its identity is never seen again
-    void tell_to_end(MachineNumber machine);
-    void promise_broken(std::string what);
-    void tell(const std::string& what);
-    void tell_groups(); // the voters known to each machine
+    void request_stop(MachineNumber machine);
+    void report_violation(std::string what);
+    void record_event(const std::string& what);
+    void record_groups(); // the voters known to each machine
 
     // control_checks.cpp: checks of the guarantees
     void watch();
@@ -265,7 +274,7 @@
     void act_once(MachineNumber machine);
     std::optional<MachineNumber> duty_holder() const;
     void duties_plan();
-    void move_the_duties();
+    void move_duties();
     void check_duties_calm();
 
     // control_platform.cpp: the platform that receives usage reports
@@ -283,7 +292,7 @@
     void report_ends(MachineNumber machine, const PlatformRequest& request, duties::PlatformOutcome outcome);
     void start_usage();
     void begin_requests();
-    void change_platform_mood();
+    void change_platform_mode();
     void step_a_clock();
     void calm_platform();
     bool all_reported(std::int64_t last) const;
@@ -299,8 +308,8 @@
     std::int64_t time_of_day(MachineNumber machine) const;
     void count_usage(std::size_t agent, feed::Subscriber::Callbacks& callbacks);
     void start_proxy(std::size_t agent);
-    void tell_usage(std::size_t agent);
-    void hand_to_agent(std::size_t agent, std::vector<model::ProcessUsage> counts);
+    void report_usage(std::size_t agent);
+    void report_to_agent(std::size_t agent, std::vector<model::ProcessUsage> counts);
 
     // control_faults.cpp: random faults; control_plans.cpp: planned failures
     void fault();
@@ -314,18 +323,18 @@
     void many_changes_plan();
     void late_answers_plan();
     void early_losses();
-    void records_come_late();
+    void records_arrive_late();
     void members_rejoin_without_records();
-    void leader_goes_while_entries_are_late();
+    void leader_is_lost_while_entries_are_late();
     void hold_entries_from(MachineNumber machine); // for a limited time
     void hold_entries(MachineNumber machine);
     void hold_records_from(const std::set<MachineNumber>& machines);
-    void let_records_go();
+    void release_records();
     void closing_fault();
     bool may_lose_disk() const;
     void lose_a_disk();
     void cut_until(Ticks over, const std::vector<std::pair<MachineNumber, MachineNumber>>& links);
-    void halves(Ticks over);
+    void partition_into_halves(Ticks over);
     void heal();
     void check_calm();
 
@@ -358,7 +367,7 @@
     bool clients_act_ = false, quick_operators_ = false;
     Ticks faults_until_ = 0;
     double answer_lost_ = 0;
-    std::vector<std::string> broken_, story_;
+    std::vector<std::string> violations_, trace_;
     ControlCounts counts_;
     std::map<MachineNumber, std::int64_t> clocks_ahead_;                       // of true time, in ms
     std::map<std::int64_t, std::map<std::string, std::int64_t>> begun_, lost_; // by window and tenant
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -20,12 +20,13 @@
 
 namespace {
 
-constexpr int kStartPatienceMs = 40'000; // the script itself gives up before
-constexpr Ticks kPatience = 30 * kTicksPerSecond;
-constexpr Ticks kLook = kTicksPerSecond / 50; // at what no descriptor tells: logs and processes
+constexpr int kStartTimeoutMs = 40'000; // the script's own timeout is shorter
+constexpr Ticks kConditionTimeout = 30 * kTicksPerSecond;
+constexpr Ticks kPollInterval =
+    kTicksPerSecond / 50; // for changes that no descriptor reports: logs and processes
 constexpr std::string_view kReady = "The fleet is ready; its logs are in ", kLogs = "/logs";
 
-// Another one for each process of a test that runs at the same time.
+// A different number for each process of a test that runs concurrently.
 std::string own_network() {
     const int own = getpid();
     return "127." + std::to_string(100 + own / 250 % 100) + "." + std::to_string(1 + own % 250);
@@ -57,8 +58,7 @@
 
 ExampleFleet::~ExampleFleet() { stop(); }
 
-// The script's command is a `cat`, which lasts until its input is closed, also when this process ends by
-// force.
+// The script's command is a `cat`, which runs until its input is closed, also when this process is killed.
 void ExampleFleet::start(const std::string& run, const std::string& build, const PlatformSettings& platform) {
     const auto input = open_pipe(), output = open_pipe();
     input_ = input[1], output_ = output[0];
@@ -82,27 +82,27 @@
 }
 
 void ExampleFleet::await_ready() {
-    std::string said;
-    const Ticks give_up = loop_.now() + kStartPatienceMs * (kTicksPerSecond / 1000);
-    while (said.find(kLogs) == std::string::npos || said.back() != '\n') {
+    std::string output;
+    const Ticks give_up = loop_.now() + kStartTimeoutMs * (kTicksPerSecond / 1000);
+    while (output.find(kLogs) == std::string::npos || output.back() != '\n') {
         pollfd waited{output_, POLLIN, 0};
-        poll(&waited, 1, kStartPatienceMs);
+        poll(&waited, 1, kStartTimeoutMs);
         std::array<char, 1024> bytes{};
         const ssize_t count = waited.revents == 0 ? 0 : read(output_, bytes.data(), bytes.size());
         if (count <= 0 || loop_.now() > give_up)
-            throw std::runtime_error("the fleet isn't ready in time: " + said);
-        said.append(bytes.data(), static_cast<std::size_t>(count));
+            throw std::runtime_error("the fleet did not become ready in time: " + output);
+        output.append(bytes.data(), static_cast<std::size_t>(count));
     }
-    const std::size_t begin = said.find(kReady);
-    if (begin == std::string::npos) throw std::runtime_error("the fleet isn't ready: " + said);
+    const std::size_t begin = output.find(kReady);
+    if (begin == std::string::npos) throw std::runtime_error("the fleet isn't ready: " + output);
     const std::size_t from = begin + kReady.size();
-    folder_ = said.substr(from, said.find(kLogs, from) - from);
+    folder_ = output.substr(from, output.find(kLogs, from) - from);
 }
 
 void ExampleFleet::restart(const std::string& name) {
-    if (running(name)) throw std::runtime_error(name + " still runs");
+    if (running(name)) throw std::runtime_error(name + " is still running");
     const std::string log = folder_ + "/logs/" + name, role = name.substr(0, name.find('-'));
-    const std::string settings = "settings/" + name + ".yaml"; // its paths are from the folder on
+    const std::string settings = "settings/" + name + ".yaml"; // its paths are relative to the folder
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log.c_str(), O_WRONLY | O_APPEND, 0);
@@ -134,7 +134,7 @@
     int status = -1;
     while (waitpid(process_, &status, 0) < 0 && errno == EINTR) {}
     close(output_);
-    std::error_code ignored; // logs of a fleet that failed stay
+    std::error_code ignored; // logs of a failed fleet are kept
     if (WIFEXITED(status) && WEXITSTATUS(status) == 0 && !folder_.empty())
         std::filesystem::remove_all(folder_, ignored);
 }
@@ -147,7 +147,7 @@
 
 pid_t ExampleFleet::process(const std::string& name) const {
     const std::string text = read_file(folder_ + "/ids/" + name);
-    if (text.empty()) throw std::runtime_error(name + ": no such process of the fleet");
+    if (text.empty()) throw std::runtime_error(name + ": the fleet has no such process");
     return static_cast<pid_t>(std::stol(text));
 }
 
@@ -156,10 +156,10 @@
 }
 
 bool ExampleFleet::running(const std::string& name) const {
-    // What has ended stays until its parent, the script, asks for its status: it shows as `Z`.
+    // An ended process remains as a zombie (`Z`) until its parent, the script, waits for it.
     const std::string stat = read_file("/proc/" + std::to_string(process(name)) + "/stat");
-    const std::size_t behind_name = stat.rfind(')');
-    return behind_name != std::string::npos && stat.substr(behind_name, 3) != ") Z";
+    const std::size_t position_after_name = stat.rfind(')');
+    return position_after_name != std::string::npos && stat.substr(position_after_name, 3) != ") Z";
 }
 
 std::string ExampleFleet::log(const std::string& name) const { return read_file(folder_ + "/logs/" + name); }
@@ -177,13 +177,13 @@
 }
 
 bool ExampleFleet::until(const std::function<bool()>& holds) {
-    const Ticks give_up = loop_.now() + kPatience;
+    const Ticks give_up = loop_.now() + kConditionTimeout;
     for (;;) {
         for (const auto& client : clients_) client->pass();
-        if (also_pass_) also_pass_();
+        if (call_each_turn_) call_each_turn_();
         if (holds()) return true;
         if (loop_.now() >= give_up) return false;
-        Ticks next = loop_.now() + kLook;
+        Ticks next = loop_.now() + kPollInterval;
         for (const auto& client : clients_) next = std::min(next, client->due().value_or(next));
         loop_.wait(next);
     }
--- a/tests/lab/model_server_core.cpp
+++ b/tests/lab/model_server_core.cpp
@@ -85,7 +85,7 @@
     answer(exchange, head, status, {{"Content-Type", "application/json"}}, body);
 }
 
-// The request hasn't run and never will.
+// The request has not run and never will.
 void ModelServerCore::refuse(ExchangeId exchange, const HttpHead& head, int status) {
     std::vector<HttpField> fields{{"Not-Run", "1"}};
     if (status == 421) fields.push_back({"Instance-Id", plan_.id});
@@ -133,7 +133,7 @@
     const HandleMemory memory = found->second.memory;
     handles_.erase(found);
     answer_json(exchange, head, 200, head.method == "GET" ? write_memory(memory) : "");
-    let_in(now);
+    admit_waiting(now);
 }
 
 void ModelServerCore::take_order(ExchangeId exchange, const HttpHead& head, const std::string& body,
@@ -152,7 +152,7 @@
         refuse(id, runs_.at(id).head, 503);
         runs_.erase(id);
     }
-    let_in(now);
+    admit_waiting(now);
 }
 
 int ModelServerCore::judge_order(const std::string& body) {
@@ -172,7 +172,7 @@
     } catch (const std::exception&) { return 400; }
 }
 
-int ModelServerCore::misfit(const HttpHead& head, Kind kind) const {
+int ModelServerCore::rejection_status(const HttpHead& head, Kind kind) const {
     if (!head.has("attempt-id")) return 400;
     if (head.has("target-instance") && head.field("target-instance") != plan_.id) return 421;
     if (head.has("expect-version") && head.number("expect-version") != plan_.weights) return 421;
@@ -187,7 +187,8 @@
     Run run;
     run.head = head;
     run.kind = head.field("serving-stage") == "prefill" ? Kind::kPrefill : Kind::kGenerate;
-    if (const int status = misfit(head, run.kind); status != 0) return refuse(exchange, head, status);
+    if (const int status = rejection_status(head, run.kind); status != 0)
+        return refuse(exchange, head, status);
     const auto generation = read_generation(head, body);
     if (!generation) return refuse(exchange, head, 400);
     run.generation = *generation;
@@ -206,7 +207,7 @@
     run.order = arrivals_++;
     const HttpHead head = run.head;
     runs_.emplace(exchange, std::move(run));
-    let_in(now);
+    admit_waiting(now);
     const auto placed = runs_.find(exchange);
     if (placed == runs_.end() || placed->second.phase != Phase::kWaiting || count(false) <= plan_.queue)
         return;
@@ -229,7 +230,7 @@
     return tokens;
 }
 
-// Keeps what a report may still tell; states older than that are forgotten but for the last.
+// Keeps the states that a report may still contain; of older ones only the last is kept.
 void ModelServerCore::note(Ticks now) {
     states_.emplace_back(now, ReportState{stage_, busy_, orders_, count(false), count(true), used(),
                                           static_cast<std::int64_t>(handles_.size())});
@@ -257,7 +258,7 @@
     for (auto at = due(); at && *at <= now; at = due()) step(*at);
 }
 
-// All that is due at that moment; what ends goes before what begins.
+// Processes all events due at that time; ends come before begins.
 void ModelServerCore::step(Ticks at) {
     std::erase_if(handles_, [&](const auto& entry) { return entry.second.until <= at; });
     if (switched_at_ && *switched_at_ <= at) {
@@ -273,11 +274,11 @@
         const auto run = runs_.find(exchange);
         if (run == runs_.end()) continue;
         if (run->second.next && *run->second.next <= at)
-            go_on(run, at);
+            continue_run(run, at);
         else if (run->second.deadline && *run->second.deadline <= at)
             deadline_passed(run, at);
     }
-    let_in(at);
+    admit_waiting(at);
     note(at);
 }
 
--- a/tests/lab/platform.cpp
+++ b/tests/lab/platform.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kMostIn = 1 << 20, kMostOut = 1 << 12; // bytes of a connection
+constexpr std::size_t kInputLimit = 1 << 20, kOutputLimit = 1 << 12; // bytes of a connection
 constexpr std::string_view kUsagePath = "/usage";
 
 std::string peer_of(int descriptor) {
@@ -54,7 +54,7 @@
         auto connection = std::make_unique<Connection>();
         connection->descriptor = descriptor, connection->peer = peer_of(descriptor);
         connection->stream = std::make_unique<transport::Stream>(
-            loop_, descriptor, transport::Stream::Start::kConnected, kMostIn, kMostOut);
+            loop_, descriptor, transport::Stream::Start::kConnected, kInputLimit, kOutputLimit);
         connections_.push_back(std::move(connection));
     }
 }
@@ -63,7 +63,7 @@
     transport::Stream& stream = *connection.stream;
     if (!connection.is_taken && stream.unread()) stream.feed(connection.reader);
     if (!connection.is_taken && connection.reader.complete()) take(connection);
-    if (connection.reader.broken()) violations_.emplace_back("a call can't be read");
+    if (connection.reader.broken()) violations_.emplace_back("malformed call");
     const bool is_due = connection.answer_at != 0 && loop_.now() >= connection.answer_at;
     if (is_due) answer(connection);
     const bool is_gone = stream.ended() && !stream.unread();
@@ -71,56 +71,56 @@
 }
 
 void Platform::take(Connection& connection) {
-    connection.is_taken = true, connection.manner = manner_;
+    connection.is_taken = true, connection.mode = mode_;
     const HttpHead& head = connection.reader.head();
     ReceivedCall call;
     call.at = loop_.now(), call.peer = connection.peer;
     call.path = head.target, call.holder = std::string(head.field("duty-holder"));
-    call.body = connection.reader.take_body(), call.manner = manner_;
+    call.body = connection.reader.take_body(), call.mode = mode_;
     call.fence = static_cast<std::uint64_t>(head.number("fence-token").value_or(0));
     const bool is_known = call.path == kUsagePath || call.path == "/scale";
     if (head.method != "POST" || !is_known || call.holder.empty() || call.fence == 0)
-        violations_.push_back("not a call of a duty: " + head.method + " " + call.path);
+        violations_.push_back("not a duty's call: " + head.method + " " + call.path);
     calls_.push_back(call);
     judge_order(subject_of(call), call);
     if (call.path == kUsagePath) take_report(call);
-    if (manner_ == PlatformManner::kSilent) return;
-    connection.answer_at = loop_.now() + (manner_ == PlatformManner::kSlow ? kSlowAnswer : 0);
+    if (mode_ == PlatformMode::kSilent) return;
+    connection.answer_at = loop_.now() + (mode_ == PlatformMode::kSlow ? kSlowAnswer : 0);
 }
 
 void Platform::answer(Connection& connection) {
     connection.answer_at = 0;
     transport::Stream& stream = *connection.stream;
-    switch (connection.manner) {
-    case PlatformManner::kResets:
+    switch (connection.mode) {
+    case PlatformMode::kResets:
         transport::reset_on_close(connection.descriptor);
         connection.is_over = true;
         return;
-    case PlatformManner::kGarbage:
+    case PlatformMode::kGarbage:
         stream.send("\x01\x02 no answer\r\n\r\n");
         break;
-    case PlatformManner::kHalfAnswer:
+    case PlatformMode::kHalfAnswer:
         stream.send("HTTP/1.1 200 OK\r\nContent-Le");
         break;
-    case PlatformManner::kBusy:
+    case PlatformMode::kBusy:
         stream.send(http_message(status_line(429), {}, ""));
         break;
-    case PlatformManner::kSilent:
+    case PlatformMode::kSilent:
         return;
-    case PlatformManner::kQuick:
-    case PlatformManner::kSlow:
+    case PlatformMode::kQuick:
+    case PlatformMode::kSlow:
         stream.send(http_message(status_line(200), {}, ""));
         break;
     }
     stream.finish();
 }
 
-// More strictly than the rule: calls that were not accepted count as well, and no trouble excuses one.
+// Stricter than the rule: calls that were not accepted count as well, and no fault excuses one.
 void Platform::judge_order(const std::string& subject, const ReceivedCall& call) {
     std::vector<Act>& acts = acts_[subject];
     for (const Act& act : acts) {
         if (act.fence == call.fence && act.holder != call.holder)
-            violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " of two holders");
+            violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " used by two holders");
         if (act.fence > call.fence)
             violations_.push_back(subject + ": fence " + std::to_string(call.fence) + " after " +
                                   std::to_string(act.fence));
@@ -129,7 +129,7 @@
     judge_turns(acts, subject);
 }
 
-// A, B, A within the lease, the last act being the second of A.
+// Holders A, B, A within the lease, where the last act is the second one of A.
 void Platform::judge_turns(const std::vector<Act>& acts, const std::string& subject) {
     bool other_between = false;
     for (auto act = acts.rbegin() + 1; act != acts.rend(); ++act) {
@@ -137,16 +137,16 @@
         if (act->holder != acts.back().holder)
             other_between = true;
         else if (other_between)
-            return violations_.push_back(subject + ": holders act in turns within the lease");
+            return violations_.push_back(subject + ": holders act alternately within the lease");
     }
 }
 
 void Platform::take_report(const ReceivedCall& call) {
     const std::int64_t window = protocol::read_json(call.body).at("windowId").as_integer("windowId");
-    const auto [told, is_first] = told_.try_emplace(window, call.body);
-    if (!is_first && told->second != call.body)
-        violations_.push_back("window " + std::to_string(window) + " with other counts than before");
-    const bool is_taken = call.manner != PlatformManner::kSilent && call.manner != PlatformManner::kBusy;
+    const auto [received, is_first] = reports_received_.try_emplace(window, call.body);
+    if (!is_first && received->second != call.body)
+        violations_.push_back("window " + std::to_string(window) + " with different counts than before");
+    const bool is_taken = call.mode != PlatformMode::kSilent && call.mode != PlatformMode::kBusy;
     if (is_taken) reports_.try_emplace(window, call.body);
 }
 
--- a/tests/lab/server_wire.hpp
+++ b/tests/lab/server_wire.hpp
@@ -1,4 +1,4 @@
-// The index servers' side of the frames (`protocol/frames.hpp`), for those who stand in for them.
+// The index servers' side of the frames (`protocol/frames.hpp`), for stand-ins of these servers.
 #pragma once
 #include "protocol/values.hpp"
 
@@ -15,13 +15,13 @@
     return out + letter + rest;
 }
 
-struct PartAsked {
+struct RequestedPart {
     std::string id, query;
 };
 
-// The parts of a call; throws what protocol::to_integer throws where it is none.
-inline std::vector<PartAsked> parts_of(std::string_view call) {
-    std::vector<PartAsked> made;
+// The parts of a call; throws the exceptions of protocol::to_integer if a part is malformed.
+inline std::vector<RequestedPart> parts_of(std::string_view call) {
+    std::vector<RequestedPart> made;
     while (!call.empty()) {
         const std::size_t end = call.find('\n');
         const auto words = protocol::split(call.substr(0, end), ' ');
--- a/tests/lab/soak_fleet.cpp
+++ b/tests/lab/soak_fleet.cpp
@@ -25,17 +25,17 @@
 
 constexpr Ticks kGrace = 8 * kTicksPerSecond; // `graceS` of the settings
 constexpr Ticks kGraceSlack = 2 * kTicksPerSecond;
-constexpr int kFirstControl = 1, kFirstEdge = 10, kFirstServer = 110; // last parts of addresses
+constexpr int kFirstControl = 1, kFirstEdge = 10, kFirstServer = 110; // last numbers of addresses
 constexpr std::array<const char*, 3> kZones{"north", "south", "west"};
 constexpr int kControlPort = 8262, kServerPort = 8080;
 
-// Another one for each soak that runs at the same time.
+// A different loopback network for each soak that runs concurrently.
 std::string own_network() {
     const int own = getpid();
     return "127." + std::to_string(200 + own / 250 % 50) + "." + std::to_string(1 + own % 250);
 }
 
-// In memory where the system has that: a disk that others keep busy holds the soak itself up for seconds.
+// Uses a memory file system if there is one: on a busy disk the soak itself would stall for seconds.
 std::string parent_folder() {
     constexpr const char* kInMemory = "/dev/shm";
     if (std::getenv("TMPDIR") != nullptr || access(kInMemory, W_OK) != 0)
@@ -48,7 +48,7 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Replaces the value that stands behind `name` on its line.
+// Replaces the value that follows `name` on its line.
 void set_line(std::string& text, const std::string& name, const std::string& value) {
     const std::size_t at = text.find(name);
     if (at == std::string::npos) throw std::runtime_error("the settings have no " + name);
@@ -79,9 +79,9 @@
     _exit(127);
 }
 
-// Before it has begun to run the program of a process is still being loaded: no program can hear a signal
-// then.
-bool hears_hangup(pid_t process) {
+// A process that has not yet installed its signal handlers would be ended by SIGHUP: its program is still
+// being loaded.
+bool handles_sighup(pid_t process) {
     const std::string status = read_file("/proc/" + std::to_string(process) + "/status");
     const auto has = [&](const std::string& mask) {
         const std::size_t at = status.find(mask);
@@ -102,32 +102,34 @@
 } // namespace
 
 SoakFleet::SoakFleet(SoakPrograms programs, const SoakSize& size,
-                     std::function<void(const std::string&)> tell)
-    : programs_(std::move(programs)), size_(size), tell_(std::move(tell)), network_(own_network()) {
+                     std::function<void(const std::string&)> record_event)
+    : programs_(std::move(programs)), size_(size), record_event_(std::move(record_event)),
+      network_(own_network()) {
     std::string folder = parent_folder() + "/ivyrill-soak.XXXXXX";
-    if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder for the soak");
+    if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("cannot create the soak's folder");
     folder_ = folder;
     for (const char* name : {"logs", "settings", "data"}) fs::create_directory(folder_ + "/" + name);
     for (int i = 1; i <= size.controls; ++i) {
-        places_[{SoakRole::kControl, i}];
+        process_states_[{SoakRole::kControl, i}];
         fs::create_directory(folder_ + "/data/control-" + std::to_string(i));
     }
-    for (int i = 1; i <= size.edges; ++i) places_[{SoakRole::kAgent, i}], places_[{SoakRole::kProxy, i}];
+    for (int i = 1; i <= size.edges; ++i)
+        process_states_[{SoakRole::kAgent, i}], process_states_[{SoakRole::kProxy, i}];
     for (int i = 1; i <= size.servers; ++i) {
-        Place& place = places_[{SoakRole::kServer, i}];
-        const int kind = i % 7; // two that read prompts, two and one that generate, two of the other service
-        place.stage = kind == 1 || kind == 2 ? "prefill" : "decode";
-        place.service = kind == 5 || kind == 6 ? kSoakOther : kSoakModel;
+        ProcessState& process_state = process_states_[{SoakRole::kServer, i}];
+        const int kind = i % 7; // two prefill and three decode servers, two servers of the other service
+        process_state.stage = kind == 1 || kind == 2 ? "prefill" : "decode";
+        process_state.service = kind == 5 || kind == 6 ? kSoakOther : kSoakModel;
     }
-    for (auto& [process, place] : places_)
-        place.zone = kZones[static_cast<std::size_t>(process.number - 1) % kZones.size()];
+    for (auto& [process, process_state] : process_states_)
+        process_state.zone = kZones[static_cast<std::size_t>(process.number - 1) % kZones.size()];
 }
 
 SoakFleet::~SoakFleet() {
-    for (auto& [process, place] : places_)
-        if (place.process > 0) kill(place.process, SIGKILL);
-    for (auto& [process, place] : places_)
-        if (place.process > 0) waitpid(place.process, nullptr, 0);
+    for (auto& [process, process_state] : process_states_)
+        if (process_state.process > 0) kill(process_state.process, SIGKILL);
+    for (auto& [process, process_state] : process_states_)
+        if (process_state.process > 0) waitpid(process_state.process, nullptr, 0);
 }
 
 void SoakFleet::remove_folder() const {
@@ -144,21 +146,22 @@
 
 std::vector<SoakProcess> SoakFleet::all() const {
     std::vector<SoakProcess> processes;
-    for (const auto& [process, place] : places_) processes.push_back(process);
+    for (const auto& [process, process_state] : process_states_) processes.push_back(process);
     return processes;
 }
 
-bool SoakFleet::running(SoakProcess process) const { return places_.at(process).process > 0; }
+bool SoakFleet::running(SoakProcess process) const { return process_states_.at(process).process > 0; }
 
 bool SoakFleet::running_undisturbed(SoakProcess process) const {
-    const Place& place = places_.at(process);
-    return place.process > 0 && !place.stopped && place.terminated_at == kNever && !place.killed;
+    const ProcessState& process_state = process_states_.at(process);
+    return process_state.process > 0 && !process_state.stopped && process_state.terminated_at == kNever &&
+           !process_state.killed;
 }
 
-int SoakFleet::incarnation(SoakProcess process) const { return places_.at(process).incarnation; }
+int SoakFleet::incarnation(SoakProcess process) const { return process_states_.at(process).incarnation; }
 
 void SoakFleet::fail(const std::string& what) {
-    tell_("FAILURE " + what);
+    record_event_("FAILURE " + what);
     failures_.push_back(what);
 }
 
@@ -168,7 +171,7 @@
     return folder_ + "/settings/" + name_of(process) + ".yaml";
 }
 
-void SoakFleet::write_settings(SoakProcess process, const Place& place, bool broken) const {
+void SoakFleet::write_settings(SoakProcess process, const ProcessState& process_state, bool broken) const {
     const char* const role = process.role == SoakRole::kControl ? "control"
                              : process.role == SoakRole::kAgent ? "agent"
                                                                 : "proxy";
@@ -176,14 +179,14 @@
     const std::string host = address(process, 0), ip = host.substr(0, host.find(':'));
     std::string seeds;
     for (int i = 0; i < size_.controls; ++i)
-        seeds += "  - " + quoted(control(1 + (i + place.seeds_turn) % size_.controls)) + "\n";
+        seeds += "  - " + quoted(control(1 + (i + process_state.seed_rotation) % size_.controls)) + "\n";
     const std::size_t from = text.find("seedNodes:\n") + std::string("seedNodes:\n").size();
     text.replace(from, text.find("firstStart:") - from, seeds);
     const std::size_t own_ip = text.find("\nip: \"") + 6;
     replace_all(text, text.substr(own_ip, text.find('"', own_ip) - own_ip), ip);
     set_line(text, "nodeName:", quoted(name_of(process)));
-    set_line(text, "\nzone:", quoted(place.zone));
-    set_line(text, "firstStart:", place.incarnation <= 1 ? "true" : "false");
+    set_line(text, "\nzone:", quoted(process_state.zone));
+    set_line(text, "firstStart:", process_state.incarnation <= 1 ? "true" : "false");
     set_line(text, "\n  machines:", std::to_string((size_.controls - 1) / 2));
     if (process.role == SoakRole::kControl)
         set_line(text, "dataDir:", quoted(folder_ + "/data/" + name_of(process)));
@@ -194,7 +197,7 @@
 
 // ---- processes
 
-std::vector<std::string> SoakFleet::command(SoakProcess process, const Place& place) const {
+std::vector<std::string> SoakFleet::command(SoakProcess process, const ProcessState& process_state) const {
     if (process.role == SoakRole::kControl) return {programs_.fleet, "control"};
     if (process.role == SoakRole::kAgent) return {programs_.fleet, "agent"};
     if (process.role == SoakRole::kProxy) return {programs_.fleet, "proxy"};
@@ -204,18 +207,18 @@
         control_nodes += (control_nodes.empty() ? "" : ",") + control(number);
     }
     const std::string id = "i-" + hexadecimal(static_cast<std::uint64_t>(process.number), 4) +
-                           hexadecimal(static_cast<std::uint64_t>(place.incarnation), 4);
+                           hexadecimal(static_cast<std::uint64_t>(process_state.incarnation), 4);
     return {programs_.model_server,
             "--listen",
             address(process, kServerPort),
             "--id",
             id,
             "--service",
-            place.service,
+            process_state.service,
             "--zone",
-            place.zone,
+            process_state.zone,
             "--stage",
-            place.stage,
+            process_state.stage,
             "--control",
             control_nodes,
             "--model",
@@ -229,121 +232,130 @@
 }
 
 void SoakFleet::start(SoakProcess process, Ticks now) {
-    Place& place = places_.at(process);
-    ++place.incarnation;
-    place.log = folder_ + "/logs/" + name_of(process) + "." + std::to_string(place.incarnation);
-    logs_.push_back({place.log, process, place.service});
-    if (process.role != SoakRole::kServer) write_settings(process, place, false);
-    place.process = spawn(command(process, place), settings_path(process), place.log);
-    if (place.process < 0) throw std::runtime_error("can't start " + name_of(process));
-    place.stopped = place.killed = place.start_other = false;
-    place.terminated_at = kNever;
-    close_trouble(place, now);
-    tell_("started " + name_of(process) + " as process " + std::to_string(place.process) +
-          (place.service.empty() ? "" : " of " + place.service));
+    ProcessState& process_state = process_states_.at(process);
+    ++process_state.incarnation;
+    process_state.log =
+        folder_ + "/logs/" + name_of(process) + "." + std::to_string(process_state.incarnation);
+    logs_.push_back({process_state.log, process, process_state.service});
+    if (process.role != SoakRole::kServer) write_settings(process, process_state, false);
+    process_state.process = spawn(command(process, process_state), settings_path(process), process_state.log);
+    if (process_state.process < 0) throw std::runtime_error("cannot start " + name_of(process));
+    process_state.stopped = process_state.killed = process_state.start_other = false;
+    process_state.terminated_at = kNever;
+    end_fault(process_state, now);
+    record_event_("started " + name_of(process) + " as process " + std::to_string(process_state.process) +
+                  (process_state.service.empty() ? "" : " of " + process_state.service));
 }
 
 void SoakFleet::start_all(Ticks now) {
     for (const SoakProcess process : all()) start(process, now);
 }
 
-void SoakFleet::send(SoakProcess process, Place& place, int signal) {
-    tell_(std::string("SIG") + sigabbrev_np(signal) + " to " + name_of(process));
-    kill(place.process, signal);
+void SoakFleet::send(SoakProcess process, ProcessState& process_state, int signal) {
+    record_event_(std::string("SIG") + sigabbrev_np(signal) + " to " + name_of(process));
+    kill(process_state.process, signal);
 }
 
-void SoakFleet::open_trouble(SoakProcess process, Place& place, SoakTrouble::What what, Ticks now) {
-    // The later act of one that is in trouble already is one more trouble, which ends with it.
-    troubles_.push_back({what, process, now, kNever});
-    place.trouble = troubles_.size();
+void SoakFleet::begin_fault(SoakProcess process, ProcessState& process_state, FaultInterval::What what,
+                            Ticks now) {
+    // A second fault of a process that is already faulty is recorded separately; both end together.
+    fault_intervals_.push_back({what, process, now, kNever});
+    process_state.fault = fault_intervals_.size();
 }
 
-void SoakFleet::close_trouble(Place& place, Ticks now) {
-    if (place.trouble == 0) return;
-    const SoakProcess process = troubles_[place.trouble - 1].process;
-    for (SoakTrouble& trouble : troubles_)
-        if (trouble.process == process && trouble.until == kNever) trouble.until = now;
-    place.trouble = 0;
+void SoakFleet::end_fault(ProcessState& process_state, Ticks now) {
+    if (process_state.fault == 0) return;
+    const SoakProcess process = fault_intervals_[process_state.fault - 1].process;
+    for (FaultInterval& fault : fault_intervals_)
+        if (fault.process == process && fault.until == kNever) fault.until = now;
+    process_state.fault = 0;
 }
 
 void SoakFleet::act(const SoakStep& step, Ticks now) {
-    Place& place = places_.at(step.process);
-    const bool is_up = place.process > 0;
+    ProcessState& process_state = process_states_.at(step.process);
+    const bool is_up = process_state.process > 0;
     switch (step.act) {
     case SoakAct::kTerminate:
-        if (!is_up || place.terminated_at != kNever) return;
-        place.terminated_at = now, place.wanted = false;
-        open_trouble(step.process, place, SoakTrouble::What::kTerminated, now);
-        return send(step.process, place, SIGTERM);
+        if (!is_up || process_state.terminated_at != kNever) return;
+        process_state.terminated_at = now, process_state.wanted = false;
+        begin_fault(step.process, process_state, FaultInterval::What::kTerminated, now);
+        return send(step.process, process_state, SIGTERM);
     case SoakAct::kKill:
         if (!is_up) return;
-        place.killed = true, place.wanted = false;
-        open_trouble(step.process, place, SoakTrouble::What::kKilled, now);
-        return send(step.process, place, SIGKILL);
+        process_state.killed = true, process_state.wanted = false;
+        begin_fault(step.process, process_state, FaultInterval::What::kKilled, now);
+        return send(step.process, process_state, SIGKILL);
     case SoakAct::kStop:
-        if (!is_up || place.stopped) return;
-        place.stopped = true;
-        open_trouble(step.process, place, SoakTrouble::What::kStopped, now);
-        return send(step.process, place, SIGSTOP);
+        if (!is_up || process_state.stopped) return;
+        process_state.stopped = true;
+        begin_fault(step.process, process_state, FaultInterval::What::kStopped, now);
+        return send(step.process, process_state, SIGSTOP);
     case SoakAct::kContinue:
-        if (!is_up || !place.stopped) return;
-        place.stopped = false;
-        if (place.terminated_at != kNever) place.terminated_at = now; // it hears of it only now
-        if (place.terminated_at == kNever) close_trouble(place, now);
-        return send(step.process, place, SIGCONT);
+        if (!is_up || !process_state.stopped) return;
+        process_state.stopped = false;
+        if (process_state.terminated_at != kNever)
+            process_state.terminated_at = now; // SIGTERM takes effect only now
+        if (process_state.terminated_at == kNever) end_fault(process_state, now);
+        return send(step.process, process_state, SIGCONT);
     case SoakAct::kHangup:
     case SoakAct::kHangupBroken:
-        if (!is_up || step.process.role == SoakRole::kServer || !hears_hangup(place.process)) return;
-        ++place.seeds_turn;
-        write_settings(step.process, place, step.act == SoakAct::kHangupBroken);
-        return send(step.process, place, SIGHUP);
+        if (!is_up || step.process.role == SoakRole::kServer || !handles_sighup(process_state.process))
+            return;
+        ++process_state.seed_rotation;
+        write_settings(step.process, process_state, step.act == SoakAct::kHangupBroken);
+        return send(step.process, process_state, SIGHUP);
     case SoakAct::kStartOther:
-        place.start_other = true;
+        process_state.start_other = true;
         [[fallthrough]];
     case SoakAct::kStart:
-        place.wanted = true;
+        process_state.wanted = true;
         return;
     default:
-        throw std::logic_error("an act of the operator");
+        throw std::logic_error("operator steps are not handled by SoakFleet");
     }
 }
 
-void SoakFleet::ended(SoakProcess process, Place& place, int status, Ticks now) {
-    const bool told = place.terminated_at != kNever;
+void SoakFleet::ended(SoakProcess process, ProcessState& process_state, int status, Ticks now) {
+    const bool was_terminated = process_state.terminated_at != kNever;
     const std::string how = WIFEXITED(status) ? "status " + std::to_string(WEXITSTATUS(status))
                                               : std::string("SIG") + sigabbrev_np(WTERMSIG(status));
-    place.process = -1;
-    tell_(name_of(process) + " has ended: " + how);
-    // One that is told to end before it has begun to listen to signals ends by that one.
+    process_state.process = -1;
+    record_event_(name_of(process) + " has ended: " + how);
+    // A process that gets SIGTERM before it has installed its handler is ended by the signal.
     const bool early = WIFSIGNALED(status) && WTERMSIG(status) == SIGTERM;
-    const bool by_plan = place.killed || (told && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
-    if (!by_plan) fail("ENDED: " + name_of(process) + " ended on its own: " + how + ", log " + place.log);
-    if (!told && !place.killed) open_trouble(process, place, SoakTrouble::What::kKilled, now);
+    const bool by_plan = process_state.killed ||
+                         (was_terminated && (early || (WIFEXITED(status) && WEXITSTATUS(status) == 0)));
+    if (!by_plan)
+        fail("ENDED: " + name_of(process) + " exited unexpectedly: " + how + ", log " + process_state.log);
+    if (!was_terminated && !process_state.killed)
+        begin_fault(process, process_state, FaultInterval::What::kKilled, now);
 }
 
 void SoakFleet::pass(Ticks now) {
-    for (auto& [process, place] : places_) {
+    for (auto& [process, process_state] : process_states_) {
         int status = 0;
-        if (place.process > 0 && waitpid(place.process, &status, WNOHANG) == place.process)
-            ended(process, place, status, now);
-        const bool outlasts = place.process > 0 && place.terminated_at != kNever && !place.stopped &&
-                              !place.killed && now > place.terminated_at + kGrace + kGraceSlack;
+        if (process_state.process > 0 &&
+            waitpid(process_state.process, &status, WNOHANG) == process_state.process)
+            ended(process, process_state, status, now);
+        const bool outlasts = process_state.process > 0 && process_state.terminated_at != kNever &&
+                              !process_state.stopped && !process_state.killed &&
+                              now > process_state.terminated_at + kGrace + kGraceSlack;
         if (outlasts) {
-            fail("GRACE: " + name_of(process) + " still runs after its grace");
-            place.killed = true;
-            send(process, place, SIGKILL);
+            fail("GRACE: " + name_of(process) + " is still running after its grace period");
+            process_state.killed = true;
+            send(process, process_state, SIGKILL);
         }
-        if (place.process > 0 || !place.wanted || ending_) continue;
-        if (place.start_other && process.number % 7 == 0)
-            place.service = place.service == kSoakModel ? kSoakOther : kSoakModel;
+        if (process_state.process > 0 || !process_state.wanted || ending_) continue;
+        if (process_state.start_other && process.number % 7 == 0)
+            process_state.service = process_state.service == kSoakModel ? kSoakOther : kSoakModel;
         start(process, now);
     }
 }
 
 void SoakFleet::settle(Ticks now) {
-    for (auto& [process, place] : places_) {
+    for (auto& [process, process_state] : process_states_) {
         act({0, SoakAct::kContinue, process}, now);
-        place.wanted = true, place.start_other = false;
+        process_state.wanted = true, process_state.start_other = false;
     }
 }
 
@@ -356,13 +368,13 @@
 }
 
 bool SoakFleet::all_ended() const {
-    return std::ranges::all_of(places_, [](const auto& entry) { return entry.second.process < 0; });
+    return std::ranges::all_of(process_states_, [](const auto& entry) { return entry.second.process < 0; });
 }
 
-SoakUse SoakFleet::use(SoakProcess process) const {
-    const std::string folder = "/proc/" + std::to_string(places_.at(process).process);
+ResourceUsage SoakFleet::use(SoakProcess process) const {
+    const std::string folder = "/proc/" + std::to_string(process_states_.at(process).process);
     const std::string status = read_file(folder + "/status");
-    SoakUse use;
+    ResourceUsage use;
     const std::size_t at = status.find("VmRSS:");
     if (at != std::string::npos) use.resident_kib = std::stoll(status.substr(at + 6));
     std::error_code ignored;
@@ -393,7 +405,7 @@
         }
     }
     for (const std::string& failure : failures_) record.seen.push_back(failure);
-    record.troubles = troubles_;
+    record.fault_intervals = fault_intervals_;
 }
 
 } // namespace ivyrill::lab
--- a/tests/lab/soak_plan.cpp
+++ b/tests/lab/soak_plan.cpp
@@ -9,7 +9,7 @@
 
 constexpr Ticks kMs = kTicksPerSecond / 1000;
 constexpr Ticks kControlRecovers = 5 * kTicksPerSecond; // before the next control node is disturbed
-constexpr Ticks kAddressRests = 2'500 * kMs;            // a little over `addrReuseS` of the settings
+constexpr Ticks kAddressReuseDelay = 2'500 * kMs;       // a little over `addrReuseS` of the settings
 
 class Draw {
   public:
@@ -48,7 +48,7 @@
         disturb(at, draw_process());
     }
 
-    // False where too many control nodes are disturbed already.
+    // Returns false if too many control nodes are disturbed already.
     bool claim(SoakProcess process, Ticks at, Ticks until) {
         if (process.role != SoakRole::kControl) return true;
         int others = 0;
@@ -73,14 +73,14 @@
             add(at, SoakAct::kStop, process);
             if (chance(30)) add(at + span(0, back - at), SoakAct::kTerminate, process); // waits for SIGCONT
             add(back, SoakAct::kContinue, process);
-            add(back + kMs, SoakAct::kStart, process); // where it ended
+            add(back + kMs, SoakAct::kStart, process); // at the address where it ended
             return;
         }
         add(at, drawn <= 70 ? SoakAct::kTerminate : SoakAct::kKill, process);
         if (chance(25)) add(at + span(0, 500 * kMs), SoakAct::kHangup, process);
         if (chance(15)) add(at + span(0, back - at), SoakAct::kKill, process);
         const bool other = process.role == SoakRole::kServer && chance(40);
-        const Ticks start = other ? back + kAddressRests : back;
+        const Ticks start = other ? back + kAddressReuseDelay : back;
         add(start, other ? SoakAct::kStartOther : SoakAct::kStart, process);
         if (chance(30)) add(start + span(50 * kMs, 1000 * kMs), SoakAct::kHangup, process);
     }
--- a/tests/lab/soak_run.cpp
+++ b/tests/lab/soak_run.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Ticks kMs = kTicksPerSecond / 1000;
-constexpr Ticks kLook = 5 * kMs;        // at what no descriptor tells: processes and the next step
-constexpr Ticks kLeastPause = 50 * kMs; // that counts as one
-constexpr Ticks kStartPatience = 40 * kTicksPerSecond;
-constexpr Ticks kCallPatience = kTicksPerSecond; // of the operator with a silent node
-constexpr Ticks kCallPause = 200 * kMs;          // before the operator calls the next node
-constexpr Ticks kSurplusWait = 2 * kMs;          // bytes behind an answer come together with it
-constexpr Ticks kComesUp = 200 * kMs;            // a connection, else the client goes elsewhere
-constexpr Ticks kGiveUp = kTicksPerSecond;       // behind the deadline
+constexpr Ticks kPollInterval = 5 * kMs; // for what no descriptor reports: processes and the next step
+constexpr Ticks kLeastPause = 50 * kMs;  // minimum delay that is recorded
+constexpr Ticks kStartTimeout = 40 * kTicksPerSecond;
+constexpr Ticks kCallTimeout = kTicksPerSecond; // timeout of the operator for a node that does not answer
+constexpr Ticks kCallPause = 200 * kMs;         // before the operator calls the next node
+constexpr Ticks kSurplusWait = 2 * kMs;         // extra bytes after an answer arrive together with it
+constexpr Ticks kConnectTimeout = 200 * kMs; // timeout for a connection, then the client tries another node
+constexpr Ticks kGiveUp = kTicksPerSecond;   // after the deadline
 constexpr std::int64_t kLeastDeadlineMs = 4000, kMostDeadlineMs = 9000;
 
 ClientRequest get(const std::string& target) {
@@ -32,7 +32,7 @@
 struct SoakRun::Operator {
     std::int64_t number = 0, base = 0;
     bool is_valid = true, over = false;
-    std::string body, location; // the latter: where the last answer sent it
+    std::string body, location; // the second one: where the last answer redirected it
     int control = 1, answers_4xx = 0;
     Ticks next_at = 0, called_at = 0;
     std::unique_ptr<StreamClient> call;
@@ -46,7 +46,7 @@
     std::string address;
     bool was_up = false, waits = false;
     Ticks next_at = 0, opened_at = 0, over_at = kNever;
-    Ticks held_up = 0; // the soak, until the request was sent
+    Ticks soak_delay = 0; // delay of the soak until the request was sent
     SoakAttempt attempt;
     std::string expected;
     std::int64_t draw(std::int64_t most) {
@@ -55,9 +55,9 @@
 };
 
 SoakRun::SoakRun(const SoakOptions& options)
-    : options_(options), began_(loop_.now()), looked_at_(began_),
+    : options_(options), began_(loop_.now()), checked_at_(began_),
       random_(mix(options.seed, hash_text("run"))), changes_(options.seed),
-      fleet_(options.programs, options.size, [this](const std::string& what) { tell(what); }) {
+      fleet_(options.programs, options.size, [this](const std::string& what) { record_event(what); }) {
     for (int i = 0; i < options.clients; ++i) {
         clients_.push_back(std::make_unique<Client>(mix(options.seed, static_cast<std::uint64_t>(i) + 1)));
         clients_.back()->front = 1 + i % options.size.edges;
@@ -66,12 +66,12 @@
 
 SoakRun::~SoakRun() = default;
 
-void SoakRun::tell(const std::string& what) {
-    story_.push_back(std::to_string((loop_.now() - began_) / kMs) + " ms " + what);
+void SoakRun::record_event(const std::string& what) {
+    trace_.push_back(std::to_string((loop_.now() - began_) / kMs) + " ms " + what);
 }
 
 void SoakRun::fail(const std::string& what) {
-    tell("FAILURE " + what);
+    record_event("FAILURE " + what);
     record_.seen.push_back(what);
 }
 
@@ -82,8 +82,8 @@
     }
     end();
     fleet_.collect(record_);
-    result_.wrong = record_.seen;
-    for (const std::string& what : judge(record_, SoakBounds{})) result_.wrong.push_back(what);
+    result_.violations = record_.seen;
+    for (const std::string& what : judge(record_, SoakBounds{})) result_.violations.push_back(what);
     for (const SoakAttempt& attempt : record_.attempts) {
         ++result_.attempts;
         if (attempt.end != AnswerEnd::kComplete)
@@ -97,37 +97,37 @@
         result_.acknowledged += version.acknowledged_at == kNever ? 0 : 1;
     for (const SoakProcess process : fleet_.all())
         result_.starts += static_cast<std::uint64_t>(fleet_.incarnation(process));
-    result_.held_up = held_up_;
-    if (result_.wrong.empty() && !options_.keep)
+    result_.soak_delay = soak_delay_;
+    if (result_.violations.empty() && !options_.keep)
         fleet_.remove_folder();
     else
-        result_.folder = fleet_.folder(), result_.story = story_;
+        result_.folder = fleet_.folder(), result_.trace = trace_;
     return std::move(result_);
 }
 
 // ---- the loop
 
 void SoakRun::note_pause() {
-    const Ticks now = loop_.now(), due = looked_at_ + kLook;
+    const Ticks now = loop_.now(), due = checked_at_ + kPollInterval;
     if (now > due + kLeastPause) {
-        tell("the soak was held up for " + std::to_string((now - due) / kMs) + " ms");
+        record_event("the soak was delayed for " + std::to_string((now - due) / kMs) + " ms");
         record_.pauses.push_back({due, now});
-        held_up_ += now - due;
+        soak_delay_ += now - due;
     }
-    looked_at_ = now;
+    checked_at_ = now;
 }
 
 void SoakRun::pass() {
     fleet_.pass(loop_.now());
     pass_operators();
     note_pause();
-    loop_.wait(loop_.now() + kLook); // clients judge lateness by what has come until now
+    loop_.wait(loop_.now() + kPollInterval); // clients judge lateness by what has arrived until now
     note_pause();
     pass_clients();
 }
 
-bool SoakRun::until(const std::function<bool()>& holds, Ticks patience) {
-    const Ticks give_up = loop_.now() + patience;
+bool SoakRun::until(const std::function<bool()>& holds, Ticks timeout) {
+    const Ticks give_up = loop_.now() + timeout;
     while (!holds()) {
         if (loop_.now() >= give_up) return false;
         pass();
@@ -135,12 +135,12 @@
     return true;
 }
 
-// One request on a connection of its own; what didn't come in time is closed.
-const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks patience) {
+// One request on a separate connection, which is closed on timeout.
+const ClientAnswer& SoakRun::ask(const std::string& address, const ClientRequest& request, Ticks timeout) {
     asked_ = std::make_unique<StreamClient>(loop_, address);
     StreamClient& client = *asked_;
     client.send(request);
-    until([&] { return client.pass(), client.over(); }, patience);
+    until([&] { return client.pass(), client.over(); }, timeout);
     client.close();
     return client.answer();
 }
@@ -150,30 +150,30 @@
 bool SoakRun::start() {
     fleet_.start_all(loop_.now());
     open_operator(changes_.first(), 0, true);
-    const bool configured = until([&] { return operators_.empty(); }, kStartPatience);
+    const bool configured = until([&] { return operators_.empty(); }, kStartTimeout);
     const bool served = configured && until(
                                           [&] {
                                               for (int i = 1; i <= options_.size.edges; ++i)
                                                   if (!serves(i, "/open/", "", 200)) return false;
                                               return true;
                                           },
-                                          kStartPatience);
-    if (!served) fail("START: the fleet isn't ready in time");
+                                          kStartTimeout);
+    if (!served) fail("START: the fleet did not become ready in time");
     for (const SoakProcess process : fleet_.all()) {
-        first_use_[process] = fleet_.use(process);
+        first_usage_[process] = fleet_.use(process);
         first_incarnation_[process] = fleet_.incarnation(process);
     }
-    tell("the fleet is ready");
+    record_event("the fleet is ready");
     return served;
 }
 
 void SoakRun::play_steps() {
     clients_send_ = true;
     const std::vector<SoakStep> steps = draw_soak(options_.seed, options_.size);
-    // Steps that the machine held up come later all of them: they keep their distances.
-    const Ticks began = loop_.now() - held_up_;
+    // If the machine delays a step, all later steps are shifted: the intervals between them stay.
+    const Ticks began = loop_.now() - soak_delay_;
     const auto pass_until = [&](Ticks at) {
-        while (loop_.now() < began + held_up_ + at) pass();
+        while (loop_.now() < began + soak_delay_ + at) pass();
     };
     for (const SoakStep& step : steps) {
         pass_until(step.at);
@@ -192,18 +192,18 @@
 }
 
 void SoakRun::rest() {
-    tell("all is brought to rest");
+    record_event("ending all faults");
     fleet_.settle(loop_.now());
     const bool clear = until([&] { return operators_.empty() && operator_work_.empty(); },
                              SoakBounds{}.recovery + SoakBounds{}.grace);
-    if (!clear) fail("CONFIG: no clear answer to a change though all is at rest");
+    if (!clear) fail("CONFIG: no definite answer to a change without faults");
     const bool up = until(
         [&] {
             return std::ranges::all_of(fleet_.all(),
                                        [&](SoakProcess one) { return fleet_.running_undisturbed(one); });
         },
         SoakBounds{}.grace + 3 * kTicksPerSecond);
-    if (!up) fail("REST: a process isn't running though all were started");
+    if (!up) fail("REST: a process is not running after all were started");
     const Ticks resting = loop_.now();
     until([&] { return loop_.now() >= resting + SoakBounds{}.in_touch; }, kNever / 2);
     check_served();
@@ -213,7 +213,7 @@
     for (int i = 1; i <= options_.size.controls; ++i) check_read_back(i);
     for (const auto& client : clients_) client->connection.reset();
     asked_.reset();
-    check_use();
+    check_resource_usage();
 }
 
 bool SoakRun::serves(int front, const std::string& prefix, const std::string& key, int wanted) {
@@ -228,9 +228,9 @@
     attempt.ended_at = loop_.now(), attempt.deadline = kLeastDeadlineMs * kMs;
     attempt.end = answer.end, attempt.status = answer.head.status;
     const std::string expected = expected_stream(request);
-    attempt.whole = answer.body == expected, attempt.a_beginning = expected.starts_with(answer.body);
+    attempt.whole = answer.body == expected, attempt.is_prefix = expected.starts_with(answer.body);
     attempt.sealed = answer.head.has("server-seal");
-    // Before the history nobody listens yet; then only what servers saw of these requests is judged.
+    // Before the history nobody observes these requests; then only the servers' observations are checked.
     if (!clients_send_ && attempt.end != AnswerEnd::kComplete) attempt.end = AnswerEnd::kOpen;
     record_.attempts.push_back(attempt);
     return answer.head.status == wanted && answer.end == AnswerEnd::kComplete;
@@ -238,7 +238,7 @@
 
 void SoakRun::check_served() {
     const SoakVersion version = newest();
-    std::string gone; // a key that was taken away
+    std::string gone; // a removed key
     for (const std::string& key : changes_.keys())
         if (!version.tenant_of_key.contains(key)) gone = key;
     const std::string& key = version.tenant_of_key.begin()->first;
@@ -251,7 +251,7 @@
                             std::to_string(record_.attempts.back().status));
     };
     for (int front = 1; front <= options_.size.edges; ++front) {
-        if (!until([&] { return ask(fleet_.ready(front), get("/ready"), kCallPatience).head.status == 200; },
+        if (!until([&] { return ask(fleet_.ready(front), get("/ready"), kCallTimeout).head.status == 200; },
                    SoakBounds{}.recovery))
             fail("REST: proxy-" + std::to_string(front) + " isn't ready");
         for (const SoakRoute& route : version.routes) by_then(front, route.prefix, key, 200);
@@ -262,33 +262,33 @@
 
 void SoakRun::check_read_back(int control) {
     const SoakVersion& version = newest();
-    const bool same = until(
-        [&] { return ask(fleet_.control(control), get("/config"), kCallPatience).body == version.body; },
-        SoakBounds{}.in_touch);
+    const bool same =
+        until([&] { return ask(fleet_.control(control), get("/config"), kCallTimeout).body == version.body; },
+              SoakBounds{}.in_touch);
     if (!same)
-        fail("LOST: control-" + std::to_string(control) + " doesn't tell version " +
+        fail("LOST: control-" + std::to_string(control) + " doesn't report version " +
              std::to_string(version.number) + ", which was acknowledged");
 }
 
-// Once its clients are gone, a process holds little more than after its start, and is in its limits.
-void SoakRun::check_use() {
+// Without clients, a process uses little more than after its start, and is within its limits.
+void SoakRun::check_resource_usage() {
     constexpr std::int64_t kSettingsKib = 256 * 1024, kSettingsDescriptors = 1024; // `limits` of the settings
     const std::int64_t slack = 32 + 4L * options_.size.servers + 2L * options_.size.edges;
     until([] { return false; }, kTicksPerSecond / 2); // connections are closed by then
     for (const SoakProcess process : fleet_.all()) {
-        const SoakUse use = fleet_.use(process);
+        const ResourceUsage use = fleet_.use(process);
         result_.most_resident_kib = std::max(result_.most_resident_kib, use.resident_kib);
         result_.most_descriptors = std::max(result_.most_descriptors, use.descriptors);
-        const std::string said = name_of(process) + " holds " + std::to_string(use.resident_kib) +
+        const std::string text = name_of(process) + " holds " + std::to_string(use.resident_kib) +
                                  " KiB and " + std::to_string(use.descriptors) + " descriptors";
-        if (!options_.sanitized && use.resident_kib > kSettingsKib) fail("MEMORY: " + said);
-        if (use.descriptors > kSettingsDescriptors) fail("DESCRIPTORS: " + said);
+        if (!options_.sanitized && use.resident_kib > kSettingsKib) fail("MEMORY: " + text);
+        if (use.descriptors > kSettingsDescriptors) fail("DESCRIPTORS: " + text);
         if (fleet_.incarnation(process) != first_incarnation_[process]) continue;
-        const SoakUse first = first_use_[process];
+        const ResourceUsage first = first_usage_[process];
         if (use.descriptors > first.descriptors + slack)
-            fail("DESCRIPTORS: " + said + " after " + std::to_string(first.descriptors) + " at the start");
+            fail("DESCRIPTORS: " + text + " after " + std::to_string(first.descriptors) + " at the start");
         if (!options_.sanitized && use.resident_kib > 2 * first.resident_kib + 32 * 1024)
-            fail("MEMORY: " + said + " after " + std::to_string(first.resident_kib) + " KiB at the start");
+            fail("MEMORY: " + text + " after " + std::to_string(first.resident_kib) + " KiB at the start");
     }
 }
 
@@ -296,7 +296,7 @@
     clients_send_ = false;
     operators_.clear(), operator_work_.clear(), asked_.reset();
     for (const auto& client : clients_) client->connection.reset();
-    tell("all are told to end");
+    record_event("stopping all processes");
     fleet_.terminate_all(loop_.now());
     until([&] { return fleet_.all_ended(); }, SoakBounds{}.grace + 5 * kTicksPerSecond);
 }
@@ -322,8 +322,8 @@
     made->control = 1 + static_cast<int>(random_() % static_cast<unsigned>(options_.size.controls));
     version.sent_at = loop_.now();
     version.refused = !is_valid;
-    tell((is_valid ? "change to version " : "invalid change to version ") + std::to_string(version.number) +
-         " on " + std::to_string(base));
+    record_event((is_valid ? "change to version " : "invalid change to version ") +
+                 std::to_string(version.number) + " on " + std::to_string(base));
     record_.versions.push_back(std::move(version));
     operators_.push_back(std::move(made));
 }
@@ -354,18 +354,19 @@
             one->called_at = now;
         }
         one->call->pass();
-        if (!one->call->over() && now < one->called_at + kCallPatience) continue;
+        if (!one->call->over() && now < one->called_at + kCallTimeout) continue;
         const ClientAnswer answer = one->call->answer();
         const int status = answer.end == AnswerEnd::kComplete ? answer.head.status : 0;
         one->call.reset();
         one->next_at = now + kCallPause;
         const auto version = std::ranges::find(record_.versions, one->number, &SoakVersion::number);
-        const std::string told = "version " + std::to_string(one->number) + " got " + std::to_string(status);
+        const std::string outcome =
+            "version " + std::to_string(one->number) + " got " + std::to_string(status);
         const bool races = operators_.size() > 1;
         if (status == 200) {
-            tell(told);
-            if (!one->is_valid) fail("CONFIG: an invalid change was acknowledged: " + told);
-            if (version->refused && one->is_valid) fail("CONFIG: two changes of one version: " + told);
+            record_event(outcome);
+            if (!one->is_valid) fail("CONFIG: an invalid change was acknowledged: " + outcome);
+            if (version->refused && one->is_valid) fail("CONFIG: two changes of one version: " + outcome);
             version->acknowledged_at = now, one->over = true;
             for (const auto& other : operators_)
                 if (other != one)
@@ -375,10 +376,10 @@
             one->location = location.substr(7, location.find('/', 7) - 7);
             one->next_at = now;
         } else if (status == 412 || (status >= 400 && status < 500 && status != 408 && status != 429)) {
-            tell(told);
+            record_event(outcome);
             one->over = true;
             const bool lost_race = status == 412 && (races || version->refused);
-            if (one->is_valid && !lost_race) fail("CONFIG: a valid change was refused: " + told);
+            if (one->is_valid && !lost_race) fail("CONFIG: a valid change was refused: " + outcome);
             version->refused = true;
         } else {
             one->control = one->control % options_.size.controls + 1;
@@ -398,7 +399,8 @@
     if (client.connection) client.connection->pass();
     if (client.waits) {
         if (client.connection->over()) return take_answer(client);
-        if (now >= client.attempt.sent_at + client.attempt.deadline + kGiveUp + held_up_ - client.held_up) {
+        if (now >=
+            client.attempt.sent_at + client.attempt.deadline + kGiveUp + soak_delay_ - client.soak_delay) {
             client.connection->close();
             take_answer(client);
         }
@@ -406,7 +408,7 @@
     }
     if (!clients_send_ || now < client.next_at) return;
     if (client.connection && !client.connection->connected()) {
-        if (!client.was_up && now < client.opened_at + kComesUp) return;
+        if (!client.was_up && now < client.opened_at + kConnectTimeout) return;
         client.connection.reset();
         client.front = 1 + static_cast<int>(client.draw(options_.size.edges - 1));
         client.next_at = now + client.draw(300) * kMs;
@@ -455,7 +457,7 @@
     if (client.draw(3) == 0) request.more.push_back({"Tenant", "alpha"});
     client.expected = expected_stream(request);
     attempt.deadline = deadline_ms * kMs, attempt.sent_at = loop_.now();
-    client.held_up = held_up_;
+    client.soak_delay = soak_delay_;
     client.waits = true, client.over_at = kNever;
     client.connection->send(request);
 }
@@ -470,8 +472,8 @@
     attempt.ended_at = answer.ended_at;
     attempt.sealed = answer.head.has("server-seal");
     attempt.whole = answer.body == client.expected;
-    attempt.a_beginning = client.expected.starts_with(answer.body);
-    attempt.of_another = answer.head.has("attempt-id") && answer.head.field("attempt-id") != attempt.id;
+    attempt.is_prefix = client.expected.starts_with(answer.body);
+    attempt.of_other_request = answer.head.has("attempt-id") && answer.head.field("attempt-id") != attempt.id;
     attempt.surplus = !client.connection->surplus().empty();
     record_.attempts.push_back(attempt);
     client.waits = false;
