--- a/tests/h2_tests.cpp
+++ b/tests/h2_tests.cpp
@@ -368,7 +368,7 @@
     TEST(broken_connection_cancels_its_streams),
     TEST(caller_revoked_with_ten_streams_open),
     TEST(upgrade_request_on_the_plain_port_stays_http_1),
-    TEST(requests_are_validated_strictly),
+    TEST(requests_are_read_strictly),
     TEST(floods_close_only_their_own_connection),
     TEST(share_of_a_connection_shrinks_beside_others),
 };
