--- a/tests/lab/consensus_history.cpp
+++ b/tests/lab/consensus_history.cpp
@@ -14,15 +14,13 @@
 constexpr Ticks kFaultsFrom = 2 * kTicksPerSecond, kFaultsFor = 16 * kTicksPerSecond;
 constexpr Ticks kCalm = 6 * kTicksPerSecond, kNewWriteWithin = kTicksPerSecond;
 constexpr Ticks kMostClientPause = 800;
-constexpr std::array<Ticks, 4> kMostFaultPauses{4000, 12000, 30000,
-                                                80000}; // one value is drawn for the whole history
-constexpr Ticks kCountedLost = 4 * kTicksPerSecond;     // after the replacement of a lost disk has started
+constexpr std::array<Ticks, 4> kMostFaultPauses{4000, 12000, 30000, 80000}; // drawn once for each history
+constexpr Ticks kCountedLost = 4 * kTicksPerSecond; // after the replacement of a lost disk has started
 constexpr Ticks kNever = std::numeric_limits<Ticks>::max();
 constexpr double kVoterCrashProbability = 0.4, kSplitAtChangeProbability = 0.5,
                  kLeaderCrashProbability = 0.01;
 constexpr Ticks kMostTargetedFaultDelay = 30, kMostLinkCut = 6 * kTicksPerSecond;
-constexpr std::array<double, 3> kTargetedFaultRates{0, 0.3,
-                                                    1}; // multipliers of the usual rate of targeted faults
+constexpr std::array<double, 3> kTargetedFaultRates{0, 0.3, 1}; // multipliers of the rate
 constexpr int kFaultKinds = 15;
 constexpr Ticks kSlowStore = 2000; // 200 ms
 constexpr std::size_t kClients = 3;
--- a/tests/lab/consensus_world.cpp
+++ b/tests/lab/consensus_world.cpp
@@ -317,8 +317,8 @@
         return schedule_on(machine, disk.stalled_until,
                            [this, machine, ticket](Replica&) { finish_store(machine, ticket); });
     const bool is_full = disk.full_until > now_;
-    if (!is_full || chance(0.2))
-        disk.state = std::move(disk.pending->state); // the write failed after the rename
+    // A failed store may still have taken effect, e.g. if it failed after the rename.
+    if (!is_full || chance(0.2)) disk.state = std::move(disk.pending->state);
     disk.pending.reset();
     if (is_full)
         m.replica->store_failed(ticket, now_);
--- a/tests/lab/example_fleet.cpp
+++ b/tests/lab/example_fleet.cpp
@@ -22,8 +22,7 @@
 
 constexpr int kStartTimeoutMs = 40'000; // the script's own timeout is shorter
 constexpr Ticks kConditionTimeout = 30 * kTicksPerSecond;
-constexpr Ticks kPollInterval =
-    kTicksPerSecond / 50; // for changes that no descriptor reports: logs and processes
+constexpr Ticks kPollInterval = kTicksPerSecond / 50; // logs and processes signal no descriptor
 constexpr std::string_view kReady = "The fleet is ready; its logs are in ", kLogs = "/logs";
 
 // A different number for each process of a test that runs concurrently.
--- a/tests/lab/generation.cpp
+++ b/tests/lab/generation.cpp
@@ -85,8 +85,7 @@
     std::int64_t tokens = 0;
     std::size_t hits = 0;
     while (hits < parts.size() && find(parts[hits]) != kept_.end()) tokens += parts[hits++].tokens;
-    while (hits-- > 0)
-        kept_.splice(kept_.begin(), kept_, find(parts[hits])); // the first part becomes the newest
+    while (hits-- > 0) kept_.splice(kept_.begin(), kept_, find(parts[hits])); // first part newest
     return tokens;
 }
 
--- a/tests/lab/platform.hpp
+++ b/tests/lab/platform.hpp
@@ -78,9 +78,8 @@
     PlatformMode mode_ = PlatformMode::kQuick;
     std::vector<std::unique_ptr<Connection>> connections_;
     std::vector<ReceivedCall> calls_;
-    std::map<std::int64_t, std::string> reports_received_,
-        reports_;                                  // bodies by window: of all calls, of accepted calls
-    std::map<std::string, std::vector<Act>> acts_; // by subject
+    std::map<std::int64_t, std::string> reports_received_, reports_; // by window; reports_: accepted
+    std::map<std::string, std::vector<Act>> acts_;                   // by subject
     std::vector<std::string> violations_;
 };
 
