--- a/tests/caller_tests.cpp
+++ b/tests/caller_tests.cpp
@@ -117,7 +117,7 @@
     assert(status(before, {"a1", "find", "", token}) == 200);
 }
 
-void revoked_certificate_closes_its_idle_connection() {
+void revoked_certificate_closes_its_idle_tls_connection() {
     FrontNodeFixture fixture({});
     const IssuedCertificate anna = fixture.issue("anna"), bruno = fixture.issue("bruno");
     Client first(fixture.client_certificate_address(),
@@ -224,7 +224,7 @@
     TEST(tokens_of_old_and_new_keys_are_accepted_during_rotation),
     TEST(invalid_reload_keeps_the_old_files),
     TEST(own_certificate_changes_and_closes_nothing),
-    TEST(revoked_certificate_closes_its_idle_connection),
+    TEST(revoked_certificate_closes_its_idle_tls_connection),
     TEST(revoked_client_with_a_search_in_flight_gets_its_answer),
     TEST(stop_signal_during_a_reload_is_handled),
     TEST(incomplete_handshakes_delay_no_other_client),
