--- a/fuzz/script.cpp
+++ b/fuzz/script.cpp
@@ -16,12 +16,12 @@
             const auto outcome = script::run_script(
                 "a.star", [&](const std::string&) { return text; }, limits);
             if (outcome.steps > limits.steps || outcome.bytes > limits.bytes) std::abort();
-            *result = outcome.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
+            *output = outcome.result.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace);
             try {
                 operators::read_operator_settings(outcome.result);
             } catch (const operators::SettingsError&) {}
         } catch (const script::ScriptError& error) {
-            *result = error.what();
+            *output = error.what();
             if (error.location.line < 1 || error.location.column < 1) std::abort();
         }
     }
--- a/fuzz/token.cpp
+++ b/fuzz/token.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static TestAuthorizer test;
+    static Fixture test;
     const std::string bytes(reinterpret_cast<const char*>(data), size);
     if (test.authorizer.admit({bytes, false, nullptr}, {"find", "", ""}, kNow).reason == Reason::kAdmitted)
         std::abort();
